--- a/internal/digest/exchange.go
+++ b/internal/digest/exchange.go
@@ -53,7 +53,7 @@
 	// turns is the same for workers that take no more than so many requests a second.
 	turns *quotaExchange
 	// quarantine is nil where no requests are quarantined; it has a lock of its own.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Manager
 	conn       *net.UDPConn
 	log        *logrus.Logger
 	// begun is when this process began to listen.
--- a/internal/digest/suspects.go
+++ b/internal/digest/suspects.go
@@ -14,7 +14,7 @@
 
 // SetQuarantine has the exchange tell what a keeper learns of requests under which workers
 // end, and give it what other nodes tell. It is called before Run.
-func (e *Exchange) SetQuarantine(keeper *quarantine.Keeper) { e.quarantine = keeper }
+func (e *Exchange) SetQuarantine(keeper *quarantine.Manager) { e.quarantine = keeper }
 
 // ChosenForTrial reports whether this node is the one of all that gives a quarantined request
 // its trials.
@@ -32,7 +32,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.quarantine.ToTell():
+		case <-e.quarantine.DueSignal():
 		case <-timer.C:
 		}
 		records, wait := e.quarantine.Due(time.Now())
@@ -97,7 +97,7 @@
 	if e.quarantine == nil {
 		return
 	}
-	changed := e.quarantine.Take(message.Node, message.Suspects)
+	changed := e.quarantine.Receive(message.Node, message.Suspects)
 	if message.Sequence == 0 {
 		e.spreadSuspects(changed)
 	}
--- a/internal/digest/suspects_test.go
+++ b/internal/digest/suspects_test.go
@@ -13,7 +13,7 @@
 // quarantineNode is an exchange with its keeper.
 type quarantineNode struct {
 	*Exchange
-	keeper *quarantine.Keeper
+	keeper *quarantine.Manager
 }
 
 // quarantineNodes runs exchanges that know each other and keep a quarantine.
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	keeper := quarantine.NewKeeper(exchange.ChosenForTrial, quiet())
+	keeper := quarantine.NewManager(exchange.ChosenForTrial, quiet())
 	exchange.SetQuarantine(keeper)
 	return quarantineNode{exchange, keeper}
 }
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -90,7 +90,7 @@
 	// not among them.
 	turnsASecond float64
 	// standing is how the call is to be treated, as of its last plan.
-	standing quarantine.Standing
+	standing quarantine.Status
 }
 
 // countBegun counts the call as one that a worker has begun to run, unless it was counted
--- a/internal/dispatch/suspicion.go
+++ b/internal/dispatch/suspicion.go
@@ -12,7 +12,7 @@
 // Quarantine knows the requests under which workers ended, over all nodes.
 type Quarantine interface {
 	// Standing tells how a request is to be treated.
-	Standing(request quarantine.Fingerprint, now time.Time) quarantine.Standing
+	Standing(request quarantine.Fingerprint, now time.Time) quarantine.Status
 	// Crashed records that a worker ended that ran these requests.
 	Crashed(crashes map[quarantine.Fingerprint]quarantine.Crash, now time.Time)
 	// Survived records that a worker ran a request to an end and lives.
@@ -24,8 +24,8 @@
 // noQuarantine suspects nothing.
 type noQuarantine struct{}
 
-func (noQuarantine) Standing(quarantine.Fingerprint, time.Time) quarantine.Standing {
-	return quarantine.Standing{}
+func (noQuarantine) Standing(quarantine.Fingerprint, time.Time) quarantine.Status {
+	return quarantine.Status{}
 }
 func (noQuarantine) Crashed(map[quarantine.Fingerprint]quarantine.Crash, time.Time) {}
 func (noQuarantine) Survived(quarantine.Fingerprint, time.Time)                     {}
--- a/internal/gateway/runner.go
+++ b/internal/gateway/runner.go
@@ -59,13 +59,13 @@
 	reporter *reporter
 	metrics  *Metrics
 	// quarantine keeps requests under which engines end away from them.
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Manager
 
 	mu     sync.Mutex
 	budget *admission.RetryBudget
 }
 
-func newRunner(placer *Placer, engines *engine.Client, reporter *reporter, metrics *Metrics, quarantined *quarantine.Keeper) *runner {
+func newRunner(placer *Placer, engines *engine.Client, reporter *reporter, metrics *Metrics, quarantined *quarantine.Manager) *runner {
 	return &runner{
 		placer: placer, engines: engines, reporter: reporter, metrics: metrics, quarantine: quarantined,
 		budget: admission.NewRetryBudget(retryRatio, retryCeiling),
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -94,7 +94,7 @@
 	Answers Answers
 	Metrics *Metrics
 	// Quarantine keeps requests under which engines end away from engines.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Manager
 	// Over wraps the handler of callers' requests; nil leaves it.
 	Over func(http.Handler) http.Handler
 	// MetricsPage serves /metrics.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -198,7 +198,7 @@
 	limits.ReadTimeout = settings.Milliseconds(n.settings.Limits.ReadTimeoutMillis)
 	limits.WriteTimeout = settings.Milliseconds(n.settings.Limits.WriteTimeoutMillis)
 	limits.MaxActive = n.settings.Limits.MaxActive
-	quarantined := quarantine.NewLocalKeeper(n.log)
+	quarantined := quarantine.NewLocalManager(n.log)
 	quarantined.Register(n.registry)
 	n.gateway = gateway.NewServer(limits, gateway.Dependencies{
 		Catalog: n.manager,
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -66,15 +66,15 @@
 	Quarantined bool `json:"q,omitempty"`
 }
 
-// Ordered returns a record that came from elsewhere with its crashes in order.
-func (r Record) Ordered() Record {
+// Sorted returns a record that came from elsewhere with its crashes in order.
+func (r Record) Sorted() Record {
 	crashes := slices.Clone(r.Crashes)
 	slices.SortFunc(crashes, func(a, b Crash) int { return cmp.Compare(a.Worker, b.Worker) })
 	return Record{Fingerprint: r.Fingerprint, Crashes: crashes[:min(len(crashes), maxCrashes)], Quarantined: r.Quarantined}
 }
 
-// Counted is the number of crashes that aren't cleared.
-func (r Record) Counted() int {
+// CountedCrashes is the number of crashes that aren't cleared.
+func (r Record) CountedCrashes() int {
 	count := 0
 	for _, crash := range r.Crashes {
 		if !crash.Cleared {
@@ -99,8 +99,8 @@
 	return slices.BinarySearchFunc(r.Crashes, worker, func(c Crash, worker string) int { return cmp.Compare(c.Worker, worker) })
 }
 
-// Standing is how a request is to be treated.
-type Standing struct {
+// Status is how a request is to be treated.
+type Status struct {
 	// Crashes is the number of workers that ended under it and count.
 	Crashes int
 	// Quarantined requests are given to no worker.
@@ -125,9 +125,9 @@
 	storedAt uint64
 }
 
-// Book holds what a node knows of requests under which workers ended. It is pure: time is
+// Detector holds what a node knows of requests under which workers ended. It is pure: time is
 // an argument.
-type Book struct {
+type Detector struct {
 	entries map[Fingerprint]*entry
 	// byWorker holds the requests that ran at a worker when it ended.
 	byWorker map[string][]Fingerprint
@@ -138,20 +138,20 @@
 	judged map[Fingerprint]bool
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{
+// NewDetector returns an empty book.
+func NewDetector() *Detector {
+	return &Detector{
 		entries: make(map[Fingerprint]*entry), byWorker: make(map[string][]Fingerprint), grave: make(map[Fingerprint]*entry),
 	}
 }
 
-// Standing tells how a request is to be treated.
-func (b *Book) Standing(request Fingerprint, now time.Time) Standing {
+// Status tells how a request is to be treated.
+func (b *Detector) Status(request Fingerprint, now time.Time) Status {
 	known, exists := b.entries[request]
 	if !exists {
-		return Standing{}
+		return Status{}
 	}
-	standing := Standing{Crashes: known.Counted()}
+	standing := Status{Crashes: known.CountedCrashes()}
 	if settling := settleTime - now.Sub(known.crashed); settling > 0 && standing.Crashes >= enoughCrashes {
 		standing.Settling = settling
 		return standing
@@ -166,7 +166,7 @@
 // untilTrial is the time until a trial is due, or until the request is let go.
 func (e *entry) untilTrial(now time.Time) time.Duration {
 	span := quarantinedFor
-	if next := max(e.Counted()-enoughCrashes, 0); next < len(trialAfter) {
+	if next := max(e.CountedCrashes()-enoughCrashes, 0); next < len(trialAfter) {
 		span = trialAfter[next]
 	}
 	return span - now.Sub(e.crashed)
@@ -174,7 +174,7 @@
 
 // Crashed records that a worker ended that ran these requests. It returns the records that
 // have changed.
-func (b *Book) Crashed(crash Crash, ran []Fingerprint, now time.Time) []Record {
+func (b *Detector) Crashed(crash Crash, ran []Fingerprint, now time.Time) []Record {
 	var told []Record
 	for _, request := range ran {
 		told = append(told, Record{Fingerprint: request, Crashes: []Crash{crash}})
@@ -184,7 +184,7 @@
 
 // Merge joins records from elsewhere with those known. It returns the ones that have
 // changed.
-func (b *Book) Merge(told []Record, now time.Time) []Record {
+func (b *Detector) Merge(told []Record, now time.Time) []Record {
 	var changed []Record
 	for _, record := range told {
 		if known, exists := b.entries[record.Fingerprint]; exists && known.covers(record) {
@@ -196,7 +196,7 @@
 }
 
 // join adds what a record tells.
-func (b *Book) join(told Record, now time.Time) Record {
+func (b *Detector) join(told Record, now time.Time) Record {
 	known := b.entry(told.Fingerprint)
 	for _, crash := range told.Crashes {
 		at, found := known.find(crash.Worker)
@@ -218,8 +218,8 @@
 }
 
 // weigh keeps grave up to date.
-func (b *Book) weigh(known *entry) {
-	if known.Counted() >= enoughCrashes {
+func (b *Detector) weigh(known *entry) {
+	if known.CountedCrashes() >= enoughCrashes {
 		b.grave[known.Fingerprint] = known
 		return
 	}
@@ -232,7 +232,7 @@
 	return Record{Fingerprint: e.Fingerprint, Crashes: slices.Clone(e.Crashes), Quarantined: e.Quarantined}
 }
 
-func (b *Book) entry(request Fingerprint) *entry {
+func (b *Detector) entry(request Fingerprint) *entry {
 	known, exists := b.entries[request]
 	if !exists {
 		b.makeRoom()
@@ -244,7 +244,7 @@
 
 // makeRoom forgets an eighth of the requests where there are too many: those with the fewest
 // crashes, of these the ones that have not changed for longest.
-func (b *Book) makeRoom() {
+func (b *Detector) makeRoom() {
 	if len(b.entries) < maxRecords {
 		return
 	}
@@ -261,10 +261,10 @@
 	case right.Quarantined && !left.Quarantined:
 		return -1
 	}
-	return cmp.Or(cmp.Compare(left.Counted(), right.Counted()), left.changed.Compare(right.changed))
+	return cmp.Or(cmp.Compare(left.CountedCrashes(), right.CountedCrashes()), left.changed.Compare(right.changed))
 }
 
-func (b *Book) forget(known *entry) {
+func (b *Detector) forget(known *entry) {
 	for _, crash := range known.Crashes {
 		b.unlink(known.Fingerprint, crash.Worker)
 	}
@@ -272,7 +272,7 @@
 	delete(b.grave, known.Fingerprint)
 }
 
-func (b *Book) unlink(request Fingerprint, worker string) {
+func (b *Detector) unlink(request Fingerprint, worker string) {
 	left := slices.DeleteFunc(b.byWorker[worker], func(other Fingerprint) bool { return other == request })
 	if len(left) == 0 {
 		delete(b.byWorker, worker)
@@ -282,7 +282,7 @@
 }
 
 // trim forgets crashes of a request that has too many, cleared ones first.
-func (b *Book) trim(known *entry) {
+func (b *Detector) trim(known *entry) {
 	for len(known.Crashes) > maxCrashes {
 		at := max(slices.IndexFunc(known.Crashes, func(c Crash) bool { return c.Cleared }), 0)
 		b.unlink(known.Fingerprint, known.Crashes[at].Worker)
@@ -293,9 +293,9 @@
 // Clear records that none of a request's crashes so far is its doing: a worker ran it to
 // an end and lives, or an operator says so. It returns the record, false where nothing has
 // changed.
-func (b *Book) Clear(request Fingerprint, now time.Time) (Record, bool) {
+func (b *Detector) Clear(request Fingerprint, now time.Time) (Record, bool) {
 	known, exists := b.entries[request]
-	if !exists || known.Counted() == 0 {
+	if !exists || known.CountedCrashes() == 0 {
 		return Record{}, false
 	}
 	for at := range known.Crashes {
@@ -308,7 +308,7 @@
 
 // Release lets a request go that an operator has cleared, and all that ran beside it: what
 // it explained counts against no other.
-func (b *Book) Release(request Fingerprint, now time.Time) []Record {
+func (b *Detector) Release(request Fingerprint, now time.Time) []Record {
 	known, exists := b.entries[request]
 	if !exists {
 		return nil
@@ -316,15 +316,15 @@
 	var changed []Record
 	for _, crash := range known.copied().Crashes {
 		if !crash.Cleared {
-			changed = append(changed, b.Lives(crash.Worker, now)...)
+			changed = append(changed, b.ClearWorker(crash.Worker, now)...)
 		}
 	}
 	return changed
 }
 
-// Lives has a worker's end count against nobody, since it lives or its end is explained. It
+// ClearWorker has a worker's end count against nobody, since it lives or its end is explained. It
 // returns the records that have changed.
-func (b *Book) Lives(worker string, now time.Time) []Record {
+func (b *Detector) ClearWorker(worker string, now time.Time) []Record {
 	var told []Record
 	for _, request := range b.byWorker[worker] {
 		told = append(told, Record{Fingerprint: request, Crashes: []Crash{{Worker: worker, Cleared: true}}})
@@ -333,7 +333,7 @@
 }
 
 // Expire forgets what is old, and returns the records that were in the store.
-func (b *Book) Expire(now time.Time) []Record {
+func (b *Detector) Expire(now time.Time) []Record {
 	var stored []Record
 	for _, known := range b.entries {
 		life := suspectedFor
@@ -352,12 +352,12 @@
 }
 
 // Counts tells how many requests are suspected and how many quarantined.
-func (b *Book) Counts() (suspected, quarantined int) {
+func (b *Detector) Counts() (suspected, quarantined int) {
 	for _, known := range b.entries {
 		switch {
 		case known.Quarantined:
 			quarantined++
-		case known.Counted() > 0:
+		case known.CountedCrashes() > 0:
 			suspected++
 		}
 	}
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -19,7 +19,7 @@
 func at(worker string) Crash { return Crash{Worker: worker, Address: "address of " + worker} }
 
 // crash has workers end under requests, one after the other, and judges.
-func (b *Book) crash(now time.Time, workers []string, names ...string) {
+func (b *Detector) crash(now time.Time, workers []string, names ...string) {
 	for _, worker := range workers {
 		var ran []Fingerprint
 		for _, name := range names {
@@ -27,16 +27,16 @@
 		}
 		b.Crashed(at(worker), ran, now)
 	}
-	b.Judge()
+	b.Evaluate()
 }
 
 // isQuarantined looks once all has settled.
-func (b *Book) isQuarantined(name string, now time.Time) bool {
-	return b.Standing(request(name), now.Add(settleTime)).Quarantined
+func (b *Detector) isQuarantined(name string, now time.Time) bool {
+	return b.Status(request(name), now.Add(settleTime)).Quarantined
 }
 
 func TestThirdCrashQuarantines(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for count, worker := range []string{"w1", "w2", "w3"} {
 		if b.isQuarantined("a", start) {
 			t.Errorf("quarantined after %d crashes", count)
@@ -46,35 +46,35 @@
 	if !b.isQuarantined("a", start) {
 		t.Error("not quarantined after three crashes")
 	}
-	if got := b.Standing(request("other"), start); got != (Standing{}) {
+	if got := b.Status(request("other"), start); got != (Status{}) {
 		t.Errorf("another request stands as %+v", got)
 	}
 }
 
 // TestSameEndCountsOnce, however many nodes tell of it.
 func TestSameEndCountsOnce(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for range 5 {
 		b.crash(start, []string{"w1", "w2"}, "a")
 	}
-	if got := b.Standing(request("a"), start).Crashes; got != 2 {
+	if got := b.Status(request("a"), start).Crashes; got != 2 {
 		t.Errorf("%d crashes", got)
 	}
 }
 
 // TestRunToAnEndClears, though it is told late and in another order.
 func TestRunToAnEndClears(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	b.crash(start, []string{"w1", "w2", "w3"}, "a")
 	cleared, changed := b.Clear(request("a"), start)
-	b.Judge()
+	b.Evaluate()
 	if !changed || b.isQuarantined("a", start) {
 		t.Errorf("changed %v, still quarantined %v", changed, b.isQuarantined("a", start))
 	}
-	other := NewBook()
+	other := NewDetector()
 	other.Merge([]Record{cleared}, start)
 	other.crash(start, []string{"w1", "w2", "w3"}, "a")
-	if got := other.Standing(request("a"), start).Crashes; got != 0 {
+	if got := other.Status(request("a"), start).Crashes; got != 0 {
 		t.Errorf("%d crashes count that are told after they were cleared", got)
 	}
 	b.crash(start, []string{"w4", "w5"}, "a")
@@ -90,7 +90,7 @@
 // TestNeighboursAreNotBlamed: what was at the same ends as a request that was at one more
 // is innocent, and so is what was at some of them.
 func TestNeighboursAreNotBlamed(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	b.crash(start, []string{"w1"}, "poison", "twice", "thrice", "once")
 	b.crash(start, []string{"w2"}, "poison", "twice", "thrice")
 	b.crash(start, []string{"w3"}, "poison", "thrice")
@@ -115,7 +115,7 @@
 
 // TestTwoThatAreAlwaysTogetherAreStopped in the end: no more than two workers further.
 func TestTwoThatAreAlwaysTogetherAreStopped(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	b.crash(start, []string{"w1", "w2", "w3", "w4", "w5"}, "a", "b")
 	if !b.isQuarantined("a", start) && !b.isQuarantined("b", start) {
 		t.Error("neither is quarantined after five ends")
@@ -125,10 +125,10 @@
 // TestLateReportExonerates: a report that comes after the judgement shows that another
 // request was at all ends too.
 func TestLateReportExonerates(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	b.crash(start, []string{"w1", "w2", "w3"}, "innocent")
 	b.crash(start, []string{"w1", "w2"}, "poison")
-	if standing := b.Standing(request("innocent"), start); standing.Quarantined || standing.Settling != settleTime {
+	if standing := b.Status(request("innocent"), start); standing.Quarantined || standing.Settling != settleTime {
 		t.Errorf("before all can have been told it stands as %+v", standing)
 	}
 	b.crash(start, []string{"w3", "w4"}, "poison")
@@ -139,16 +139,16 @@
 
 // TestMachineThatEndsAllIsToBlame, not the request that it gets each time.
 func TestMachineThatEndsAllIsToBlame(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for _, worker := range []string{"w1", "w2", "w3", "w4"} {
 		b.Crashed(Crash{Worker: worker, Address: "the same"}, []Fingerprint{request("a")}, start)
 	}
-	b.Judge()
+	b.Evaluate()
 	if b.isQuarantined("a", start) {
 		t.Error("quarantined for four ends at one address")
 	}
 	b.Crashed(Crash{Worker: "w5", Address: "the same"}, []Fingerprint{request("a")}, start)
-	b.Judge()
+	b.Evaluate()
 	if !b.isQuarantined("a", start) {
 		t.Error("five ends aren't enough")
 	}
@@ -157,7 +157,7 @@
 // TestAnswersWeighAgainstBlame: what had been answering is less likely to have ended its
 // worker.
 func TestAnswersWeighAgainstBlame(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for count, worker := range []string{"w1", "w2", "w3", "w4", "w5"} {
 		if b.isQuarantined("a", start) {
 			t.Errorf("quarantined after %d ends while it was answered", count)
@@ -165,7 +165,7 @@
 		crash := at(worker)
 		crash.Answering = true
 		b.Crashed(crash, []Fingerprint{request("a")}, start)
-		b.Judge()
+		b.Evaluate()
 	}
 	if !b.isQuarantined("a", start) {
 		t.Error("five ends aren't enough")
@@ -174,23 +174,23 @@
 
 // TestWorkerThatLivesCountsAgainstNobody.
 func TestWorkerThatLivesCountsAgainstNobody(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	b.crash(start, []string{"w1", "w2", "w3"}, "a")
 	b.crash(start, []string{"w1"}, "b")
-	b.Lives("w1", start)
-	b.Judge()
-	if b.isQuarantined("a", start) || b.Standing(request("b"), start).Crashes != 0 {
+	b.ClearWorker("w1", start)
+	b.Evaluate()
+	if b.isQuarantined("a", start) || b.Status(request("b"), start).Crashes != 0 {
 		t.Error("the end of a worker that lives counts")
 	}
 }
 
 // TestReleaseLetsNeighboursGo: what a released request explained doesn't fall on others.
 func TestReleaseLetsNeighboursGo(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	b.crash(start, []string{"w1", "w2", "w3"}, "poison", "beside")
 	b.crash(start, []string{"w4"}, "poison")
 	b.Release(request("poison"), start)
-	b.Judge()
+	b.Evaluate()
 	if b.isQuarantined("poison", start) || b.isQuarantined("beside", start) {
 		t.Error("a released request, or one that ran beside it, is quarantined")
 	}
@@ -198,12 +198,12 @@
 
 // TestTrialsComeRarely, and no more than three.
 func TestTrialsComeRarely(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	b.crash(start, []string{"w1", "w2", "w3"}, "a")
 	trials := 0
 	for minute := range 23 * 60 {
 		now := start.Add(time.Duration(minute) * time.Minute)
-		if b.Standing(request("a"), now).TrialDue {
+		if b.Status(request("a"), now).TrialDue {
 			trials++
 			b.crash(now, []string{fmt.Sprint("t", minute)}, "a")
 		}
@@ -214,11 +214,11 @@
 }
 
 func TestOldIsForgotten(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	b.crash(start, []string{"w1"}, "once")
 	b.crash(start, []string{"w1", "w2", "w3"}, "poison")
 	b.Expire(start.Add(suspectedFor))
-	if b.Standing(request("once"), start).Crashes != 0 || !b.isQuarantined("poison", start) {
+	if b.Status(request("once"), start).Crashes != 0 || !b.isQuarantined("poison", start) {
 		t.Error("a suspicion outlasts its time, or a quarantine doesn't last")
 	}
 	b.Expire(start.Add(quarantinedFor))
@@ -229,7 +229,7 @@
 
 // TestBookIsBounded, and what has been proved stays.
 func TestBookIsBounded(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	b.crash(start, []string{"w1", "w2", "w3"}, "poison")
 	for number := range 2 * maxRecords {
 		b.Crashed(at(fmt.Sprint("v", number)), []Fingerprint{request(fmt.Sprint(number))}, start.Add(time.Second))
@@ -251,7 +251,7 @@
 // TestCrashingFleetIsNotRefused: where all seem to crash their workers, the workers are at
 // fault.
 func TestCrashingFleetIsNotRefused(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	for number := range 4 * maxQuarantined {
 		name := fmt.Sprint(number)
 		b.crash(start, []string{name + "1", name + "2", name + "3"}, name)
@@ -274,15 +274,15 @@
 		}
 		other := append(slices.Clone(told), told...)
 		rand.Shuffle(len(other), func(i, j int) { other[i], other[j] = other[j], other[i] })
-		left, right := NewBook(), NewBook()
+		left, right := NewDetector(), NewDetector()
 		for i := range other {
 			right.Merge(other[i:i+1], start)
 			if i < len(told) {
 				left.Merge(told[i:i+1], start)
 			}
 		}
-		left.Judge()
-		right.Judge()
+		left.Evaluate()
+		right.Evaluate()
 		for number := range 4 {
 			name := fmt.Sprint(number + 1)
 			if left.isQuarantined(name, start) != right.isQuarantined(name, start) {
@@ -299,15 +299,15 @@
 
 // TestNewNodeJudgesAsOthersDo, which saw one crash after the other: it is told all at once.
 func TestNewNodeJudgesAsOthersDo(t *testing.T) {
-	old := NewBook()
+	old := NewDetector()
 	old.crash(start, []string{"w1", "w2", "w3"}, "poison", "beside")
 	old.crash(start, []string{"w4"}, "poison")
 	old.crash(start, []string{"w5", "w6"}, "beside")
-	added := NewBook()
+	added := NewDetector()
 	for _, known := range old.entries {
 		added.Merge([]Record{known.copied()}, start)
 	}
-	added.Judge()
+	added.Evaluate()
 	for _, name := range []string{"poison", "beside"} {
 		if old.isQuarantined(name, start) != added.isQuarantined(name, start) {
 			t.Errorf("%q is quarantined at the old nodes: %v, at the new one: %v", name, old.isQuarantined(name, start), added.isQuarantined(name, start))
@@ -320,12 +320,12 @@
 
 // BenchmarkJudge measures a judgement while thousands are suspected, after the loss of a rack.
 func BenchmarkJudge(b *testing.B) {
-	book := NewBook()
+	book := NewDetector()
 	for number := range maxRecords {
 		book.Crashed(at(fmt.Sprint("w", number%40)), []Fingerprint{request(fmt.Sprint(number))}, start)
 	}
 	book.crash(start, []string{"v1", "v2", "v3"}, "poison")
 	for b.Loop() {
-		book.Judge()
+		book.Evaluate()
 	}
 }
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Judgement tells what a new judgement has changed.
-type Judgement struct {
+// Changes tells what a new judgement has changed.
+type Changes struct {
 	Quarantined, Released []Record
 }
 
-// Judge works out anew which requests are quarantined, from what is known now: a report that
+// Evaluate works out anew which requests are quarantined, from what is known now: a report that
 // comes late may show that another request explains the same crashes.
 //
 // A worker that ends takes all that it runs along, so that one crash says little of any of
@@ -19,7 +19,7 @@
 //
 // What was quarantined before stays so while that still holds, whatever else is suspected
 // by now: of two requests that explain each other's crashes, the one that was proved first.
-func (b *Book) Judge() Judgement {
+func (b *Detector) Evaluate() Changes {
 	before := make(map[Fingerprint]bool)
 	for request, known := range b.grave {
 		before[request] = known.Quarantined
@@ -32,7 +32,7 @@
 
 // quarantine quarantines requests of some kind, up to a number, the worst first. It returns
 // how many.
-func (b *Book) quarantine(most int, of func(known *entry) bool) int {
+func (b *Detector) quarantine(most int, of func(known *entry) bool) int {
 	for count := range most {
 		worst := b.worst(of)
 		if worst == nil {
@@ -44,8 +44,8 @@
 }
 
 // changes compares the judgement with the one before.
-func (b *Book) changes() Judgement {
-	var judgement Judgement
+func (b *Detector) changes() Changes {
+	var judgement Changes
 	judged := make(map[Fingerprint]bool)
 	for request, known := range b.grave {
 		if !known.Quarantined {
@@ -67,7 +67,7 @@
 
 // worst returns the request of some kind with the most unexplained crashes, of those that
 // are to be quarantined and aren't yet, nil where there is none.
-func (b *Book) worst(of func(known *entry) bool) *entry {
+func (b *Detector) worst(of func(known *entry) bool) *entry {
 	var worst *entry
 	most := 0
 	for _, known := range b.grave {
@@ -87,7 +87,7 @@
 
 // blame returns the crashes that count against a request: those that no quarantined request
 // was at.
-func (b *Book) blame(known *entry) []Crash {
+func (b *Detector) blame(known *entry) []Crash {
 	var blame []Crash
 	for _, crash := range known.Crashes {
 		if !crash.Cleared && !b.isExplained(crash.Worker) {
@@ -98,7 +98,7 @@
 }
 
 // isExplained reports whether a quarantined request was at a worker's end.
-func (b *Book) isExplained(worker string) bool {
+func (b *Detector) isExplained(worker string) bool {
 	return slices.ContainsFunc(b.byWorker[worker], func(request Fingerprint) bool {
 		other := b.entries[request]
 		return other.Quarantined && other.counts(worker)
@@ -112,7 +112,7 @@
 }
 
 // isProved reports whether the crashes that count against a request are enough.
-func (b *Book) isProved(known *entry, blame []Crash) bool {
+func (b *Detector) isProved(known *entry, blame []Crash) bool {
 	if len(blame) >= certainCrashes {
 		return true
 	}
@@ -138,7 +138,7 @@
 
 // hasRival reports whether another request that is still suspected was at all these
 // crashes.
-func (b *Book) hasRival(known *entry, blame []Crash) bool {
+func (b *Detector) hasRival(known *entry, blame []Crash) bool {
 	return slices.ContainsFunc(b.byWorker[blame[0].Worker], func(request Fingerprint) bool {
 		other := b.entries[request]
 		if other == known || other.Quarantined {
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -36,9 +36,9 @@
 	due    time.Time
 }
 
-// Keeper keeps a node's book: it takes in what this node sees, other nodes tell and the
+// Manager keeps a node's book: it takes in what this node sees, other nodes tell and the
 // store holds, and knows what is still to be told and saved. It is safe for concurrent use.
-type Keeper struct {
+type Manager struct {
 	log logrus.FieldLogger
 	// alone keepers belong to a node that tells others nothing.
 	alone bool
@@ -50,44 +50,44 @@
 	toTell, toSave chan struct{}
 
 	mu     sync.Mutex
-	book   *Book
+	book   *Detector
 	untold map[Fingerprint]*telling
 	// tried is when this node last let a quarantined request through.
 	tried map[Fingerprint]time.Time
 }
 
-// NewKeeper returns a keeper that knows nothing.
-func NewKeeper(chosen func(request Fingerprint) bool, log logrus.FieldLogger) *Keeper {
-	return &Keeper{
+// NewManager returns a keeper that knows nothing.
+func NewManager(chosen func(request Fingerprint) bool, log logrus.FieldLogger) *Manager {
+	return &Manager{
 		log: log, chosen: chosen,
 		refused: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "tinarch_quarantine_refused_total", Help: "Tries of quarantined requests.",
 		}),
 		toTell: make(chan struct{}, 1), toSave: make(chan struct{}, 1),
-		book: NewBook(), untold: make(map[Fingerprint]*telling), tried: make(map[Fingerprint]time.Time),
+		book: NewDetector(), untold: make(map[Fingerprint]*telling), tried: make(map[Fingerprint]time.Time),
 	}
 }
 
-// NewLocalKeeper returns a keeper of a node that tells others nothing, and gives all trials
+// NewLocalManager returns a keeper of a node that tells others nothing, and gives all trials
 // itself.
-func NewLocalKeeper(log logrus.FieldLogger) *Keeper {
-	k := NewKeeper(func(Fingerprint) bool { return true }, log)
+func NewLocalManager(log logrus.FieldLogger) *Manager {
+	k := NewManager(func(Fingerprint) bool { return true }, log)
 	k.alone = true
 	return k
 }
 
-// ToTell gives a token when Due may have records.
-func (k *Keeper) ToTell() <-chan struct{} { return k.toTell }
+// DueSignal gives a token when Due may have records.
+func (k *Manager) DueSignal() <-chan struct{} { return k.toTell }
 
-// ToSave gives a token when Unsaved may have records.
-func (k *Keeper) ToSave() <-chan struct{} { return k.toSave }
+// UnsavedSignal gives a token when Unsaved may have records.
+func (k *Manager) UnsavedSignal() <-chan struct{} { return k.toSave }
 
 // Standing tells how a request is to be treated. It lets a quarantined request through for
 // a trial, once, where one is due and this node is chosen for it.
-func (k *Keeper) Standing(request Fingerprint, now time.Time) Standing {
+func (k *Manager) Standing(request Fingerprint, now time.Time) Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	standing := k.book.Standing(request, now)
+	standing := k.book.Status(request, now)
 	if !standing.Quarantined {
 		return standing
 	}
@@ -103,7 +103,7 @@
 }
 
 // Crashed records that a worker ended that ran these requests.
-func (k *Keeper) Crashed(crashes map[Fingerprint]Crash, now time.Time) {
+func (k *Manager) Crashed(crashes map[Fingerprint]Crash, now time.Time) {
 	told := make([]Record, 0, len(crashes))
 	for request, crash := range crashes {
 		told = append(told, Record{Fingerprint: request, Crashes: []Crash{crash}})
@@ -114,7 +114,7 @@
 }
 
 // Survived records that a worker ran a request to an end and lives.
-func (k *Keeper) Survived(request Fingerprint, now time.Time) {
+func (k *Manager) Survived(request Fingerprint, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if record, changed := k.book.Clear(request, now); changed {
@@ -124,24 +124,24 @@
 }
 
 // Lives records that a worker answers that was taken for ended.
-func (k *Keeper) Lives(worker string, now time.Time) {
+func (k *Manager) Lives(worker string, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if records := k.book.Lives(worker, now); len(records) > 0 {
+	if records := k.book.ClearWorker(worker, now); len(records) > 0 {
 		k.log.WithFields(logrus.Fields{"worker": worker, "requests": len(records)}).Warn("a worker lives that was taken for ended")
 		k.changed(records, sourceOwn, now)
 	}
 }
 
-// Take takes in what another node tells. It returns the records that have changed by it and
+// Receive takes in what another node tells. It returns the records that have changed by it and
 // that every node is to know.
-func (k *Keeper) Take(node string, records []Record) []Record {
+func (k *Manager) Receive(node string, records []Record) []Record {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	ordered := make([]Record, 0, len(records))
 	for _, record := range records {
-		ordered = append(ordered, record.Ordered())
+		ordered = append(ordered, record.Sorted())
 	}
 	changed := k.book.Merge(ordered, now)
 	k.changed(changed, "node "+node, now)
@@ -150,13 +150,13 @@
 
 // changed judges anew, logs what has come of it, and has the records told that this node
 // itself has changed.
-func (k *Keeper) changed(records []Record, source string, now time.Time) {
+func (k *Manager) changed(records []Record, source string, now time.Time) {
 	if len(records) == 0 {
 		return
 	}
 	k.judge(source)
 	for _, record := range records {
-		if record.Counted() >= worthSaving {
+		if record.CountedCrashes() >= worthSaving {
 			k.logRecord(record, source, "request suspected: workers end under it")
 		}
 		if source == sourceOwn && !k.alone {
@@ -174,8 +174,8 @@
 	}
 }
 
-func (k *Keeper) judge(source string) {
-	judgement := k.book.Judge()
+func (k *Manager) judge(source string) {
+	judgement := k.book.Evaluate()
 	for _, record := range judgement.Quarantined {
 		k.logRecord(record, source, "request quarantined")
 	}
@@ -184,7 +184,7 @@
 	}
 }
 
-func (k *Keeper) logRecord(record Record, source, message string) {
+func (k *Manager) logRecord(record Record, source, message string) {
 	var workers []string
 	for _, crash := range record.Crashes {
 		if !crash.Cleared {
@@ -198,7 +198,7 @@
 
 // Due returns the records that others are to be told now, and the time until there may be
 // more.
-func (k *Keeper) Due(now time.Time) (records []Record, wait time.Duration) {
+func (k *Manager) Due(now time.Time) (records []Record, wait time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	wait = time.Minute
@@ -219,12 +219,12 @@
 }
 
 // Shared returns the records that every node is to know.
-func (k *Keeper) Shared() []Record {
+func (k *Manager) Shared() []Record {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var shared []Record
 	for _, known := range k.book.entries {
-		if known.Counted() >= worthSaving {
+		if known.CountedCrashes() >= worthSaving {
 			shared = append(shared, known.copied())
 		}
 	}
@@ -236,12 +236,12 @@
 func IsShared(record Record) bool { return len(record.Crashes) >= worthSaving }
 
 // Unsaved returns the records that the store doesn't hold and is to.
-func (k *Keeper) Unsaved() []Record {
+func (k *Manager) Unsaved() []Record {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var unsaved []Record
 	for _, known := range k.book.entries {
-		if known.stored == nil && known.Counted() < worthSaving {
+		if known.stored == nil && known.CountedCrashes() < worthSaving {
 			continue
 		}
 		if known.stored == nil || !known.stored.covers(known.Record) || known.Quarantined && !known.stored.Quarantined {
@@ -252,8 +252,8 @@
 }
 
 // Stored takes in a record that the store holds since one of its versions.
-func (k *Keeper) Stored(record Record, version uint64, now time.Time) {
-	record = record.Ordered()
+func (k *Manager) Stored(record Record, version uint64, now time.Time) {
+	record = record.Sorted()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.changed(k.book.Merge([]Record{record}, now), sourceStore, now)
@@ -265,7 +265,7 @@
 
 // Removed takes in that the store holds a request no more as of a version: an operator has
 // released it, or it has been there for long enough. What was written after that stays.
-func (k *Keeper) Removed(request Fingerprint, version uint64, now time.Time) {
+func (k *Manager) Removed(request Fingerprint, version uint64, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	known, exists := k.book.entries[request]
@@ -278,9 +278,9 @@
 	k.changed(records, sourceStore, now)
 }
 
-// StoredOnly takes in which requests the store holds as of a version: those that it held
+// SyncStored takes in which requests the store holds as of a version: those that it held
 // before and holds no more were removed.
-func (k *Keeper) StoredOnly(held map[Fingerprint]bool, version uint64, now time.Time) {
+func (k *Manager) SyncStored(held map[Fingerprint]bool, version uint64, now time.Time) {
 	k.mu.Lock()
 	var removed []Fingerprint
 	for request, known := range k.book.entries {
@@ -294,9 +294,9 @@
 	}
 }
 
-// Restored takes in which requests the store holds after it came back from a copy. Those that it
+// StoreRestored takes in which requests the store holds after it came back from a copy. Those that it
 // lacks were lost, not released: they are to be saved again.
-func (k *Keeper) Restored(held map[Fingerprint]bool) {
+func (k *Manager) StoreRestored(held map[Fingerprint]bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	lost := 0
@@ -313,7 +313,7 @@
 }
 
 // Expire forgets what is old. It returns the requests that the store still holds of it.
-func (k *Keeper) Expire(now time.Time) []Fingerprint {
+func (k *Manager) Expire(now time.Time) []Fingerprint {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	maps.DeleteFunc(k.tried, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) > quarantinedFor })
@@ -332,7 +332,7 @@
 }
 
 // Register has a registry tell what a keeper knows.
-func (k *Keeper) Register(registry prometheus.Registerer) {
+func (k *Manager) Register(registry prometheus.Registerer) {
 	gauge := func(name, help string, of func() int) {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return float64(of()) }))
 	}
@@ -347,7 +347,7 @@
 	registry.MustRegister(k.refused)
 }
 
-func (k *Keeper) counts() (suspected, quarantined int) {
+func (k *Manager) counts() (suspected, quarantined int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.book.Counts()
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -9,14 +9,14 @@
 )
 
 // newTestKeeper returns a keeper of a node that gives trials, or doesn't.
-func newTestKeeper(chosen bool) *Keeper {
+func newTestKeeper(chosen bool) *Manager {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return NewKeeper(func(Fingerprint) bool { return chosen }, log)
+	return NewManager(func(Fingerprint) bool { return chosen }, log)
 }
 
 // crash has the keeper's node see ends of workers under a request.
-func (k *Keeper) crash(now time.Time, name string, workers ...string) {
+func (k *Manager) crash(now time.Time, name string, workers ...string) {
 	for _, worker := range workers {
 		k.Crashed(map[Fingerprint]Crash{request(name): at(worker)}, now)
 	}
@@ -43,10 +43,10 @@
 func TestWhatOthersToldIsNotToldAgain(t *testing.T) {
 	k := newTestKeeper(true)
 	record := Record{Fingerprint: request("a"), Crashes: []Crash{at("w2"), at("w1")}}
-	if changed := k.Take("other", []Record{record}); len(changed) != 1 {
+	if changed := k.Receive("other", []Record{record}); len(changed) != 1 {
 		t.Errorf("%d records have changed", len(changed))
 	}
-	if changed := k.Take("other", []Record{record}); len(changed) != 0 {
+	if changed := k.Receive("other", []Record{record}); len(changed) != 0 {
 		t.Error("what is known has changed")
 	}
 	if records, _ := k.Due(start.Add(time.Hour)); len(records) != 0 {
@@ -73,7 +73,7 @@
 		}
 	}
 	k.Survived(request("a"), start)
-	if unsaved := k.Unsaved(); len(unsaved) != 1 || unsaved[0].Counted() != 0 {
+	if unsaved := k.Unsaved(); len(unsaved) != 1 || unsaved[0].CountedCrashes() != 0 {
 		t.Error("that it was cleared is not to be saved")
 	}
 }
@@ -84,12 +84,12 @@
 		k := newTestKeeper(true)
 		k.crash(start, "a", "w1", "w2", "w3")
 		k.Stored(k.Unsaved()[0], 5, start)
-		k.StoredOnly(map[Fingerprint]bool{request("a"): true}, 6, start)
+		k.SyncStored(map[Fingerprint]bool{request("a"): true}, 6, start)
 		if !k.Standing(request("a"), start.Add(settleTime)).Quarantined {
 			t.Fatal("it isn't quarantined")
 		}
 		if reread {
-			k.StoredOnly(nil, 7, start)
+			k.SyncStored(nil, 7, start)
 		} else {
 			k.Removed(request("a"), 7, start)
 		}
@@ -104,7 +104,7 @@
 	k := newTestKeeper(true)
 	k.crash(start, "a", "w1", "w2", "w3")
 	k.Stored(k.Unsaved()[0], 5, start)
-	k.StoredOnly(nil, 4, start)
+	k.SyncStored(nil, 4, start)
 	k.Removed(request("a"), 4, start)
 	if !k.Standing(request("a"), start.Add(settleTime)).Quarantined {
 		t.Error("a table as it was before the row was written has released the request")
@@ -115,7 +115,7 @@
 func TestUnsavedSurvivesAnEmptyTable(t *testing.T) {
 	k := newTestKeeper(true)
 	k.crash(start, "a", "w1", "w2", "w3")
-	k.StoredOnly(nil, 9, start)
+	k.SyncStored(nil, 9, start)
 	if !k.Standing(request("a"), start.Add(settleTime)).Quarantined || len(k.Unsaved()) != 1 {
 		t.Error("what the store doesn't hold yet was taken for released")
 	}
@@ -143,12 +143,12 @@
 func TestTrialThatIsBorneEndsTheQuarantine(t *testing.T) {
 	k, other := newTestKeeper(true), newTestKeeper(false)
 	k.crash(start, "a", "w1", "w2", "w3")
-	other.Take("n", k.Shared())
+	other.Receive("n", k.Shared())
 	k.Survived(request("a"), start)
 	records, _ := k.Due(start)
-	other.Take("n", records)
-	for _, keeper := range []*Keeper{k, other} {
-		if got := keeper.Standing(request("a"), time.Now().Add(time.Hour)); got != (Standing{}) {
+	other.Receive("n", records)
+	for _, keeper := range []*Manager{k, other} {
+		if got := keeper.Standing(request("a"), time.Now().Add(time.Hour)); got != (Status{}) {
 			t.Errorf("%+v", got)
 		}
 	}
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -122,7 +122,7 @@
 	authority *authority.Authority
 	// quarantine keeps requests under which workers end away from workers, and
 	// quarantineFeed follows what the store holds of them.
-	quarantine     *quarantine.Keeper
+	quarantine     *quarantine.Manager
 	quarantineFeed *tablefeed.Feed
 	// tally and collector are nil where no usage is reported.
 	tally     *usage.Tally
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -35,7 +35,7 @@
 
 // keepQuarantine makes the keeper of requests under which workers end.
 func (n *Node) keepQuarantine(metrics prometheus.Registerer) {
-	n.quarantine = quarantine.NewKeeper(n.exchange.ChosenForTrial, n.log)
+	n.quarantine = quarantine.NewManager(n.exchange.ChosenForTrial, n.log)
 	n.quarantine.Register(metrics)
 	n.exchange.SetQuarantine(n.quarantine)
 	n.quarantineFeed = n.newFeed(quarantineTable, &quarantined{node: n})
@@ -57,10 +57,10 @@
 		}
 	}
 	if q.era.Rises(version) {
-		q.node.quarantine.Restored(held)
+		q.node.quarantine.StoreRestored(held)
 		return
 	}
-	q.node.quarantine.StoredOnly(held, uint64(version), time.Now())
+	q.node.quarantine.SyncStored(held, uint64(version), time.Now())
 }
 
 // Apply implements tablefeed.Consumer.
@@ -97,7 +97,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.quarantine.ToSave():
+		case <-n.quarantine.UnsavedSignal():
 		}
 		wait := min(time.Duration(n.exchange.Place(quarantineTable))*saveStep, saveLatest)
 		for len(n.quarantine.Unsaved()) > 0 && sleepFor(ctx, wait) {
