--- a/internal/digest/ask_test.go
+++ b/internal/digest/ask_test.go
@@ -75,7 +75,7 @@
 	}
 	parts := []prefixcache.Part{{ID: 7, Tokens: 500}}
 	registries[placing].Begin("w", worker.Load{Requests: 2, MemoryTokens: 30})
-	registries[placing].Cached("w", parts, time.Now())
+	registries[placing].ObserveCached("w", parts, time.Now())
 	registries[placing].Failed("w", time.Now())
 	registries[asking].Begin("w", worker.Load{Requests: 1})
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -170,7 +170,7 @@
 			t.Fatal("a node of a large fleet keeps all accounts")
 		}
 		for i, kept := range exchange.Kept(ids) {
-			if known := exchange.registry.Describe("llm", ids[i:i+1], nil, 0, time.Now()); kept != keeping[ids[i]] && len(known) > 0 {
+			if known := exchange.registry.CandidatesAmong("llm", ids[i:i+1], nil, 0, time.Now()); kept != keeping[ids[i]] && len(known) > 0 {
 				t.Errorf("%s: keeping %v, kept %v", ids[i], keeping[ids[i]], kept)
 			}
 		}
--- a/internal/digest/contents.go
+++ b/internal/digest/contents.go
@@ -39,7 +39,7 @@
 
 // contentOf names what a prompt shares with others, false where that is too little to be
 // looked for.
-func contentOf(read worker.Read) (keptContent, bool) {
+func contentOf(read worker.CacheUpdate) (keptContent, bool) {
 	if len(read.Parts) < 2 || len(read.Parts) >= listParts {
 		return keptContent{}, false
 	}
@@ -132,7 +132,7 @@
 
 // tellContents tells the nodes that are to know it which contents were read where. In a
 // fleet in which each node knows all caches nobody need be told.
-func (e *Exchange) tellContents(reads []worker.Read, now time.Time) {
+func (e *Exchange) tellContents(reads []worker.CacheUpdate, now time.Time) {
 	told := make(map[netip.AddrPort][]string)
 	e.mu.Lock()
 	if e.peers.nodes() > wholeFleet {
--- a/internal/digest/contents_test.go
+++ b/internal/digest/contents_test.go
@@ -62,7 +62,7 @@
 	prompt := func(own uint64) []prefixcache.Part {
 		return []prefixcache.Part{shared, {ID: prefixcache.PartID(own), Tokens: 100}}
 	}
-	registries[3].Cached("w", prompt(1), time.Now())
+	registries[3].ObserveCached("w", prompt(1), time.Now())
 	found := func(asking int) bool {
 		answers := exchanges[asking].Ask(context.Background(), []string{"other"}, prompt(2), 0)
 		for _, holder := range answers.Holders {
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	if _, isContent := contentOf(worker.Read{Worker: "w", Parts: []prefixcache.Part{{ID: 1, Tokens: 10}, {ID: 2, Tokens: 5000}}}); isContent {
+	if _, isContent := contentOf(worker.CacheUpdate{Worker: "w", Parts: []prefixcache.Part{{ID: 1, Tokens: 10}, {ID: 2, Tokens: 5000}}}); isContent {
 		t.Error("a prompt that shares next to nothing is told as a content")
 	}
 }
--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -177,13 +177,13 @@
 		}
 		message.Orders[changing.Worker] = left
 	}
-	message.Reads = renderReads(snapshot.Reads)
+	message.Reads = renderReads(snapshot.CacheUpdates)
 	message.Limits = renderLimits(snapshot.Limits, time.Now())
 	message.Draining = snapshot.Draining
 	return message
 }
 
-func renderReads(reads []worker.Read) []string {
+func renderReads(reads []worker.CacheUpdate) []string {
 	var rendered []string
 	for _, read := range reads {
 		rendered = append(rendered, renderRead(read))
@@ -192,7 +192,7 @@
 }
 
 func renderLoad(load worker.Load) []int {
-	figures := append([]int{load.Requests, load.MemoryTokens}, load.Reads[:]...)
+	figures := append([]int{load.Requests, load.MemoryTokens}, load.Unread[:]...)
 	for len(figures) > 0 && figures[len(figures)-1] == 0 {
 		figures = figures[:len(figures)-1]
 	}
@@ -210,13 +210,13 @@
 		case 1:
 			load.MemoryTokens = figure
 		default:
-			load.Reads[min(i-2, worker.Ranks-1)] += figure
+			load.Unread[min(i-2, worker.RankCount-1)] += figure
 		}
 	}
 	return load
 }
 
-func renderRead(read worker.Read) string {
+func renderRead(read worker.CacheUpdate) string {
 	return strings.Join(append([]string{read.Worker}, renderParts(read.Parts)...), " ")
 }
 
@@ -238,7 +238,7 @@
 		snapshot.Loads[id] = parseLoad(load)
 	}
 	for id, left := range m.Orders {
-		changing := worker.Changing{Worker: id, Prefill: left > 0, Left: time.Duration(max(left, -left)) * time.Millisecond}
+		changing := worker.StageChange{Worker: id, Prefill: left > 0, Left: time.Duration(max(left, -left)) * time.Millisecond}
 		snapshot.Changing = append(snapshot.Changing, changing)
 	}
 	for _, text := range m.Reads {
@@ -246,18 +246,18 @@
 		if err != nil {
 			return worker.Snapshot{}, err
 		}
-		snapshot.Reads = append(snapshot.Reads, read)
+		snapshot.CacheUpdates = append(snapshot.CacheUpdates, read)
 	}
 	return snapshot, nil
 }
 
-func parseRead(text string) (worker.Read, error) {
+func parseRead(text string) (worker.CacheUpdate, error) {
 	fields := strings.Fields(text)
 	if len(fields) == 0 {
-		return worker.Read{}, eris.New("a read without a worker")
+		return worker.CacheUpdate{}, eris.New("a read without a worker")
 	}
 	parts, err := parseParts(fields[1:])
-	return worker.Read{Worker: fields[0], Parts: parts}, err
+	return worker.CacheUpdate{Worker: fields[0], Parts: parts}, err
 }
 
 func parseParts(fields []string) ([]prefixcache.Part, error) {
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -36,8 +36,8 @@
 
 func TestMessageKeepsASnapshot(t *testing.T) {
 	snapshot := worker.Snapshot{
-		Loads: map[string]worker.Load{"w": {Requests: 1, Reads: worker.Reads{0, 2}, MemoryTokens: 3}},
-		Reads: []worker.Read{{Worker: "w", Parts: []prefixcache.Part{{ID: 0xabc, Tokens: 10}, {ID: 1 << 63, Tokens: 0}}}},
+		Loads:        map[string]worker.Load{"w": {Requests: 1, Unread: worker.UnreadTokens{0, 2}, MemoryTokens: 3}},
+		CacheUpdates: []worker.CacheUpdate{{Worker: "w", Parts: []prefixcache.Part{{ID: 0xabc, Tokens: 10}, {ID: 1 << 63, Tokens: 0}}}},
 		// A read of nothing is possible too.
 		Failures: []string{"w", "x"},
 		Demand:   map[string]worker.Demand{"s": {ReadTokens: 900, Requests: 1.25, MemoryTokens: 70}},
@@ -151,7 +151,7 @@
 func TestNewbornLearnsFromAPeer(t *testing.T) {
 	old, young := registryWith("w", "unlearned"), registryWith("w", "unlearned")
 	parts := []prefixcache.Part{{ID: 1, Tokens: 700}, {ID: 2, Tokens: 30}}
-	old.Cached("w", parts, time.Unix(1, 0))
+	old.ObserveCached("w", parts, time.Unix(1, 0))
 	old.ObserveReading("w", pace.Reading{Tokens: 5000, Elapsed: 100 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -170,7 +170,7 @@
 	if untold := exchanges[1].AskMemory(ctx, []string{"w"}); len(untold) != 1 {
 		t.Error("a peer that has learned nothing told something")
 	}
-	old.Learned([]string{"w"})
+	old.MarkCachesKnown([]string{"w"})
 	for end := time.Now().Add(20 * time.Second); ; {
 		untold := exchanges[1].AskMemory(ctx, []string{"w", "unlearned"})
 		if slices.Equal(untold, []string{"unlearned"}) {
@@ -185,7 +185,7 @@
 			t.Errorf("%+v", candidate)
 		}
 	}
-	if unlisted := young.Unlisted(); len(unlisted) != 1 || unlisted[0].ID != "unlearned" {
+	if unlisted := young.UnknownCaches(); len(unlisted) != 1 || unlisted[0].ID != "unlearned" {
 		t.Errorf("to be asked: %v", unlisted)
 	}
 }
@@ -195,10 +195,10 @@
 	for i := range 1000 {
 		parts = append(parts, prefixcache.Part{ID: prefixcache.PartID(1<<62 + i), Tokens: 100_000})
 	}
-	messages := inMessages([]worker.Read{{Worker: "i-0123456789", Parts: parts}, {Worker: "empty"}})
+	messages := inMessages([]worker.CacheUpdate{{Worker: "i-0123456789", Parts: parts}, {Worker: "empty"}})
 	count := 0
 	for _, reads := range messages {
-		datagram, err := json.Marshal(newMessage(Message{Node: "n"}, worker.Snapshot{Reads: reads}))
+		datagram, err := json.Marshal(newMessage(Message{Node: "n"}, worker.Snapshot{CacheUpdates: reads}))
 		if err != nil || len(datagram) > maxDatagram {
 			t.Errorf("%d bytes, %v", len(datagram), err)
 		}
--- a/internal/digest/draining.go
+++ b/internal/digest/draining.go
@@ -17,7 +17,7 @@
 	if len(draining) == 0 {
 		return
 	}
-	if unknown := e.registry.TellDraining(draining, now); len(unknown) > 0 {
+	if unknown := e.registry.MergeDraining(draining, now); len(unknown) > 0 {
 		e.log.WithFields(logrus.Fields{"node": node, "workers": unknown}).Info("another node tells that workers are about to end")
 	}
 }
--- a/internal/digest/exchange.go
+++ b/internal/digest/exchange.go
@@ -222,7 +222,7 @@
 func (e *Exchange) tell(now time.Time, atRest, reports bool) {
 	snapshot := e.registry.Snapshot()
 	e.box.collect(snapshot)
-	snapshot.Reads, snapshot.Failures = e.box.next(now, atRest)
+	snapshot.CacheUpdates, snapshot.Failures = e.box.next(now, atRest)
 	e.sequence++
 	base := Message{Node: e.node, Sequence: e.sequence}
 	e.mu.Lock()
@@ -236,7 +236,7 @@
 	parcels, supervisors := e.parcels(snapshot, atRest, reports), e.peers.supervisors()
 	e.mu.Unlock()
 	e.sendParcels(parcels, supervisors, snapshot, base)
-	e.tellContents(snapshot.Reads, now)
+	e.tellContents(snapshot.CacheUpdates, now)
 }
 
 // logSilent logs the nodes that have fallen silent. Only supervisors hear all others all
@@ -307,7 +307,7 @@
 		key := parcelKey{strings.Join(workers, " "), slices.Contains(supervisors, address)}
 		datagram, rendered := datagrams[key]
 		if !rendered {
-			part := snapshot.Part(workers)
+			part := snapshot.ForWorkers(workers)
 			if !key.supervisor {
 				part.RegionDemand = nil
 			}
--- a/internal/digest/memory.go
+++ b/internal/digest/memory.go
@@ -85,20 +85,20 @@
 // tellMemory answers a node that has just started: it tells what the workers keep that
 // it knows, and then of which workers it has told all.
 func (e *Exchange) tellMemory(to netip.AddrPort, workers []string) {
-	memory, known := e.registry.Memory(workers)
-	for _, reads := range inMessages(memory.Reads) {
+	memory, known := e.registry.LearnedState(workers)
+	for _, reads := range inMessages(memory.CacheUpdates) {
 		e.sendTo(to, Message{Node: e.node, Memory: true, Reads: renderReads(reads)})
 	}
 	e.sendTo(to, Message{Node: e.node, Memory: true, Paces: memory.Paces, Told: known})
 }
 
 // inMessages divides reads so that each message holds few enough parts.
-func inMessages(reads []worker.Read) [][]worker.Read {
-	var messages [][]worker.Read
+func inMessages(reads []worker.CacheUpdate) [][]worker.CacheUpdate {
+	var messages [][]worker.CacheUpdate
 	for _, read := range reads {
 		for parts := read.Parts; len(parts) > 0; {
 			count := min(len(parts), partsPerMessage)
-			messages = append(messages, []worker.Read{{Worker: read.Worker, Parts: parts[:count]}})
+			messages = append(messages, []worker.CacheUpdate{{Worker: read.Worker, Parts: parts[:count]}})
 			parts = parts[count:]
 		}
 	}
@@ -111,11 +111,11 @@
 		e.dropped(from, err)
 		return
 	}
-	e.registry.Remember(worker.Memory{Reads: snapshot.Reads, Paces: message.Paces}, time.Now())
+	e.registry.MergeLearnedState(worker.LearnedState{CacheUpdates: snapshot.CacheUpdates, Paces: message.Paces}, time.Now())
 	if len(message.Told) == 0 {
 		return
 	}
-	e.registry.Learned(message.Told)
+	e.registry.MarkCachesKnown(message.Told)
 	e.log.WithFields(logrus.Fields{"node": message.Node, "workers": len(message.Told)}).Info("another node told what workers keep")
 	select {
 	case e.told <- message.Told:
--- a/internal/digest/outbox.go
+++ b/internal/digest/outbox.go
@@ -17,7 +17,7 @@
 	changed bool
 	// pending are reads that were not told yet, and repeated those that the next
 	// message at rest tells once more, since a datagram may be lost.
-	pending, repeated []worker.Read
+	pending, repeated []worker.CacheUpdate
 	// failures are told once: telling them twice would count them twice.
 	failures []string
 	// sent is when the last message was due, and rested when the last one at rest.
@@ -26,7 +26,7 @@
 
 // collect adds what happened since the last snapshot.
 func (o *outbox) collect(snapshot worker.Snapshot) {
-	o.pending = append(o.pending, snapshot.Reads...)
+	o.pending = append(o.pending, snapshot.CacheUpdates...)
 	o.failures = append(o.failures, snapshot.Failures...)
 }
 
@@ -51,7 +51,7 @@
 }
 
 // next returns the reads and failures of the message that is sent now.
-func (o *outbox) next(now time.Time, atRest bool) (reads []worker.Read, failures []string) {
+func (o *outbox) next(now time.Time, atRest bool) (reads []worker.CacheUpdate, failures []string) {
 	fresh := o.takeFresh()
 	reads = fresh
 	if atRest {
@@ -66,18 +66,18 @@
 
 // takeFresh takes reads out of those pending until a message is full, and takeRepeated
 // out of those told once.
-func (o *outbox) takeFresh() (fresh []worker.Read) {
+func (o *outbox) takeFresh() (fresh []worker.CacheUpdate) {
 	fresh, o.pending = cut(o.pending)
 	return fresh
 }
 
-func (o *outbox) takeRepeated() (repeated []worker.Read) {
+func (o *outbox) takeRepeated() (repeated []worker.CacheUpdate) {
 	repeated, o.repeated = cut(o.repeated)
 	return repeated
 }
 
 // cut divides reads into as many as a message may tell of, and the rest.
-func cut(reads []worker.Read) (taken, left []worker.Read) {
+func cut(reads []worker.CacheUpdate) (taken, left []worker.CacheUpdate) {
 	parts, count := 0, 0
 	for count < len(reads) {
 		parts += len(reads[count].Parts)
--- a/internal/digest/outbox_test.go
+++ b/internal/digest/outbox_test.go
@@ -11,7 +11,7 @@
 
 func TestReadsAreToldTwiceAndFailuresOnce(t *testing.T) {
 	box := outbox{rested: origin}
-	box.collect(worker.Snapshot{Reads: []worker.Read{{Worker: "w"}}, Failures: []string{"w"}})
+	box.collect(worker.Snapshot{CacheUpdates: []worker.CacheUpdate{{Worker: "w"}}, Failures: []string{"w"}})
 	reads, failures, messages := 0, 0, 0
 	for now := origin.Add(sendEvery); now.Sub(origin) < 3*restEvery; now = now.Add(sendEvery) {
 		due, atRest := box.dueness(now)
@@ -60,8 +60,8 @@
 	for i := range maxParts {
 		parts = append(parts, prefixcache.Part{ID: prefixcache.PartID(1<<62 + i), Tokens: 100_000})
 	}
-	lists := []worker.Read{{Worker: "i-1", Parts: parts}, {Worker: "i-2", Parts: parts}, {Worker: "i-3", Parts: parts}}
-	box.collect(worker.Snapshot{Reads: lists})
+	lists := []worker.CacheUpdate{{Worker: "i-1", Parts: parts}, {Worker: "i-2", Parts: parts}, {Worker: "i-3", Parts: parts}}
+	box.collect(worker.Snapshot{CacheUpdates: lists})
 	told := make(map[string]int)
 	for now := origin.Add(sendEvery); now.Sub(origin) < 5*restEvery; now = now.Add(sendEvery) {
 		due, atRest := box.dueness(now)
@@ -69,7 +69,7 @@
 			continue
 		}
 		reads, _ := box.next(now, atRest)
-		datagram, err := json.Marshal(newMessage(Message{Node: "n"}, worker.Snapshot{Reads: reads}))
+		datagram, err := json.Marshal(newMessage(Message{Node: "n"}, worker.Snapshot{CacheUpdates: reads}))
 		if err != nil || len(datagram) > maxDatagram {
 			t.Errorf("%d bytes, %v", len(datagram), err)
 		}
--- a/internal/digest/subjects.go
+++ b/internal/digest/subjects.go
@@ -15,7 +15,7 @@
 	}
 	subjects = append(subjects, snapshot.Touched...)
 	subjects = append(subjects, snapshot.Failures...)
-	for _, read := range snapshot.Reads {
+	for _, read := range snapshot.CacheUpdates {
 		subjects = append(subjects, read.Worker)
 	}
 	for id := range snapshot.Limits {
--- a/internal/digest/turns.go
+++ b/internal/digest/turns.go
@@ -66,7 +66,7 @@
 // takeLimits takes in what workers said to other nodes.
 func (e *Exchange) takeLimits(node string, limits map[string]limitForm, now time.Time) {
 	for id, form := range limits {
-		e.registry.TellLimit(id, node, form.statement(now))
+		e.registry.MergeLimit(id, node, form.statement(now))
 	}
 }
 
@@ -161,7 +161,7 @@
 }
 
 func limitOf(perSecond float64) quota.Limit {
-	return quota.Limit{Rate: max(perSecond, worker.LeastRate), Burst: turnBurst, Unit: quota.Requests}
+	return quota.Limit{Rate: max(perSecond, worker.MinRate), Burst: turnBurst, Unit: quota.Requests}
 }
 
 // apply puts the limit that is known here in the place of the one that a report tells: versions
@@ -199,6 +199,6 @@
 // take takes in what another node knows of an account's limit.
 func (l *turnLimits) take(account, node string, form *limitForm, now time.Time) {
 	if l != nil && form != nil {
-		l.registry.TellLimit(workerOfAccount(account), node, form.statement(now))
+		l.registry.MergeLimit(workerOfAccount(account), node, form.statement(now))
 	}
 }
--- a/internal/digest/turns_test.go
+++ b/internal/digest/turns_test.go
@@ -29,7 +29,7 @@
 }
 
 // hourly is a limit that hardly comes back within a test.
-const hourly = worker.LeastRate
+const hourly = worker.MinRate
 
 // TestTurnsHoldOverAllNodes that were told of the limit by one.
 func TestTurnsHoldOverAllNodes(t *testing.T) {
@@ -84,7 +84,7 @@
 	time.Sleep(2 * tellSlack)
 	now := time.Now()
 	for _, exchange := range exchanges[1:] {
-		exchange.registry.TellLimit("w", "other", worker.LimitStatement{Sent: now, Heard: now})
+		exchange.registry.MergeLimit("w", "other", worker.LimitStatement{Sent: now, Heard: now})
 	}
 	awaitThat(t, "the node is granted all it asks for", func() bool {
 		first, second := exchanges[0].TakeTurn(t.Context(), "w", 0), exchanges[0].TakeTurn(t.Context(), "w", 0)
@@ -96,7 +96,7 @@
 func TestNewNodeIsToldOfLimits(t *testing.T) {
 	exchanges := turnNodes(t, 2, noTolerance)
 	now := time.Now()
-	exchanges[0].registry.TellLimit("w", "other", worker.LimitStatement{Named: true, Rate: 2, Sent: now, Heard: now})
+	exchanges[0].registry.MergeLimit("w", "other", worker.LimitStatement{Named: true, Rate: 2, Sent: now, Heard: now})
 	awaitThat(t, "the nodes hear each other", func() bool { return exchanges[1].OldestDigest() > 0 && exchanges[0].OldestDigest() > 0 })
 	exchanges[0].shareLimits(exchanges[1].peers.address)
 	awaitThat(t, "the other node knows the limit", func() bool { return exchanges[1].registry.HasLimit("w") })
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -78,7 +78,7 @@
 func (s *session) readApart(ctx context.Context, plan scheduling.Plan) (*Handle, tryEnd) {
 	reader := plan.Reader
 	unread := plan.Unread
-	load := worker.Load{Requests: 1, Reads: worker.ReadsOf(s.rank(), unread), MemoryTokens: s.call.PromptTokens}
+	load := worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(s.rank(), unread), MemoryTokens: s.call.PromptTokens}
 	s.registry.Begin(reader.ID, load)
 	defer s.registry.End(reader.ID, load)
 	running := s.endings.begin(reader.ID, s.call.Fingerprint, s.suspected())
@@ -103,7 +103,7 @@
 	now := time.Now()
 	s.readTaken = true
 	s.observeReading(reader, unread, plan.Fetch, now.Sub(begun))
-	s.registry.Cached(reader.ID, s.call.Prompt, now)
+	s.registry.ObserveCached(reader.ID, s.call.Prompt, now)
 	s.registry.Succeeded(reader.ID, now)
 	return &handle, tryEnd{}
 }
@@ -152,7 +152,7 @@
 // excludeUnlessPausing keeps the call from a worker that rejected it. One that named when it
 // takes requests again may get the call then.
 func (s *session) excludeUnlessPausing(rejecting scheduling.Candidate) {
-	if !s.registry.BacksOff(rejecting.ID) {
+	if !s.registry.IsBackingOff(rejecting.ID) {
 		s.excluded[rejecting.ID] = true
 	}
 }
@@ -173,7 +173,7 @@
 	limit := s.connectionLimit(s.call)
 	s.turns.CountTurn(reader.ID) // sent all the same: what a worker keeps for nobody weighs more
 	go func() {
-		time.Sleep(min(s.registry.Advisory(reader.ID).BackoffLeft(time.Now()), longestRelease))
+		time.Sleep(min(s.registry.NoticeState(reader.ID).BackoffRemaining(time.Now()), longestRelease))
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		answer, err := s.pool.Do(ctx, reader.ID, handle.Address, limit, s.wire.Release(handle))
@@ -211,7 +211,7 @@
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if reply.HasLoad {
-		s.registry.Reported(runner.ID, reply.Running, reply.Waiting, time.Now())
+		s.registry.ObserveReportedLoad(runner.ID, reply.Running, reply.Waiting, time.Now())
 	}
 	if reply.NotExecuted || reply.Misdirected {
 		s.giveBack(again)
@@ -219,7 +219,7 @@
 		return s.rejected(runner, reply, from)
 	}
 	if from != nil {
-		s.registry.HandleTaken(from.reader.ID, runner.ID, time.Now())
+		s.registry.HandleFetched(from.reader.ID, runner.ID, time.Now())
 	}
 	if !s.call.Route.Streams() || answer.Status >= http.StatusInternalServerError {
 		s.countBegun(time.Now()) // its run has ended already
@@ -276,7 +276,7 @@
 		err = errMisdirected
 		s.excluded[runner.ID] = true
 		s.registry.Failed(runner.ID, time.Now())
-	case from != nil && s.registry.BacksOff(runner.ID):
+	case from != nil && s.registry.IsBackingOff(runner.ID):
 		s.kept = from // the engine has no room, whoever read the prompt
 		s.registry.Rejected(runner.ID, time.Now())
 	case from != nil:
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -138,7 +138,7 @@
 		nodes:       options.Nodes,
 		accounts:    options.Accounts,
 		terms:       options.Retries,
-		endings:     newEndings(options.Registry.Drains, quarantined, options.Log, options.Metrics),
+		endings:     newEndings(options.Registry.IsDraining, quarantined, options.Log, options.Metrics),
 		budgets:     make(map[string]*retry.Budget),
 		outages:     make(map[string]*retry.Outage),
 		returning:   make(map[string]time.Time),
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -102,7 +102,7 @@
 // list that tells of it comes later than its answers. A run that was given to it before it
 // was taken for ended shows a mistake.
 func TestAnswerOfALaterStartDoesNotUndoAnEnd(t *testing.T) {
-	for id, want := range map[string]int{"w": 2, worker.Identity("w", 7): 1} {
+	for id, want := range map[string]int{"w": 2, worker.IncarnationID("w", 7): 1} {
 		quarantined := &told{}
 		e := newTestEndings(func(context.Context, string) workerconn.Liveness { return workerconn.Dead })
 		e.quarantine = quarantined
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -63,7 +63,7 @@
 	t.Cleanup(server.Close)
 	address := server.Listener.Addr().String()
 	registry := worker.NewRegistry(topology.New("a", nil))
-	registry.SetMemory("llm", 1_000_000)
+	registry.SetCacheCapacity("llm", 1_000_000)
 	registry.Replace([]worker.Worker{
 		{ID: "read", Service: "llm", Address: address, Zone: "a", Slots: 8, Stage: worker.Prefill},
 		{ID: "write", Service: "llm", Address: address, Zone: "a", Slots: 8, Stage: worker.Decode},
@@ -94,8 +94,8 @@
 // queueAt is what others have placed on both engines. It is less where prompts are read, so
 // that this is the way chosen.
 func queueAt(registry *worker.Registry, change func(string, worker.Load)) {
-	change("read", worker.Load{Requests: 1, Reads: worker.ReadsOf(0, 20_000)})
-	change("write", worker.Load{Requests: 1, Reads: worker.ReadsOf(0, 400_000)})
+	change("read", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 20_000)})
+	change("write", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 400_000)})
 }
 
 // TestLateCallIsHeldUntilAnEngineIsFree, where it was refused.
@@ -113,7 +113,7 @@
 		case <-events.planned:
 		}
 	}
-	registry.End("read", worker.Load{Requests: 1, Reads: worker.ReadsOf(0, 20_000)})
+	registry.End("read", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 20_000)})
 	if outcome := <-ended; outcome.Status != http.StatusOK {
 		t.Errorf("%+v", outcome)
 	}
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -58,7 +58,7 @@
 
 // turnEvery is the time between two turns at a worker.
 func turnEvery(at scheduling.Candidate) time.Duration {
-	return time.Duration(float64(time.Second) / max(at.PerSecond, worker.LeastRate))
+	return time.Duration(float64(time.Second) / max(at.PerSecond, worker.MinRate))
 }
 
 // longestTurn is for how long the call may wait for its turn at a worker: as long as it can be
@@ -110,7 +110,7 @@
 	if d.returning[service].After(at) {
 		at = d.returning[service]
 	}
-	every := time.Duration(float64(time.Second) * float64(max(d.nodes(), 1)) / max(perSecond, worker.LeastRate))
+	every := time.Duration(float64(time.Second) * float64(max(d.nodes(), 1)) / max(perSecond, worker.MinRate))
 	d.returning[service] = earlier(at.Add(every), now.Add(longestReturn))
 	return min(at.Sub(now), longestReturn)
 }
@@ -184,7 +184,7 @@
 		s.returnTurns()
 		return false, err
 	}
-	if !s.registry.MayTake(at.ID) || s.quarantine.Standing(s.call.Fingerprint, time.Now()).Quarantined {
+	if !s.registry.IsUsable(at.ID) || s.quarantine.Standing(s.call.Fingerprint, time.Now()).Quarantined {
 		s.returnTurns()
 		return false, nil
 	}
@@ -211,7 +211,7 @@
 // turnAtRunner chooses the engine that runs a prompt which was read apart, and takes the call's
 // turn there: the one at which it has a turn already, if that can still be used.
 func (s *session) turnAtRunner(ctx context.Context, plan scheduling.Plan) (scheduling.Plan, error) {
-	if _, held := s.turnsHeld[plan.Runner.ID]; held && s.registry.MayTake(plan.Runner.ID) {
+	if _, held := s.turnsHeld[plan.Runner.ID]; held && s.registry.IsUsable(plan.Runner.ID) {
 		if taken, err := s.awaitTurn(ctx, plan.Runner); taken || err != nil {
 			return plan, err
 		}
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -24,7 +24,7 @@
 	dispatcher, registry, call, events := lateSetting(t)
 	dispatcher.turns = noTurnAt{"write"}
 	call.Route.Objective = time.Minute
-	registry.Begin("write", worker.Load{Requests: 1, Reads: worker.ReadsOf(0, 400_000)}) // read apart, then
+	registry.Begin("write", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 400_000)}) // read apart, then
 	now := time.Now()
 	registry.ObserveLimit("write", "request", worker.LimitStatement{Named: true, Rate: 1, Sent: now, Heard: now})
 	outcome := dispatcher.Run(context.Background(), call, &sink{})
--- a/internal/dispatch/pauses.go
+++ b/internal/dispatch/pauses.go
@@ -22,7 +22,7 @@
 // half of that for each rank below the first, and while its caller is there.
 func (s *session) longestWait() time.Duration {
 	inTime := time.Duration(turnShare * float64(s.call.Route.Objective-time.Since(s.call.Arrived)))
-	return min(max(inTime, 0)>>min(max(s.call.Priority(), 0), worker.Ranks), s.longestStay())
+	return min(max(inTime, 0)>>min(max(s.call.Priority(), 0), worker.RankCount), s.longestStay())
 }
 
 // longestStay is the part of the time until the caller leaves for which the call may wait.
--- a/internal/dispatch/pauses_test.go
+++ b/internal/dispatch/pauses_test.go
@@ -52,7 +52,7 @@
 }
 
 func (m pausingMonitor) Admit(key string, _ *workerconn.Request) error {
-	return m.registry.Admits(key, time.Now())
+	return m.registry.Admit(key, time.Now())
 }
 
 func (pausingMonitor) Sending(string, *workerconn.Request) {}
@@ -95,7 +95,7 @@
 		t.Cleanup(server.Close)
 		return server.Listener.Addr().String()
 	}
-	e.registry.SetMemory("llm", 1_000_000)
+	e.registry.SetCacheCapacity("llm", 1_000_000)
 	list := []worker.Worker{{ID: "read", Service: "llm", Address: address(0), Zone: "a", Slots: 8, Stage: worker.Prefill}}
 	for number := range writers {
 		if number > 0 {
@@ -105,7 +105,7 @@
 	}
 	e.registry.Replace(list)
 	for number := range writers { // so that the first is chosen, and doesn't read
-		e.registry.Begin(fmt.Sprint("write-", number), worker.Load{Requests: number, Reads: worker.ReadsOf(0, 400_000)})
+		e.registry.Begin(fmt.Sprint("write-", number), worker.Load{Requests: number, Unread: worker.UnreadTokensOf(0, 400_000)})
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -134,7 +134,7 @@
 
 // engine is what is known of the service's engines, for all requests alike.
 func (s *session) engine() scheduling.Engine {
-	learned := s.registry.Engine(s.call.Service.Name)
+	learned := s.registry.LearnedTimings(s.call.Service.Name)
 	if spec := s.call.Service.Engine; spec != nil {
 		learned.MovePerToken = float64(spec.MoveTime(1)) / float64(time.Millisecond)
 	}
--- a/internal/dispatch/survey.go
+++ b/internal/dispatch/survey.go
@@ -58,7 +58,7 @@
 // describe describes some workers, each once.
 func (s *session) describe(workers []string) []scheduling.Candidate {
 	slices.Sort(workers)
-	return s.registry.Describe(s.call.Service.Name, slices.Compact(workers), s.call.Prompt, s.call.rank(), time.Now())
+	return s.registry.CandidatesAmong(s.call.Service.Name, slices.Compact(workers), s.call.Prompt, s.call.rank(), time.Now())
 }
 
 // withAccounts tells for each candidate whether this node keeps its account.
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -25,7 +25,7 @@
 	call := session.call
 	w := &work{
 		session: session, runner: runner, prompt: prompt,
-		reading: worker.Load{Reads: worker.ReadsOf(session.rank(), prompt.unread)},
+		reading: worker.Load{Unread: worker.UnreadTokensOf(session.rank(), prompt.unread)},
 		running: worker.Load{Requests: 1, MemoryTokens: call.PromptTokens + call.ExpectedOutput},
 		begun:   time.Now(),
 	}
@@ -54,7 +54,7 @@
 	} else if w.session.resumeAfter == "" {
 		w.session.observeReading(w.runner, w.prompt.unread, w.prompt.fetch, elapsed)
 	}
-	registry.Cached(w.runner.ID, call.Prompt, w.firstAt)
+	registry.ObserveCached(w.runner.ID, call.Prompt, w.firstAt)
 }
 
 func (w *work) end() {
--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -68,19 +68,25 @@
 	options.Metrics.MustRegister(m.changes, m.malformed, m.despite, m.withheld,
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "tinarch_workers_announced_draining", Help: "Workers that have said in answers that they are about to end.",
-		}, func() float64 { draining, _ := options.Registry.CountAdvised(time.Now()); return float64(draining) }),
+		}, func() float64 {
+			draining, _ := options.Registry.CountNoticeStates(time.Now())
+			return float64(draining)
+		}),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "tinarch_workers_backing_off", Help: "Workers that want nothing from this node now.",
-		}, func() float64 { _, backingOff := options.Registry.CountAdvised(time.Now()); return float64(backingOff) }))
+		}, func() float64 {
+			_, backingOff := options.Registry.CountNoticeStates(time.Now())
+			return float64(backingOff)
+		}))
 	return m
 }
 
 // Admit implements workerconn.Monitor.
 func (m *Monitor) Admit(key string, request *workerconn.Request) error {
 	now := time.Now()
-	admits := m.options.Registry.Admits
+	admits := m.options.Registry.Admit
 	if request.ID != "" { // a caller's
-		admits = m.options.Registry.AdmitsCall
+		admits = m.options.Registry.AdmitCall
 	}
 	err := admits(key, now)
 	if err == nil {
@@ -94,14 +100,14 @@
 // Sending implements workerconn.Monitor.
 func (m *Monitor) Sending(key string, request *workerconn.Request) {
 	now := time.Now()
-	advisory := m.options.Registry.Advisory(key)
-	if advisory.Over(now) {
+	advisory := m.options.Registry.NoticeState(key)
+	if advisory.Expired(now) {
 		return
 	}
 	if advisory.Draining(now) {
 		m.despite.WithLabelValues(labelDraining).Inc()
 	}
-	if advisory.BacksOff(now) {
+	if advisory.BackingOff(now) {
 		m.despite.WithLabelValues(labelBackoff).Inc()
 	}
 	m.logRequest(key, request, now).Warn("sent to a worker that had said it takes no requests")
@@ -109,10 +115,10 @@
 
 // logRequest is the log with a request and the notices of its worker.
 func (m *Monitor) logRequest(key string, request *workerconn.Request, now time.Time) *logrus.Entry {
-	advisory := m.options.Registry.Advisory(key)
+	advisory := m.options.Registry.NoticeState(key)
 	return m.options.Log.WithFields(logrus.Fields{
 		"id": request.ID, "method": request.Method, "worker": key,
-		"draining_for_ms": sinceMillis(advisory.DrainingSince, now), "backoff_ms": advisory.BackoffLeft(now).Milliseconds(),
+		"draining_for_ms": sinceMillis(advisory.DrainingSince, now), "backoff_ms": advisory.BackoffRemaining(now).Milliseconds(),
 	})
 }
 
@@ -158,7 +164,7 @@
 	}
 	m.options.Log.WithFields(logrus.Fields{
 		"id": request.ID, "worker": change.Worker.ID, "service": change.Worker.Service, "status": status,
-		"draining": change.After.Draining(now), "backoff_ms": change.After.BackoffLeft(now).Milliseconds(),
+		"draining": change.After.Draining(now), "backoff_ms": change.After.BackoffRemaining(now).Milliseconds(),
 		"listed": change.Listed, "entry_draining": change.EntryDraining,
 		"workers_age_ms": m.options.ListAge().Milliseconds(),
 	}).Info("worker notice")
--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -66,7 +66,7 @@
 	}
 	for _, service := range table.Services() {
 		if service.Engine != nil {
-			n.registry.SetMemory(service.Name, service.Engine.MemoryTokens)
+			n.registry.SetCacheCapacity(service.Name, service.Engine.MemoryTokens)
 		}
 	}
 	n.front.SetTable(table)
--- a/internal/serving/limits.go
+++ b/internal/serving/limits.go
@@ -55,8 +55,8 @@
 	}
 	registry.MustRegister(l.changes, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "tinarch_limited_workers", Help: "Workers that take no more than so many requests a second now.",
-	}, func() float64 { return float64(n.registry.Limited()) }))
-	n.registry.SetLimitsChanged(l.changed)
+	}, func() float64 { return float64(n.registry.CountLimited()) }))
+	n.registry.OnLimitChange(l.changed)
 	n.exchange.SetTurns(turnTolerance)
 }
 
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -373,10 +373,10 @@
 }
 
 // Limited returns the number of workers known to take no more than so many requests a second.
-func (n *Node) Limited() int { return n.registry.Limited() }
+func (n *Node) Limited() int { return n.registry.CountLimited() }
 
 // Draining returns the number of workers known to drain.
-func (n *Node) Draining() int { return n.registry.Draining() }
+func (n *Node) Draining() int { return n.registry.CountDraining() }
 
 // KeptTokens returns how much of prompts a worker is believed to keep.
-func (n *Node) KeptTokens(id string) int { return n.registry.KeptTokens(id) }
+func (n *Node) KeptTokens(id string) int { return n.registry.CachedTokens(id) }
--- a/internal/serving/warmup.go
+++ b/internal/serving/warmup.go
@@ -39,7 +39,7 @@
 	if n.settings.Node.FirstStart {
 		// Nothing was asked of the workers before: to ask each of them took a connection for
 		// each of its homes, 20,000 in a fleet of 10,000 workers.
-		n.registry.Learned(n.unlisted())
+		n.registry.MarkCachesKnown(n.unlisted())
 	}
 	for _, id := range n.exchange.AskMemory(ctx, n.unlisted()) {
 		if ctx.Err() != nil {
@@ -67,7 +67,7 @@
 		case <-ticker.C:
 		}
 		if unlisted := n.unlisted(); len(unlisted) > 0 {
-			n.registry.Learned(n.exchange.AskMemory(ctx, unlisted))
+			n.registry.MarkCachesKnown(n.exchange.AskMemory(ctx, unlisted))
 		}
 	}
 }
@@ -77,9 +77,9 @@
 func (n *Node) unlisted() []string {
 	var homed []string
 	if keeping, some := n.exchange.Keeping(); some {
-		homed = idsOf(n.registry.UnlistedAmong(keeping))
+		homed = idsOf(n.registry.UnknownCachesAmong(keeping))
 	} else {
-		ids := idsOf(n.registry.Unlisted())
+		ids := idsOf(n.registry.UnknownCaches())
 		for i, kept := range n.exchange.Kept(ids) {
 			if kept {
 				homed = append(homed, ids[i])
@@ -128,6 +128,6 @@
 		n.log.WithFields(logrus.Fields{"worker": asked.ID, "cause": err.Error()}).Warn("a worker's list can't be read")
 		return
 	}
-	n.registry.Listed(asked.ID, parts, time.Now())
+	n.registry.ObserveCacheList(asked.ID, parts, time.Now())
 	n.log.WithFields(logrus.Fields{"worker": asked.ID, "parts": len(parts)}).Info("a worker told what it keeps")
 }
--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -26,8 +26,8 @@
 	return candidates
 }
 
-// Describe is Candidates of some workers only.
-func (r *Registry) Describe(service string, workers []string, parts []prefixcache.Part, rank int, now time.Time) []scheduling.Candidate {
+// CandidatesAmong is Candidates of some workers only.
+func (r *Registry) CandidatesAmong(service string, workers []string, parts []prefixcache.Part, rank int, now time.Time) []scheduling.Candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var candidates []scheduling.Candidate
@@ -111,10 +111,10 @@
 		engines = append(engines, stageplan.Worker{
 			ID: known.worker.ID, Region: r.RegionOfZone(known.worker.Zone),
 			Prefill: known.stageToBe(now) == Prefill, Slots: known.worker.Slots,
-			Usable:   r.stays(known, now) && !known.breaker.Open(now) && !r.advisories[known.worker.ID].BacksOff(now),
+			Usable:   r.stays(known, now) && !known.breaker.Open(now) && !r.advisories[known.worker.ID].BackingOff(now),
 			Limited:  known.limit.Named,
 			Changing: known.isChanging(now),
-			Requests: load.Requests, ReadTokens: load.Reads.Total(), MemoryTokens: load.MemoryTokens,
+			Requests: load.Requests, ReadTokens: load.Unread.Total(), MemoryTokens: load.MemoryTokens,
 			Capacity: r.memory[service], Pace: queuePace,
 		})
 	}
@@ -158,9 +158,9 @@
 		Prefill:       known.worker.Stage == Prefill,
 		Decode:        known.worker.Stage == Decode,
 		Requests:      load.Requests,
-		ReadTokens:    load.Reads.InTime(),
-		LateTokens:    load.Reads.Late(),
-		ReadAhead:     load.Reads.Ahead(rank),
+		ReadTokens:    load.Unread.InTime(),
+		LateTokens:    load.Unread.Late(),
+		ReadAhead:     load.Unread.Ahead(rank),
 		MemoryTokens:  load.MemoryTokens,
 		Capacity:      r.memory[known.worker.Service],
 		CachedTokens:  known.cache.Match(parts),
@@ -191,8 +191,8 @@
 		}
 		load := known.total(now, asking)
 		accounts[id] = scheduling.Account{
-			Requests: load.Requests, ReadTokens: load.Reads.InTime(), ReadAhead: load.Reads.Ahead(rank),
-			LateTokens: load.Reads.Late(), MemoryTokens: load.MemoryTokens, CachedTokens: known.cache.Match(parts),
+			Requests: load.Requests, ReadTokens: load.Unread.InTime(), ReadAhead: load.Unread.Ahead(rank),
+			LateTokens: load.Unread.Late(), MemoryTokens: load.MemoryTokens, CachedTokens: known.cache.Match(parts),
 			Changing: known.isChanging(now), Leaving: r.drains(known, now), Avoid: known.breaker.Open(now),
 			HandleFailure: known.handles.Open(now), FailureRate: known.breaker.FailureRate(now),
 		}
@@ -259,8 +259,8 @@
 	assumedFetch    = 5
 )
 
-// Engine returns what was learned of a service's engines besides their reading.
-func (r *Registry) Engine(service string) scheduling.Engine {
+// LearnedTimings returns what was learned of a service's engines besides their reading.
+func (r *Registry) LearnedTimings(service string) scheduling.Engine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	learned := r.stepsOf(service)
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -15,11 +15,11 @@
 // Snapshot is what one node tells the others: its own load by worker, and what
 // happened since the last snapshot.
 type Snapshot struct {
-	Loads    map[string]Load
-	Reads    []Read
-	Failures []string
+	Loads        map[string]Load
+	CacheUpdates []CacheUpdate
+	Failures     []string
 	// Changing are the workers that were ordered to a stage.
-	Changing []Changing
+	Changing []StageChange
 	// Demand holds, by service, what its callers want in a deployment in one region, and
 	// RegionDemand, by region and service, what they want of each region's engines.
 	Demand       map[string]Demand
@@ -39,11 +39,11 @@
 // told once more.
 func (s Snapshot) Concerns(id string) bool {
 	return slices.Contains(s.Touched, id) || slices.Contains(s.Failures, id) ||
-		slices.ContainsFunc(s.Reads, func(read Read) bool { return read.Worker == id })
+		slices.ContainsFunc(s.CacheUpdates, func(read CacheUpdate) bool { return read.Worker == id })
 }
 
-// Part returns the part of a snapshot that is about some workers.
-func (s Snapshot) Part(workers []string) Snapshot {
+// ForWorkers returns the part of a snapshot that is about some workers.
+func (s Snapshot) ForWorkers(workers []string) Snapshot {
 	part := Snapshot{
 		Loads: make(map[string]Load), Limits: make(map[string]LimitStatement), Demand: s.Demand, RegionDemand: s.RegionDemand,
 	}
@@ -55,9 +55,9 @@
 			part.Loads[id] = load
 		}
 	}
-	for _, read := range s.Reads {
+	for _, read := range s.CacheUpdates {
 		if slices.Contains(workers, read.Worker) {
-			part.Reads = append(part.Reads, read)
+			part.CacheUpdates = append(part.CacheUpdates, read)
 		}
 	}
 	for _, id := range s.Failures {
@@ -78,8 +78,8 @@
 	return part
 }
 
-// Changing tells that an order to a worker may be under way.
-type Changing struct {
+// StageChange tells that an order to a worker may be under way.
+type StageChange struct {
 	Worker  string
 	Prefill bool
 	// Left is for how long, unless its entry shows the stage before.
@@ -91,7 +91,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	snapshot := Snapshot{
-		Loads: make(map[string]Load), Limits: make(map[string]LimitStatement), Reads: r.reads, Failures: r.failures,
+		Loads: make(map[string]Load), Limits: make(map[string]LimitStatement), CacheUpdates: r.reads, Failures: r.failures,
 	}
 	now := time.Now()
 	snapshot.Demand, snapshot.RegionDemand = r.ownDemand(now)
@@ -106,7 +106,7 @@
 			delete(r.changing, id)
 			continue
 		}
-		snapshot.Changing = append(snapshot.Changing, Changing{Worker: id, Prefill: known.changingStage == Prefill, Left: left})
+		snapshot.Changing = append(snapshot.Changing, StageChange{Worker: id, Prefill: known.changingStage == Prefill, Left: left})
 	}
 	for id := range r.touched {
 		snapshot.Touched = append(snapshot.Touched, id)
@@ -122,7 +122,7 @@
 
 // mergeChanging takes over an order that another node gave, unless the entry shows
 // that it is done.
-func (r *Registry) mergeChanging(changing Changing, now time.Time) {
+func (r *Registry) mergeChanging(changing StageChange, now time.Time) {
 	stage := Decode
 	if changing.Prefill {
 		stage = Prefill
@@ -141,15 +141,15 @@
 	TokensPerMillisecond float64
 }
 
-// Memory is what a node has learned over time, for one that has just started.
-type Memory struct {
-	Reads []Read
-	Paces []Pace
+// LearnedState is what a node has learned over time, for one that has just started.
+type LearnedState struct {
+	CacheUpdates []CacheUpdate
+	Paces        []Pace
 }
 
-// Memory returns what this node has learned of workers, of those whose caches it knows,
+// LearnedState returns what this node has learned of workers, of those whose caches it knows,
 // and the names of these.
-func (r *Registry) Memory(workers []string) (memory Memory, known []string) {
+func (r *Registry) LearnedState(workers []string) (memory LearnedState, known []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range workers {
@@ -159,7 +159,7 @@
 		}
 		known = append(known, id)
 		if parts := asked.cache.Parts(); len(parts) > 0 {
-			memory.Reads = append(memory.Reads, Read{Worker: id, Parts: parts})
+			memory.CacheUpdates = append(memory.CacheUpdates, CacheUpdate{Worker: id, Parts: parts})
 		}
 	}
 	for key, group := range r.groups {
@@ -170,8 +170,8 @@
 	return memory, known
 }
 
-// Learned records that all that workers keep is known now.
-func (r *Registry) Learned(workers []string) {
+// MarkCachesKnown records that all that workers keep is known now.
+func (r *Registry) MarkCachesKnown(workers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range workers {
@@ -181,12 +181,12 @@
 	}
 }
 
-// Remember takes over what another node has learned. Parts that this node knows
+// MergeLearnedState takes over what another node has learned. Parts that this node knows
 // of already keep their place.
-func (r *Registry) Remember(memory Memory, now time.Time) {
+func (r *Registry) MergeLearnedState(memory LearnedState, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, read := range memory.Reads {
+	for _, read := range memory.CacheUpdates {
 		if known, exists := r.workers[read.Worker]; exists {
 			known.cache.Use(read.Parts, now)
 		}
@@ -196,21 +196,21 @@
 	}
 }
 
-// Listed records what a worker itself says that it keeps, and queues that for the
+// ObserveCacheList records what a worker itself says that it keeps, and queues that for the
 // other nodes.
-func (r *Registry) Listed(id string, parts []prefixcache.Part, now time.Time) {
+func (r *Registry) ObserveCacheList(id string, parts []prefixcache.Part, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known, exists := r.workers[id]; exists {
 		known.cache.Use(parts, now)
 		known.cacheKnown = true
-		r.reads = append(r.reads, Read{Worker: id, Parts: parts})
+		r.reads = append(r.reads, CacheUpdate{Worker: id, Parts: parts})
 		r.touch(id)
 	}
 }
 
-// Unlisted returns the engines of whose caches nothing is known.
-func (r *Registry) Unlisted() []Worker {
+// UnknownCaches returns the engines of whose caches nothing is known.
+func (r *Registry) UnknownCaches() []Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var unlisted []Worker
@@ -223,8 +223,8 @@
 	return unlisted
 }
 
-// UnlistedAmong is Unlisted of some engines: in a large fleet a node keeps account of few.
-func (r *Registry) UnlistedAmong(engines map[string]bool) []Worker {
+// UnknownCachesAmong is Unlisted of some engines: in a large fleet a node keeps account of few.
+func (r *Registry) UnknownCachesAmong(engines map[string]bool) []Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var unlisted []Worker
@@ -247,7 +247,7 @@
 	defer r.mu.Unlock()
 	r.mergeLoads(node, snapshot.Loads, now)
 	r.mergeDemand(node, snapshot, now)
-	for _, read := range snapshot.Reads {
+	for _, read := range snapshot.CacheUpdates {
 		if known, exists := r.workers[read.Worker]; exists {
 			known.cache.Use(read.Parts, now)
 			known.cacheKnown = known.cacheKnown || len(read.Parts) >= listedParts
@@ -280,8 +280,8 @@
 	}
 }
 
-// KeptTokens returns how much of prompts a worker is believed to keep.
-func (r *Registry) KeptTokens(id string) int {
+// CachedTokens returns how much of prompts a worker is believed to keep.
+func (r *Registry) CachedTokens(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, exists := r.workers[id]
--- a/internal/worker/incarnation_test.go
+++ b/internal/worker/incarnation_test.go
@@ -11,7 +11,7 @@
 
 // startOf is a worker that was born at a time.
 func startOf(name string, born int64) Worker {
-	return Worker{ID: Identity(name, born), Service: "llm", Address: "1:1", Zone: "a", Slots: 8, Stage: Decode}
+	return Worker{ID: IncarnationID(name, born), Service: "llm", Address: "1:1", Zone: "a", Slots: 8, Stage: Decode}
 }
 
 // twoStarts returns a registry in which a worker with work and kept parts has started again
@@ -21,7 +21,7 @@
 	r = newTestRegistry()
 	first, second := startOf("w", 1000), startOf("w", 2000)
 	r.Apply(Change{Name: "w", Worker: &first})
-	r.Cached(first.ID, somePrompt, origin)
+	r.ObserveCached(first.ID, somePrompt, origin)
 	r.Begin(first.ID, Load{Requests: 3, MemoryTokens: 900})
 	r.Merge("other", Snapshot{Loads: map[string]Load{first.ID: {Requests: 2}}}, origin)
 	for range 20 {
@@ -36,12 +36,12 @@
 
 func TestIdentityTellsNameAndBirth(t *testing.T) {
 	for _, born := range []int64{1, 1764731647000} {
-		id := Identity("i-7f3a91c2", born)
+		id := IncarnationID("i-7f3a91c2", born)
 		if NameOf(id) != "i-7f3a91c2" || BornOf(id) != born {
 			t.Errorf("%s: name %s, born %d", id, NameOf(id), BornOf(id))
 		}
 	}
-	if id := Identity("i-1", 0); id != "i-1" || NameOf(id) != "i-1" || BornOf(id) != 0 {
+	if id := IncarnationID("i-1", 0); id != "i-1" || NameOf(id) != "i-1" || BornOf(id) != 0 {
 		t.Errorf("without a birth the identity is %s", id)
 	}
 }
@@ -76,17 +76,17 @@
 		t.Error("the entry of an earlier start is a change")
 	}
 	r.Merge("other", Snapshot{
-		Loads: map[string]Load{before: {Requests: 2}}, Reads: []Read{{Worker: before, Parts: somePrompt}},
-		Failures: []string{before}, Changing: []Changing{{Worker: before, Prefill: true, Left: time.Hour}},
+		Loads: map[string]Load{before: {Requests: 2}}, CacheUpdates: []CacheUpdate{{Worker: before, Parts: somePrompt}},
+		Failures: []string{before}, Changing: []StageChange{{Worker: before, Prefill: true, Left: time.Hour}},
 	}, origin)
 	r.End(before, Load{Requests: 3, MemoryTokens: 900})
-	r.Cached(before, somePrompt, origin)
-	r.Listed(before, somePrompt, origin)
+	r.ObserveCached(before, somePrompt, origin)
+	r.ObserveCacheList(before, somePrompt, origin)
 	got := find(t, r, after, somePrompt, origin)
 	if got.CachedTokens != 0 || got.Requests != 0 || got.Avoid {
 		t.Errorf("%+v", got)
 	}
-	if r.Drains(after) {
+	if r.IsDraining(after) {
 		t.Error("the later start drains")
 	}
 	if told := r.Snapshot(); len(told.Loads) != 0 {
@@ -132,12 +132,12 @@
 func TestLaterStartIsFoundInAWholeList(t *testing.T) {
 	r := newTestRegistry()
 	r.Replace([]Worker{startOf("w", 1000), startOf("v", 1000)})
-	r.Begin(Identity("w", 1000), Load{Requests: 5})
+	r.Begin(IncarnationID("w", 1000), Load{Requests: 5})
 	added, gone := r.Replace([]Worker{startOf("w", 3000), startOf("v", 1000)})
-	if len(added) != 1 || added[0] != Identity("w", 3000) || len(gone) != 0 {
+	if len(added) != 1 || added[0] != IncarnationID("w", 3000) || len(gone) != 0 {
 		t.Errorf("added %v, gone %v", added, gone)
 	}
-	if got := find(t, r, Identity("w", 3000), nil, origin); got.Requests != 0 {
+	if got := find(t, r, IncarnationID("w", 3000), nil, origin); got.Requests != 0 {
 		t.Errorf("%d requests", got.Requests)
 	}
 	if !r.Apply(Change{Name: "w"}) || r.Apply(Change{Name: "w"}) {
--- a/internal/worker/limit.go
+++ b/internal/worker/limit.go
@@ -18,9 +18,9 @@
 	Sent, Heard time.Time
 }
 
-// LeastRate are the requests a second that a worker gets which takes fewer, or none: its answer to
+// MinRate are the requests a second that a worker gets which takes fewer, or none: its answer to
 // one tells that it takes more again.
-const LeastRate = 0.1
+const MinRate = 0.1
 
 // rate is the statement's limit, infinite where it names none.
 func (s LimitStatement) rate() float64 {
@@ -68,17 +68,17 @@
 	Source string
 }
 
-// SetLimitsChanged has each change of a worker's limit told. It is called before any is known,
+// OnLimitChange has each change of a worker's limit told. It is called before any is known,
 // and changed must not call the registry.
-func (r *Registry) SetLimitsChanged(changed func(LimitChange)) { r.limitChanged = changed }
+func (r *Registry) OnLimitChange(changed func(LimitChange)) { r.limitChanged = changed }
 
 // ObserveLimit takes in what a worker said in answer to a request of this node.
 func (r *Registry) ObserveLimit(id, request string, said LimitStatement) {
 	r.observeLimit(id, request, said, true)
 }
 
-// TellLimit takes in what another node was told by a worker.
-func (r *Registry) TellLimit(id, node string, said LimitStatement) {
+// MergeLimit takes in what another node was told by a worker.
+func (r *Registry) MergeLimit(id, node string, said LimitStatement) {
 	r.observeLimit(id, node, said, false)
 }
 
@@ -107,8 +107,8 @@
 	r.limitChanged(LimitChange{Worker: id, Service: known.worker.Service, Before: before, After: known.limit, Source: source})
 }
 
-// Limited returns the number of workers that have named a limit.
-func (r *Registry) Limited() int {
+// CountLimited returns the number of workers that have named a limit.
+func (r *Registry) CountLimited() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.limited)
@@ -164,8 +164,8 @@
 	r.update(id, func(known *state) { known.turnAt = at })
 }
 
-// MayTake reports whether a worker may still get a request that waited for its turn there.
-func (r *Registry) MayTake(id string) bool {
+// IsUsable reports whether a worker may still get a request that waited for its turn there.
+func (r *Registry) IsUsable(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, exists := r.workers[id]
--- a/internal/worker/limit_test.go
+++ b/internal/worker/limit_test.go
@@ -72,15 +72,15 @@
 // is told of the earlier start changes nothing.
 func TestLimitIsOfOneStart(t *testing.T) {
 	r := NewRegistry(topology.New("a", nil))
-	earlier, later := Identity("w", 5000), Identity("w", 6000)
+	earlier, later := IncarnationID("w", 5000), IncarnationID("w", 6000)
 	r.Apply(Change{Name: "w", Worker: &Worker{ID: earlier, Service: "s"}})
 	r.ObserveLimit(earlier, "request", said(2, 0, 10))
-	if !r.HasLimit(earlier) || r.Limited() != 1 {
+	if !r.HasLimit(earlier) || r.CountLimited() != 1 {
 		t.Fatal("the limit isn't known")
 	}
 	r.Apply(Change{Name: "w", Worker: &Worker{ID: later, Service: "s"}})
-	r.TellLimit(earlier, "node", said(3, 20, 30))
-	if r.HasLimit(earlier) || r.HasLimit(later) || r.Limited() != 0 {
+	r.MergeLimit(earlier, "node", said(3, 20, 30))
+	if r.HasLimit(earlier) || r.HasLimit(later) || r.CountLimited() != 0 {
 		t.Error("a limit of the earlier start holds")
 	}
 }
@@ -89,13 +89,13 @@
 func TestLimitsAreToldOnAndChangesCounted(t *testing.T) {
 	r := NewRegistry(topology.New("a", nil))
 	var changes []LimitChange
-	r.SetLimitsChanged(func(change LimitChange) { changes = append(changes, change) })
+	r.OnLimitChange(func(change LimitChange) { changes = append(changes, change) })
 	for _, id := range []string{"own", "other"} {
 		r.Apply(Change{Name: id, Worker: &Worker{ID: id, Service: "s"}})
 	}
 	r.ObserveLimit("own", "request", said(2, 0, 10))
 	r.ObserveLimit("own", "request", said(2, 20, 30))
-	r.TellLimit("other", "node", said(3, 0, 10))
+	r.MergeLimit("other", "node", said(3, 0, 10))
 	snapshot := r.Snapshot()
 	if _, told := snapshot.Limits["other"]; told || snapshot.Limits["own"] != said(2, 20, 30) || !snapshot.Concerns("own") {
 		t.Errorf("told: %+v", snapshot.Limits)
@@ -113,7 +113,7 @@
 func TestLowerLimitIsToldOnThoughItsOrderIsUnknown(t *testing.T) {
 	r := NewRegistry(topology.New("a", nil))
 	r.Apply(Change{Name: "w", Worker: &Worker{ID: "w", Service: "s"}})
-	r.TellLimit("w", "node", said(5, 0, 30))
+	r.MergeLimit("w", "node", said(5, 0, 30))
 	r.ObserveLimit("w", "request", said(2, 10, 20))
 	if told := r.Snapshot().Limits["w"]; told.Rate != 2 {
 		t.Errorf("told %+v, the lower limit holds", told)
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -8,8 +8,8 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// SetMemory sets the KV cache of a service's engines, in tokens.
-func (r *Registry) SetMemory(service string, tokens int) {
+// SetCacheCapacity sets the KV cache of a service's engines, in tokens.
+func (r *Registry) SetCacheCapacity(service string, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.memory[service] = tokens
@@ -204,8 +204,8 @@
 	return known.worker, true
 }
 
-// Drains reports whether a worker is known to end as planned.
-func (r *Registry) Drains(id string) bool {
+// IsDraining reports whether a worker is known to end as planned.
+func (r *Registry) IsDraining(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, exists := r.workers[id]
@@ -236,8 +236,8 @@
 	return count
 }
 
-// Draining returns the number of listed workers that get no new requests.
-func (r *Registry) Draining() int {
+// CountDraining returns the number of listed workers that get no new requests.
+func (r *Registry) CountDraining() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count, now := 0, time.Now()
--- a/internal/worker/load.go
+++ b/internal/worker/load.go
@@ -1,35 +1,35 @@
 package worker
 
-// Ranks is the number of ranks of requests that loads tell apart.
-const Ranks = 4
+// RankCount is the number of ranks of requests that loads tell apart.
+const RankCount = 4
 
 // LateRank is that of requests that can't be in time: engines read all others first.
-const LateRank = Ranks - 1
+const LateRank = RankCount - 1
 
-// Reads counts prompt tokens that are still to be read, by the rank of their
+// UnreadTokens counts prompt tokens that are still to be read, by the rank of their
 // requests; rank 0 is the most urgent. Engines read the more urgent first.
-type Reads [Ranks]int
+type UnreadTokens [RankCount]int
 
-// ReadsOf returns the tokens of one request. Ranks past the last count as the last.
-func ReadsOf(rank, tokens int) Reads {
-	var reads Reads
+// UnreadTokensOf returns the tokens of one request. Ranks past the last count as the last.
+func UnreadTokensOf(rank, tokens int) UnreadTokens {
+	var reads UnreadTokens
 	reads[bounded(rank)] = tokens
 	return reads
 }
 
-func bounded(rank int) int { return min(max(rank, 0), Ranks-1) }
+func bounded(rank int) int { return min(max(rank, 0), RankCount-1) }
 
 // InTime returns the tokens of all requests but the late ones.
-func (r Reads) InTime() int { return r.Ahead(LateRank - 1) }
+func (r UnreadTokens) InTime() int { return r.Ahead(LateRank - 1) }
 
 // Late returns the tokens of late requests.
-func (r Reads) Late() int { return r[LateRank] }
+func (r UnreadTokens) Late() int { return r[LateRank] }
 
 // Total returns the tokens of all ranks.
-func (r Reads) Total() int { return r.Ahead(Ranks - 1) }
+func (r UnreadTokens) Total() int { return r.Ahead(RankCount - 1) }
 
 // Ahead returns the tokens that are read before those of a new request of a rank.
-func (r Reads) Ahead(rank int) int {
+func (r UnreadTokens) Ahead(rank int) int {
 	sum := 0
 	for _, tokens := range r[:bounded(rank)+1] {
 		sum += tokens
@@ -41,8 +41,8 @@
 type Load struct {
 	// Requests counts requests that run or wait.
 	Requests int
-	// Reads counts prompt tokens that are still to be read.
-	Reads Reads
+	// Unread counts prompt tokens that are still to be read.
+	Unread UnreadTokens
 	// MemoryTokens counts the KV cache that the requests need.
 	MemoryTokens int
 }
@@ -57,8 +57,8 @@
 func (l Load) added(other Load, sign int) Load {
 	l.Requests += sign * other.Requests
 	l.MemoryTokens += sign * other.MemoryTokens
-	for rank, tokens := range other.Reads {
-		l.Reads[rank] += sign * tokens
+	for rank, tokens := range other.Unread {
+		l.Unread[rank] += sign * tokens
 	}
 	return l
 }
--- a/internal/worker/load_test.go
+++ b/internal/worker/load_test.go
@@ -10,15 +10,15 @@
 func TestReadsAheadAreThoseOfTheSameAndMoreUrgentRanks(t *testing.T) {
 	var load Load
 	for rank, tokens := range []int{1, 10, 100, 1000, 10_000} {
-		load = load.plus(Load{Reads: ReadsOf(rank, tokens)})
+		load = load.plus(Load{Unread: UnreadTokensOf(rank, tokens)})
 	}
 	for rank, want := range map[int]int{-1: 1, 0: 1, 1: 11, 2: 111, 3: 11_111, 9: 11_111} {
-		if got := load.Reads.Ahead(rank); got != want {
+		if got := load.Unread.Ahead(rank); got != want {
 			t.Errorf("rank %d: %d tokens ahead, want %d", rank, got, want)
 		}
 	}
-	if load.Reads.Total() != 11_111 {
-		t.Errorf("%d in all", load.Reads.Total())
+	if load.Unread.Total() != 11_111 {
+		t.Errorf("%d in all", load.Unread.Total())
 	}
 }
 
@@ -27,8 +27,8 @@
 func TestUrgentRequestsDontWaitForOthers(t *testing.T) {
 	r := NewRegistry(topology.New("here", nil))
 	r.Replace([]Worker{{ID: "p", Service: "llm", Stage: Prefill}})
-	r.Begin("p", Load{Reads: ReadsOf(2, 60_000)})
-	r.Merge("other", Snapshot{Loads: map[string]Load{"p": {Reads: ReadsOf(0, 500)}}}, origin)
+	r.Begin("p", Load{Unread: UnreadTokensOf(2, 60_000)})
+	r.Merge("other", Snapshot{Loads: map[string]Load{"p": {Unread: UnreadTokensOf(0, 500)}}}, origin)
 	for rank, want := range []int{500, 500, 60_500} {
 		candidate := r.Candidates("llm", []prefixcache.Part{}, rank, origin)[0]
 		if candidate.ReadAhead != want || candidate.ReadTokens != 60_500 {
--- a/internal/worker/notice.go
+++ b/internal/worker/notice.go
@@ -17,8 +17,8 @@
 	Malformed string
 }
 
-// Advisory is what holds of one start of a worker by its own notices.
-type Advisory struct {
+// NoticeState is what holds of one start of a worker by its own notices.
+type NoticeState struct {
 	// DrainingSince is when this node first heard that the worker is about to end, zero where
 	// it hasn't.
 	DrainingSince time.Time
@@ -28,15 +28,17 @@
 }
 
 // Draining reports whether the worker is about to end.
-func (a Advisory) Draining(now time.Time) bool {
+func (a NoticeState) Draining(now time.Time) bool {
 	return !a.DrainingSince.IsZero() && now.Sub(a.DrainingSince) < drainingLife
 }
 
-// BacksOff reports whether the worker wants nothing from this node.
-func (a Advisory) BacksOff(now time.Time) bool { return now.Before(a.BackoffUntil) }
+// BackingOff reports whether the worker wants nothing from this node.
+func (a NoticeState) BackingOff(now time.Time) bool { return now.Before(a.BackoffUntil) }
 
-// BackoffLeft is for how much longer the worker wants nothing from this node.
-func (a Advisory) BackoffLeft(now time.Time) time.Duration { return max(a.BackoffUntil.Sub(now), 0) }
+// BackoffRemaining is for how much longer the worker wants nothing from this node.
+func (a NoticeState) BackoffRemaining(now time.Time) time.Duration {
+	return max(a.BackoffUntil.Sub(now), 0)
+}
 
 // drainingLife is how long a worker counts as about to end. One that is listed for longer has
 // changed its mind, and says so again if it hasn't.
@@ -45,12 +47,12 @@
 // with adds a notice. Answers overtake each other, and one that doesn't mention the end or a
 // pause may have been made before another that does: so nothing takes a notice back, and of
 // several pauses the one that ends last holds.
-func (a Advisory) with(said Notice, now time.Time) Advisory {
+func (a NoticeState) with(said Notice, now time.Time) NoticeState {
 	if said.Draining && !a.Draining(now) {
 		a.DrainingSince = now
 	}
 	if until := now.Add(said.Backoff); said.Backoff > 0 && until.After(a.BackoffUntil) {
-		if !a.BacksOff(now) {
+		if !a.BackingOff(now) {
 			a.BackoffSince = now
 		}
 		a.BackoffUntil = until
@@ -58,14 +60,14 @@
 	return a
 }
 
-// Over reports whether nothing holds any more.
-func (a Advisory) Over(now time.Time) bool { return !a.Draining(now) && !a.BacksOff(now) }
+// Expired reports whether nothing holds any more.
+func (a NoticeState) Expired(now time.Time) bool { return !a.Draining(now) && !a.BackingOff(now) }
 
 // NoticeChange is a change of what holds for a worker by its notices.
 type NoticeChange struct {
 	Worker Worker
 	// Before and After are what held and what holds.
-	Before, After Advisory
+	Before, After NoticeState
 	// Listed tells that the worker has an entry, and EntryDraining that it says so too.
 	Listed, EntryDraining bool
 }
@@ -112,9 +114,9 @@
 	}
 }
 
-// TellDraining takes in which workers told another node of their end, and returns those that
+// MergeDraining takes in which workers told another node of their end, and returns those that
 // this node didn't know of. It may not have read the list of workers yet.
-func (r *Registry) TellDraining(ids []string, now time.Time) (unknown []string) {
+func (r *Registry) MergeDraining(ids []string, now time.Time) (unknown []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range ids {
@@ -146,7 +148,7 @@
 // may vanish and come back while the store is away.
 func (r *Registry) dropAdvisories(now time.Time) {
 	for id, advisory := range r.advisories {
-		if advisory.Over(now) {
+		if advisory.Expired(now) {
 			delete(r.advisories, id)
 		}
 	}
@@ -159,17 +161,17 @@
 	ErrUnlisted = eris.New("the worker's entry is gone")
 )
 
-// Admits returns why a worker must get nothing at all from this node now, and nil where it may.
+// Admit returns why a worker must get nothing at all from this node now, and nil where it may.
 // Only its own notices count.
-func (r *Registry) Admits(id string, now time.Time) error {
+func (r *Registry) Admit(id string, now time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admits(id, now)
 }
 
-// AdmitsCall is Admits for a request of a caller, which a worker must not get either once its
+// AdmitCall is Admits for a request of a caller, which a worker must not get either once its
 // entry says that it is about to end, or is gone.
-func (r *Registry) AdmitsCall(id string, now time.Time) error {
+func (r *Registry) AdmitCall(id string, now time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known, exists := r.workers[id]; exists {
@@ -188,14 +190,14 @@
 	if advisory.Draining(now) && now.Sub(advisory.DrainingSince) >= lingerFor {
 		return ErrDraining
 	}
-	if advisory.BacksOff(now) {
+	if advisory.BackingOff(now) {
 		return ErrBackoff
 	}
 	return nil
 }
 
-// BacksOff reports whether a worker wants nothing from this node now.
-func (r *Registry) BacksOff(id string) bool { return r.Advisory(id).BacksOff(time.Now()) }
+// IsBackingOff reports whether a worker wants nothing from this node now.
+func (r *Registry) IsBackingOff(id string) bool { return r.NoticeState(id).BackingOff(time.Now()) }
 
 // UsableIn returns the time until one of the workers that can answer requests of a service takes
 // a further one from this node, zero where one does now or none is known to. Those excepted
@@ -211,7 +213,7 @@
 		if known.worker.Service != service || known.worker.Stage == Prefill || except[id] || !r.stays(known, now) || known.isChanging(now) {
 			continue
 		}
-		wait := r.advisories[id].BackoffLeft(now)
+		wait := r.advisories[id].BackoffRemaining(now)
 		if wait == 0 && !known.recovery.admits(known.load.Requests) {
 			wait = recoveryWait
 		}
@@ -222,23 +224,23 @@
 	return first
 }
 
-// Advisory returns what holds of a worker by its notices.
-func (r *Registry) Advisory(id string) Advisory {
+// NoticeState returns what holds of a worker by its notices.
+func (r *Registry) NoticeState(id string) NoticeState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.advisories[id]
 }
 
-// CountAdvised returns how many workers are about to end, and how many want nothing from this
+// CountNoticeStates returns how many workers are about to end, and how many want nothing from this
 // node now, by their notices.
-func (r *Registry) CountAdvised(now time.Time) (draining, backingOff int) {
+func (r *Registry) CountNoticeStates(now time.Time) (draining, backingOff int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, advisory := range r.advisories {
 		if advisory.Draining(now) {
 			draining++
 		}
-		if advisory.BacksOff(now) {
+		if advisory.BackingOff(now) {
 			backingOff++
 		}
 	}
--- a/internal/worker/notice_test.go
+++ b/internal/worker/notice_test.go
@@ -9,9 +9,9 @@
 
 func TestOfSeveralPausesTheLastToEndHolds(t *testing.T) {
 	now := time.Now()
-	held := Advisory{}.with(Notice{Backoff: 3 * time.Second}, now)
+	held := NoticeState{}.with(Notice{Backoff: 3 * time.Second}, now)
 	held = held.with(Notice{Backoff: time.Second}, now.Add(time.Second))
-	if !held.BacksOff(now.Add(2900*time.Millisecond)) || held.BacksOff(now.Add(3*time.Second)) {
+	if !held.BackingOff(now.Add(2900*time.Millisecond)) || held.BackingOff(now.Add(3*time.Second)) {
 		t.Errorf("the pause ends at %v, want 3s", held.BackoffUntil.Sub(now))
 	}
 	held = held.with(Notice{Backoff: 3 * time.Second}, now.Add(2*time.Second))
@@ -22,7 +22,7 @@
 
 func TestNothingTakesAnEndBack(t *testing.T) {
 	now := time.Now()
-	held := Advisory{}.with(Notice{Draining: true}, now).with(Notice{}, now.Add(time.Second))
+	held := NoticeState{}.with(Notice{Draining: true}, now).with(Notice{}, now.Add(time.Second))
 	if !held.Draining(now.Add(time.Minute)) || held.Draining(now.Add(drainingLife)) {
 		t.Error("a worker that says it is about to end must count as such for drainingLife")
 	}
@@ -37,7 +37,7 @@
 	r.ReplaceAt(nil, now.Add(time.Second))
 	r.ReplaceAt([]Worker{{ID: "other", Service: "s"}}, now.Add(time.Second+forgetAfter))
 	r.ReplaceAt([]Worker{entry}, now.Add(2*time.Second+forgetAfter))
-	if !r.Advisory("w").Draining(now.Add(2*time.Second + forgetAfter)) {
+	if !r.NoticeState("w").Draining(now.Add(2*time.Second + forgetAfter)) {
 		t.Error("a worker whose entry came back counts as one that stays")
 	}
 }
@@ -45,10 +45,10 @@
 func TestAdvisoryEndsWithTheWorkersStart(t *testing.T) {
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
-	r.ReplaceAt([]Worker{{ID: Identity("w", 1000), Service: "s"}}, now)
-	r.ObserveNotice(Identity("w", 1000), Notice{Draining: true, Backoff: time.Hour}, now)
-	r.ReplaceAt([]Worker{{ID: Identity("w", 2000), Service: "s"}}, now)
-	if !r.Advisory(Identity("w", 2000)).Over(now) {
+	r.ReplaceAt([]Worker{{ID: IncarnationID("w", 1000), Service: "s"}}, now)
+	r.ObserveNotice(IncarnationID("w", 1000), Notice{Draining: true, Backoff: time.Hour}, now)
+	r.ReplaceAt([]Worker{{ID: IncarnationID("w", 2000), Service: "s"}}, now)
+	if !r.NoticeState(IncarnationID("w", 2000)).Expired(now) {
 		t.Error("what a worker said before it started again counts for its new start")
 	}
 }
@@ -73,16 +73,16 @@
 	if candidates := r.Candidates("s", nil, 0, now); len(candidates) != 1 || !candidates[0].Leaving {
 		t.Errorf("the candidates are %+v, want one that is leaving", candidates)
 	}
-	if !r.Drains("w") || len(r.Standing("s")) != 0 {
+	if !r.IsDraining("w") || len(r.Standing("s")) != 0 {
 		t.Error("a worker that announces its end counts as one that stays")
 	}
 	after := now.Add(lingerFor)
-	if len(r.Candidates("s", nil, 0, after)) != 0 || r.Admits("w", after) == nil {
+	if len(r.Candidates("s", nil, 0, after)) != 0 || r.Admit("w", after) == nil {
 		t.Error("a worker that announced its end a while ago still gets requests")
 	}
 	r.ApplyAt(Change{Name: "w"}, after)
 	r.ApplyAt(Change{Name: "w", Worker: &Worker{ID: "w", Service: "s"}}, after)
-	if r.Admits("w", after) == nil {
+	if r.Admit("w", after) == nil {
 		t.Error("an entry that comes back takes the worker's own word back")
 	}
 }
@@ -93,7 +93,7 @@
 	r.ReplaceAt([]Worker{{ID: "w", Service: "s", Address: "127.0.0.1:1"}}, now)
 	r.ObserveNotice("w", Notice{Backoff: time.Hour}, now)
 	r.ReplaceAt([]Worker{{ID: "w", Service: "s", Address: "127.0.0.1:2"}}, now)
-	if r.Admits("w", now) != nil {
+	if r.Admit("w", now) != nil {
 		t.Error("a worker at another address is kept from requests by the word of the one before")
 	}
 }
@@ -102,18 +102,18 @@
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
 	r.ReplaceAt([]Worker{{ID: "w", Service: "s"}, {ID: "gone", Service: "s"}}, now)
-	if r.AdmitsCall("w", now) != nil {
+	if r.AdmitCall("w", now) != nil {
 		t.Error("a sound worker gets no calls")
 	}
 	r.ApplyAt(Change{Name: "w", Worker: &Worker{ID: "w", Service: "s", Draining: true}}, now)
-	if r.AdmitsCall("w", now) == nil {
+	if r.AdmitCall("w", now) == nil {
 		t.Error("a worker whose entry says that it drains gets a call")
 	}
-	if r.Admits("w", now) != nil {
+	if r.Admit("w", now) != nil {
 		t.Error("nothing can be freed at a worker whose entry says that it drains")
 	}
 	r.ApplyAt(Change{Name: "gone"}, now)
-	if r.AdmitsCall("gone", now.Add(lingerFor-1)) != nil || r.AdmitsCall("gone", now.Add(lingerFor)) == nil {
+	if r.AdmitCall("gone", now.Add(lingerFor-1)) != nil || r.AdmitCall("gone", now.Add(lingerFor)) == nil {
 		t.Error("a worker whose entry has vanished isn't the last resort for a moment")
 	}
 }
--- a/internal/worker/observe.go
+++ b/internal/worker/observe.go
@@ -94,12 +94,12 @@
 	})
 }
 
-// Cached records that a worker keeps the parts of a prompt now, and queues that
+// ObserveCached records that a worker keeps the parts of a prompt now, and queues that
 // for the other nodes.
-func (r *Registry) Cached(id string, parts []prefixcache.Part, now time.Time) {
+func (r *Registry) ObserveCached(id string, parts []prefixcache.Part, now time.Time) {
 	r.update(id, func(known *state) {
 		known.cache.Use(parts, now)
-		r.reads = append(r.reads, Read{Worker: id, Parts: parts})
+		r.reads = append(r.reads, CacheUpdate{Worker: id, Parts: parts})
 		r.touch(id)
 	})
 }
@@ -108,7 +108,7 @@
 func (r *Registry) Succeeded(id string, now time.Time) {
 	r.update(id, func(known *state) {
 		known.breaker.Succeeded(now)
-		if !r.advisories[id].BacksOff(now) {
+		if !r.advisories[id].BackingOff(now) {
 			known.recovery.served()
 		}
 	})
@@ -153,8 +153,8 @@
 	}
 }
 
-// HandleTaken records that a prompt read apart at one worker was fetched by another.
-func (r *Registry) HandleTaken(reader, runner string, now time.Time) {
+// HandleFetched records that a prompt read apart at one worker was fetched by another.
+func (r *Registry) HandleFetched(reader, runner string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.handlesOf(reader).Succeeded(now)
@@ -170,8 +170,8 @@
 	return &breaker.Breaker{}
 }
 
-// Reported records the load that a worker's answer told.
-func (r *Registry) Reported(id string, running, waiting int, now time.Time) {
+// ObserveReportedLoad records the load that a worker's answer told.
+func (r *Registry) ObserveReportedLoad(id string, running, waiting int, now time.Time) {
 	r.update(id, func(known *state) {
 		known.reported = reportedLoad{running: running, waiting: waiting, at: now}
 	})
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -96,7 +96,7 @@
 	limited      map[string]*state
 	limitChanged func(LimitChange)
 	// advisories hold, by worker, what it has said of whether it takes further requests.
-	advisories map[string]Advisory
+	advisories map[string]NoticeState
 	// drainingNews are the workers whose end is told to others, each until a time.
 	drainingNews map[string]time.Time
 	// limitNews are the workers whose limits are told to others, each until a time.
@@ -112,7 +112,7 @@
 	// demands are what callers want.
 	demands map[demandKey]*demand
 	// reads are the parts newly read since the last digest.
-	reads []Read
+	reads []CacheUpdate
 	// failures are the workers that failed since the last digest.
 	failures []string
 	// touched are the workers of which there is something to tell since then.
@@ -157,8 +157,8 @@
 	stage   Stage
 }
 
-// Read tells that a worker has read a prompt, so that it keeps its parts.
-type Read struct {
+// CacheUpdate tells that a worker has read a prompt, so that it keeps its parts.
+type CacheUpdate struct {
 	Worker string
 	Parts  []prefixcache.Part
 }
@@ -177,7 +177,7 @@
 		placed:   make(map[string][]string),
 		limited:  make(map[string]*state),
 
-		advisories:   make(map[string]Advisory),
+		advisories:   make(map[string]NoticeState),
 		drainingNews: make(map[string]time.Time),
 		limitNews:    make(map[string]time.Time),
 		groups:       make(map[groupKey]*pace.Model),
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -17,7 +17,7 @@
 
 func newTestRegistry() *Registry {
 	r := NewRegistry(topology.New("a", nil))
-	r.SetMemory("llm", 1000)
+	r.SetCacheCapacity("llm", 1000)
 	r.Replace([]Worker{
 		{ID: "p", Service: "llm", Address: "1:1", Zone: "a", Slots: 8, Stage: Prefill},
 		{ID: "d", Service: "llm", Address: "1:2", Zone: "b", Slots: 8, Stage: Decode},
@@ -61,7 +61,7 @@
 		t.Error("an entry that is the same counts as a change")
 	}
 	same.Draining = true
-	if !r.Apply(Change{Name: "p", Worker: &same}) || r.Draining() != 2 {
+	if !r.Apply(Change{Name: "p", Worker: &same}) || r.CountDraining() != 2 {
 		t.Error("draining is no change")
 	}
 	if !r.Apply(Change{Name: "p"}) || r.Apply(Change{Name: "p"}) {
@@ -76,8 +76,8 @@
 // TestLoadOfAllNodesIsAdded, and a silent node's load fades.
 func TestLoadOfAllNodesIsAdded(t *testing.T) {
 	r := newTestRegistry()
-	r.Begin("p", Load{Requests: 1, Reads: ReadsOf(0, 100), MemoryTokens: 10})
-	r.Merge("other", Snapshot{Loads: map[string]Load{"p": {Requests: 2, Reads: ReadsOf(0, 50)}}}, origin)
+	r.Begin("p", Load{Requests: 1, Unread: UnreadTokensOf(0, 100), MemoryTokens: 10})
+	r.Merge("other", Snapshot{Loads: map[string]Load{"p": {Requests: 2, Unread: UnreadTokensOf(0, 50)}}}, origin)
 	if got := find(t, r, "p", nil, origin); got.Requests != 3 || got.ReadTokens != 150 || got.MemoryTokens != 10 {
 		t.Errorf("%+v", got)
 	}
@@ -89,7 +89,7 @@
 	if got := find(t, r, "p", nil, origin.Add(remoteLife+1)); got.Requests != 1 {
 		t.Errorf("a silent node's load counts: %+v", got)
 	}
-	r.End("p", Load{Requests: 1, Reads: ReadsOf(0, 100), MemoryTokens: 10})
+	r.End("p", Load{Requests: 1, Unread: UnreadTokensOf(0, 100), MemoryTokens: 10})
 	if got := find(t, r, "p", nil, origin.Add(time.Hour)); got.Requests != 0 || got.ReadTokens != 0 {
 		t.Errorf("an ended load counts: %+v", got)
 	}
@@ -99,7 +99,7 @@
 // short while.
 func TestOwnWordOfAWorkerCounts(t *testing.T) {
 	r := newTestRegistry()
-	r.Reported("board", 4, 2, origin)
+	r.ObserveReportedLoad("board", 4, 2, origin)
 	if got := find(t, r, "board", nil, origin); got.Requests != 6 {
 		t.Errorf("%d requests", got.Requests)
 	}
@@ -113,7 +113,7 @@
 func TestNewsTravels(t *testing.T) {
 	parts := []prefixcache.Part{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}
 	here, there := newTestRegistry(), newTestRegistry()
-	here.Cached("p", parts, origin)
+	here.ObserveCached("p", parts, origin)
 	here.Failed("d", origin)
 	here.Begin("p", Load{Requests: 1})
 	snapshot := here.Snapshot()
@@ -130,10 +130,10 @@
 		t.Error("a failure at another node isn't known")
 	}
 	again := here.Snapshot()
-	if len(again.Reads) != 0 || len(again.Failures) != 0 {
+	if len(again.CacheUpdates) != 0 || len(again.Failures) != 0 {
 		t.Errorf("told twice: %+v", again)
 	}
-	if told := there.Snapshot(); len(told.Reads) != 0 || len(told.Failures) != 0 {
+	if told := there.Snapshot(); len(told.CacheUpdates) != 0 || len(told.Failures) != 0 {
 		t.Errorf("hearsay is passed on: %+v", told)
 	}
 }
@@ -159,7 +159,7 @@
 	if !find(t, r, "d", nil, origin).HandleFailure {
 		t.Error("the engine that fetched from none isn't blamed")
 	}
-	r.HandleTaken("q", "d", origin.Add(time.Minute))
+	r.HandleFetched("q", "d", origin.Add(time.Minute))
 	if got := find(t, r, "d", nil, origin.Add(time.Minute)); got.HandleFailure {
 		t.Error("an engine that fetches again is still blamed")
 	}
@@ -179,11 +179,11 @@
 func TestUnknownWorkersAreIgnored(t *testing.T) {
 	r := newTestRegistry()
 	r.Begin("gone", Load{Requests: 1})
-	r.Cached("gone", nil, origin)
+	r.ObserveCached("gone", nil, origin)
 	r.Failed("gone", origin)
 	r.Succeeded("gone", origin)
 	r.ObserveReading("gone", pace.Reading{Tokens: 5000, Elapsed: time.Second})
-	if snapshot := r.Snapshot(); len(snapshot.Loads)+len(snapshot.Reads)+len(snapshot.Failures) != 0 {
+	if snapshot := r.Snapshot(); len(snapshot.Loads)+len(snapshot.CacheUpdates)+len(snapshot.Failures) != 0 {
 		t.Errorf("%+v", snapshot)
 	}
 }
@@ -214,7 +214,7 @@
 	parts := []prefixcache.Part{{ID: 1, Tokens: 100}}
 	r := newTestRegistry()
 	entry, _ := r.Get("p")
-	r.Cached("p", parts, origin)
+	r.ObserveCached("p", parts, origin)
 	r.ApplyAt(Change{Name: "p"}, origin)
 	if got := find(t, r, "p", parts, origin.Add(lingerFor-1)); !got.Leaving {
 		t.Errorf("%+v", got)
@@ -288,10 +288,10 @@
 func TestAccountsLeaveOutTheAskingNode(t *testing.T) {
 	parts := []prefixcache.Part{{ID: 1, Tokens: 100}}
 	r := newTestRegistry()
-	r.Begin("p", Load{Requests: 1, Reads: ReadsOf(0, 10)})
-	r.Cached("p", parts, origin)
-	r.Merge("asks", Snapshot{Loads: map[string]Load{"p": {Requests: 5, Reads: ReadsOf(0, 500)}}}, origin)
-	r.Merge("other", Snapshot{Loads: map[string]Load{"p": {Requests: 2, Reads: ReadsOf(2, 40), MemoryTokens: 7}}}, origin)
+	r.Begin("p", Load{Requests: 1, Unread: UnreadTokensOf(0, 10)})
+	r.ObserveCached("p", parts, origin)
+	r.Merge("asks", Snapshot{Loads: map[string]Load{"p": {Requests: 5, Unread: UnreadTokensOf(0, 500)}}}, origin)
+	r.Merge("other", Snapshot{Loads: map[string]Load{"p": {Requests: 2, Unread: UnreadTokensOf(2, 40), MemoryTokens: 7}}}, origin)
 	r.Failed("p", origin)
 	got := r.Accounts([]string{"p", "unknown"}, parts, 1, "asks", origin)
 	want := map[string]scheduling.Account{"p": {
@@ -310,13 +310,13 @@
 	for range 20 {
 		r.ObserveReading("p", slow)
 	}
-	reading, handover := find(t, r, "p", nil, origin).Reading, r.Engine("llm").Handover
+	reading, handover := find(t, r, "p", nil, origin).Reading, r.LearnedTimings("llm").Handover
 	r.ObserveReading("p", pace.Reading{Tokens: 1000, Elapsed: -5 * time.Millisecond})
 	r.ObserveHandover("d", -5*time.Millisecond)
 	if got := find(t, r, "p", nil, origin).Reading; got != reading {
 		t.Errorf("reads by %+v, by %+v before", got, reading)
 	}
-	if got := r.Engine("llm").Handover; got != handover {
+	if got := r.LearnedTimings("llm").Handover; got != handover {
 		t.Errorf("a handover takes %v ms, %v before", got, handover)
 	}
 }
--- a/internal/worker/restore_test.go
+++ b/internal/worker/restore_test.go
@@ -32,7 +32,7 @@
 	r.ApplyAt(Change{Name: "left"}, now)
 	now = now.Add(2 * lingerFor)
 	r.ReplaceRestored(listOf("left", "b", "c"), doubt, now)
-	if usableAt(r, "left", now) || r.AdmitsCall("left", now) == nil {
+	if usableAt(r, "left", now) || r.AdmitCall("left", now) == nil {
 		t.Error("a worker that had left gets calls again")
 	}
 	if !usableAt(r, "b", now) {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -55,10 +55,10 @@
 	birthBase = 36
 )
 
-// Identity names one start of a worker, born at a Unix time in milliseconds, zero where the
+// IncarnationID names one start of a worker, born at a Unix time in milliseconds, zero where the
 // worker doesn't tell. All that is known of a worker hangs on it, at this node and in what
 // nodes tell each other, so that nothing of an earlier start is taken for the later one's.
-func Identity(name string, born int64) string {
+func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
 	}
