--- a/internal/digest/ask.go
+++ b/internal/digest/ask.go
@@ -63,7 +63,7 @@
 // perMille is the fineness of a rate.
 const perMille = 1000
 
-func renderAccount(account scheduling.Account) accountForm {
+func renderAccount(account scheduling.LoadReport) accountForm {
 	flags := 0
 	if account.Changing {
 		flags |= flagChanging
@@ -83,8 +83,8 @@
 	}
 }
 
-func (f accountForm) account() scheduling.Account {
-	return scheduling.Account{
+func (f accountForm) account() scheduling.LoadReport {
+	return scheduling.LoadReport{
 		Requests: f[0], ReadTokens: f[1], ReadAhead: f[2], MemoryTokens: f[3], CachedTokens: f[4],
 		Changing: f[5]&flagChanging != 0, Avoid: f[5]&flagAvoid != 0, HandleFailure: f[5]&flagHandleFailure != 0,
 		Leaving: f[5]&flagLeaving != 0, FailureRate: float64(f[6]) / perMille, LateTokens: f[7],
@@ -95,7 +95,7 @@
 type pendingAsk struct {
 	// asked are the nodes that haven't answered.
 	asked    map[netip.AddrPort]bool
-	accounts map[string]scheduling.Account
+	accounts map[string]scheduling.LoadReport
 	holders  []scheduling.Holder
 	done     chan struct{}
 	// patience is for how much longer than usual answers are waited for, since some come
@@ -216,7 +216,7 @@
 		}
 	}
 	pending := &pendingAsk{
-		asked: make(map[netip.AddrPort]bool), accounts: make(map[string]scheduling.Account), done: make(chan struct{}),
+		asked: make(map[netip.AddrPort]bool), accounts: make(map[string]scheduling.LoadReport), done: make(chan struct{}),
 	}
 	if content != 0 && e.peers.nodes() > wholeFleet {
 		for _, region := range e.peers.regionsOfKept(workers) {
@@ -251,7 +251,7 @@
 			e.peers.suspect(address, time.Now())
 		}
 	}
-	return scheduling.Answers{Accounts: maps.Clone(pending.accounts), Holders: slices.Clone(pending.holders)}
+	return scheduling.Answers{Reports: maps.Clone(pending.accounts), Holders: slices.Clone(pending.holders)}
 }
 
 // answer tells another node what this one knows of workers.
--- a/internal/digest/ask_test.go
+++ b/internal/digest/ask_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestAccountsSurviveTheirForm(t *testing.T) {
-	account := scheduling.Account{
+	account := scheduling.LoadReport{
 		Requests: 3, ReadTokens: 900, ReadAhead: 400, LateTokens: 50, MemoryTokens: 7000, CachedTokens: 12, Changing: true,
 		HandleFailure: true, FailureRate: 0.25,
 	}
@@ -79,7 +79,7 @@
 	registries[placing].Failed("w", time.Now())
 	registries[asking].Begin("w", worker.Load{Requests: 1})
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		account := exchanges[asking].Ask(context.Background(), []string{"w"}, parts, 0).Accounts["w"]
+		account := exchanges[asking].Ask(context.Background(), []string{"w"}, parts, 0).Reports["w"]
 		if account.Requests == 2 && account.MemoryTokens == 30 && account.CachedTokens == 500 && account.Avoid {
 			return
 		}
@@ -106,7 +106,7 @@
 		id = fmt.Sprint("w", i)
 	}
 	for range homeCount(41) {
-		if got := exchange.Ask(context.Background(), []string{id}, nil, 0).Accounts; len(got) != 0 {
+		if got := exchange.Ask(context.Background(), []string{id}, nil, 0).Reports; len(got) != 0 {
 			t.Errorf("answers: %v", got)
 		}
 	}
@@ -143,7 +143,7 @@
 	for to := range questions {
 		exchange.takeReply(to, "other", reply{ID: id, Accounts: answers})
 	}
-	if got := exchange.collected(id, pending, false).Accounts; got["w"].Requests != 9 {
+	if got := exchange.collected(id, pending, false).Reports; got["w"].Requests != 9 {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/digest/regions_test.go
+++ b/internal/digest/regions_test.go
@@ -84,7 +84,7 @@
 	go exchange.receive()
 	go answerAfter(far, 2*askTimeout)
 	answers := exchange.Ask(context.Background(), []string{"w"}, nil, 0)
-	if account, answered := answers.Accounts["w"]; !answered || account.Requests != 7 {
+	if account, answered := answers.Reports["w"]; !answered || account.Requests != 7 {
 		t.Errorf("answered %v: %+v", answered, account)
 	}
 	if got := exchange.RoundTrip("south"); got >= 10*time.Second || exchange.RoundTrip("north") != 0 {
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -75,7 +75,7 @@
 	first, last, gap time.Duration
 	pieces           int
 	// known are the accounts that other nodes told for the last plan.
-	known map[string]scheduling.Account
+	known map[string]scheduling.LoadReport
 	// reach tells why the last plan is for its region.
 	reach scheduling.Reach
 	// surveyed is what the last survey took.
@@ -116,24 +116,24 @@
 
 func (s *session) request() scheduling.Request {
 	return scheduling.Request{
-		Engine: s.engine(), Aim: s.call.Route.Objective,
-		PromptTokens: s.call.PromptTokens,
-		SharedTokens: s.call.shared(),
-		OutputTokens: s.call.ExpectedOutput,
-		Objective:    s.call.Route.Objective - time.Since(s.call.Arrived),
-		GapObjective: s.call.Route.GapObjective,
-		Remaining:    s.remaining(),
-		Patience:     s.call.patience(time.Now(), s.last),
-		Excluded:     s.excluded,
-		Failed:       s.failed,
-		Begun:        s.headGiven,
-		NoApart:      s.readTaken,
-		Content:      s.call.content(),
+		Engine: s.engine(), RouteObjective: s.call.Route.Objective,
+		PromptTokens:  s.call.PromptTokens,
+		SharedTokens:  s.call.shared(),
+		OutputTokens:  s.call.ExpectedOutput,
+		ObjectiveLeft: s.call.Route.Objective - time.Since(s.call.Arrived),
+		GapObjective:  s.call.Route.GapObjective,
+		Remaining:     s.remaining(),
+		Patience:      s.call.patience(time.Now(), s.last),
+		Excluded:      s.excluded,
+		Failed:        s.failed,
+		Begun:         s.headGiven,
+		NoApart:       s.readTaken,
+		Content:       s.call.content(),
 	}
 }
 
 // engine is what is known of the service's engines, for all requests alike.
-func (s *session) engine() scheduling.Engine {
+func (s *session) engine() scheduling.EngineTimes {
 	learned := s.registry.LearnedTimings(s.call.Service.Name)
 	if spec := s.call.Service.Engine; spec != nil {
 		learned.MovePerToken = float64(spec.MoveTime(1)) / float64(time.Millisecond)
@@ -152,7 +152,7 @@
 	}
 	if plan.Mode == scheduling.Refused && plan.Reason == scheduling.NoWorker && len(s.excluded) > 0 && s.attempts > 0 {
 		// Every worker has failed this call: none is left to be tried.
-		plan.Reason = scheduling.NoneIsFit
+		plan.Reason = scheduling.NoWorkerLeft
 	}
 	return s.untilPauseEnds(s.untilTurn(plan))
 }
--- a/internal/dispatch/survey.go
+++ b/internal/dispatch/survey.go
@@ -69,7 +69,7 @@
 	}
 	for i, kept := range s.accounts.Kept(ids) {
 		if !kept {
-			candidates[i].Account = scheduling.Unasked
+			candidates[i].Report = scheduling.Unasked
 		}
 		if candidates[i].OtherRegion {
 			candidates[i].RoundTrip = float64(s.accounts.RoundTrip(candidates[i].Region)) / float64(time.Millisecond)
@@ -84,10 +84,10 @@
 	if request.PromptTokens == 0 {
 		return candidates
 	}
-	chosen := scheduling.Survey(request, candidates, wide)
+	chosen := scheduling.Preselect(request, candidates, wide)
 	var unasked []string
 	for _, candidate := range chosen {
-		if candidate.Account == scheduling.Unasked {
+		if candidate.Report == scheduling.Unasked {
 			unasked = append(unasked, candidate.ID)
 		}
 	}
@@ -96,7 +96,7 @@
 	}
 	begun := time.Now()
 	answers := s.accounts.Ask(ctx, unasked, s.call.Prompt, s.call.rank())
-	s.known = answers.Accounts
+	s.known = answers.Reports
 	s.surveyed = surveyed{
 		asked: len(unasked), answered: len(s.known), holders: len(answers.Holders), took: time.Since(begun),
 	}
@@ -124,17 +124,17 @@
 	for _, candidate := range chosen {
 		account, answered := s.known[candidate.ID]
 		switch {
-		case candidate.Account != scheduling.Unasked:
+		case candidate.Report != scheduling.Unasked:
 		case !answered:
-			candidate.Account = scheduling.Unanswered
+			candidate.Report = scheduling.Unanswered
 		case account.Changing:
 			continue
 		default:
-			candidate = candidate.With(account)
+			candidate = candidate.WithReport(account)
 		}
 		informed = append(informed, candidate)
 	}
-	return scheduling.Informed(informed)
+	return scheduling.WithKnownLoad(informed)
 }
 
 // planOver plans the request in the regions that are looked at first, and in another one
@@ -177,14 +177,14 @@
 		if candidate.Region == reader.Region {
 			runners = append(runners, candidate)
 		}
-		if _, answered := s.known[candidate.ID]; answered || candidate.Account == scheduling.Kept {
+		if _, answered := s.known[candidate.ID]; answered || candidate.Report == scheduling.Tracked {
 			asked = append(asked, candidate)
 		}
 	}
-	if plan := s.scheduler.Runner(request, s.informed(asked), reader.Region); plan.Mode != scheduling.Refused && sound(plan.Runner) {
+	if plan := s.scheduler.ChooseRunner(request, s.informed(asked), reader.Region); plan.Mode != scheduling.Refused && sound(plan.Runner) {
 		return plan
 	}
-	return s.scheduler.Runner(request, s.survey(ctx, request, runners, false), reader.Region)
+	return s.scheduler.ChooseRunner(request, s.survey(ctx, request, runners, false), reader.Region)
 }
 
 // sound reports whether nothing speaks against a worker.
--- a/internal/scheduling/costs.go
+++ b/internal/scheduling/costs.go
@@ -8,9 +8,9 @@
 	Move float64
 	// Reread is the price of reading a whole prompt again that some engine keeps.
 	Reread float64
-	// Stray multiplies Reread where a prompt is read at an engine where other nodes don't
+	// NotHomeFactor multiplies Reread where a prompt is read at an engine where other nodes don't
 	// look for it, so that one of them reads it again soon.
-	Stray float64
+	NotHomeFactor float64
 	// OtherZone is the price of leaving the node's zone, once for each worker.
 	OtherZone float64
 	// OtherRegion is the price of leaving the node's region, besides the way there: bytes
@@ -39,11 +39,11 @@
 	// Interference is the price of a millisecond of reading at a decode engine for each
 	// request that runs there, in milliseconds: it holds up their streams.
 	Interference float64
-	// GapShare has interference grow with the square of the time for which the engine reads:
-	// it is doubled where that is GapShare-th of the pause allowed between two events.
-	GapShare float64
-	// FetchFrom is the smallest part of a prompt that is worth a fetch.
-	FetchFrom float64
+	// GapFactor has interference grow with the square of the time for which the engine reads:
+	// it is doubled where that is GapFactor-th of the pause allowed between two events.
+	GapFactor float64
+	// MinFetchShare is the smallest part of a prompt that is worth a fetch.
+	MinFetchShare float64
 
 	// Opaque are the figures of requests that aren't for engines.
 	Opaque OpaqueCosts
@@ -67,7 +67,7 @@
 	return Costs{
 		Move:           0.04,
 		Reread:         0.7,
-		Stray:          1.3,
+		NotHomeFactor:  1.3,
 		OtherZone:      0.015,
 		OtherRegion:    0.03,
 		Running:        0.002,
@@ -79,8 +79,8 @@
 		LateFill:       0.75,
 		LateQueue:      0.02,
 		Interference:   0.5,
-		GapShare:       2,
-		FetchFrom:      0.02,
+		GapFactor:      2,
+		MinFetchShare:  0.02,
 		Opaque:         OpaqueCosts{Fill: 20, Waiting: 50, Turn: 1, OtherZone: 6, OtherRegion: 15, Failure: 400, Avoided: 2000},
 	}
 }
--- a/internal/scheduling/late.go
+++ b/internal/scheduling/late.go
@@ -105,6 +105,6 @@
 func tooLate(request Request, plan Plan) Plan {
 	plan.Mode = Refused
 	plan.Reason = TooLate
-	plan.RetryAfter = max(plan.First-request.Objective/2, minRetryAfter)
+	plan.RetryAfter = max(plan.First-request.ObjectiveLeft/2, minRetryAfter)
 	return plan
 }
--- a/internal/scheduling/late_test.go
+++ b/internal/scheduling/late_test.go
@@ -15,7 +15,7 @@
 const busy = 16_000
 
 // overdue requests can't be in time, even at an idle engine.
-func overdue(r *Request) { r.Objective = 100 * time.Millisecond }
+func overdue(r *Request) { r.ObjectiveLeft = 100 * time.Millisecond }
 
 // fastest is an engine that costs least, although others wait there.
 func fastest(change ...func(*Candidate)) Candidate {
@@ -144,7 +144,7 @@
 // TestBegunRequestGoesOnInItsTurn though it is late: a stream that broke off is resumed
 // where others wait, and never held.
 func TestBegunRequestGoesOnInItsTurn(t *testing.T) {
-	begun := func(r *Request) { r.Begun, r.Objective = true, -time.Second }
+	begun := func(r *Request) { r.Begun, r.ObjectiveLeft = true, -time.Second }
 	candidates := []Candidate{reader("p", queued(busy)), writer("d", queued(5_000))}
 	if plan := New(DefaultCosts()).Plan(prompt(begun), candidates); plan.Mode == Held || plan.Mode == Refused || plan.Late {
 		t.Errorf("%s, late %v", plan.Mode, plan.Late)
--- a/internal/scheduling/reading.go
+++ b/internal/scheduling/reading.go
@@ -26,7 +26,7 @@
 		return best
 	}
 	moved := min(source.CachedTokens, request.PromptTokens) - kept
-	if float64(moved) < s.costs.FetchFrom*float64(request.PromptTokens) {
+	if float64(moved) < s.costs.MinFetchShare*float64(request.PromptTokens) {
 		return best
 	}
 	fetched := s.read(request, candidate, kept+moved)
@@ -47,8 +47,8 @@
 	pace := max(candidate.Pace, lowestPace)
 	alone := candidate.Reading.Milliseconds(unread, atHand)
 	again := float64(max(request.SharedTokens-atHand, 0)) / float64(request.PromptTokens)
-	if candidate.Stray {
-		again *= s.costs.Stray
+	if candidate.NotHome {
+		again *= s.costs.NotHomeFactor
 	}
 	return reading{
 		time:   request.Engine.Queue*float64(candidate.ReadAhead)/pace + alone,
--- a/internal/scheduling/regions.go
+++ b/internal/scheduling/regions.go
@@ -152,7 +152,7 @@
 // asStray marks candidates as those where other nodes won't look for what is read.
 func asStray(candidates []Candidate) []Candidate {
 	for i := range candidates {
-		candidates[i].Stray = true
+		candidates[i].NotHome = true
 	}
 	return candidates
 }
--- a/internal/scheduling/regions_test.go
+++ b/internal/scheduling/regions_test.go
@@ -25,7 +25,7 @@
 				candidate.Pace, candidate.Reading = 10, readingAt(10)
 			}
 			if candidate.OtherRegion {
-				candidate.Account, candidate.RoundTrip = Unasked, 24
+				candidate.Report, candidate.RoundTrip = Unasked, 24
 			}
 			candidates = append(candidates, candidate)
 		}
@@ -37,9 +37,9 @@
 func planned(request Request, candidates []Candidate) Plan {
 	plan := Plan{}
 	for _, scope := range Scopes(request, candidates) {
-		chosen := Survey(request, scope.Candidates, false)
+		chosen := Preselect(request, scope.Candidates, false)
 		for i := range chosen {
-			chosen[i].Account = Answered
+			chosen[i].Report = Answered
 		}
 		if plan = New(DefaultCosts()).Plan(request, chosen); plan.Mode != Refused {
 			break
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -44,7 +44,7 @@
 // inTime reports whether a plan is carried out in its turn: its answer comes in time, or
 // nobody else waits.
 func (s *Scheduler) inTime(request Request, plan Plan) bool {
-	limit := time.Duration(s.costs.LatePast * float64(request.Objective))
+	limit := time.Duration(s.costs.LatePast * float64(request.ObjectiveLeft))
 	return plan.First <= limit || plan.First < min(request.Remaining, request.Patience) && idle(plan)
 }
 
@@ -123,7 +123,7 @@
 }
 
 // aim is the objective in milliseconds, the unit of prices.
-func (r Request) aim() float64 { return float64(r.Aim) / float64(time.Millisecond) }
+func (r Request) aim() float64 { return float64(r.RouteObjective) / float64(time.Millisecond) }
 
 // planWhole chooses a decode engine that reads and runs the request.
 func (s *Scheduler) planWhole(request Request, candidates []Candidate) Plan {
@@ -157,7 +157,7 @@
 		return price
 	}
 	gap := float64(request.GapObjective) / float64(time.Millisecond)
-	filled := s.costs.GapShare * reading.held / gap
+	filled := s.costs.GapFactor * reading.held / gap
 	return price * (1 + filled*filled)
 }
 
@@ -171,7 +171,7 @@
 		}
 		runner, chosen := runners[candidate.Region]
 		if !chosen {
-			runner = s.Runner(request, candidates, candidate.Region)
+			runner = s.ChooseRunner(request, candidates, candidate.Region)
 			runners[candidate.Region] = runner
 		}
 		if runner.Mode == Refused {
@@ -195,8 +195,8 @@
 	return best
 }
 
-// Runner chooses the decode engine for a prompt that is read apart in a region.
-func (s *Scheduler) Runner(request Request, candidates []Candidate, region string) Plan {
+// ChooseRunner chooses the decode engine for a prompt that is read apart in a region.
+func (s *Scheduler) ChooseRunner(request Request, candidates []Candidate, region string) Plan {
 	best := refuse(NoWorker)
 	for _, candidate := range candidates {
 		if !candidate.Decode || candidate.SourceOnly || request.Excluded[candidate.ID] {
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -42,8 +42,8 @@
 func lapsing(c *Candidate)               { c.HandleFailure = true }
 
 func prompt(change ...func(*Request)) Request {
-	request := Request{PromptTokens: 17_000, SharedTokens: 13_300, OutputTokens: 15, Aim: 800 * time.Millisecond, Engine: Engine{Queue: 1, Handover: 30, Fetch: 8, MovePerToken: 0.0004},
-		Objective: 800 * time.Millisecond, Remaining: 6 * time.Second, Patience: 6 * time.Second}
+	request := Request{PromptTokens: 17_000, SharedTokens: 13_300, OutputTokens: 15, RouteObjective: 800 * time.Millisecond, Engine: EngineTimes{Queue: 1, Handover: 30, Fetch: 8, MovePerToken: 0.0004},
+		ObjectiveLeft: 800 * time.Millisecond, Remaining: 6 * time.Second, Patience: 6 * time.Second}
 	for _, c := range change {
 		c(&request)
 	}
@@ -121,7 +121,7 @@
 			candidates: []Candidate{reader("p", queued(200_000)), writer("d", queued(100_000))}, mode: Refused, reason: TooLate,
 		},
 		{
-			name: "late, but nothing waits: it is served", request: prompt(func(r *Request) { r.Objective = 0 }),
+			name: "late, but nothing waits: it is served", request: prompt(func(r *Request) { r.ObjectiveLeft = 0 }),
 			candidates: []Candidate{reader("p"), writer("d")}, mode: Apart, reader: "p", runner: "d",
 		},
 		{
@@ -181,7 +181,7 @@
 	scheduler := New(DefaultCosts())
 	last := time.Duration(0)
 	for _, ahead := range []int{0, 5_000, 10_000} {
-		plan := scheduler.Plan(prompt(func(r *Request) { r.Objective = time.Hour }), []Candidate{reader("p", queued(ahead)), writer("d")})
+		plan := scheduler.Plan(prompt(func(r *Request) { r.ObjectiveLeft = time.Hour }), []Candidate{reader("p", queued(ahead)), writer("d")})
 		if plan.First <= last {
 			t.Errorf("with %d tokens ahead %v is predicted, with fewer %v", ahead, plan.First, last)
 		}
@@ -192,11 +192,11 @@
 // TestEngineThatCantFetchWritesNothingReadApart while another can.
 func TestEngineThatCantFetchWritesNothingReadApart(t *testing.T) {
 	scheduler := New(DefaultCosts())
-	plan := scheduler.Runner(prompt(), []Candidate{writer("d1", lapsing), writer("d2", running(20), otherZone)}, "")
+	plan := scheduler.ChooseRunner(prompt(), []Candidate{writer("d1", lapsing), writer("d2", running(20), otherZone)}, "")
 	if plan.Runner.ID != "d2" {
 		t.Errorf("runs at %s", plan.Runner.ID)
 	}
-	if plan := scheduler.Runner(prompt(), []Candidate{writer("d1", lapsing)}, ""); plan.Runner.ID != "d1" {
+	if plan := scheduler.ChooseRunner(prompt(), []Candidate{writer("d1", lapsing)}, ""); plan.Runner.ID != "d1" {
 		t.Error("no engine is left for it")
 	}
 }
@@ -204,7 +204,7 @@
 // TestMemoryPressureMovesRuns: a full decode engine would put runs aside.
 func TestMemoryPressureMovesRuns(t *testing.T) {
 	full := writer("d1", func(c *Candidate) { c.MemoryTokens = 395_000 })
-	plan := New(DefaultCosts()).Runner(prompt(), []Candidate{full, writer("d2", running(10), otherZone)}, "")
+	plan := New(DefaultCosts()).ChooseRunner(prompt(), []Candidate{full, writer("d2", running(10), otherZone)}, "")
 	if plan.Runner.ID != "d2" {
 		t.Errorf("runs at %s", plan.Runner.ID)
 	}
--- a/internal/scheduling/shortlist.go
+++ b/internal/scheduling/shortlist.go
@@ -17,8 +17,8 @@
 	Rank, Hash uint64
 	// Sound tells that nothing speaks against the worker.
 	Sound bool
-	// Kept tells that this node keeps account of the worker.
-	Kept bool
+	// Tracked tells that this node keeps account of the worker.
+	Tracked bool
 	// score is the worker's weight for the request's content.
 	score uint64
 }
@@ -91,7 +91,7 @@
 func (s *selection) empty() bool { return len(s.kept)+len(s.near) == 0 }
 
 func (s *selection) add(worker Outline) {
-	if worker.Kept {
+	if worker.Tracked {
 		s.kept = append(s.kept, worker)
 	} else {
 		s.near = insert(s.near, worker, nearChoices, byNearness)
--- a/internal/scheduling/shortlist_test.go
+++ b/internal/scheduling/shortlist_test.go
@@ -19,11 +19,11 @@
 		id := fmt.Sprint("worker ", i)
 		drawn := Candidate{
 			ID: id, Prefill: random.IntN(5) < 2, SameZone: random.IntN(5) == 0,
-			Rank: random.Uint64(), Hash: rendezvous.Hash(id), Avoid: random.IntN(10) == 0, Account: Unasked,
+			Rank: random.Uint64(), Hash: rendezvous.Hash(id), Avoid: random.IntN(10) == 0, Report: Unasked,
 		}
 		drawn.Decode = !drawn.Prefill
 		if random.IntN(30) == 0 {
-			drawn.Account = Kept
+			drawn.Report = Tracked
 		}
 		workers = append(workers, drawn)
 	}
@@ -66,10 +66,10 @@
 		}
 		short := named(workers, Shortlist(request, outlines(workers)))
 		for _, wide := range []bool{false, true} {
-			if !slices.ContainsFunc(short, func(c Candidate) bool { return c.Account == Unasked }) {
+			if !slices.ContainsFunc(short, func(c Candidate) bool { return c.Report == Unasked }) {
 				continue
 			}
-			all, few := Survey(request, workers, wide), Survey(request, short, wide)
+			all, few := Preselect(request, workers, wide), Preselect(request, short, wide)
 			byID := func(left, right Candidate) int { return cmpID(left, right) }
 			slices.SortFunc(all, byID)
 			slices.SortFunc(few, byID)
@@ -93,7 +93,7 @@
 		workers := someWorkers(rand.New(rand.NewPCG(1, 1)), count)
 		kept := 0
 		for _, worker := range workers {
-			if worker.Account == Kept {
+			if worker.Report == Tracked {
 				kept++
 			}
 		}
@@ -116,6 +116,6 @@
 func BenchmarkSurveyOfAll(b *testing.B) {
 	workers := someWorkers(rand.New(rand.NewPCG(1, 1)), manyWorkers)
 	for b.Loop() {
-		Survey(Request{PromptTokens: 1, Content: 9}, workers, false)
+		Preselect(Request{PromptTokens: 1, Content: 9}, workers, false)
 	}
 }
--- a/internal/scheduling/survey.go
+++ b/internal/scheduling/survey.go
@@ -22,18 +22,18 @@
 	runnerChoices = 3
 	// widened multiplies all of them where none of the first choices can serve a request.
 	widened = 2
-	// WorthFinding is the number of shared tokens from which a prompt is read where
+	// MinSharedTokens is the number of shared tokens from which a prompt is read where
 	// others look for it.
-	WorthFinding = 1024
+	MinSharedTokens = 1024
 )
 
-// Survey narrows the workers of a service to those whose load is worth asking for: the
+// Preselect narrows the workers of a service to those whose load is worth asking for: the
 // ones that this node keeps account of, those where all nodes look for the request's
 // content, and some that are near. In a fleet in which each node keeps all accounts these
 // are all workers, and for requests that aren't for engines too: these workers tell their
 // load in each answer. Where wide is set it takes more.
-func Survey(request Request, candidates []Candidate, wide bool) []Candidate {
-	if request.PromptTokens == 0 || !slices.ContainsFunc(candidates, func(c Candidate) bool { return c.Account == Unasked }) {
+func Preselect(request Request, candidates []Candidate, wide bool) []Candidate {
+	if request.PromptTokens == 0 || !slices.ContainsFunc(candidates, func(c Candidate) bool { return c.Report == Unasked }) {
 		return candidates
 	}
 	var chosen []Candidate
@@ -54,7 +54,7 @@
 	runners := nearest(others, runnerChoices*factor)
 	for i := range runners {
 		// Of prompts, all nodes look at prefill engines only.
-		runners[i].Stray = runners[i].Stray || request.Content != 0 && len(readers) > 0
+		runners[i].NotHome = runners[i].NotHome || request.Content != 0 && len(readers) > 0
 	}
 	return slices.Concat(surveyReaders(request, readers, factor), runners)
 }
@@ -104,11 +104,11 @@
 	hash := func(c Candidate) uint64 { return c.Hash }
 	chosen := rendezvous.Top(readers, hash, request.Content, contentChoices*factor)
 	for i := contentChoices; i < len(chosen); i++ {
-		chosen[i].Stray = true
+		chosen[i].NotHome = true
 	}
 	for _, near := range nearest(readers, nearReaders*factor) {
 		if !slices.ContainsFunc(chosen, func(c Candidate) bool { return c.ID == near.ID }) {
-			near.Stray = true
+			near.NotHome = true
 			chosen = append(chosen, near)
 		}
 	}
@@ -120,7 +120,7 @@
 func nearest(candidates []Candidate, count int) []Candidate {
 	var near, unasked []Candidate
 	for _, candidate := range candidates {
-		if candidate.Account == Unasked {
+		if candidate.Report == Unasked {
 			unasked = append(unasked, candidate)
 		} else {
 			near = append(near, candidate)
@@ -130,16 +130,16 @@
 	return append(near, unasked[:min(count, len(unasked))]...)
 }
 
-// Informed leaves out the workers whose account was asked for in vain, as long as others
+// WithKnownLoad leaves out the workers whose account was asked for in vain, as long as others
 // of their stage are left: of a load that isn't known each node would take the least.
-func Informed(candidates []Candidate) []Candidate {
+func WithKnownLoad(candidates []Candidate) []Candidate {
 	readers, others := byStage(candidates)
 	return slices.Concat(informed(readers), informed(others))
 }
 
 func informed(candidates []Candidate) []Candidate {
 	known := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool {
-		return c.Account == Unanswered || c.Account == Unasked
+		return c.Report == Unanswered || c.Report == Unasked
 	})
 	if len(known) == 0 {
 		return candidates
@@ -156,7 +156,7 @@
 	}
 	shared := parts[:len(parts)-1]
 	tokens = prefixcache.Tokens(shared)
-	if tokens < WorthFinding {
+	if tokens < MinSharedTokens {
 		return 0, 0
 	}
 	return uint64(shared[len(shared)-1].ID), tokens
@@ -185,7 +185,7 @@
 func (c Candidate) outline() Outline {
 	return Outline{
 		ID: c.ID, Prefill: c.Prefill, SameZone: c.SameZone, Rank: c.Rank, Hash: c.Hash,
-		Sound: c.sound(), Kept: c.Account != Unasked,
+		Sound: c.sound(), Tracked: c.Report != Unasked,
 	}
 }
 
--- a/internal/scheduling/survey_test.go
+++ b/internal/scheduling/survey_test.go
@@ -20,7 +20,7 @@
 		candidates = append(candidates, Candidate{
 			ID: id, Address: id, Prefill: i < readers, Decode: i >= readers, SameZone: i%5 == zone,
 			Pace: 40, Reading: readingAt(40), Capacity: 400_000, Rank: random.Uint64(), Hash: rendezvous.Hash(id),
-			Account: Unasked,
+			Report: Unasked,
 		})
 	}
 	return candidates
@@ -35,7 +35,7 @@
 }
 
 func content(key uint64) Request {
-	return Request{PromptTokens: 9000, SharedTokens: 6000, Content: key, Objective: 5 * time.Second, Remaining: 5 * time.Second}
+	return Request{PromptTokens: 9000, SharedTokens: 6000, Content: key, ObjectiveLeft: 5 * time.Second, Remaining: 5 * time.Second}
 }
 
 // TestNodesLookForAContentAtTheSameEngines, wherever they are, and contents are spread
@@ -47,8 +47,8 @@
 	for key := range uint64(contents) {
 		var first []string
 		for node := range 3 {
-			chosen := Survey(content(key+1), engines(readers, 80, node, random), false)
-			found := slices.DeleteFunc(slices.Clone(chosen), func(c Candidate) bool { return !c.Prefill || c.Stray })
+			chosen := Preselect(content(key+1), engines(readers, 80, node, random), false)
+			found := slices.DeleteFunc(slices.Clone(chosen), func(c Candidate) bool { return !c.Prefill || c.NotHome })
 			if len(found) != contentChoices {
 				t.Fatalf("%d engines at which all look", len(found))
 			}
@@ -83,7 +83,7 @@
 		}
 		candidates[0].ReadTokens, candidates[0].ReadAhead = 0, 0
 		request := content(uint64(node + 1))
-		plan := New(DefaultCosts()).Plan(request, Survey(request, candidates, false))
+		plan := New(DefaultCosts()).Plan(request, Preselect(request, candidates, false))
 		if plan.Reader.ID == candidates[0].ID {
 			chosen++
 		}
@@ -98,11 +98,11 @@
 	random := rand.New(rand.NewPCG(3, 4))
 	for _, size := range []int{40, 160, 5000} {
 		for key, want := range map[uint64]int{0: readersWithout + runnerChoices, 9: contentChoices + nearReaders + runnerChoices} {
-			got := Survey(content(key), engines(size/2, size/2, 0, random), false)
+			got := Preselect(content(key), engines(size/2, size/2, 0, random), false)
 			if len(got) > want || len(got) < want-nearReaders {
 				t.Errorf("%d engines: %d are asked for, want %d", size, len(got), want)
 			}
-			if wide := Survey(content(key), engines(size/2, size/2, 0, random), true); len(wide) <= len(got) {
+			if wide := Preselect(content(key), engines(size/2, size/2, 0, random), true); len(wide) <= len(got) {
 				t.Errorf("%d engines: a wide survey takes %d, a narrow one %d", size, len(wide), len(got))
 			}
 		}
@@ -114,28 +114,28 @@
 func TestKeptAccountsAreAllLookedAt(t *testing.T) {
 	candidates := engines(36, 54, 0, rand.New(rand.NewPCG(5, 6)))
 	for _, i := range []int{7, 30, 60, 80} {
-		candidates[i].Account = Kept
+		candidates[i].Report = Tracked
 	}
-	got := names(Survey(content(9), candidates, false))
+	got := names(Preselect(content(9), candidates, false))
 	for _, id := range []string{"7", "30", "60", "80"} {
 		if !slices.Contains(got, id) {
 			t.Errorf("%s isn't looked at", id)
 		}
 	}
-	if got := Survey(Request{}, candidates, false); len(got) != 90 {
+	if got := Preselect(Request{}, candidates, false); len(got) != 90 {
 		t.Errorf("%d of 90 workers that aren't engines", len(got))
 	}
 	for i := range candidates {
-		candidates[i].Account = Kept
+		candidates[i].Report = Tracked
 	}
-	if got := Survey(content(9), candidates, false); len(got) != 90 || slices.ContainsFunc(got, func(c Candidate) bool { return c.Stray }) {
+	if got := Preselect(content(9), candidates, false); len(got) != 90 || slices.ContainsFunc(got, func(c Candidate) bool { return c.NotHome }) {
 		t.Errorf("%d of 90 workers", len(got))
 	}
 }
 
 // TestEnginesOfTheZoneComeFirst: bytes between zones are dear.
 func TestEnginesOfTheZoneComeFirst(t *testing.T) {
-	for _, candidate := range Survey(content(0), engines(40, 40, 2, rand.New(rand.NewPCG(7, 8))), false) {
+	for _, candidate := range Preselect(content(0), engines(40, 40, 2, rand.New(rand.NewPCG(7, 8))), false) {
 		if !candidate.SameZone {
 			t.Errorf("%s of another zone is looked at", candidate.ID)
 		}
@@ -147,17 +147,17 @@
 	for i := range candidates {
 		candidates[i].Avoid = i != 20
 	}
-	got := Survey(content(9), candidates, false)
+	got := Preselect(content(9), candidates, false)
 	if len(got) != 1 || got[0].ID != "20" {
 		t.Errorf("%v", names(got))
 	}
 	candidates[20].Avoid = true
-	if got := Survey(content(9), candidates, true); len(got) < contentChoices*widened {
+	if got := Preselect(content(9), candidates, true); len(got) < contentChoices*widened {
 		t.Errorf("%d of 36 workers that failed", len(got))
 	}
 	request := content(9)
 	request.Excluded = map[string]bool{got[0].ID: true}
-	if slices.Contains(names(Survey(request, candidates, true)), got[0].ID) {
+	if slices.Contains(names(Preselect(request, candidates, true)), got[0].ID) {
 		t.Error("an engine that may not get the request is looked at")
 	}
 }
@@ -166,10 +166,10 @@
 // node would take the least.
 func TestUnknownLoadIsNotTaken(t *testing.T) {
 	candidates := engines(2, 2, 0, rand.New(rand.NewPCG(5, 6)))
-	for i, account := range []AccountState{Unanswered, Answered, Unanswered, Unanswered} {
-		candidates[i].Account = account
+	for i, account := range []ReportState{Unanswered, Answered, Unanswered, Unanswered} {
+		candidates[i].Report = account
 	}
-	if got := names(Informed(candidates)); !slices.Equal(got, []string{"1", "2", "3"}) {
+	if got := names(WithKnownLoad(candidates)); !slices.Equal(got, []string{"1", "2", "3"}) {
 		t.Errorf("%v", got)
 	}
 }
@@ -177,7 +177,7 @@
 // TestReadingStaysWhereOthersLook: of two idle engines that don't keep a prompt, the one
 // where all look for it reads, also in another zone; a long queue there is left.
 func TestReadingStaysWhereOthersLook(t *testing.T) {
-	stray := func(c *Candidate) { c.Stray = true }
+	stray := func(c *Candidate) { c.NotHome = true }
 	for name, test := range map[string]struct {
 		found Candidate
 		want  string
@@ -195,13 +195,13 @@
 // TestHoldersAreFetchedFromAndGivenNothing: a worker that is known for what it keeps only
 // is no choice for reading or running.
 func TestHoldersAreFetchedFromAndGivenNothing(t *testing.T) {
-	engine := Engine{MovePerToken: 0.0004, Fetch: 5, Queue: 1}
+	engine := EngineTimes{MovePerToken: 0.0004, Fetch: 5, Queue: 1}
 	reading, slower := pace.Coefficients{Fixed: 10, PerThousand: 27}, pace.Coefficients{Fixed: 10, PerThousand: 54}
 	reader := Candidate{ID: "reader", Address: "1.1.1.1:1", Prefill: true, Slots: 8, Capacity: 400_000, Pace: 36, Reading: reading, SameZone: true}
 	holder := Candidate{ID: "holder", Address: "1.1.1.2:1", Prefill: true, Slots: 8, Capacity: 400_000, Pace: 36, Reading: reading, SameZone: true}
 	runner := Candidate{ID: "runner", Address: "1.1.1.3:1", Decode: true, Slots: 8, Capacity: 400_000, Pace: 18, Reading: slower, Requests: 5, SameZone: true}
 	request := Request{
-		Engine: engine, Aim: time.Second, Objective: time.Second, Remaining: 5 * time.Second,
+		Engine: engine, RouteObjective: time.Second, ObjectiveLeft: time.Second, Remaining: 5 * time.Second,
 		PromptTokens: 17_000, SharedTokens: 13_000, OutputTokens: 50,
 	}
 	candidates := WithHolders([]Candidate{reader, runner}, []Candidate{reader, holder, runner},
--- a/internal/scheduling/types.go
+++ b/internal/scheduling/types.go
@@ -51,10 +51,10 @@
 	// Rank orders the workers for this node alone: it differs from node to node. Hash
 	// is that of the worker's name, the same at all nodes.
 	Rank, Hash uint64
-	// Account tells how much of the load of other nodes is counted in.
-	Account AccountState
-	// Stray tells that other nodes won't look here for what is read.
-	Stray bool
+	// Report tells how much of the load of other nodes is counted in.
+	Report ReportState
+	// NotHome tells that other nodes won't look here for what is read.
+	NotHome bool
 	// SourceOnly workers are known for what they keep, not for their load: others may fetch
 	// it from them.
 	SourceOnly bool
@@ -63,24 +63,24 @@
 	HandleFailure bool
 }
 
-// AccountState tells how a node knows the load that others have placed on a worker.
-type AccountState string
+// ReportState tells how a node knows the load that others have placed on a worker.
+type ReportState string
 
 // The states of an account.
 const (
-	// Kept accounts are told to this node by all others.
-	Kept AccountState = ""
+	// Tracked accounts are told to this node by all others.
+	Tracked ReportState = ""
 	// Unasked accounts are kept by other nodes, which have not been asked.
-	Unasked AccountState = "unasked"
+	Unasked ReportState = "unasked"
 	// Answered accounts were told by another node just now.
-	Answered AccountState = "answered"
+	Answered ReportState = "answered"
 	// Unanswered accounts were asked for in vain: only this node's own load is known.
-	Unanswered AccountState = "unanswered"
+	Unanswered ReportState = "unanswered"
 )
 
-// Account is what the node that keeps account of a worker says of it: the load of all
+// LoadReport is what the node that keeps account of a worker says of it: the load of all
 // nodes but the one that asks, and what it knows of the worker's state.
-type Account struct {
+type LoadReport struct {
 	Requests, ReadTokens, ReadAhead, LateTokens, MemoryTokens int
 	// CachedTokens is the part of the request's prompt that the worker keeps.
 	CachedTokens int
@@ -98,14 +98,14 @@
 
 // Answers are what other nodes have told of workers.
 type Answers struct {
-	Accounts map[string]Account
+	Reports map[string]LoadReport
 	// Holders are the workers that keep the content which was asked for.
 	Holders []Holder
 }
 
-// With adds an account to what this node itself knows of a worker.
-func (c Candidate) With(account Account) Candidate {
-	c.Account = Answered
+// WithReport adds an account to what this node itself knows of a worker.
+func (c Candidate) WithReport(account LoadReport) Candidate {
+	c.Report = Answered
 	c.Requests += account.Requests
 	c.ReadTokens += account.ReadTokens
 	c.ReadAhead += account.ReadAhead
@@ -119,9 +119,9 @@
 	return c
 }
 
-// Engine is what was learned of a service's engines besides their reading, in
+// EngineTimes is what was learned of a service's engines besides their reading, in
 // milliseconds.
-type Engine struct {
+type EngineTimes struct {
 	// Handover is from sending a request with a prompt that was read apart to its first
 	// byte.
 	Handover float64
@@ -136,17 +136,17 @@
 
 // Request is what is known of a request.
 type Request struct {
-	Engine Engine
-	// Aim is the objective of the request's route for the first byte of its answer.
-	Aim time.Duration
+	Engine EngineTimes
+	// RouteObjective is the objective of the request's route for the first byte of its answer.
+	RouteObjective time.Duration
 	// PromptTokens is zero for requests that aren't for model engines.
 	PromptTokens int
 	// SharedTokens is the part of the prompt that other requests share.
 	SharedTokens int
 	// OutputTokens is the length that the answer is expected to have.
 	OutputTokens int
-	// Objective is the time that is left for the first byte of the answer.
-	Objective time.Duration
+	// ObjectiveLeft is the time that is left for the first byte of the answer.
+	ObjectiveLeft time.Duration
 	// GapObjective is the longest pause between two events of an answer, zero where none
 	// is set.
 	GapObjective time.Duration
@@ -185,9 +185,9 @@
 
 // The reasons of a refusal.
 const (
-	NoWorker  Reason = "no worker"
-	TooLate   Reason = "too late"
-	NoneIsFit Reason = "all workers are full"
+	NoWorker     Reason = "no worker"
+	TooLate      Reason = "too late"
+	NoWorkerLeft Reason = "all workers are full"
 	// Limited requests would wait too long for the turn of a worker that takes no more.
 	Limited Reason = "the workers take no more now"
 	// Paused requests would wait too long for the end of a pause that all workers have asked for.
--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -61,7 +61,7 @@
 	return scheduling.Outline{
 		ID: known.worker.ID, Prefill: known.worker.Stage == Prefill,
 		SameZone: r.places.To(known.worker.Zone) == topology.SameZone,
-		Rank:     known.rank, Hash: known.hash, Kept: kept,
+		Rank:     known.rank, Hash: known.hash, Tracked: kept,
 		Sound: r.stays(known, now) && !known.breaker.Open(now) && !known.handles.Open(now) && known.turnWait(now) == 0,
 	}
 }
@@ -180,17 +180,17 @@
 
 // Accounts returns what this node knows of workers, for another node that asks with a
 // request of a rank and a prompt of these parts. The asking node's own load isn't counted.
-func (r *Registry) Accounts(workers []string, parts []prefixcache.Part, rank int, asking string, now time.Time) map[string]scheduling.Account {
+func (r *Registry) Accounts(workers []string, parts []prefixcache.Part, rank int, asking string, now time.Time) map[string]scheduling.LoadReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	accounts := make(map[string]scheduling.Account, len(workers))
+	accounts := make(map[string]scheduling.LoadReport, len(workers))
 	for _, id := range workers {
 		known, exists := r.workers[id]
 		if !exists {
 			continue
 		}
 		load := known.total(now, asking)
-		accounts[id] = scheduling.Account{
+		accounts[id] = scheduling.LoadReport{
 			Requests: load.Requests, ReadTokens: load.Unread.InTime(), ReadAhead: load.Unread.Ahead(rank),
 			LateTokens: load.Unread.Late(), MemoryTokens: load.MemoryTokens, CachedTokens: known.cache.Match(parts),
 			Changing: known.isChanging(now), Leaving: r.drains(known, now), Avoid: known.breaker.Open(now),
@@ -260,11 +260,11 @@
 )
 
 // LearnedTimings returns what was learned of a service's engines besides their reading.
-func (r *Registry) LearnedTimings(service string) scheduling.Engine {
+func (r *Registry) LearnedTimings(service string) scheduling.EngineTimes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	learned := r.stepsOf(service)
-	return scheduling.Engine{
+	return scheduling.EngineTimes{
 		Handover: learned.handover.Milliseconds(assumedHandover),
 		Fetch:    learned.fetch.Milliseconds(assumedFetch),
 		Run:      learned.run.Milliseconds(0),
