--- a/internal/digest/ask_test.go
+++ b/internal/digest/ask_test.go
@@ -26,11 +26,11 @@
 // cluster runs exchanges that know each other, over real datagrams.
 func cluster(t *testing.T, nodes int, workers ...string) ([]*Exchange, []*worker.Registry) {
 	t.Helper()
-	return clusterWithBoards(t, make([]Board, nodes), workers...)
+	return clusterWithBoards(t, make([]TableCoordinator, nodes), workers...)
 }
 
 // clusterWithBoards runs an exchange for each board.
-func clusterWithBoards(t *testing.T, boards []Board, workers ...string) ([]*Exchange, []*worker.Registry) {
+func clusterWithBoards(t *testing.T, boards []TableCoordinator, workers ...string) ([]*Exchange, []*worker.Registry) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var exchanges []*Exchange
@@ -42,7 +42,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		exchange.SetBoard(boards[i])
+		exchange.SetTableCoordinator(boards[i])
 		exchanges = append(exchanges, exchange)
 		listed = append(listed, Peer{Node: exchange.node, Address: exchange.peers.address, Zone: "zone"})
 	}
--- a/internal/digest/departed.go
+++ b/internal/digest/departed.go
@@ -106,9 +106,9 @@
 	}
 }
 
-// Departed lists the addresses of nodes that seem to be gone for good, where this node is
+// DepartedPeers lists the addresses of nodes that seem to be gone for good, where this node is
 // the one to act on it. It is called at intervals.
-func (e *Exchange) Departed(now time.Time) []netip.AddrPort {
+func (e *Exchange) DepartedPeers(now time.Time) []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.watch.look(e.peers.supervises(), now)
@@ -118,11 +118,11 @@
 	return e.peers.departed(&e.watch, now)
 }
 
-// Drop forgets nodes whose rows are gone from the store's list, and tells the other nodes
+// DropPeers forgets nodes whose rows are gone from the store's list, and tells the other nodes
 // to, as well as of those before that were not told often enough. The nodes are told
 // themselves too: one that lives, and can't make itself heard here or was heard again
 // meanwhile, must be listed again.
-func (e *Exchange) Drop(gone []netip.AddrPort, now time.Time) {
+func (e *Exchange) DropPeers(gone []netip.AddrPort, now time.Time) {
 	var told, heardAgain []netip.AddrPort
 	e.mu.Lock()
 	for _, address := range gone {
--- a/internal/digest/departed_test.go
+++ b/internal/digest/departed_test.go
@@ -108,7 +108,7 @@
 // TestDroppedNodeThatComesBackAnnouncesItself, over real datagrams: the others drop it when
 // they are told, and tell it that it isn't listed when they hear it.
 func TestDroppedNodeThatComesBackAnnouncesItself(t *testing.T) {
-	exchanges, _ := clusterWithBoards(t, []Board{nil, nil}, "w")
+	exchanges, _ := clusterWithBoards(t, []TableCoordinator{nil, nil}, "w")
 	cut, err := Listen("127.0.0.1:0", "cut", "zone", registryWith("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 	for _, exchange := range exchanges {
 		exchange.AddPeers([]Peer{{Node: "cut", Address: cut.peers.address, Zone: "zone"}})
 	}
-	exchanges[0].Drop([]netip.AddrPort{cut.peers.address}, time.Now())
+	exchanges[0].DropPeers([]netip.AddrPort{cut.peers.address}, time.Now())
 	if exchanges[0].Nodes() != 2 {
 		t.Fatalf("%d nodes", exchanges[0].Nodes())
 	}
@@ -161,7 +161,7 @@
 		if heard {
 			supervisor.peers.hear(address, Message{Node: "unlisted", Sequence: 1}, now)
 		}
-		supervisor.Drop([]netip.AddrPort{address}, now)
+		supervisor.DropPeers([]netip.AddrPort{address}, now)
 		select {
 		case <-unlisted.Unlisted():
 		case <-time.After(20 * time.Second):
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = exchange.conn.Close() }()
-	exchange.SetPlaces(twoRegions)
+	exchange.SetTopology(twoRegions)
 	registry := prometheus.NewRegistry()
 	exchange.SetMetrics(NewMetrics(registry))
 	far := netip.MustParseAddrPort("127.0.0.1:9")
--- a/internal/digest/detour.go
+++ b/internal/digest/detour.go
@@ -26,9 +26,9 @@
 	detourTimeout = time.Second
 )
 
-// DetourUsage writes closed windows that no supervisor has acknowledged to the store, until
+// StoreUnacknowledgedUsage writes closed windows that no supervisor has acknowledged to the store, until
 // ctx ends: this node may be cut off from the others and not from the store.
-func (e *Exchange) DetourUsage(ctx context.Context, name string, store UsageStore) {
+func (e *Exchange) StoreUnacknowledgedUsage(ctx context.Context, name string, store UsageStore) {
 	ticker := time.NewTicker(detourEvery)
 	defer ticker.Stop()
 	begun := e.usage.tally.Span().At(e.usage.tally.Now(time.Now())) - 1
--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -36,9 +36,9 @@
 	Reads []string `json:"r,omitempty"`
 	// Failures are workers that failed.
 	Failures []string `json:"f,omitempty"`
-	// Orders hold, by worker, for how many milliseconds a change of its stage may be
+	// StageChanges hold, by worker, for how many milliseconds a change of its stage may be
 	// under way, negative for a change to decode.
-	Orders map[string]int64 `json:"o,omitempty"`
+	StageChanges map[string]int64 `json:"o,omitempty"`
 	// Limits hold, by worker, what it said to the sender of the requests that it takes.
 	Limits map[string]limitForm `json:"lm,omitempty"`
 	// Draining are workers that told the sender of their end lately.
@@ -51,20 +51,20 @@
 	Demand map[string]demandForm `json:"d,omitempty"`
 	// RegionDemand holds the same by region, in a deployment in several.
 	RegionDemand map[string]map[string]demandForm `json:"dr,omitempty"`
-	// Newborn asks the receiver for what it has learned of these workers.
-	Newborn []string `json:"b,omitempty"`
+	// WantMemory asks the receiver for what it has learned of these workers.
+	WantMemory []string `json:"b,omitempty"`
 	// Memory tells that Reads and Paces are an answer to that, and Told of which workers
 	// all was told.
-	Memory bool     `json:"m,omitempty"`
-	Told   []string `json:"e,omitempty"`
+	Memory         bool     `json:"m,omitempty"`
+	MemoryComplete []string `json:"e,omitempty"`
 	// Paces are learned reading paces.
 	Paces []worker.Pace `json:"p,omitempty"`
 	// Zone is the sender's, told at rest only.
 	Zone string `json:"z,omitempty"`
 	// Words are on the tables of the store; such a message holds nothing else.
 	Words []tablerelay.Word `json:"t,omitempty"`
-	// Made is when the maker of words made the message, in milliseconds of its clock since boot.
-	Made int64 `json:"tm,omitempty"`
+	// CreatedMillis is when the maker of words made the message, in milliseconds of its clock since boot.
+	CreatedMillis int64 `json:"tm,omitempty"`
 	// WantWords asks the receiver for its words.
 	WantWords bool `json:"u,omitempty"`
 	// News are changes of a table, packed; such a message holds nothing else.
@@ -72,12 +72,12 @@
 	// Relayed tells that words or news were passed on by the sender, Across that the
 	// receiver is to pass them on in its region, and InZone that it is to in its zone, also
 	// where it knows nodes which it takes for the zone's heads.
-	Relayed bool `json:"y,omitempty"`
-	Across  bool `json:"yr,omitempty"`
-	InZone  bool `json:"yz,omitempty"`
-	// Groups is the number of groups of the zone's nodes where the receiver is to pass the
+	Relayed       bool `json:"y,omitempty"`
+	RelayInRegion bool `json:"yr,omitempty"`
+	RelayInZone   bool `json:"yz,omitempty"`
+	// RelayGroups is the number of groups of the zone's nodes where the receiver is to pass the
 	// message on in its own, zero where it isn't.
-	Groups int `json:"yg,omitempty"`
+	RelayGroups int `json:"yg,omitempty"`
 	// Contents hold "content worker tokens": what workers keep that others may share.
 	Contents []string `json:"c,omitempty"`
 	// Question asks for accounts of workers, and Reply answers that.
@@ -96,8 +96,8 @@
 	Quota *quotaForm `json:"i,omitempty"`
 	// Suspects are requests under which workers ended; such a message holds nothing else.
 	Suspects []quarantine.Record `json:"sp,omitempty"`
-	// Aside tells that the sender can't give orders, whatever its incarnation.
-	Aside bool `json:"a,omitempty"`
+	// SteppedBack tells that the sender can't give orders, whatever its incarnation.
+	SteppedBack bool `json:"a,omitempty"`
 	// Leaving tells that the sender stops.
 	Leaving bool `json:"x,omitempty"`
 }
@@ -168,14 +168,14 @@
 		message.Loads[id] = renderLoad(load)
 	}
 	for _, changing := range snapshot.Changing {
-		if message.Orders == nil {
-			message.Orders = make(map[string]int64)
+		if message.StageChanges == nil {
+			message.StageChanges = make(map[string]int64)
 		}
 		left := changing.Left.Milliseconds()
 		if !changing.Prefill {
 			left = -left
 		}
-		message.Orders[changing.Worker] = left
+		message.StageChanges[changing.Worker] = left
 	}
 	message.Reads = renderReads(snapshot.CacheUpdates)
 	message.Limits = renderLimits(snapshot.Limits, time.Now())
@@ -237,7 +237,7 @@
 	for id, load := range m.Loads {
 		snapshot.Loads[id] = parseLoad(load)
 	}
-	for id, left := range m.Orders {
+	for id, left := range m.StageChanges {
 		changing := worker.StageChange{Worker: id, Prefill: left > 0, Left: time.Duration(max(left, -left)) * time.Millisecond}
 		snapshot.Changing = append(snapshot.Changing, changing)
 	}
--- a/internal/digest/exchange.go
+++ b/internal/digest/exchange.go
@@ -42,7 +42,7 @@
 	node, zone string
 	registry   *worker.Registry
 	// board is nil where no tables are followed.
-	board Board
+	board TableCoordinator
 	// contents are those of which this node is to know who keeps them; guarded by mu.
 	contents *contentIndex
 	// usage is nil where nobody's usage is counted; what it holds is guarded by mu.
@@ -119,8 +119,8 @@
 	}, nil
 }
 
-// SetBoard is called before Run.
-func (e *Exchange) SetBoard(board Board) { e.board = board }
+// SetTableCoordinator is called before Run.
+func (e *Exchange) SetTableCoordinator(board TableCoordinator) { e.board = board }
 
 // Done is closed when Run has ended.
 func (e *Exchange) Done() <-chan struct{} { return e.done }
@@ -147,8 +147,8 @@
 	return e.peers.designated(time.Now().Before(e.asideUntil))
 }
 
-// StandAside leaves orders to other nodes for a time, and tells them so.
-func (e *Exchange) StandAside(span time.Duration) {
+// StepBack leaves orders to other nodes for a time, and tells them so.
+func (e *Exchange) StepBack(span time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.asideUntil = time.Now().Add(span)
@@ -232,7 +232,7 @@
 	} else {
 		snapshot.Demand, snapshot.RegionDemand = nil, nil // they change slowly
 	}
-	base.Aside = now.Before(e.asideUntil)
+	base.SteppedBack = now.Before(e.asideUntil)
 	parcels, supervisors := e.parcels(snapshot, atRest, reports), e.peers.supervisors()
 	e.mu.Unlock()
 	e.sendParcels(parcels, supervisors, snapshot, base)
@@ -420,8 +420,8 @@
 		if e.turns != nil {
 			e.turns.receive(from, message.Node, *message.Turns)
 		}
-	case message.Newborn != nil:
-		e.tellMemory(from, message.Newborn)
+	case message.WantMemory != nil:
+		e.tellMemory(from, message.WantMemory)
 	case message.Memory:
 		e.remember(from, message)
 	case message.News != nil:
--- a/internal/digest/listing.go
+++ b/internal/digest/listing.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// AddNeighbours adds the nodes of this node's zone that the store lists, before all nodes are
+// AddZonePeers adds the nodes of this node's zone that the store lists, before all nodes are
 // known.
-func (e *Exchange) AddNeighbours(listed []Peer) {
+func (e *Exchange) AddZonePeers(listed []Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.peers.include(listed)
--- a/internal/digest/listing_test.go
+++ b/internal/digest/listing_test.go
@@ -81,7 +81,7 @@
 	for i := range 6 {
 		listed = append(listed, Peer{Node: fmt.Sprint("n", i), Address: addressOf(i), Zone: "zone0", Listed: uint64(i + 1)})
 	}
-	exchange.AddNeighbours(listed)
+	exchange.AddZonePeers(listed)
 	if asked := <-answered; len(asked) == 0 || asked[0] != addressOf(1) {
 		t.Errorf("asked: %v", asked)
 	}
--- a/internal/digest/memory.go
+++ b/internal/digest/memory.go
@@ -31,7 +31,7 @@
 	}
 	for round := range maxAsked {
 		for to, asked := range e.colleagues(untold, round) {
-			e.sendTo(to, Message{Node: e.node, Newborn: asked})
+			e.sendTo(to, Message{Node: e.node, WantMemory: asked})
 		}
 		e.awaitMemory(ctx, untold)
 		if len(untold) == 0 || ctx.Err() != nil {
@@ -89,7 +89,7 @@
 	for _, reads := range inMessages(memory.CacheUpdates) {
 		e.sendTo(to, Message{Node: e.node, Memory: true, Reads: renderReads(reads)})
 	}
-	e.sendTo(to, Message{Node: e.node, Memory: true, Paces: memory.Paces, Told: known})
+	e.sendTo(to, Message{Node: e.node, Memory: true, Paces: memory.Paces, MemoryComplete: known})
 }
 
 // inMessages divides reads so that each message holds few enough parts.
@@ -112,13 +112,13 @@
 		return
 	}
 	e.registry.MergeLearnedState(worker.LearnedState{CacheUpdates: snapshot.CacheUpdates, Paces: message.Paces}, time.Now())
-	if len(message.Told) == 0 {
+	if len(message.MemoryComplete) == 0 {
 		return
 	}
-	e.registry.MarkCachesKnown(message.Told)
-	e.log.WithFields(logrus.Fields{"node": message.Node, "workers": len(message.Told)}).Info("another node told what workers keep")
+	e.registry.MarkCachesKnown(message.MemoryComplete)
+	e.log.WithFields(logrus.Fields{"node": message.Node, "workers": len(message.MemoryComplete)}).Info("another node told what workers keep")
 	select {
-	case e.told <- message.Told:
+	case e.told <- message.MemoryComplete:
 	default:
 	}
 }
--- a/internal/digest/metrics.go
+++ b/internal/digest/metrics.go
@@ -74,7 +74,7 @@
 		return kindContents
 	case m.Usage != nil, m.UsageReply != nil, m.WantUsage != 0, m.Gathered != nil:
 		return kindUsage
-	case m.Newborn != nil, m.Memory:
+	case m.WantMemory != nil, m.Memory:
 		return kindMemory
 	case m.News != nil:
 		return kindNews
--- a/internal/digest/peers.go
+++ b/internal/digest/peers.go
@@ -199,7 +199,7 @@
 	first = !known.present
 	s.setZone(known, message.Zone)
 	known.sequence, known.heard, known.present = message.Sequence, now, true
-	known.aside = message.Aside
+	known.aside = message.SteppedBack
 	known.suspectedUntil, known.silences = time.Time{}, 0
 	return first, false
 }
--- a/internal/digest/peers_test.go
+++ b/internal/digest/peers_test.go
@@ -220,7 +220,7 @@
 // TestNodesThatStandAsideAreNotDesignated, unless all do.
 func TestNodesThatStandAsideAreNotDesignated(t *testing.T) {
 	peers := newPeerSet("b", self, "zone")
-	peers.hear(there, Message{Node: "a", Sequence: 1, Aside: true}, origin)
+	peers.hear(there, Message{Node: "a", Sequence: 1, SteppedBack: true}, origin)
 	if !peers.designated(false) {
 		t.Error("a node that stands aside counts")
 	}
--- a/internal/digest/quota.go
+++ b/internal/digest/quota.go
@@ -371,8 +371,8 @@
 	q.awake()
 }
 
-// RepeatQuota charges for another run of a request that may have run already.
-func (e *Exchange) RepeatQuota(charge quota.Charge) {
+// RecordQuotaCharge charges for another run of a request that may have run already.
+func (e *Exchange) RecordQuotaCharge(charge quota.Charge) {
 	e.quota.take(charge, time.Now())
 }
 
--- a/internal/digest/quota_test.go
+++ b/internal/digest/quota_test.go
@@ -175,7 +175,7 @@
 func TestRepeatedRunIsCharged(t *testing.T) {
 	exchanges := quotaNodes(t, 3, exact)
 	exchanges[0].ChargeQuota(t.Context(), claimOf("a", 100))
-	exchanges[0].RepeatQuota(claimOf("a", 100).Charge())
+	exchanges[0].RecordQuotaCharge(claimOf("a", 100).Charge())
 	account := claimOf("a", 1).Charge().Account
 	for _, exchange := range exchanges {
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
--- a/internal/digest/regions.go
+++ b/internal/digest/regions.go
@@ -36,8 +36,8 @@
 	t.mean += time.Duration(meanGain * float64(took-t.mean))
 }
 
-// SetPlaces tells the exchange the zones and regions. It is called before Run.
-func (e *Exchange) SetPlaces(places topology.Map) {
+// SetTopology tells the exchange the zones and regions. It is called before Run.
+func (e *Exchange) SetTopology(places topology.Map) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.peers.places = places
--- a/internal/digest/regions_test.go
+++ b/internal/digest/regions_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	defer exchange.conn.Close()
-	exchange.SetPlaces(twoRegions)
+	exchange.SetTopology(twoRegions)
 	registry.Replace([]worker.Worker{{ID: "w", Service: "s", Zone: "south-a", Stage: worker.Decode}})
 	far, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -118,7 +118,7 @@
 		t.Fatal(err)
 	}
 	defer exchange.conn.Close()
-	exchange.SetPlaces(topology.New("north-a", map[string]string{"north-a": "north", "north-b": "north"}))
+	exchange.SetTopology(topology.New("north-a", map[string]string{"north-a": "north", "north-b": "north"}))
 	if got := exchange.patience(exchange.peers.regionOf(addressOf(1))); got != 0 {
 		t.Errorf("a node without a zone is waited for %v longer", got)
 	}
--- a/internal/digest/relay_test.go
+++ b/internal/digest/relay_test.go
@@ -275,7 +275,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = exchange.conn.Close() })
-	exchange.SetPlaces(topology.New("zone0", threeRegions))
+	exchange.SetTopology(topology.New("zone0", threeRegions))
 	sockets := make(map[netip.AddrPort]*net.UDPConn)
 	var listed []Peer
 	for i := range 36 {
@@ -321,8 +321,8 @@
 		exchange.spread(Message{Node: "me", News: []byte{1}})
 		for _, address := range slices.Concat(near, across) {
 			message := next(t, sockets[address])
-			if message.Across != slices.Contains(across, address) || message.Sequence != number+1 {
-				t.Errorf("across %v, number %d", message.Across, message.Sequence)
+			if message.RelayInRegion != slices.Contains(across, address) || message.Sequence != number+1 {
+				t.Errorf("across %v, number %d", message.RelayInRegion, message.Sequence)
 			}
 		}
 	}
@@ -334,7 +334,7 @@
 	heads, _ := exchange.peers.relayTargets(true, false)
 	from := netip.MustParseAddrPort("127.0.0.1:9")
 	for _, number := range []uint64{7, 7, 8} {
-		exchange.passOn(from, Message{Node: "maker", Sequence: number, News: []byte{1}, Across: true})
+		exchange.passOn(from, Message{Node: "maker", Sequence: number, News: []byte{1}, RelayInRegion: true})
 	}
 	for _, address := range heads {
 		var numbers []uint64
@@ -343,7 +343,7 @@
 			if message.Relayed {
 				continue // it got this one as a node of the same zone
 			}
-			if message.Across || message.Node != "maker" {
+			if message.RelayInRegion || message.Node != "maker" {
 				t.Errorf("%+v", message)
 			}
 			numbers = append(numbers, message.Sequence)
--- a/internal/digest/suspects_test.go
+++ b/internal/digest/suspects_test.go
@@ -137,7 +137,7 @@
 	}
 	told := 0
 	for _, part := range inDatagrams(records) {
-		datagram, err := json.Marshal(Message{Node: "0123456789ab", Sequence: 1 << 40, Suspects: part, Relayed: true, Across: true})
+		datagram, err := json.Marshal(Message{Node: "0123456789ab", Sequence: 1 << 40, Suspects: part, Relayed: true, RelayInRegion: true})
 		if err != nil || len(datagram) > maxDatagram {
 			t.Errorf("%d records take %d bytes, %v", len(part), len(datagram), err)
 		}
--- a/internal/digest/tables.go
+++ b/internal/digest/tables.go
@@ -13,8 +13,8 @@
 	"github.com/tinarch/tinarch/internal/tablerelay"
 )
 
-// Board is where the words of nodes on the store's tables come from and go to.
-type Board interface {
+// TableCoordinator is where the words of nodes on the store's tables come from and go to.
+type TableCoordinator interface {
 	// Words are what this node itself has from the store, and Known all that it relies
 	// on.
 	Words(now time.Time) []tablerelay.Word
@@ -30,7 +30,7 @@
 
 // SpreadWords tells the other nodes what the store has confirmed.
 func (e *Exchange) SpreadWords(words []tablerelay.Word) {
-	e.spread(Message{Node: e.node, Words: words, Made: clock.Boot().UnixMilli()})
+	e.spread(Message{Node: e.node, Words: words, CreatedMillis: clock.Boot().UnixMilli()})
 }
 
 // SpreadNews tells the other nodes of changes. Changes that are too large aren't told: the
@@ -66,10 +66,10 @@
 	near, across := e.peers.spreadTargets()
 	e.spreads++
 	message.Sequence = e.spreads
-	message.InZone = e.peers.large()
+	message.RelayInZone = e.peers.large()
 	e.mu.Unlock()
 	e.sendAll(near, message)
-	message.Across, message.InZone = true, false
+	message.RelayInRegion, message.RelayInZone = true, false
 	e.sendAll(across, message)
 }
 
@@ -85,27 +85,27 @@
 		return
 	}
 	e.mu.Lock()
-	heads, zone := e.peers.relayTargets(message.Across, message.InZone)
+	heads, zone := e.peers.relayTargets(message.RelayInRegion, message.RelayInZone)
 	if len(heads)+len(zone) > 0 && !e.relays.first(message) {
 		heads, zone = nil, nil
 	}
 	e.mu.Unlock()
-	message.Across, message.InZone = false, true
+	message.RelayInRegion, message.RelayInZone = false, true
 	e.sendAll(heads, message)
-	message.Relayed, message.InZone = true, false
+	message.Relayed, message.RelayInZone = true, false
 	zone = slices.DeleteFunc(zone, func(to netip.AddrPort) bool { return to == from })
 	if len(zone) <= maxFanOut {
 		e.sendAll(zone, message)
 		return
 	}
-	message.Groups = groupsOf(len(zone))
-	e.sendAll(leaders(zone, message.Groups), message)
+	message.RelayGroups = groupsOf(len(zone))
+	e.sendAll(leaders(zone, message.RelayGroups), message)
 }
 
 // passOnInGroup sends a message that came from a head of a large zone to the other nodes of
 // this node's group.
 func (e *Exchange) passOnInGroup(from netip.AddrPort, message Message) {
-	groups := message.Groups
+	groups := message.RelayGroups
 	if groups <= 0 {
 		return
 	}
@@ -113,7 +113,7 @@
 	own := groupOf(e.peers.address, groups)
 	group := slices.DeleteFunc(e.peers.inZone(), func(to netip.AddrPort) bool { return to == from || groupOf(to, groups) != own })
 	e.mu.Unlock()
-	message.Groups = 0
+	message.RelayGroups = 0
 	e.sendAll(group, message)
 }
 
@@ -186,7 +186,7 @@
 		return
 	}
 	if words := e.board.Known(time.Now()); len(words) > 0 {
-		e.sendTo(to, Message{Node: e.node, Words: words, Made: clock.Boot().UnixMilli(), Relayed: true})
+		e.sendTo(to, Message{Node: e.node, Words: words, CreatedMillis: clock.Boot().UnixMilli(), Relayed: true})
 	}
 }
 
@@ -200,8 +200,8 @@
 		return
 	}
 	words := message.Words
-	if message.Made != 0 {
-		late := e.transits.late(message.Node, time.UnixMilli(message.Made), now)
+	if message.CreatedMillis != 0 {
+		late := e.transits.late(message.Node, time.UnixMilli(message.CreatedMillis), now)
 		words = slices.Clone(words)
 		for i := range words {
 			words[i].AgeMillis += late.Milliseconds()
--- a/internal/digest/tables_test.go
+++ b/internal/digest/tables_test.go
@@ -23,7 +23,7 @@
 // each node hears them at least once, and no node sends to all.
 func TestWordsReachAllNodes(t *testing.T) {
 	const nodes = 50
-	boards := make([]Board, nodes)
+	boards := make([]TableCoordinator, nodes)
 	for i := range boards {
 		boards[i] = &boardStub{words: make(chan []tablerelay.Word, 100)}
 	}
@@ -51,7 +51,7 @@
 // TestWordsAreAskedFor where none has come.
 func TestWordsAreAskedFor(t *testing.T) {
 	asking, asked := &boardStub{words: make(chan []tablerelay.Word, 100)}, &boardStub{words: make(chan []tablerelay.Word, 100)}
-	exchanges, _ := clusterWithBoards(t, []Board{asking, asked}, "w")
+	exchanges, _ := clusterWithBoards(t, []TableCoordinator{asking, asked}, "w")
 	exchanges[0].AskWords("table")
 	select {
 	case words := <-asking.words:
--- a/internal/digest/turns.go
+++ b/internal/digest/turns.go
@@ -117,9 +117,9 @@
 	return e.turns.charge(ctx, quota.Claim{Tenant: id, Limit: limit, Version: version, Cost: 1, Patience: patience})
 }
 
-// CountsFirst reports whether this node is the first of those that count a worker's requests
+// IsFirstTurnKeeper reports whether this node is the first of those that count a worker's requests
 // and aren't out of reach.
-func (e *Exchange) CountsFirst(id string) bool {
+func (e *Exchange) IsFirstTurnKeeper(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
--- a/internal/digest/turns_test.go
+++ b/internal/digest/turns_test.go
@@ -108,7 +108,7 @@
 	awaitThat(t, "one node of four asks", func() bool {
 		count := 0
 		for _, exchange := range exchanges {
-			if exchange.CountsFirst("w") {
+			if exchange.IsFirstTurnKeeper("w") {
 				count++
 			}
 		}
--- a/internal/serving/listing.go
+++ b/internal/serving/listing.go
@@ -111,7 +111,7 @@
 		peers := n.listedPeers(rows)
 		listed = n.isAmong(peers)
 		if more {
-			n.exchange.AddNeighbours(peers)
+			n.exchange.AddZonePeers(peers)
 			n.isLarge()
 		} else {
 			n.exchange.AddPeers(peers)
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	n.exchange = exchange
-	exchange.SetPlaces(placesOf(configured))
+	exchange.SetTopology(placesOf(configured))
 	exchange.SetMetrics(digest.NewMetrics(metrics))
 	n.watchLimits(metrics)
 	n.pool.SetMonitor(notices.New(notices.Options{
@@ -176,7 +176,7 @@
 	}
 	n.authority = authority.New(authority.Options{
 		Self: n.identity, Life: settings.Milliseconds(configured.Bounds.LeaseMillis),
-		Store: platform, Log: log, StandAside: exchange.StandAside,
+		Store: platform, Log: log, StandAside: exchange.StepBack,
 		Unfenced: !configured.Bounds.Fencing,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -205,7 +205,7 @@
 	costs := scheduling.DefaultCosts()
 	costs.Hold = n.settings.Late.Hold
 	return dispatch.New(dispatch.Options{
-		Began: began, Repeated: n.exchange.RepeatQuota, Returned: quotas.Return,
+		Began: began, Repeated: n.exchange.RecordQuotaCharge, Returned: quotas.Return,
 		Registry: n.registry, Scheduler: scheduling.New(costs),
 		Pool: n.pool, Wire: n.platform, Log: n.log, Metrics: dispatch.NewMetrics(metrics),
 		Nodes: n.exchange.Nodes, Accounts: n.exchange, Knowledge: n.knowledge, Quarantine: n.quarantine, Turns: n.exchange,
@@ -294,7 +294,7 @@
 func (n *Node) shareTables() {
 	n.board = tablerelay.New(n.exchange)
 	n.board.SetLog(n.log)
-	n.exchange.SetBoard(n.board)
+	n.exchange.SetTableCoordinator(n.board)
 	n.tables = tableshare.NewServer(tablerelay.Freshness, func(table string) {
 		if table == nodesTable {
 			n.isLarge()
--- a/internal/serving/roster.go
+++ b/internal/serving/roster.go
@@ -67,11 +67,11 @@
 			return
 		case <-ticker.C:
 		}
-		gone := n.exchange.Departed(time.Now())
+		gone := n.exchange.DepartedPeers(time.Now())
 		if len(gone) > 0 {
 			gone = n.unlist(ctx, gone)
 		}
-		n.exchange.Drop(gone, time.Now())
+		n.exchange.DropPeers(gone, time.Now())
 	}
 }
 
--- a/internal/serving/usage.go
+++ b/internal/serving/usage.go
@@ -35,5 +35,5 @@
 		Designated: n.designated, Log: n.log, Metrics: usage.NewMetrics(metrics),
 	})
 	n.work.Go(func() { reporter.Run(ctx) })
-	n.work.Go(func() { n.exchange.DetourUsage(ctx, n.settings.Node.Name, n.platform) })
+	n.work.Go(func() { n.exchange.StoreUnacknowledgedUsage(ctx, n.settings.Node.Name, n.platform) })
 }
--- a/internal/serving/workercalls.go
+++ b/internal/serving/workercalls.go
@@ -78,7 +78,7 @@
 		limited := make(map[string]bool)
 		for _, id := range n.registry.LimitedWorkers() {
 			limited[id] = true
-			if n.exchange.CountsFirst(id) {
+			if n.exchange.IsFirstTurnKeeper(id) {
 				n.probeLimit(ctx, id, probes)
 			}
 		}
