--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -80,7 +80,7 @@
 	options Options
 
 	mu      sync.Mutex
-	machine *lease.Machine
+	machine *lease.StateMachine
 	// created is when this process began.
 	created time.Time
 	// leaving tells that the lease is being given back: no act begins any more.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -75,8 +75,8 @@
 	return Settings{Life: life, Margin: life / 10, RenewEvery: life / 3}
 }
 
-// Machine is one node's view of the lease.
-type Machine struct {
+// StateMachine is one node's view of the lease.
+type StateMachine struct {
 	self     string
 	settings Settings
 
@@ -93,13 +93,13 @@
 }
 
 // New returns a machine of a node incarnation.
-func New(self string, settings Settings) *Machine {
-	return &Machine{self: self, settings: settings}
+func New(self string, settings Settings) *StateMachine {
+	return &StateMachine{self: self, settings: settings}
 }
 
 // Observe takes in the row as the store has it. A holder that finds no row in a new era goes on:
 // nobody else can have the lease before its own has run out.
-func (m *Machine) Observe(row Row, now time.Time) {
+func (m *StateMachine) Observe(row Row, now time.Time) {
 	restored := m.known && row.Era > m.row.Era
 	if m.known && !restored && (row.Era < m.row.Era || row.Version <= m.row.Version) {
 		return
@@ -117,10 +117,10 @@
 }
 
 // Era is that of the row that was seen last.
-func (m *Machine) Era() uint64 { return m.row.Era }
+func (m *StateMachine) Era() uint64 { return m.row.Era }
 
 // Next returns what is to be done now. A proposal stays pending until Done or Lost.
-func (m *Machine) Next(now time.Time) Proposal {
+func (m *StateMachine) Next(now time.Time) Proposal {
 	switch {
 	case !m.known || m.pending != nil || now.Before(m.next):
 		return Proposal{Action: Wait}
@@ -132,7 +132,7 @@
 	return Proposal{Action: Wait}
 }
 
-func (m *Machine) propose(proposal Proposal) Proposal {
+func (m *StateMachine) propose(proposal Proposal) Proposal {
 	m.pending = &proposal
 	m.next = proposal.sent.Add(m.settings.RenewEvery)
 	return proposal
@@ -140,14 +140,14 @@
 
 // resumes reports whether this node may go on under the fence of its last lease. The row
 // still being its own means that no higher fence exists.
-func (m *Machine) resumes() bool {
+func (m *StateMachine) resumes() bool {
 	return m.settings.KeepFence && m.fence != 0 && m.row.Holder == m.self && !m.row.Released
 }
 
 // free reports whether nobody else can hold the lease any more: the row has not
 // changed for a whole life since this node first saw it, was given back, or is this
 // incarnation's own; or there never was one.
-func (m *Machine) free(now time.Time) bool {
+func (m *StateMachine) free(now time.Time) bool {
 	if m.row.Released || m.row.Holder == m.self || m.row.Version == 0 && m.row.Era == 0 {
 		return true
 	}
@@ -156,7 +156,7 @@
 
 // Done takes in that the pending write was carried out at a version. It holds from
 // when the write was sent.
-func (m *Machine) Done(version uint64, now time.Time) {
+func (m *StateMachine) Done(version uint64, now time.Time) {
 	if m.pending == nil {
 		return
 	}
@@ -177,16 +177,16 @@
 
 // Lost takes in that the pending write was refused or not answered. It may still be
 // carried out: then the row shows it, and does not lengthen the lease.
-func (m *Machine) Lost() { m.pending = nil }
+func (m *StateMachine) Lost() { m.pending = nil }
 
 // Holds reports whether this node may act now. Ask it just before each order.
-func (m *Machine) Holds(now time.Time) bool { return m.fence != 0 && now.Before(m.until) }
+func (m *StateMachine) Holds(now time.Time) bool { return m.fence != 0 && now.Before(m.until) }
 
 // Until returns when this node's lease ends, the zero time where it has none.
-func (m *Machine) Until() time.Time { return m.until }
+func (m *StateMachine) Until() time.Time { return m.until }
 
 // Fence returns the fence of this node's lease, zero where it holds none.
-func (m *Machine) Fence(now time.Time) uint64 {
+func (m *StateMachine) Fence(now time.Time) uint64 {
 	if !m.Holds(now) {
 		return 0
 	}
@@ -195,15 +195,15 @@
 
 // Renounce ends this node's lease without a write: another node was seen to act under a
 // higher fence. The row is looked at again before the lease is taken anew.
-func (m *Machine) Renounce() { m.until, m.fence = time.Time{}, 0 }
+func (m *StateMachine) Renounce() { m.until, m.fence = time.Time{}, 0 }
 
 // Holder returns the incarnation that wrote the row last, as far as is known.
-func (m *Machine) Holder() string { return m.row.Holder }
+func (m *StateMachine) Holder() string { return m.row.Holder }
 
 // Release ends this node's lease, and returns the write that gives it back; false where the
 // row isn't its own. One that has run out is given back too, so that nobody waits for it:
 // the write fails if another node has taken it since.
-func (m *Machine) Release() (Proposal, bool) {
+func (m *StateMachine) Release() (Proposal, bool) {
 	if !m.known || m.row.Holder != m.self || m.row.Released {
 		return Proposal{}, false
 	}
@@ -212,4 +212,4 @@
 }
 
 // Released reports whether the row was given back by its holder.
-func (m *Machine) Released() bool { return m.row.Released }
+func (m *StateMachine) Released() bool { return m.row.Released }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -109,13 +109,13 @@
 	lapsed := origin.Add(2 * life)
 	for _, example := range []struct {
 		name   string
-		before func(m *Machine)
+		before func(m *StateMachine)
 		action Action
 		fence  uint64
 	}{
-		{"the row is its own", func(m *Machine) { m.Observe(Row{Version: 1, Holder: "a"}, lapsed) }, Renew, 1},
-		{"the lease was renounced", func(m *Machine) { m.Renounce() }, Take, 0},
-		{"another took it, and is gone", func(m *Machine) { m.Observe(Row{Version: 5, Holder: "b", Released: true}, lapsed) }, Take, 0},
+		{"the row is its own", func(m *StateMachine) { m.Observe(Row{Version: 1, Holder: "a"}, lapsed) }, Renew, 1},
+		{"the lease was renounced", func(m *StateMachine) { m.Renounce() }, Take, 0},
+		{"another took it, and is gone", func(m *StateMachine) { m.Observe(Row{Version: 5, Holder: "b", Released: true}, lapsed) }, Take, 0},
 	} {
 		m := New("a", settings)
 		m.Observe(Row{}, origin)
@@ -151,7 +151,7 @@
 
 type node struct {
 	name    string
-	machine *Machine
+	machine *StateMachine
 	skew    float64
 }
 
@@ -161,7 +161,7 @@
 
 type write struct {
 	from     *node
-	machine  *Machine
+	machine  *StateMachine
 	proposal Proposal
 }
 
