--- a/internal/digest/quota.go
+++ b/internal/digest/quota.go
@@ -104,7 +104,7 @@
 // quotaAsk is a claim for which keepers are asked.
 type quotaAsk struct {
 	id      uint64
-	claim   quota.Claim
+	claim   quota.ChargeRequest
 	account string
 	report  quota.Report
 	// keepers are in the order in which they are asked, and suspected tells that none of
@@ -133,14 +133,14 @@
 func (a quotaAnswer) final() bool { return a.decision.Granted || !a.decision.Cold }
 
 // ChargeQuota asks the keepers of a tenant's account for the cost of a request.
-func (e *Exchange) ChargeQuota(ctx context.Context, claim quota.Claim) quota.Verdict {
+func (e *Exchange) ChargeQuota(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
 	return e.quota.charge(ctx, claim)
 }
 
 // charge asks the keepers of an account for the cost of a request, one after another where they
 // don't answer in time or don't know enough to refuse. Where none answers, this node's own
 // allowance decides.
-func (q *quotaExchange) charge(ctx context.Context, claim quota.Claim) quota.Verdict {
+func (q *quotaExchange) charge(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
 	begun := time.Now()
 	ask := q.beginAsk(claim, begun)
 	for i, keeper := range ask.keepers {
@@ -168,7 +168,7 @@
 }
 
 // beginAsk finds the keepers of an account and what to tell them.
-func (q *quotaExchange) beginAsk(claim quota.Claim, now time.Time) *quotaAsk {
+func (q *quotaExchange) beginAsk(claim quota.ChargeRequest, now time.Time) *quotaAsk {
 	account := claim.Charge().Account
 	ask := &quotaAsk{
 		claim: claim, account: account, asked: make(map[netip.AddrPort]time.Time),
@@ -201,7 +201,7 @@
 	now := time.Now()
 	ask.count++
 	if keeper == q.exchange.peers.address {
-		decision := q.decide(quota.Ask{
+		decision := q.decide(quota.DecisionRequest{
 			Account: ask.account, From: q.self(), Report: ask.report, Cost: ask.claim.Cost, Patience: ask.claim.Patience,
 		}, now)
 		ask.answers <- quotaAnswer{from: keeper, decision: decision}
@@ -285,30 +285,30 @@
 }
 
 // settleAsk ends an ask and counts what became of its claim.
-func (q *quotaExchange) settleAsk(ctx context.Context, ask *quotaAsk, now time.Time) quota.Verdict {
+func (q *quotaExchange) settleAsk(ctx context.Context, ask *quotaAsk, now time.Time) quota.Outcome {
 	verdict, end := q.settle(ask, q.exchange.Nodes(), ctx.Err() != nil, now)
 	q.awake()
 	q.exchange.suspect(end.silent, now)
 	q.logSettled(ask, verdict, end)
 	if !verdict.Granted {
-		verdict.RetryAfter = quota.Spread(verdict.RetryAfter, rand.Float64())
+		verdict.RetryAfter = quota.AddJitter(verdict.RetryAfter, rand.Float64())
 	}
 	return verdict
 }
 
-func (q *quotaExchange) settle(ask *quotaAsk, nodes int, callerGone bool, now time.Time) (quota.Verdict, settled) {
+func (q *quotaExchange) settle(ask *quotaAsk, nodes int, callerGone bool, now time.Time) (quota.Outcome, settled) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.asks, ask.id)
 	ask.drain()
 	end := settled{silent: ask.silent(now)}
-	verdict := quota.Verdict{Asked: ask.count, Unanswered: len(ask.asked), Version: ask.claim.Version}
+	verdict := quota.Outcome{Asked: ask.count, Unanswered: len(ask.asked), Version: ask.claim.Version}
 	switch {
 	case ask.best != nil:
-		end.back = q.meter.Heard(ask.account, ask.best.decision.Share, now)
+		end.back = q.meter.SetShare(ask.account, ask.best.decision.Share, now)
 		verdict = decidedBy(verdict, *ask.best)
 	case !callerGone:
-		private := q.meter.Private(ask.account, nodes, ask.claim.Cost, rand.Float64(), now)
+		private := q.meter.DecidePrivately(ask.account, nodes, ask.claim.Cost, rand.Float64(), now)
 		end.alone = private.First
 		verdict.Private, verdict.Granted = true, private.Granted
 		verdict.Level, verdict.RetryAfter = private.Level, private.Wait
@@ -317,12 +317,12 @@
 	case verdict.Granted:
 		q.meter.Take(ask.account, ask.claim.Cost, now)
 	case len(ask.asked) > 0:
-		q.meter.Void(ask.account, ask.claim.Cost, now)
+		q.meter.TakeAndRefund(ask.account, ask.claim.Cost, now)
 	}
 	return verdict, end
 }
 
-func decidedBy(verdict quota.Verdict, answer quotaAnswer) quota.Verdict {
+func decidedBy(verdict quota.Outcome, answer quotaAnswer) quota.Outcome {
 	decision := answer.decision
 	verdict.Granted, verdict.RetryAfter = decision.Granted, decision.Wait
 	verdict.Keeper, verdict.Level, verdict.Reserved = answer.from.String(), decision.Level, decision.Reserved
@@ -347,7 +347,7 @@
 	}
 }
 
-func (q *quotaExchange) logSettled(ask *quotaAsk, verdict quota.Verdict, end settled) {
+func (q *quotaExchange) logSettled(ask *quotaAsk, verdict quota.Outcome, end settled) {
 	entry := q.exchange.log.WithFields(logrus.Fields{
 		"account": ask.account, "asked": verdict.Asked, "unanswered": verdict.Unanswered, "left": verdict.Level,
 	})
@@ -366,7 +366,7 @@
 
 func (q *quotaExchange) giveBack(charge quota.Charge) {
 	q.mu.Lock()
-	q.meter.Return(charge.Account, charge.Cost)
+	q.meter.Refund(charge.Account, charge.Cost)
 	q.mu.Unlock()
 	q.awake()
 }
--- a/internal/digest/quota_form.go
+++ b/internal/digest/quota_form.go
@@ -39,8 +39,8 @@
 	Limit *limitForm `json:"lm,omitempty"`
 }
 
-func (f quotaAskForm) ask(from quota.Spender) quota.Ask {
-	return quota.Ask{
+func (f quotaAskForm) ask(from quota.Spender) quota.DecisionRequest {
+	return quota.DecisionRequest{
 		Account: f.Account, From: from, Report: f.Report.report(), Cost: f.Cost,
 		Patience: time.Duration(f.PatienceMillis) * time.Millisecond,
 	}
--- a/internal/digest/quota_keep.go
+++ b/internal/digest/quota_keep.go
@@ -46,7 +46,7 @@
 	defer q.mu.Unlock()
 	if silence := now.Sub(q.lastHeard); !q.lastHeard.IsZero() && silence > quota.SilentAfter {
 		if q.lastInUse.Sub(q.lastHeard) > quota.SilentAfter || len(q.keeper.InUse(now)) > 0 {
-			q.keeper.Missed(now)
+			q.keeper.ReportsMissed(now)
 			missed = silence
 		}
 	}
@@ -62,7 +62,7 @@
 	stood := running.Sub(q.ran)
 	missed := !q.ran.IsZero() && stood > quota.SilentAfter
 	if missed {
-		q.keeper.Missed(now)
+		q.keeper.ReportsMissed(now)
 	}
 	q.ran = running
 	q.mu.Unlock()
@@ -73,7 +73,7 @@
 
 // decide decides as a keeper, by the limit that is known here where limits are learned. A cost
 // of an account that has none passes.
-func (q *quotaExchange) decide(ask quota.Ask, now time.Time) quota.Decision {
+func (q *quotaExchange) decide(ask quota.DecisionRequest, now time.Time) quota.Decision {
 	q.awaken(now)
 	q.move(now)
 	account := ask.Account
@@ -165,7 +165,7 @@
 		return // another has had it do so meanwhile
 	}
 	q.generation = generation
-	q.keeper.Moved(func(account string) bool { return kept[account] }, now)
+	q.keeper.KeepersChanged(func(account string) bool { return kept[account] }, now)
 }
 
 // followed reports whether the keeper follows the ranking of a generation of the nodes, else
@@ -199,5 +199,5 @@
 func (q *quotaExchange) left(node string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.keeper.Left(node)
+	q.keeper.NodeStopped(node)
 }
--- a/internal/digest/quota_reports.go
+++ b/internal/digest/quota_reports.go
@@ -75,7 +75,7 @@
 		}
 	}
 	if all {
-		for account, report := range q.meter.Reports(q.meter.Repeated(now), now) {
+		for account, report := range q.meter.Reports(q.meter.RecentlyUsed(now), now) {
 			reports[account] = report
 		}
 		q.forget(now)
@@ -96,7 +96,7 @@
 		q.mu.Lock()
 		var quiet []netip.AddrPort
 		if q.split(account, keepers, q.exchange.peers.address, quotaQuiet, now) {
-			quiet = q.keeper.Quiet(account, quotaKeepersEvery, now)
+			quiet = q.keeper.SilentNodes(account, quotaKeepersEvery, now)
 		}
 		q.mu.Unlock()
 		q.exchange.sendAll(quiet, q.message(&quotaForm{Probe: account}))
@@ -117,7 +117,7 @@
 	q.keeper.Forget(now)
 	q.meter.Forget(now)
 	for address, heard := range q.heard {
-		if now.Sub(heard) > quota.IdleLife {
+		if now.Sub(heard) > quota.IdleTTL {
 			delete(q.heard, address)
 		}
 	}
--- a/internal/digest/quota_test.go
+++ b/internal/digest/quota_test.go
@@ -19,9 +19,9 @@
 var exact = quota.Tolerance{Window: 8 * time.Second}
 
 // claimOf is a tenant's of a limit that hardly comes back within a test.
-func claimOf(tenant string, cost float64) quota.Claim {
+func claimOf(tenant string, cost float64) quota.ChargeRequest {
 	limit := quota.Limit{Rate: 0.001, Burst: 1000, Unit: quota.Tokens}
-	return quota.Claim{Tenant: tenant, Limit: limit, Version: 1, Cost: cost}
+	return quota.ChargeRequest{Tenant: tenant, Limit: limit, Version: 1, Cost: cost}
 }
 
 // longKnown is in how much time even a limit of claimOf comes back.
@@ -179,7 +179,7 @@
 	account := claimOf("a", 1).Charge().Account
 	for _, exchange := range exchanges {
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-			decision := exchange.quota.decide(quota.Ask{From: quota.Spender{Node: "asker"}, Account: account, Cost: 2000, Report: quota.Report{Limit: claimOf("a", 1).Limit, Version: 1}}, time.Now())
+			decision := exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: "asker"}, Account: account, Cost: 2000, Report: quota.Report{Limit: claimOf("a", 1).Limit, Version: 1}}, time.Now())
 			if int(decision.Level+0.5) == 800 {
 				break
 			}
@@ -364,7 +364,7 @@
 	now := time.Now()
 	ask := func(node string, address netip.AddrPort, age time.Duration, at time.Time) quota.Decision {
 		report := quota.Report{Limit: claimOf("a", 1).Limit, Version: 1, Age: age}
-		return exchange.quota.decide(quota.Ask{From: quota.Spender{Node: node, Address: address}, Account: account, Cost: 100, Report: report}, at)
+		return exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: node, Address: address}, Account: account, Cost: 100, Report: report}, at)
 	}
 	ask("here", exchange.peers.address, 0, now)
 	ask("beyond", addressOfConn(silent[0]), 0, now)
@@ -382,7 +382,7 @@
 	silent := []*net.UDPConn{silentNode(t), silentNode(t)}
 	exchange := quotaNodes(t, 1, exact, silent...)[0]
 	now := time.Now()
-	ask := quota.Ask{
+	ask := quota.DecisionRequest{
 		From: quota.Spender{Node: "other", Address: addressOfConn(silent[0])}, Account: claimOf("a", 1).Charge().Account,
 		Cost: 10, Report: quota.Report{Limit: claimOf("a", 1).Limit, Version: 1},
 	}
@@ -405,7 +405,7 @@
 	report := quota.Report{Limit: claimOf("a", 1).Limit, Version: 1}
 	account := claimOf("a", 1).Charge().Account
 	decide := func(at time.Time) quota.Decision {
-		return exchange.quota.decide(quota.Ask{From: quota.Spender{Node: "other", Address: addressOfConn(silent[0])}, Account: account, Cost: 10, Report: report}, at)
+		return exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: "other", Address: addressOfConn(silent[0])}, Account: account, Cost: 10, Report: report}, at)
 	}
 	exchange.quota.heardFrom(addressOfConn(silent[0]), now)
 	if !decide(now).Granted {
@@ -441,10 +441,10 @@
 	account := claimOf("a", 1).Charge().Account
 	user := silent[0]
 	report := quota.Report{Limit: claimOf("a", 1).Limit, Version: 1}
-	exchange.quota.decide(quota.Ask{From: quota.Spender{Node: "user", Address: addressOfConn(user)}, Account: account, Cost: 100, Report: report}, time.Now())
+	exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: "user", Address: addressOfConn(user)}, Account: account, Cost: 100, Report: report}, time.Now())
 	nextQuota(t, user, func(form quotaForm) bool { return form.Probe == account })
 	exchange.quota.receive(addressOfConn(user), "user", quotaForm{Reports: map[string]quotaReportForm{account: renderQuotaReport(report)}})
-	if decision := exchange.quota.decide(quota.Ask{From: exchange.quota.self(), Account: account, Cost: 1, Report: report}, time.Now()); decision.Reserved != 0 {
+	if decision := exchange.quota.decide(quota.DecisionRequest{From: exchange.quota.self(), Account: account, Cost: 1, Report: report}, time.Now()); decision.Reserved != 0 {
 		t.Errorf("%v is reserved for a node that answers", decision.Reserved)
 	}
 }
@@ -472,19 +472,19 @@
 func TestNewRankingHoldsBeforeAnyDecision(t *testing.T) {
 	exchange := quotaNodes(t, 1, quota.Tolerance{Window: 8 * time.Second, Slack: 400})[0]
 	for i := range 200 { // accounts whose keepers are to be ranked again
-		exchange.quota.decide(quota.Ask{From: exchange.quota.self(), Account: claimOf(fmt.Sprint("known", i), 1).Charge().Account, Cost: 1, Report: quota.Report{Limit: claimOf("a", 1).Limit}}, time.Now())
+		exchange.quota.decide(quota.DecisionRequest{From: exchange.quota.self(), Account: claimOf(fmt.Sprint("known", i), 1).Charge().Account, Cost: 1, Report: quota.Report{Limit: claimOf("a", 1).Limit}}, time.Now())
 	}
 	report := quota.Report{Limit: claimOf("a", 1).Limit, Version: 1}
 	for round := range 50 {
 		exchange.quota.mu.Lock()
-		exchange.quota.keeper.Moved(func(string) bool { return true }, time.Now().Add(-longKnown))
+		exchange.quota.keeper.KeepersChanged(func(string) bool { return true }, time.Now().Add(-longKnown))
 		exchange.quota.mu.Unlock()
 		exchange.AddPeers([]Peer{{Node: fmt.Sprint("added", round), Address: netip.AddrPortFrom(exchange.peers.address.Addr(), uint16(1+round))}})
 		var deciding sync.WaitGroup
 		for i := range 8 {
 			deciding.Go(func() {
 				account := claimOf(fmt.Sprintf("new%d-%d", round, i), 1).Charge().Account
-				decision := exchange.quota.decide(quota.Ask{From: exchange.quota.self(), Account: account, Cost: 1, Report: report}, time.Now())
+				decision := exchange.quota.decide(quota.DecisionRequest{From: exchange.quota.self(), Account: account, Cost: 1, Report: report}, time.Now())
 				if decision.Level > 101 { // a fourth of the slack, and what has come back
 					t.Errorf("round %d: an account is new here, and its level is %v", round, decision.Level)
 				}
--- a/internal/digest/turns.go
+++ b/internal/digest/turns.go
@@ -112,9 +112,9 @@
 
 // TakeTurn asks for a request's turn at a worker, for which it can wait for a time. A turn that
 // was given is the request's alone: it is sent after the verdict's delay, or given back.
-func (e *Exchange) TakeTurn(ctx context.Context, id string, patience time.Duration) quota.Verdict {
+func (e *Exchange) TakeTurn(ctx context.Context, id string, patience time.Duration) quota.Outcome {
 	limit, version := e.turns.limits.of(id)
-	return e.turns.charge(ctx, quota.Claim{Tenant: id, Limit: limit, Version: version, Cost: 1, Patience: patience})
+	return e.turns.charge(ctx, quota.ChargeRequest{Tenant: id, Limit: limit, Version: version, Cost: 1, Patience: patience})
 }
 
 // IsFirstTurnKeeper reports whether this node is the first of those that count a worker's requests
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -19,7 +19,7 @@
 type Turns interface {
 	// TakeTurn asks for a request's turn at a worker, for which it can wait for a time. A turn
 	// that was given is the request's alone; it comes after the verdict's delay.
-	TakeTurn(ctx context.Context, worker string, patience time.Duration) quota.Verdict
+	TakeTurn(ctx context.Context, worker string, patience time.Duration) quota.Outcome
 	// ReturnTurn gives a turn back: the worker got nothing.
 	ReturnTurn(worker string)
 	// CountTurn counts a request that a worker gets without its turn, if it has a limit.
@@ -29,8 +29,8 @@
 // noTurns are those of a node that no worker has told of a limit.
 type noTurns struct{}
 
-func (noTurns) TakeTurn(context.Context, string, time.Duration) quota.Verdict {
-	return quota.Verdict{Granted: true}
+func (noTurns) TakeTurn(context.Context, string, time.Duration) quota.Outcome {
+	return quota.Outcome{Granted: true}
 }
 func (noTurns) ReturnTurn(string) {}
 func (noTurns) CountTurn(string)  {}
@@ -228,7 +228,7 @@
 	}
 }
 
-func (s *session) logTurn(at scheduling.Candidate, patience time.Duration, verdict quota.Verdict) {
+func (s *session) logTurn(at scheduling.Candidate, patience time.Duration, verdict quota.Outcome) {
 	s.metrics.turn(verdict)
 	s.log.WithFields(logrus.Fields{
 		"id": s.call.ID, "worker": at.ID, "granted": verdict.Granted, "delay_ms": verdict.Delay.Milliseconds(),
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -13,8 +13,8 @@
 // noTurnAt are turns of which one worker has none.
 type noTurnAt struct{ worker string }
 
-func (n noTurnAt) TakeTurn(_ context.Context, worker string, _ time.Duration) quota.Verdict {
-	return quota.Verdict{Granted: worker != n.worker, RetryAfter: time.Hour}
+func (n noTurnAt) TakeTurn(_ context.Context, worker string, _ time.Duration) quota.Outcome {
+	return quota.Outcome{Granted: worker != n.worker, RetryAfter: time.Hour}
 }
 func (noTurnAt) ReturnTurn(string) {}
 func (noTurnAt) CountTurn(string)  {}
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -51,7 +51,7 @@
 	return metrics
 }
 
-func (m *Metrics) turn(verdict quota.Verdict) {
+func (m *Metrics) turn(verdict quota.Outcome) {
 	label := "refused"
 	switch {
 	case verdict.Granted && verdict.Delay > 0:
--- a/internal/front/quota.go
+++ b/internal/front/quota.go
@@ -13,7 +13,7 @@
 // Quotas charges tenants for requests, over all nodes together.
 type Quotas interface {
 	// Charge decides whether a request is within its tenant's quota.
-	Charge(ctx context.Context, claim quota.Claim) quota.Verdict
+	Charge(ctx context.Context, claim quota.ChargeRequest) quota.Outcome
 	// Return gives back what was charged for a request that has not run.
 	Return(charge quota.Charge)
 }
@@ -25,7 +25,7 @@
 	if f.quotas == nil || !limit.Limited() {
 		return nil
 	}
-	claim := quota.Claim{
+	claim := quota.ChargeRequest{
 		Tenant: call.Tenant.Name(), Limit: limit, Version: call.RoutesVersion,
 		Cost: limit.Cost(call.PromptTokens + call.OutputTokens),
 	}
@@ -42,7 +42,7 @@
 		claim.Tenant, limit.Rate, limit.Unit, limit.Burst).WithRetryAfter(verdict.RetryAfter)
 }
 
-func (f *Front) logOverQuota(call *dispatch.Call, claim quota.Claim, verdict quota.Verdict) {
+func (f *Front) logOverQuota(call *dispatch.Call, claim quota.ChargeRequest, verdict quota.Outcome) {
 	f.log.WithFields(logrus.Fields{
 		"id": call.ID, "tenant": claim.Tenant, "cost": claim.Cost, "unit": claim.Limit.Unit,
 		"rate": claim.Limit.Rate, "burst": claim.Limit.Burst, "routes_version": claim.Version,
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -104,7 +104,7 @@
 		before := a.buckets
 		k.spend(a, s, increase, now)
 		// Turns that another keeper has given ahead are no debt of late reports: all are owed.
-		floor := -k.tolerance.Over(a.limit)/floorPart - a.limit.Rate*k.tolerance.Ahead.Seconds()
+		floor := -k.tolerance.MaxExcess(a.limit)/floorPart - a.limit.Rate*k.tolerance.Ahead.Seconds()
 		for i := range a.buckets {
 			a.buckets[i].level = max(a.buckets[i].level, min(before[i].level, floor))
 		}
@@ -115,7 +115,7 @@
 // hearsAll reports whether all of the present use that a report tells was while this keeper
 // knew the account. Else its counters are only what later ones are compared with.
 func (a *account) hearsAll(report Report, now time.Time) bool {
-	return report.Age < IdleLife && !now.Add(-report.Age).Before(a.born)
+	return report.Age < IdleTTL && !now.Add(-report.Age).Before(a.born)
 }
 
 // supersede marks the processes that had the address before as ended.
--- a/internal/quota/claim.go
+++ b/internal/quota/claim.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Claim is a request of a tenant that is to be charged.
-type Claim struct {
+// ChargeRequest is a request of a tenant that is to be charged.
+type ChargeRequest struct {
 	Tenant string
 	// Limit is the tenant's by the configuration of Version.
 	Limit   Limit
@@ -15,7 +15,7 @@
 }
 
 // Charge returns what the claim's tenant is charged.
-func (c Claim) Charge() Charge {
+func (c ChargeRequest) Charge() Charge {
 	return Charge{Account: AccountName(c.Tenant, c.Limit.Unit), Cost: c.Cost}
 }
 
@@ -28,8 +28,8 @@
 // None reports whether nothing was charged.
 func (c Charge) None() bool { return c.Account == "" }
 
-// Verdict is what became of a claim.
-type Verdict struct {
+// Outcome is what became of a claim.
+type Outcome struct {
 	Granted bool
 	// Private tells that no keeper answered, so that this node's own allowance decided.
 	Private bool
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -9,9 +9,9 @@
 
 // How long use is kept.
 const (
-	// IdleLife is when an account or a node's counters are forgotten: twice the time for
+	// IdleTTL is when an account or a node's counters are forgotten: twice the time for
 	// which its keepers tell each other of it.
-	IdleLife = 60 * time.Second
+	IdleTTL = 60 * time.Second
 	// inUseFor is for how long after a use the account's keepers tell each other of it.
 	inUseFor = 30 * time.Second
 )
@@ -23,8 +23,8 @@
 	Address netip.AddrPort
 }
 
-// Ask asks a keeper for a request's cost.
-type Ask struct {
+// DecisionRequest asks a keeper for a request's cost.
+type DecisionRequest struct {
 	Account string
 	From    Spender
 	// Report holds the asker's counters without the request.
@@ -85,7 +85,7 @@
 }
 
 // Decide grants a request or refuses it.
-func (k *Keeper) Decide(ask Ask, keeps bool, now time.Time) Decision {
+func (k *Keeper) Decide(ask DecisionRequest, keeps bool, now time.Time) Decision {
 	a := k.account(ask.Account, ask.Report, keeps, now)
 	s := k.merge(a, ask.From, ask.Report, now)
 	a.reserved, a.alone = 0, ask.Alone && k.cold(a, now)
@@ -117,8 +117,8 @@
 	return a
 }
 
-// Left records that a process has ended as planned.
-func (k *Keeper) Left(node string) {
+// NodeStopped records that a process has ended as planned.
+func (k *Keeper) NodeStopped(node string) {
 	for _, a := range k.accounts {
 		if s, known := a.spenders[node]; known {
 			s.gone = true
@@ -126,9 +126,9 @@
 	}
 }
 
-// Missed records that reports were missed until now: accounts hold only what is sure to
+// ReportsMissed records that reports were missed until now: accounts hold only what is sure to
 // be left, and the next report of each node is what later ones are compared with.
-func (k *Keeper) Missed(now time.Time) {
+func (k *Keeper) ReportsMissed(now time.Time) {
 	k.since = now
 	for _, a := range k.accounts {
 		a.born = now
@@ -142,9 +142,9 @@
 	}
 }
 
-// Moved records that the nodes that keep accounts have changed: this one keeps on with
+// KeepersChanged records that the nodes that keep accounts have changed: this one keeps on with
 // those that it keeps still. New ones it knows from now on.
-func (k *Keeper) Moved(keeps func(name string) bool, now time.Time) {
+func (k *Keeper) KeepersChanged(keeps func(name string) bool, now time.Time) {
 	k.since = now
 	for name := range k.accounts {
 		if !keeps(name) {
@@ -178,17 +178,17 @@
 // Forget drops accounts and nodes that have been idle for long.
 func (k *Keeper) Forget(now time.Time) {
 	for node, heard := range k.heard {
-		if now.Sub(heard) > IdleLife {
+		if now.Sub(heard) > IdleTTL {
 			delete(k.heard, node)
 		}
 	}
 	for name, a := range k.accounts {
 		for node, s := range a.spenders {
-			if now.Sub(s.heard) > IdleLife {
+			if now.Sub(s.heard) > IdleTTL {
 				delete(a.spenders, node)
 			}
 		}
-		idle := now.Sub(a.used) > IdleLife
+		idle := now.Sub(a.used) > IdleTTL
 		if idle {
 			a.reserved = 0 // nothing is kept for so long
 		}
--- a/internal/quota/keeper_test.go
+++ b/internal/quota/keeper_test.go
@@ -46,8 +46,8 @@
 	return decision
 }
 
-func (n *node) question(limit Limit, cost float64, now time.Time) Ask {
-	return Ask{Account: tenantA, From: n.Spender, Report: n.meter.Begin(tenantA, limit, 1, now), Cost: cost}
+func (n *node) question(limit Limit, cost float64, now time.Time) DecisionRequest {
+	return DecisionRequest{Account: tenantA, From: n.Spender, Report: n.meter.Begin(tenantA, limit, 1, now), Cost: cost}
 }
 
 func (n *node) tell(keeper *Keeper, now time.Time) {
@@ -66,7 +66,7 @@
 func TestBurstAndRateHoldOverAllNodes(t *testing.T) {
 	keeper := NewKeeper(plenty, warmSince)
 	first, second := newNode(1), newNode(2)
-	credit := plenty.Over(thousand) / creditPart
+	credit := plenty.MaxExcess(thousand) / creditPart
 	if spent := first.spend(keeper, thousand, 10, at(0)); spent < 1000 || spent > 1000+credit+10 {
 		t.Errorf("a burst of %v was granted, want 1000 and at most %v more", spent, credit)
 	}
@@ -98,7 +98,7 @@
 	for step := range 160 {
 		spent += n.spend(keeper, thousand, 10, at(float64(step)/20))
 	}
-	if most := 8*1000 + plenty.Slack/coldPart + plenty.Over(thousand)/creditPart + 10; spent > most {
+	if most := 8*1000 + plenty.Slack/coldPart + plenty.MaxExcess(thousand)/creditPart + 10; spent > most {
 		t.Errorf("a keeper that has just started grants %v in a window, at most %v", spent, most)
 	}
 }
@@ -122,7 +122,7 @@
 	keeper := NewKeeper(plenty, warmSince)
 	n := newNode(1)
 	n.spend(keeper, thousand, 10, at(0))
-	n.meter.Return(tenantA, 500)
+	n.meter.Refund(tenantA, 500)
 	n.tell(keeper, at(0))
 	if spent := newNode(2).spend(keeper, thousand, 10, at(0)); spent != 500 {
 		t.Errorf("%v granted of 500 that didn't run", spent)
@@ -135,7 +135,7 @@
 	n := newNode(1)
 	n.spend(keeper, thousand, 10, at(0))
 	old := n.meter.Report(tenantA, at(0))
-	n.meter.Return(tenantA, 500)
+	n.meter.Refund(tenantA, 500)
 	n.tell(keeper, at(0))
 	keeper.Report(tenantA, n.Spender, old, true, at(0))
 	if spent := newNode(2).spend(keeper, thousand, 10, at(0)); spent != 500 {
@@ -148,7 +148,7 @@
 	granted, unaware := NewKeeper(plenty, warmSince), NewKeeper(plenty, warmSince)
 	n := newNode(1)
 	granted.Decide(n.question(thousand, 300, at(0)), true, at(0)) // the answer is lost
-	n.meter.Void(tenantA, 300, at(0))
+	n.meter.TakeAndRefund(tenantA, 300, at(0))
 	for _, keeper := range []*Keeper{granted, unaware} {
 		n.tell(keeper, at(0))
 		if decision := newNode(2).ask(keeper, thousand, 10, at(0)); decision.Level != 1000 {
@@ -161,7 +161,7 @@
 func TestRequestLargerThanABurst(t *testing.T) {
 	keeper := NewKeeper(plenty, warmSince)
 	n := newNode(1)
-	large := 1000 + plenty.Over(thousand)/debtPart
+	large := 1000 + plenty.MaxExcess(thousand)/debtPart
 	if decision := n.ask(keeper, thousand, large, at(0)); !decision.Granted {
 		t.Fatalf("refused: %+v", decision)
 	}
@@ -187,7 +187,7 @@
 func TestColdKeeper(t *testing.T) {
 	keeper := NewKeeper(plenty, at(0))
 	n := newNode(1)
-	most := plenty.Slack/coldPart + plenty.Over(thousand)/creditPart + 10
+	most := plenty.Slack/coldPart + plenty.MaxExcess(thousand)/creditPart + 10
 	if spent := n.spend(keeper, thousand, 10, at(0)); spent > most {
 		t.Errorf("%v granted at the start, want at most %v", spent, most)
 	}
@@ -218,7 +218,7 @@
 	}{
 		{"a process younger than the keeper", warmSince, time.Second, 200},
 		{"a process older than the keeper", at(-1), 10 * time.Second, 1000},
-		{"a process that was forgotten", warmSince, IdleLife, 1000},
+		{"a process that was forgotten", warmSince, IdleTTL, 1000},
 	} {
 		keeper := NewKeeper(plenty, c.since)
 		report := Report{Counters: used, Age: c.age, Limit: limit, Version: 1}
@@ -259,7 +259,7 @@
 	n := newNode(1)
 	n.ask(keeper, thousand, 10, at(0))
 	n.meter.Take(tenantA, 20_000, at(20)) // granted by others
-	keeper.Missed(at(20))
+	keeper.ReportsMissed(at(20))
 	n.tell(keeper, at(20))
 	decision := n.ask(keeper, thousand, 10, at(20))
 	if decision.Level != plenty.Slack/coldPart || !decision.Cold {
@@ -289,11 +289,11 @@
 func TestNewKeeperOfAnAccount(t *testing.T) {
 	keeper := NewKeeper(plenty, warmSince)
 	newNode(1).ask(keeper, thousand, 10, at(0))
-	keeper.Moved(func(string) bool { return true }, at(1))
+	keeper.KeepersChanged(func(string) bool { return true }, at(1))
 	if decision := newNode(1).ask(keeper, thousand, 10, at(1)); decision.Cold {
 		t.Errorf("an account that stays is forgotten: %+v", decision)
 	}
-	keeper.Moved(func(string) bool { return false }, at(1))
+	keeper.KeepersChanged(func(string) bool { return false }, at(1))
 	if decision := newNode(1).ask(keeper, thousand, 10, at(1)); !decision.Cold || decision.Level > plenty.Slack/coldPart {
 		t.Errorf("a new keeper has a burst to give: %+v", decision)
 	}
@@ -340,18 +340,18 @@
 		now := at(12 + float64(step)/10)
 		sum += apart(here, left, now) + apart(beyond, right, now)
 	}
-	if allowed := 8*1000 + 1000 + plenty.Over(thousand); sum > allowed || sum < 8*1000*0.9 {
+	if allowed := 8*1000 + 1000 + plenty.MaxExcess(thousand); sum > allowed || sum < 8*1000*0.9 {
 		t.Errorf("two halves used %v in 8 s, at most %v is allowed", sum, allowed)
 	}
-	left.Left(beyond.Node)
-	if decision := left.Decide(Ask{Account: tenantA, From: here.Spender, Report: here.meter.Report(tenantA, at(21)), Cost: 1, Split: true}, true, at(21)); decision.Reserved != 0 {
+	left.NodeStopped(beyond.Node)
+	if decision := left.Decide(DecisionRequest{Account: tenantA, From: here.Spender, Report: here.meter.Report(tenantA, at(21)), Cost: 1, Split: true}, true, at(21)); decision.Reserved != 0 {
 		t.Errorf("%v is kept for a process that has ended", decision.Reserved)
 	}
 }
 
 // TestHalvesShareTheTolerance: large requests leave a debt on either side, and come early.
 func TestHalvesShareTheTolerance(t *testing.T) {
-	for cost := 100.0; cost <= 1000+plenty.Over(thousand)/debtPart; cost += 50 {
+	for cost := 100.0; cost <= 1000+plenty.MaxExcess(thousand)/debtPart; cost += 50 {
 		keepers := []*Keeper{NewKeeper(plenty, warmSince), NewKeeper(plenty, warmSince)}
 		nodes := []*node{newNode(1), newNode(2)}
 		for _, keeper := range keepers {
@@ -376,7 +376,7 @@
 		if len(uses) == 0 && cost <= 800 {
 			t.Errorf("no request of %v is served", cost)
 		}
-		checkWindows(t, uses, 8*1000+1000+plenty.Over(thousand))
+		checkWindows(t, uses, 8*1000+1000+plenty.MaxExcess(thousand))
 	}
 }
 
@@ -423,7 +423,7 @@
 	if last > maxWait {
 		t.Errorf("told to wait %v", last)
 	}
-	if got := Spread(time.Second, 1); got != 1125*time.Millisecond {
+	if got := AddJitter(time.Second, 1); got != 1125*time.Millisecond {
 		t.Errorf("a second is spread to %v", got)
 	}
 }
@@ -436,12 +436,12 @@
 	for i := range nodes {
 		n := newNode(i)
 		n.meter.Begin(tenantA, thousand, 1, at(0))
-		n.meter.Heard(tenantA, 1, at(20*float64(i)))
-		for n.meter.Private(tenantA, nodes, 10, 0, at(20*nodes)).Granted {
+		n.meter.SetShare(tenantA, 1, at(20*float64(i)))
+		for n.meter.DecidePrivately(tenantA, nodes, 10, 0, at(20*nodes)).Granted {
 			sum += 10
 		}
 	}
-	if most := plenty.Over(thousand) / privatePart; sum > most {
+	if most := plenty.MaxExcess(thousand) / privatePart; sum > most {
 		t.Errorf("%v used at once, at most %v may be", sum, most)
 	}
 }
@@ -457,14 +457,14 @@
 		n := newNode(i)
 		n.meter.Begin(tenantA, thousand, 1, at(0))
 		for step := range 80 {
-			if n.meter.Private(tenantA, nodes, cost, draw.Float64(), at(float64(step)/10)).Granted {
+			if n.meter.DecidePrivately(tenantA, nodes, cost, draw.Float64(), at(float64(step)/10)).Granted {
 				sum += cost
 			}
 		}
 	}
 	// A window holds twice the half: what was saved up and what comes back. The draws of
 	// this seed are within a tenth of that.
-	if most := 1.1 * plenty.Over(thousand); sum > most || sum == 0 {
+	if most := 1.1 * plenty.MaxExcess(thousand); sum > most || sum == 0 {
 		t.Errorf("%v used without a keeper in a window, at most %v is tolerated", sum, most)
 	}
 }
@@ -478,34 +478,34 @@
 		n := newNode(i)
 		n.meter.Begin(tenantA, thousand, 1, at(0))
 		if i > 0 {
-			n.meter.Heard(tenantA, 1.0/nodes, at(0))
+			n.meter.SetShare(tenantA, 1.0/nodes, at(0))
 		}
 		for step := range 80 {
-			for n.meter.Private(tenantA, nodes, 10, 0, at(float64(step)/10)).Granted {
+			for n.meter.DecidePrivately(tenantA, nodes, 10, 0, at(float64(step)/10)).Granted {
 				sum += 10
 			}
 		}
 	}
 	// A window holds what was saved up and what comes back.
-	if most := plenty.Over(thousand); sum > most || sum < plenty.Over(thousand)/privatePart {
+	if most := plenty.MaxExcess(thousand); sum > most || sum < plenty.MaxExcess(thousand)/privatePart {
 		t.Errorf("%v used, at most %v", sum, most)
 	}
 	n := newNode(1)
 	n.meter.Begin(tenantA, thousand, 1, at(0))
-	held := plenty.Over(thousand) / privatePart / nodes
-	if first := n.meter.Private(tenantA, nodes, 500, 0.99*held/500, at(0)); !first.Granted || !first.First {
+	held := plenty.MaxExcess(thousand) / privatePart / nodes
+	if first := n.meter.DecidePrivately(tenantA, nodes, 500, 0.99*held/500, at(0)); !first.Granted || !first.First {
 		t.Errorf("a request that costs more than the allowance, by a draw for it: %+v", first)
 	}
-	if second := n.meter.Private(tenantA, nodes, 500, 0, at(0)); second.Granted || second.First || second.Wait <= 0 {
+	if second := n.meter.DecidePrivately(tenantA, nodes, 500, 0, at(0)); second.Granted || second.First || second.Wait <= 0 {
 		t.Errorf("and another: %+v", second)
 	}
-	if third := n.meter.Private(tenantA, nodes, 500, 1.01*held/500, at(8)); third.Granted || third.Level != held {
+	if third := n.meter.DecidePrivately(tenantA, nodes, 500, 1.01*held/500, at(8)); third.Granted || third.Level != held {
 		t.Errorf("by a draw against it: %+v", third)
 	}
-	if fourth := n.meter.Private(tenantA, nodes, 10, 0, at(8)); fourth.Granted {
+	if fourth := n.meter.DecidePrivately(tenantA, nodes, 10, 0, at(8)); fourth.Granted {
 		t.Errorf("a draw doesn't take what is held: %+v", fourth)
 	}
-	if !n.meter.Heard(tenantA, 0.1, at(8)) || n.meter.Heard(tenantA, 0.1, at(8)) {
+	if !n.meter.SetShare(tenantA, 0.1, at(8)) || n.meter.SetShare(tenantA, 0.1, at(8)) {
 		t.Error("being back isn't told once")
 	}
 }
@@ -538,7 +538,7 @@
 	if decision := keeper.Decide(question, true, at(3)); decision.Reserved == 0 {
 		t.Fatalf("nothing is kept: %+v", decision)
 	}
-	keeper.Forget(at(3 + 2*IdleLife.Seconds()))
+	keeper.Forget(at(3 + 2*IdleTTL.Seconds()))
 	if len(keeper.accounts) != 0 {
 		t.Errorf("%d accounts are left", len(keeper.accounts))
 	}
@@ -578,9 +578,9 @@
 				decision := keepers[first].Decide(n.question(thousand, cost, now), true, now)
 				switch {
 				case draw.Float64() < loss/3: // the answer is lost
-					n.meter.Void(tenantA, cost, now)
+					n.meter.TakeAndRefund(tenantA, cost, now)
 				case decision.Granted && draw.Float64() < 0.05: // it didn't run
-					n.meter.Void(tenantA, cost, now)
+					n.meter.TakeAndRefund(tenantA, cost, now)
 				case decision.Granted:
 					n.meter.Take(tenantA, cost, now)
 					uses = append(uses, use{now, cost})
@@ -594,7 +594,7 @@
 				}
 			}
 		}
-		checkWindows(t, uses, 8*1000+1000+plenty.Over(thousand))
+		checkWindows(t, uses, 8*1000+1000+plenty.MaxExcess(thousand))
 	})
 }
 
@@ -652,8 +652,8 @@
 	if changed, again := n.meter.Changed(), n.meter.Changed(); len(changed) != 1 || len(again) != 0 {
 		t.Errorf("changed: %v, then %v", changed, again)
 	}
-	if len(n.meter.Repeated(at(1))) != 1 || len(n.meter.Repeated(at(3))) != 0 {
-		t.Errorf("repeated: %v, then %v", n.meter.Repeated(at(1)), n.meter.Repeated(at(3)))
+	if len(n.meter.RecentlyUsed(at(1))) != 1 || len(n.meter.RecentlyUsed(at(3))) != 0 {
+		t.Errorf("repeated: %v, then %v", n.meter.RecentlyUsed(at(1)), n.meter.RecentlyUsed(at(3)))
 	}
 }
 
@@ -696,7 +696,7 @@
 			}
 		}
 	}
-	if most := limit.Rate*tolerance.Window.Seconds() + limit.Burst + tolerance.Over(limit); spent > most {
+	if most := limit.Rate*tolerance.Window.Seconds() + limit.Burst + tolerance.MaxExcess(limit); spent > most {
 		t.Errorf("%v were granted in a window, and %v may be", spent, most)
 	}
 }
--- a/internal/quota/meter.go
+++ b/internal/quota/meter.go
@@ -15,7 +15,7 @@
 
 // pauseAfter is from when on a use counts as one after a pause. It is less than IdleLife, so
 // that keepers which have forgotten this node hear when it began again.
-const pauseAfter = IdleLife / 2
+const pauseAfter = IdleTTL / 2
 
 // Meter counts what this node has used of accounts, for its life. It is pure, and not safe
 // for concurrent use.
@@ -28,7 +28,7 @@
 
 // meterLife is how long an account is kept without use: until all keepers have forgotten this
 // node's counters of it, which begin at zero then.
-const meterLife = 3 * IdleLife
+const meterLife = 3 * IdleTTL
 
 // metered is this node's use of one account.
 type metered struct {
@@ -99,24 +99,24 @@
 	}
 }
 
-// Return counts a cost that was taken as not used.
-func (m *Meter) Return(name string, cost float64) {
+// Refund counts a cost that was taken as not used.
+func (m *Meter) Refund(name string, cost float64) {
 	if a, known := m.accounts[name]; known {
 		a.counters.Returned += cost
 		m.changed[name] = true
 	}
 }
 
-// Void counts a cost as taken and returned, since a keeper that didn't answer may have
+// TakeAndRefund counts a cost as taken and returned, since a keeper that didn't answer may have
 // granted it.
-func (m *Meter) Void(name string, cost float64, now time.Time) {
+func (m *Meter) TakeAndRefund(name string, cost float64, now time.Time) {
 	m.Take(name, cost, now)
-	m.Return(name, cost)
+	m.Refund(name, cost)
 }
 
-// Heard takes in this node's share, as a keeper tells it. It reports whether the node got
+// SetShare takes in this node's share, as a keeper tells it. It reports whether the node got
 // along without a keeper before.
-func (m *Meter) Heard(name string, share float64, now time.Time) (back bool) {
+func (m *Meter) SetShare(name string, share float64, now time.Time) (back bool) {
 	a, known := m.accounts[name]
 	if !known {
 		return false
@@ -126,8 +126,8 @@
 	return back
 }
 
-// Private is a decision without a keeper.
-type Private struct {
+// PrivateDecision is a decision without a keeper.
+type PrivateDecision struct {
 	Granted bool
 	// First tells that keepers answered before.
 	First bool
@@ -136,24 +136,24 @@
 	Wait  time.Duration
 }
 
-// Private decides on a cost that no keeper has answered for. The allowance is this node's
+// DecidePrivately decides on a cost that no keeper has answered for. The allowance is this node's
 // share of half of what may be used past the limit in a window. A request that costs more
 // than the allowance ever holds passes by a draw from 0 to 1, as probably as it is held, and
 // takes what is held either way: a debt at each of many nodes would be more than all of them
 // may use.
-func (m *Meter) Private(name string, nodes int, cost, draw float64, now time.Time) Private {
+func (m *Meter) DecidePrivately(name string, nodes int, cost, draw float64, now time.Time) PrivateDecision {
 	a, known := m.accounts[name]
 	if !known {
-		return Private{Wait: maxWait}
+		return PrivateDecision{Wait: maxWait}
 	}
-	size := m.shareOf(a, nodes, now) * m.tolerance.Over(a.limit) / privatePart
+	size := m.shareOf(a, nodes, now) * m.tolerance.MaxExcess(a.limit) / privatePart
 	rate := size / m.tolerance.Window.Seconds()
 	if a.allowance.at.IsZero() {
 		a.allowance = NewBucket(size, now)
 	}
 	a.allowance.Fill(rate, size, now)
 	held := a.allowance.Level()
-	decision := Private{First: !a.private, Level: held, Wait: maxWait}
+	decision := PrivateDecision{First: !a.private, Level: held, Wait: maxWait}
 	a.private = true
 	switch {
 	case size <= 0:
@@ -199,8 +199,8 @@
 	}
 }
 
-// Repeated returns the accounts that are to be reported at rest.
-func (m *Meter) Repeated(now time.Time) []string {
+// RecentlyUsed returns the accounts that are to be reported at rest.
+func (m *Meter) RecentlyUsed(now time.Time) []string {
 	var names []string
 	for name, a := range m.accounts {
 		if now.Sub(a.used) <= repeatFor {
--- a/internal/quota/meter_test.go
+++ b/internal/quota/meter_test.go
@@ -14,7 +14,7 @@
 	meter, keeper := NewMeter(tolerance), NewKeeper(tolerance, begin)
 	grant := func(now time.Time) bool {
 		report := meter.Begin("a", limit, 1, now)
-		granted := keeper.Decide(Ask{Account: "a", From: from, Report: report, Cost: 1}, true, now).Granted
+		granted := keeper.Decide(DecisionRequest{Account: "a", From: from, Report: report, Cost: 1}, true, now).Granted
 		if granted {
 			meter.Take("a", 1, now)
 		}
--- a/internal/quota/patience_test.go
+++ b/internal/quota/patience_test.go
@@ -14,7 +14,7 @@
 // turn asks for one request that may wait.
 func turn(k *Keeper, from *node, patience, now time.Time) Decision {
 	report := from.meter.Begin(tenantA, ofWorker, 1, now)
-	decision := k.Decide(Ask{
+	decision := k.Decide(DecisionRequest{
 		Account: tenantA, From: from.Spender, Report: report, Cost: 1, Patience: patience.Sub(now),
 	}, true, now)
 	if decision.Granted {
@@ -48,7 +48,7 @@
 		for now.Sub(turns[first]) >= tolerated.Window {
 			first++
 		}
-		if count := last - first + 1; float64(count) > ofWorker.Rate*4+ofWorker.Burst+tolerated.Over(ofWorker)/creditPart+1 {
+		if count := last - first + 1; float64(count) > ofWorker.Rate*4+ofWorker.Burst+tolerated.MaxExcess(ofWorker)/creditPart+1 {
 			t.Fatalf("%d turns in 4 s, %v a second are taken", count, ofWorker.Rate)
 		}
 	}
@@ -86,7 +86,7 @@
 		t.Fatal("no turn within two seconds")
 	}
 	before := turn(keeper, second, at(0), at(0)).Level
-	first.meter.Return(tenantA, 1)
+	first.meter.Refund(tenantA, 1)
 	first.tell(keeper, at(0))
 	if after := turn(keeper, second, at(0), at(0)).Level; after <= before {
 		t.Errorf("the level is %v, was %v", after, before)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -51,7 +51,7 @@
 	Ahead time.Duration
 }
 
-// Over is what may be used past a limit in a window.
-func (t Tolerance) Over(limit Limit) float64 {
+// MaxExcess is what may be used past a limit in a window.
+func (t Tolerance) MaxExcess(limit Limit) float64 {
 	return t.Overshoot*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -21,7 +21,7 @@
 
 func TestToleranceGrowsWithTheLimit(t *testing.T) {
 	tolerance := Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 50}
-	if got := tolerance.Over(Limit{Rate: 100, Burst: 200}); got != 150 {
+	if got := tolerance.MaxExcess(Limit{Rate: 100, Burst: 200}); got != 150 {
 		t.Errorf("%v may be used past the limit, want 150", got)
 	}
 }
--- a/internal/quota/silence.go
+++ b/internal/quota/silence.go
@@ -47,9 +47,9 @@
 	return min(s.recent.decay(k.tolerance.Window, now)/total, 1)
 }
 
-// Quiet returns the nodes with recent use of an account that weren't heard for a time, as
+// SilentNodes returns the nodes with recent use of an account that weren't heard for a time, as
 // those that may have to be probed.
-func (k *Keeper) Quiet(name string, quiet time.Duration, now time.Time) []netip.AddrPort {
+func (k *Keeper) SilentNodes(name string, quiet time.Duration, now time.Time) []netip.AddrPort {
 	a, known := k.accounts[name]
 	if !known {
 		return nil
--- a/internal/quota/stall_test.go
+++ b/internal/quota/stall_test.go
@@ -54,7 +54,7 @@
 // ask has a node ask for a turn, and notes when its request is sent.
 func (f *fleet) ask(number int, now time.Time) {
 	n := f.nodes[number]
-	asked := Ask{
+	asked := DecisionRequest{
 		Account: tenantA, From: n.Spender, Report: n.meter.Begin(tenantA, ofWorker, 1, now), Cost: 1, Patience: time.Second,
 	}
 	silent := false
@@ -67,11 +67,11 @@
 		if !decision.Granted && decision.Cold {
 			continue
 		}
-		n.meter.Heard(tenantA, decision.Share, now)
+		n.meter.SetShare(tenantA, decision.Share, now)
 		f.settle(n, decision.Granted, silent, now.Add(decision.Delay), now)
 		return
 	}
-	private := n.meter.Private(tenantA, fleetNodes, 1, f.random.Float64(), now)
+	private := n.meter.DecidePrivately(tenantA, fleetNodes, 1, f.random.Float64(), now)
 	f.settle(n, private.Granted, silent, now, now)
 }
 
@@ -81,7 +81,7 @@
 		n.meter.Take(tenantA, 1, now)
 		f.sent = append(f.sent, turn)
 	case silent:
-		n.meter.Void(tenantA, 1, now)
+		n.meter.TakeAndRefund(tenantA, 1, now)
 	}
 }
 
--- a/internal/quota/weigh.go
+++ b/internal/quota/weigh.go
@@ -25,7 +25,7 @@
 	// coldFor is how long a keeper says at most that it doesn't know what was used before.
 	// As a rule it is until the burst has come back, a second or two; limits with a burst of
 	// hours would else have each refusal asked of all keepers.
-	coldFor = IdleLife
+	coldFor = IdleTTL
 	// maxWait bounds what a refused request is told to wait; who asks many times the
 	// limit isn't better served by more.
 	maxWait = 8 * time.Second
@@ -102,7 +102,7 @@
 // leaves is borne: one larger than a burst may leave one in the first bucket. Of what the
 // tolerance bears, a part is kept for nodes out of hearing as of the limit.
 func (k *Keeper) lacks(a *account, bucket int, cost float64) (short float64, fits bool) {
-	over := k.tolerance.Over(a.limit) * (1 - a.reserved)
+	over := k.tolerance.MaxExcess(a.limit) * (1 - a.reserved)
 	_, size := k.shape(a, bucket)
 	short = min(cost, size) - over/creditPart - a.buckets[bucket].Level()
 	if a.alone {
@@ -131,9 +131,9 @@
 	return max(time.Duration(seconds*float64(time.Second)), minWait)
 }
 
-// Spread lengthens a wait by up to an eighth, so that callers who were refused together
+// AddJitter lengthens a wait by up to an eighth, so that callers who were refused together
 // don't come back together. Draw is from 0 to 1.
-func Spread(wait time.Duration, draw float64) time.Duration {
+func AddJitter(wait time.Duration, draw float64) time.Duration {
 	const spreadPart = 8
 	return wait + time.Duration(draw*float64(wait)/spreadPart)
 }
--- a/internal/serving/quota.go
+++ b/internal/serving/quota.go
@@ -54,7 +54,7 @@
 }
 
 // Charge implements front.Quotas.
-func (q *quotas) Charge(ctx context.Context, claim quota.Claim) quota.Verdict {
+func (q *quotas) Charge(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
 	verdict := q.exchange.ChargeQuota(ctx, claim)
 	q.verdicts.WithLabelValues(verdictLabel(verdict)).Inc()
 	q.silent.Add(float64(verdict.Unanswered))
@@ -62,7 +62,7 @@
 	return verdict
 }
 
-func verdictLabel(verdict quota.Verdict) string {
+func verdictLabel(verdict quota.Outcome) string {
 	switch {
 	case verdict.Private && verdict.Granted:
 		return verdictPrivateGranted
