--- a/internal/httphead/httphead.go
+++ b/internal/httpheader/httphead.go
@@ -1,5 +1,5 @@
 // Package httphead handles the headers of requests and answers that are passed on.
-package httphead
+package httpheader
 
 import (
 	"net/http"
@@ -13,9 +13,9 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// WithoutConnection returns a copy without the headers of one connection, those
+// WithoutHopByHop returns a copy without the headers of one connection, those
 // that Connection names included.
-func WithoutConnection(header http.Header) http.Header {
+func WithoutHopByHop(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, listed := range header.Values("Connection") {
 		for name := range strings.SplitSeq(listed, ",") {
--- a/internal/httphead/httphead_test.go
+++ b/internal/httpheader/httphead_test.go
@@ -1,4 +1,4 @@
-package httphead
+package httpheader
 
 import (
 	"net/http"
@@ -13,7 +13,7 @@
 		"Keep-Alive": {"timeout=1"}, "Transfer-Encoding": {"chunked"}, "Te": {"trailers"}, "Upgrade": {"h2c"}, "Content-Length": {"7"},
 	}
 	before := header.Clone()
-	if diff := cmp.Diff(http.Header{"X-Three": {"3", "4"}}, WithoutConnection(header)); diff != "" {
+	if diff := cmp.Diff(http.Header{"X-Three": {"3", "4"}}, WithoutHopByHop(header)); diff != "" {
 		t.Error(diff)
 	}
 	if diff := cmp.Diff(before, header); diff != "" {
--- a/internal/httphead/retryafter.go
+++ b/internal/httpheader/retryafter.go
@@ -1,4 +1,4 @@
-package httphead
+package httpheader
 
 import (
 	"math"
@@ -17,9 +17,9 @@
 	maxPause = time.Hour
 )
 
-// AsksForPause reports whether Retry-After in an answer of a status asks the one that was
+// RetryAfterApplies reports whether Retry-After in an answer of a status asks the one that was
 // answered to send nothing for a time (RFC 9110, section 15.6.4, and RFC 6585, section 4).
-func AsksForPause(status int) bool {
+func RetryAfterApplies(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
--- a/internal/plainwire/plainwire.go
+++ b/internal/plainwire/plainwire.go
@@ -12,7 +12,7 @@
 
 	"github.com/tinarch/tinarch/internal/dispatch"
 	"github.com/tinarch/tinarch/internal/engine"
-	"github.com/tinarch/tinarch/internal/httphead"
+	"github.com/tinarch/tinarch/internal/httpheader"
 	"github.com/tinarch/tinarch/internal/worker"
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
@@ -62,7 +62,7 @@
 
 // ForwardHeader implements dispatch.Wire.
 func (Wire) ForwardHeader(call *dispatch.Call, forward dispatch.Forward) http.Header {
-	header := httphead.WithoutConnection(call.Header)
+	header := httpheader.WithoutHopByHop(call.Header)
 	header.Del(HeaderNotRun)
 	header.Del(HeaderLastEvent)
 	header.Set(HeaderAttempt, call.ID)
@@ -75,7 +75,7 @@
 }
 
 // AnswerHeader implements dispatch.Wire.
-func (Wire) AnswerHeader(header http.Header) http.Header { return httphead.WithoutConnection(header) }
+func (Wire) AnswerHeader(header http.Header) http.Header { return httpheader.WithoutHopByHop(header) }
 
 // Reply implements dispatch.Wire.
 func (Wire) Reply(status int, header http.Header) dispatch.Reply {
@@ -88,10 +88,10 @@
 // Notice reads what the head of an answer says of whether its worker takes further requests: the
 // pause that it asks for.
 func (Wire) Notice(status int, header http.Header) worker.Notice {
-	if !httphead.AsksForPause(status) {
+	if !httpheader.RetryAfterApplies(status) {
 		return worker.Notice{}
 	}
-	pause, malformed := httphead.RetryAfter(header)
+	pause, malformed := httpheader.RetryAfter(header)
 	return worker.Notice{Backoff: pause, Malformed: malformed}
 }
 
