--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -96,7 +96,7 @@
 	terms := lease.DefaultSettings(options.Life)
 	terms.KeepFence = options.Unfenced
 	if options.Clock == nil {
-		options.Clock = clock.Boot
+		options.Clock = clock.Boottime
 	}
 	return &Authority{options: options, machine: lease.New(options.Self, terms), created: options.Clock()}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -38,9 +38,9 @@
 	return time.Duration(read.Nano()), nil
 }
 
-// Boot is the clock since the machine's boot, suspension included. Where it can't be read it
+// Boottime is the clock since the machine's boot, suspension included. Where it can't be read it
 // is the steady clock; Available tells why.
-func Boot() time.Time {
+func Boottime() time.Time {
 	since, err := boot()
 	if err != nil {
 		since = time.Since(started)
@@ -48,8 +48,8 @@
 	return epoch.Add(since)
 }
 
-// Available tells why Boot doesn't count suspension on this machine, nil where it does.
-func Available() error {
+// BoottimeError tells why Boot doesn't count suspension on this machine, nil where it does.
+func BoottimeError() error {
 	_, err := boot()
 	return err
 }
@@ -79,25 +79,25 @@
 	return bounded && !until.now().Before(until.end)
 }
 
-// Suspensions notices that the machine was suspended: the clock that counts that time and the
+// SuspensionDetector notices that the machine was suspended: the clock that counts that time and the
 // steady one drift apart. It is not safe for concurrent use.
-type Suspensions struct {
+type SuspensionDetector struct {
 	boot, steady         Clock
 	lastBoot, lastSteady time.Time
 }
 
-// NewSuspensions compares two clocks from now on.
-func NewSuspensions(boot, steady Clock) *Suspensions {
-	return &Suspensions{boot: boot, steady: steady, lastBoot: boot(), lastSteady: steady()}
+// NewSuspensionDetector compares two clocks from now on.
+func NewSuspensionDetector(boot, steady Clock) *SuspensionDetector {
+	return &SuspensionDetector{boot: boot, steady: steady, lastBoot: boot(), lastSteady: steady()}
 }
 
 // leastSuspension is the shortest difference that is taken for a suspension: clocks are read
 // one after the other, and a thread may wait in between.
 const leastSuspension = 100 * time.Millisecond
 
-// Since returns for how long the machine was suspended since the last call, zero where it
+// SinceLastCall returns for how long the machine was suspended since the last call, zero where it
 // wasn't.
-func (s *Suspensions) Since() time.Duration {
+func (s *SuspensionDetector) SinceLastCall() time.Duration {
 	steady, boot := s.steady(), s.boot()
 	slept := boot.Sub(s.lastBoot) - steady.Sub(s.lastSteady)
 	s.lastBoot, s.lastSteady = boot, steady
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,12 +12,12 @@
 func (f *fake) now() time.Time { return f.at }
 
 func TestBootGoesOn(t *testing.T) {
-	if err := Available(); err != nil {
+	if err := BoottimeError(); err != nil {
 		t.Fatalf("the clock since boot can't be read: %v", err)
 	}
-	before, steady := Boot(), time.Now()
+	before, steady := Boottime(), time.Now()
 	time.Sleep(20 * time.Millisecond)
-	span, steadySpan := Boot().Sub(before), time.Since(steady)
+	span, steadySpan := Boottime().Sub(before), time.Since(steady)
 	if span < 20*time.Millisecond || span > steadySpan {
 		t.Errorf("%v by the clock since boot, %v by the steady one around it", span, steadySpan)
 	}
@@ -46,7 +46,7 @@
 
 func TestSuspensionsAreNoticedOnce(t *testing.T) {
 	boot, steady := &fake{at: time.Unix(100, 0)}, &fake{at: time.Unix(7, 0)}
-	s := NewSuspensions(boot.now, steady.now)
+	s := NewSuspensionDetector(boot.now, steady.now)
 	pass := func(span, suspended time.Duration) {
 		steady.at = steady.at.Add(span)
 		boot.at = boot.at.Add(span + suspended)
@@ -58,7 +58,7 @@
 		{time.Minute, leastSuspension / 2, 0},
 	} {
 		pass(example.span, example.suspended)
-		if got := s.Since(); got != example.noticed {
+		if got := s.SinceLastCall(); got != example.noticed {
 			t.Errorf("%+v: noticed %v", example, got)
 		}
 	}
@@ -68,7 +68,7 @@
 func BenchmarkBoot(b *testing.B) {
 	b.Run("boot", func(b *testing.B) {
 		for b.Loop() {
-			_ = Boot()
+			_ = Boottime()
 		}
 	})
 	b.Run("steady", func(b *testing.B) {
--- a/internal/digest/quota_keep.go
+++ b/internal/digest/quota_keep.go
@@ -57,7 +57,7 @@
 // awaken notes that this process runs. A keeper that stood still has missed what others used
 // meanwhile, and must not decide by what it knew before it hears them.
 func (q *quotaExchange) awaken(now time.Time) {
-	running := clock.Boot()
+	running := clock.Boottime()
 	q.mu.Lock()
 	stood := running.Sub(q.ran)
 	missed := !q.ran.IsZero() && stood > quota.SilentAfter
--- a/internal/digest/quota_test.go
+++ b/internal/digest/quota_test.go
@@ -390,7 +390,7 @@
 		t.Error("a warm keeper refuses")
 	}
 	exchange.quota.mu.Lock()
-	exchange.quota.ran = clock.Boot().Add(-2 * quota.SilentAfter)
+	exchange.quota.ran = clock.Boottime().Add(-2 * quota.SilentAfter)
 	exchange.quota.mu.Unlock()
 	if decision := exchange.quota.decide(ask, now); decision.Granted || !decision.Cold {
 		t.Errorf("a keeper that stood still grants a burst: %+v", decision)
--- a/internal/digest/tables.go
+++ b/internal/digest/tables.go
@@ -30,7 +30,7 @@
 
 // SpreadWords tells the other nodes what the store has confirmed.
 func (e *Exchange) SpreadWords(words []tablerelay.Word) {
-	e.spread(Message{Node: e.node, Words: words, CreatedMillis: clock.Boot().UnixMilli()})
+	e.spread(Message{Node: e.node, Words: words, CreatedMillis: clock.Boottime().UnixMilli()})
 }
 
 // SpreadNews tells the other nodes of changes. Changes that are too large aren't told: the
@@ -186,12 +186,12 @@
 		return
 	}
 	if words := e.board.Known(time.Now()); len(words) > 0 {
-		e.sendTo(to, Message{Node: e.node, Words: words, CreatedMillis: clock.Boot().UnixMilli(), Relayed: true})
+		e.sendTo(to, Message{Node: e.node, Words: words, CreatedMillis: clock.Boottime().UnixMilli(), Relayed: true})
 	}
 }
 
 func (e *Exchange) takeWords(from netip.AddrPort, message Message) {
-	e.takeWordsAt(from, message, clock.Boot())
+	e.takeWordsAt(from, message, clock.Boottime())
 }
 
 // takeWordsAt takes words by a clock since boot. Their ages were true when the message was made.
--- a/internal/serving/suspension.go
+++ b/internal/serving/suspension.go
@@ -19,13 +19,13 @@
 		Name: "tinarch_suspended_seconds_total", Help: "Time for which the machine was suspended while this process ran.",
 	})
 	metrics.MustRegister(counted)
-	if err := clock.Available(); err != nil {
+	if err := clock.BoottimeError(); err != nil {
 		n.log.WithField("cause", err.Error()).Warn("the clock since boot can't be read: a lease may be taken for younger than it is after a suspension")
 	}
-	watched := clock.NewSuspensions(clock.Boot, time.Now)
+	watched := clock.NewSuspensionDetector(clock.Boottime, time.Now)
 	n.work.Go(func() {
 		for sleepFor(ctx, suspensionEvery) {
-			if slept := watched.Since(); slept > 0 {
+			if slept := watched.SinceLastCall(); slept > 0 {
 				counted.Add(slept.Seconds())
 				n.log.WithField("suspended_ms", slept.Milliseconds()).Warn("the machine was suspended")
 			}
