--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -90,6 +90,6 @@
 	}
 	_, gone := s.registry.Replace(workers)
 	for _, id := range gone {
-		s.pool.Drop(id)
+		s.pool.CloseIdle(id)
 	}
 }
--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -165,7 +165,7 @@
 			continue
 		}
 		if row.Gone {
-			w.node.pool.Drop(row.Key)
+			w.node.pool.CloseIdle(row.Key)
 		}
 		if logged++; logged <= maxLoggedChanges {
 			w.log(change, ended, version)
@@ -185,7 +185,7 @@
 // drop closes the connections to workers that have ended.
 func (w *workers) drop(ended []string) {
 	for _, id := range ended {
-		w.node.pool.Drop(id)
+		w.node.pool.CloseIdle(id)
 	}
 }
 
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -231,8 +231,8 @@
 	p.idle[key] = append(p.idle[key], c)
 }
 
-// Drop closes the idle connections to a worker that is gone.
-func (p *Pool) Drop(key string) {
+// CloseIdle closes the idle connections to a worker that is gone.
+func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
 	kept := p.idle[key]
 	delete(p.idle, key)
@@ -251,7 +251,7 @@
 	}
 	p.mu.Unlock()
 	for _, key := range keys {
-		p.Drop(key)
+		p.CloseIdle(key)
 	}
 }
 
--- a/internal/workerconn/pool_test.go
+++ b/internal/workerconn/pool_test.go
@@ -362,7 +362,7 @@
 	s := serve(t, echo)
 	pool := NewPool()
 	wantAnswer(t, ask(t, pool, s, "1", ""), "ok")
-	pool.Drop("worker")
+	pool.CloseIdle("worker")
 	if len(pool.open) != 0 || len(pool.idle) != 0 {
 		t.Errorf("open %v, idle %v", pool.open, pool.idle)
 	}
