--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -230,8 +230,8 @@
 	return found
 }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int {
+// RouteCount returns the number of routes.
+func (t *Table) RouteCount() int {
 	count := 0
 	for _, routes := range t.byHost {
 		count += len(routes)
--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -75,7 +75,7 @@
 		keys = table.Tenants.Len()
 	}
 	n.log.WithFields(logrus.Fields{
-		"version": table.Version, "row_version": rowVersion, "routes": table.Routes(), "keys": keys,
+		"version": table.Version, "row_version": rowVersion, "routes": table.RouteCount(), "keys": keys,
 		"source": n.configurationFeed.Source(), "age_ms": n.configurationAge().Milliseconds(),
 	}).Info("configuration in force")
 }
