--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -357,19 +357,19 @@
 func (a *Authority) take(ctx context.Context, proposal lease.Proposal) Hold {
 	content, err := json.Marshal(rowValue{Holder: a.options.Self, Fence: proposal.Fence})
 	if err != nil {
-		a.machine.Lost()
+		a.machine.WriteFailed()
 		return HeldOther
 	}
 	version, done, err := a.write(ctx, proposal, content)
 	if err != nil || !done {
-		a.machine.Lost()
+		a.machine.WriteFailed()
 		a.options.Log.WithFields(logrus.Fields{"if_version": proposal.IfVersion, "written": done, "cause": causeOf(err)}).Warn("the authority was not taken")
 		if err != nil && !errors.Is(err, rowstore.ErrRestored) {
 			return StoreAway
 		}
 		return HeldOther
 	}
-	a.machine.Done(version, a.options.Clock())
+	a.machine.WriteSucceeded(version, a.options.Clock())
 	a.version = version
 	now := a.options.Clock()
 	a.options.Log.WithFields(logrus.Fields{
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -154,9 +154,9 @@
 	return now.Sub(m.seen) >= m.settings.Life+m.settings.Margin
 }
 
-// Done takes in that the pending write was carried out at a version. It holds from
+// WriteSucceeded takes in that the pending write was carried out at a version. It holds from
 // when the write was sent.
-func (m *StateMachine) Done(version uint64, now time.Time) {
+func (m *StateMachine) WriteSucceeded(version uint64, now time.Time) {
 	if m.pending == nil {
 		return
 	}
@@ -175,9 +175,9 @@
 	m.until = proposal.sent.Add(m.settings.Life - m.settings.Margin)
 }
 
-// Lost takes in that the pending write was refused or not answered. It may still be
+// WriteFailed takes in that the pending write was refused or not answered. It may still be
 // carried out: then the row shows it, and does not lengthen the lease.
-func (m *StateMachine) Lost() { m.pending = nil }
+func (m *StateMachine) WriteFailed() { m.pending = nil }
 
 // Holds reports whether this node may act now. Ask it just before each order.
 func (m *StateMachine) Holds(now time.Time) bool { return m.fence != 0 && now.Before(m.until) }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -22,7 +22,7 @@
 	if take.Action != Take || take.IfVersion != 0 {
 		t.Fatalf("%+v", take)
 	}
-	m.Done(7, origin.Add(time.Second))
+	m.WriteSucceeded(7, origin.Add(time.Second))
 	if m.Fence(origin.Add(time.Second)) != 7 {
 		t.Errorf("fence %d", m.Fence(origin))
 	}
@@ -59,7 +59,7 @@
 	a := New("a", DefaultSettings(life))
 	a.Observe(Row{}, origin)
 	a.Next(origin)
-	a.Done(1, origin)
+	a.WriteSucceeded(1, origin)
 	if release, held := a.Release(); !held || release.IfVersion != 1 || a.Holds(origin) {
 		t.Error("a release is not the end of a lease")
 	}
@@ -73,7 +73,7 @@
 	}
 	a.Observe(Row{}, origin)
 	a.Next(origin)
-	a.Done(1, origin)
+	a.WriteSucceeded(1, origin)
 	if release, own := a.Release(); !own || release.IfVersion != 1 || a.Holds(origin) {
 		t.Errorf("%+v, %v", release, own)
 	}
@@ -89,9 +89,9 @@
 	m := New("a", DefaultSettings(life))
 	m.Observe(Row{}, origin)
 	m.Next(origin)
-	m.Done(1, origin)
+	m.WriteSucceeded(1, origin)
 	m.Next(origin.Add(life / 3))
-	m.Lost()
+	m.WriteFailed()
 	m.Observe(Row{Version: 2, Holder: "a", Fence: 1}, origin.Add(life/2))
 	if m.Holds(origin.Add(life)) {
 		t.Error("an unanswered renewal lengthened the lease")
@@ -120,7 +120,7 @@
 		m := New("a", settings)
 		m.Observe(Row{}, origin)
 		m.Next(origin)
-		m.Done(1, origin)
+		m.WriteSucceeded(1, origin)
 		example.before(m)
 		if m.Holds(lapsed) {
 			t.Errorf("%s: a lease that ran out is held", example.name)
@@ -226,7 +226,7 @@
 	case "answer":
 		w.answer(t)
 	case "lose":
-		n.machine.Lost()
+		n.machine.WriteFailed()
 	case "restart":
 		n.machine = New(n.name+"-"+time.Duration(step).String(), w.settings)
 	}
@@ -262,8 +262,8 @@
 		return
 	}
 	if got.version == 0 {
-		machine.Lost()
+		machine.WriteFailed()
 		return
 	}
-	machine.Done(got.version, w.clock(got.write.from))
+	machine.WriteSucceeded(got.version, w.clock(got.write.from))
 }
