--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -17,12 +17,12 @@
 // configuration puts the routes in force that the store holds.
 type configuration struct {
 	node *Node
-	era  tablefeed.EraWatch
+	era  tablefeed.EraTracker
 }
 
 // Reset implements tablefeed.Consumer.
 func (c *configuration) Reset(rows []tablefeed.Row, version tablefeed.Version) {
-	if c.era.Rises(version) && !c.node.exchange.Large() { // in a large fleet the list that all follow shows it
+	if c.era.Advances(version) && !c.node.exchange.Large() { // in a large fleet the list that all follow shows it
 		c.node.storeRestored()
 	}
 	c.Apply(rows, version)
@@ -83,7 +83,7 @@
 // workers keeps the registry at what the store lists.
 type workers struct {
 	node *Node
-	era  tablefeed.EraWatch
+	era  tablefeed.EraTracker
 	// unreadable counts the entries that named no worker to use.
 	unreadable prometheus.Counter
 }
@@ -124,7 +124,7 @@
 
 // replace sets the whole list as of a version.
 func (w *workers) replace(listed []worker.Worker, version tablefeed.Version) (added, gone, doubted []string) {
-	if !w.era.Rises(version) || !w.node.workersKnown.Load() {
+	if !w.era.Advances(version) || !w.node.workersKnown.Load() {
 		added, gone = w.node.registry.Replace(listed)
 		return added, gone, nil
 	}
--- a/internal/serving/listing.go
+++ b/internal/serving/listing.go
@@ -192,7 +192,7 @@
 // members keeps the exchange's peers at what the store lists.
 type members struct {
 	node *Node
-	era  tablefeed.EraWatch
+	era  tablefeed.EraTracker
 	// addresses are those of the rows, by their keys.
 	addresses map[string]netip.AddrPort
 }
@@ -201,7 +201,7 @@
 func (m *members) Reset(rows []tablefeed.Row, version tablefeed.Version) {
 	m.addresses = make(map[string]netip.AddrPort, len(rows))
 	peers := m.read(rows)
-	if m.era.Rises(version) && !m.node.isAmong(peers) {
+	if m.era.Advances(version) && !m.node.isAmong(peers) {
 		m.node.storeRestored()
 	}
 	m.node.exchange.ReplacePeers(peers, time.Now())
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -44,7 +44,7 @@
 // quarantined has the keeper know what the store holds.
 type quarantined struct {
 	node *Node
-	era  tablefeed.EraWatch
+	era  tablefeed.EraTracker
 }
 
 // Reset implements tablefeed.Consumer.
@@ -56,7 +56,7 @@
 			held[request] = true
 		}
 	}
-	if q.era.Rises(version) {
+	if q.era.Advances(version) {
 		q.node.quarantine.StoreRestored(held)
 		return
 	}
@@ -103,7 +103,7 @@
 		for len(n.quarantine.Unsaved()) > 0 && sleepFor(ctx, wait) {
 			wait = savePause
 			if !n.saveSome(ctx) {
-				wait = n.board.CallPause(quarantineTable) // each call is paid for, also while the store is down
+				wait = n.board.MaxBackoff(quarantineTable) // each call is paid for, also while the store is down
 			}
 		}
 	}
--- a/internal/tablefeed/call.go
+++ b/internal/tablefeed/call.go
@@ -44,5 +44,5 @@
 		return false
 	}
 	f.collectNews()
-	return len(f.unapplied) > 0 || f.others.Tells(f.table, after, time.Now())
+	return len(f.unapplied) > 0 || f.others.HasChangeAfter(f.table, after, time.Now())
 }
--- a/internal/tablefeed/copy.go
+++ b/internal/tablefeed/copy.go
@@ -11,12 +11,12 @@
 // more gets the whole table.
 const maxRecent = 2000
 
-// Copied is what one node gives another of a table.
-type Copied struct {
+// Transfer is what one node gives another of a table.
+type Transfer struct {
 	// Whole tells that Rows are the whole table, else they are changes in order.
 	Whole bool
 	Rows  []Row
-	Word  Word
+	Word  Confirmation
 }
 
 // Copy holds the rows of a table as the store gave them, so that other nodes get them here.
--- a/internal/tablefeed/follow.go
+++ b/internal/tablefeed/follow.go
@@ -16,8 +16,8 @@
 	f.applyNews()
 	now := time.Now()
 	pauses := now.Before(f.callAfter)
-	word, found := f.others.Word(f.table, now, f.acting && !pauses)
-	patience := f.others.Patience(f.table)
+	word, found := f.others.LatestConfirmation(f.table, now, f.acting && !pauses)
+	patience := f.others.TakeoverDelay(f.table)
 	switch {
 	case !found || word.Confirmed < f.word.Confirmed:
 		return f.waits(ctx, now)
@@ -50,7 +50,7 @@
 	if f.pauses(ctx) {
 		return true
 	}
-	left := f.others.Patience(f.table) - now.Sub(f.word.At)
+	left := f.others.TakeoverDelay(f.table) - now.Sub(f.word.At)
 	if !f.acting && left > 0 {
 		f.await(ctx, min(left, firstPause))
 		return true
@@ -61,7 +61,7 @@
 
 // follow takes over another node's word of the same version or a newer one, unless it tells
 // of a change that this one doesn't know yet.
-func (f *Feed) follow(word Word) bool {
+func (f *Feed) follow(word Confirmation) bool {
 	if word.Changed > f.word.Confirmed {
 		return false
 	}
@@ -80,7 +80,7 @@
 	f.collectNews()
 	for _, news := range f.unapplied {
 		if news.After <= f.word.Confirmed && news.Version > f.word.Confirmed {
-			f.apply(news.Rows, Word{Changed: news.Version, Confirmed: news.Version, At: f.word.At}, false, FromNews)
+			f.apply(news.Rows, Confirmation{Changed: news.Version, Confirmed: news.Version, At: f.word.At}, false, FromNews)
 		}
 	}
 	f.unapplied = nil
--- a/internal/tablefeed/tablefeed.go
+++ b/internal/tablefeed/tablefeed.go
@@ -61,17 +61,17 @@
 	Apply(rows []Row, version Version)
 }
 
-// Reviewer is a Consumer that can tell which of two states of a row is the newer one by their
+// Reconciler is a Consumer that can tell which of two states of a row is the newer one by their
 // content. A store that has come back from a copy gives old rows until they are written again.
-type Reviewer interface {
+type Reconciler interface {
 	Consumer
-	// Outlives reports whether a row that was held before the store came back is newer than
+	// IsHeldNewer reports whether a row that was held before the store came back is newer than
 	// the one that it gives now, which is Gone where it gives none.
-	Outlives(held, given Row) bool
+	IsHeldNewer(held, given Row) bool
 }
 
-// Word is what is known of a table's version.
-type Word struct {
+// Confirmation is what is known of a table's version.
+type Confirmation struct {
 	// Changed is the version of the last change of the table, and Confirmed the
 	// newest one up to which there is no other.
 	Changed, Confirmed Version
@@ -96,28 +96,28 @@
 	Rows           []Row
 }
 
-// Others are the other nodes that follow the same tables.
-type Others interface {
-	// Word returns the newest fresh word of another node on a table, false where there is
+// Peers are the other nodes that follow the same tables.
+type Peers interface {
+	// LatestConfirmation returns the newest fresh word of another node on a table, false where there is
 	// none. For a node that reads at the store, it is one of a node that is to do so rather.
-	Word(table string, now time.Time, reads bool) (Word, bool)
-	// Tells reports whether another node has a change of a table after a version.
-	Tells(table string, after Version, now time.Time) bool
-	// Patience is how long after the last confirmation this node waits for another's
+	LatestConfirmation(table string, now time.Time, reads bool) (Confirmation, bool)
+	// HasChangeAfter reports whether another node has a change of a table after a version.
+	HasChangeAfter(table string, after Version, now time.Time) bool
+	// TakeoverDelay is how long after the last confirmation this node waits for another's
 	// word before it calls the store itself, zero where it is the one to do so.
-	Patience(table string) time.Duration
-	// CallPause is the longest pause between calls to a store that fails.
-	CallPause(table string) time.Duration
-	// Confirmed tells other nodes that the store has confirmed a word of this one.
-	Confirmed()
-	// Publish tells other nodes of changes that this one got from the store.
-	Publish(news News)
-	// Copy returns a whole table as another node holds it. It may wait for a node that is
+	TakeoverDelay(table string) time.Duration
+	// MaxBackoff is the longest pause between calls to a store that fails.
+	MaxBackoff(table string) time.Duration
+	// BroadcastConfirmations tells other nodes that the store has confirmed a word of this one.
+	BroadcastConfirmations()
+	// BroadcastNews tells other nodes of changes that this one got from the store.
+	BroadcastNews(news News)
+	// FetchTable returns a whole table as another node holds it. It may wait for a node that is
 	// itself about to get it. ErrNoCopy tells that this node is to read it at the store.
-	Copy(ctx context.Context, table string) (Copied, error)
-	// Missed returns the changes of a table after a version, or the whole table, as another
+	FetchTable(ctx context.Context, table string) (Transfer, error)
+	// FetchChanges returns the changes of a table after a version, or the whole table, as another
 	// node holds it.
-	Missed(ctx context.Context, table string, after Version) (Copied, error)
+	FetchChanges(ctx context.Context, table string, after Version) (Transfer, error)
 }
 
 // The figures of a feed.
@@ -162,7 +162,7 @@
 	store    Store
 	table    string
 	consumer Consumer
-	others   Others
+	others   Peers
 	// copied holds the table for other nodes.
 	copied Copy
 	log    *logrus.Logger
@@ -191,7 +191,7 @@
 	mu sync.Mutex
 	// changed is closed when the word changes, and replaced.
 	changed chan struct{}
-	word    Word
+	word    Confirmation
 	// own tells that the store itself gave the word to this node, which reads for others
 	// too.
 	own bool
@@ -200,7 +200,7 @@
 }
 
 // New returns a feed of a table. others may be nil.
-func New(store Store, table string, consumer Consumer, others Others, log *logrus.Logger) *Feed {
+func New(store Store, table string, consumer Consumer, others Peers, log *logrus.Logger) *Feed {
 	return &Feed{
 		store: store, table: table, consumer: consumer, others: others, log: log, lost: true,
 		news: make(chan News, maxNews), wake: make(chan struct{}, 1),
@@ -210,7 +210,7 @@
 
 // Word returns what is known of the table's version, and whether this node has it
 // from the store itself. It is safe for concurrent use with Run.
-func (f *Feed) Word() (word Word, own bool) {
+func (f *Feed) Word() (word Confirmation, own bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.word, f.own
@@ -283,7 +283,7 @@
 }
 
 // set records a word; only Run's goroutine does.
-func (f *Feed) set(word Word, own bool) {
+func (f *Feed) set(word Confirmation, own bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.word, f.own = word, own
@@ -310,7 +310,7 @@
 	if version < f.word.Confirmed {
 		return olderError{Table: f.table, Version: version, Held: f.word.Confirmed}
 	}
-	f.reset(rows, Word{Changed: version, Confirmed: version, At: begun}, f.acting, FromStore)
+	f.reset(rows, Confirmation{Changed: version, Confirmed: version, At: begun}, f.acting, FromStore)
 	f.forgotten = 0
 	f.regained()
 	return nil
@@ -330,7 +330,7 @@
 		return olderError{Table: f.table, Version: version, Held: after}
 	}
 	before := f.word.Changed
-	word := Word{Changed: before, Confirmed: version, At: earlier(time.Now(), begun.Add(patience+lateAnswer))}
+	word := Confirmation{Changed: before, Confirmed: version, At: earlier(time.Now(), begun.Add(patience+lateAnswer))}
 	if len(rows) > 0 {
 		word.Changed = version
 	}
@@ -345,9 +345,9 @@
 	}
 	if len(rows) > 0 {
 		// Nothing changed between before and after.
-		f.others.Publish(News{Table: f.table, After: before, Version: version, Rows: rows})
+		f.others.BroadcastNews(News{Table: f.table, After: before, Version: version, Rows: rows})
 	}
-	f.others.Confirmed()
+	f.others.BroadcastConfirmations()
 	if len(rows) > 0 {
 		f.rested = pauseAfter(len(rows))
 		f.rest(ctx, f.rested)
@@ -399,7 +399,7 @@
 	}
 	longest := maxPause
 	if f.others != nil {
-		longest = f.others.CallPause(f.table)
+		longest = f.others.MaxBackoff(f.table)
 	}
 	f.pause = min(max(2*f.pause, longest/firstShare), longest)
 	f.callAfter = time.Now().Add(f.pause/2 + rand.N(f.pause))
--- a/internal/tablefeed/tablefeed_test.go
+++ b/internal/tablefeed/tablefeed_test.go
@@ -153,15 +153,17 @@
 // acting is a fleet in which this node is the one that calls the store.
 type acting struct{}
 
-func (acting) Word(string, time.Time, bool) (Word, bool)    { return Word{}, false }
-func (acting) Tells(string, Version, time.Time) bool        { return false }
-func (acting) Patience(string) time.Duration                { return 0 }
-func (acting) CallPause(string) time.Duration               { return maxPause }
-func (acting) Confirmed()                                   {}
-func (acting) Publish(News)                                 {}
-func (acting) Copy(context.Context, string) (Copied, error) { return Copied{}, ErrNoCopy }
-func (acting) Missed(context.Context, string, Version) (Copied, error) {
-	return Copied{}, ErrNoCopy
+func (acting) LatestConfirmation(string, time.Time, bool) (Confirmation, bool) {
+	return Confirmation{}, false
+}
+func (acting) HasChangeAfter(string, Version, time.Time) bool       { return false }
+func (acting) TakeoverDelay(string) time.Duration                   { return 0 }
+func (acting) MaxBackoff(string) time.Duration                      { return maxPause }
+func (acting) BroadcastConfirmations()                              {}
+func (acting) BroadcastNews(News)                                   {}
+func (acting) FetchTable(context.Context, string) (Transfer, error) { return Transfer{}, ErrNoCopy }
+func (acting) FetchChanges(context.Context, string, Version) (Transfer, error) {
+	return Transfer{}, ErrNoCopy
 }
 
 // TestOthersHearAsOftenAfterALargeChange: they wait for the next confirmation, and would take
@@ -183,8 +185,8 @@
 	version Version
 }
 
-func (c copying) Copy(context.Context, string) (Copied, error) {
-	return Copied{Whole: true, Word: Word{Changed: c.version, Confirmed: c.version, At: time.Now()}}, nil
+func (c copying) FetchTable(context.Context, string) (Transfer, error) {
+	return Transfer{Whole: true, Word: Confirmation{Changed: c.version, Confirmed: c.version, At: time.Now()}}, nil
 }
 
 // TestForgottenHistoryIsNotMadeUpForByAnOldCopy: the store would have forgotten what comes
@@ -228,24 +230,24 @@
 	from chan struct{}
 }
 
-func (f *telling) CallPause(string) time.Duration { return time.Hour }
+func (f *telling) MaxBackoff(string) time.Duration { return time.Hour }
 
-func (f *telling) Word(_ string, now time.Time, _ bool) (Word, bool) {
+func (f *telling) LatestConfirmation(_ string, now time.Time, _ bool) (Confirmation, bool) {
 	select {
 	case <-f.from:
-		return Word{Changed: 7, Confirmed: 7, At: now}, true
+		return Confirmation{Changed: 7, Confirmed: 7, At: now}, true
 	default:
-		return Word{}, false
+		return Confirmation{}, false
 	}
 }
 
-func (f *telling) Tells(table string, after Version, now time.Time) bool {
-	word, found := f.Word(table, now, false)
+func (f *telling) HasChangeAfter(table string, after Version, now time.Time) bool {
+	word, found := f.LatestConfirmation(table, now, false)
 	return found && word.Changed > after
 }
 
-func (f *telling) Missed(context.Context, string, Version) (Copied, error) {
-	return Copied{Rows: []Row{{Key: "k"}}, Word: Word{Changed: 7, Confirmed: 7, At: time.Now()}}, nil
+func (f *telling) FetchChanges(context.Context, string, Version) (Transfer, error) {
+	return Transfer{Rows: []Row{{Key: "k"}}, Word: Confirmation{Changed: 7, Confirmed: 7, At: time.Now()}}, nil
 }
 
 // applied tells when changes are applied.
@@ -291,10 +293,10 @@
 	age time.Duration
 }
 
-func (speaking) Patience(string) time.Duration { return time.Second }
+func (speaking) TakeoverDelay(string) time.Duration { return time.Second }
 
-func (f speaking) Word(_ string, now time.Time, _ bool) (Word, bool) {
-	return Word{Changed: 1, Confirmed: 1, At: now.Add(-f.age)}, true
+func (f speaking) LatestConfirmation(_ string, now time.Time, _ bool) (Confirmation, bool) {
+	return Confirmation{Changed: 1, Confirmed: 1, At: now.Add(-f.age)}, true
 }
 
 // TestNodeReadsWhereWordsAreTooOldForIt, and not before.
@@ -379,13 +381,13 @@
 	begun bool
 }
 
-func (s *starting) Copy(ctx context.Context, _ string) (Copied, error) {
+func (s *starting) FetchTable(ctx context.Context, _ string) (Transfer, error) {
 	if s.begun {
 		<-ctx.Done()
-		return Copied{}, ErrNoCopy
+		return Transfer{}, ErrNoCopy
 	}
 	s.begun = true
-	return Copied{Whole: true, Word: Word{Changed: 5, Confirmed: 5, At: time.Now()}}, nil
+	return Transfer{Whole: true, Word: Confirmation{Changed: 5, Confirmed: 5, At: time.Now()}}, nil
 }
 
 func TestForgottenHistoryDoesNotMakeANodeWaitLikeOneThatStarts(t *testing.T) {
--- a/internal/tablefeed/version.go
+++ b/internal/tablefeed/version.go
@@ -18,11 +18,11 @@
 // Number is the store's own number of the transaction.
 func (v Version) Number() uint64 { return uint64(v) % versionsPerEra }
 
-// EraWatch notes the era of a table that is given as a whole again and again.
-type EraWatch struct{ era uint64 }
+// EraTracker notes the era of a table that is given as a whole again and again.
+type EraTracker struct{ era uint64 }
 
-// Rises reports whether a version is of a later era than all before, zero at first.
-func (w *EraWatch) Rises(version Version) bool {
+// Advances reports whether a version is of a later era than all before, zero at first.
+func (w *EraTracker) Advances(version Version) bool {
 	if version.Era() <= w.era {
 		return false
 	}
--- a/internal/tablerelay/board.go
+++ b/internal/tablerelay/board.go
@@ -86,9 +86,9 @@
 // Copies gets tables from other nodes.
 type Copies interface {
 	// Copy and Missed are as in tablefeed.Others.
-	Copy(ctx context.Context, table string) (tablefeed.Copied, error)
+	Copy(ctx context.Context, table string) (tablefeed.Transfer, error)
 	// holders are nodes that hold a change after that version.
-	Missed(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Copied, error)
+	Missed(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Transfer, error)
 }
 
 // Board holds the words of the nodes on all tables. It is safe for concurrent use.
@@ -100,7 +100,7 @@
 	mu    sync.Mutex
 	feeds map[string]*tablefeed.Feed
 	// words holds what other nodes say, by table and reader.
-	words map[string]map[string]tablefeed.Word
+	words map[string]map[string]tablefeed.Confirmation
 	// pulls are the questions for words, by table.
 	pulls map[string]pull
 	lags  lags
@@ -117,31 +117,31 @@
 func New(fleet Fleet) *Board {
 	return &Board{
 		fleet: fleet, feeds: make(map[string]*tablefeed.Feed),
-		words: make(map[string]map[string]tablefeed.Word), pulls: make(map[string]pull), lags: newLags(),
+		words: make(map[string]map[string]tablefeed.Confirmation), pulls: make(map[string]pull), lags: newLags(),
 	}
 }
 
 // SetCopies has the feeds get tables from other nodes. It is called before they run.
 func (b *Board) SetCopies(copies Copies) { b.copies = copies }
 
-// Copy implements tablefeed.Others.
-func (b *Board) Copy(ctx context.Context, table string) (tablefeed.Copied, error) {
+// FetchTable implements tablefeed.Others.
+func (b *Board) FetchTable(ctx context.Context, table string) (tablefeed.Transfer, error) {
 	if b.copies == nil {
-		return tablefeed.Copied{}, tablefeed.ErrNoCopy
+		return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 	}
 	return b.copies.Copy(ctx, table)
 }
 
-// Missed implements tablefeed.Others.
-func (b *Board) Missed(ctx context.Context, table string, after tablefeed.Version) (tablefeed.Copied, error) {
+// FetchChanges implements tablefeed.Others.
+func (b *Board) FetchChanges(ctx context.Context, table string, after tablefeed.Version) (tablefeed.Transfer, error) {
 	if b.copies == nil {
-		return tablefeed.Copied{}, tablefeed.ErrNoCopy
+		return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 	}
 	return b.copies.Missed(ctx, table, after, b.holders(table, after, time.Now()))
 }
 
-// Tells implements tablefeed.Others.
-func (b *Board) Tells(table string, after tablefeed.Version, now time.Time) bool {
+// HasChangeAfter implements tablefeed.Others.
+func (b *Board) HasChangeAfter(table string, after tablefeed.Version, now time.Time) bool {
 	return len(b.holders(table, after, now)) > 0
 }
 
@@ -204,7 +204,7 @@
 	return known
 }
 
-func render(table string, word tablefeed.Word, reader string, now time.Time) Word {
+func render(table string, word tablefeed.Confirmation, reader string, now time.Time) Word {
 	return Word{
 		Table: table, Changed: word.Changed, Confirmed: word.Confirmed,
 		AgeMillis: now.Sub(word.At).Milliseconds(), Reader: reader,
@@ -221,10 +221,10 @@
 			continue
 		}
 		if b.words[said.Table] == nil {
-			b.words[said.Table] = make(map[string]tablefeed.Word)
+			b.words[said.Table] = make(map[string]tablefeed.Confirmation)
 		}
 		before := b.words[said.Table][said.Reader]
-		word := tablefeed.Word{
+		word := tablefeed.Confirmation{
 			Changed: said.Changed, Confirmed: said.Confirmed,
 			At: now.Add(-time.Duration(said.AgeMillis) * time.Millisecond),
 		}
@@ -242,10 +242,10 @@
 
 // endsPause reports whether a word lets a feed follow another node again whose calls to the
 // store failed. One that can't rely on the word would only call again.
-func (b *Board) endsPause(feed *tablefeed.Feed, said Word, word tablefeed.Word, now time.Time) bool {
+func (b *Board) endsPause(feed *tablefeed.Feed, said Word, word tablefeed.Confirmation, now time.Time) bool {
 	held, _ := feed.Word()
 	follows := word.Changed <= held.Confirmed // else it would have to ask for the changes
-	return follows && now.Sub(held.At) >= Freshness && now.Sub(word.At) < b.Patience(said.Table)
+	return follows && now.Sub(held.At) >= Freshness && now.Sub(word.At) < b.TakeoverDelay(said.Table)
 }
 
 // TakeNews gives changes that another node got from the store to the feed.
@@ -258,8 +258,8 @@
 	}
 }
 
-// Patience implements tablefeed.Others.
-func (b *Board) Patience(table string) time.Duration { return patience(b.fleet.Place(table)) }
+// TakeoverDelay implements tablefeed.Others.
+func (b *Board) TakeoverDelay(table string) time.Duration { return patience(b.fleet.Place(table)) }
 
 func patience(place int) time.Duration {
 	if place == 0 {
@@ -268,18 +268,18 @@
 	return takeover + min(time.Duration(place-1)*step, Freshness-takeover)
 }
 
-// CallPause implements tablefeed.Others.
-func (b *Board) CallPause(table string) time.Duration {
-	if b.Patience(table) < Freshness {
+// MaxBackoff implements tablefeed.Others.
+func (b *Board) MaxBackoff(table string) time.Duration {
+	if b.TakeoverDelay(table) < Freshness {
 		return callPause
 	}
 	return laterPause * time.Duration(max(b.fleet.Nodes(), laterFleet)) / laterFleet
 }
 
-// Word implements tablefeed.Others.
-func (b *Board) Word(table string, now time.Time, reads bool) (tablefeed.Word, bool) {
+// LatestConfirmation implements tablefeed.Others.
+func (b *Board) LatestConfirmation(table string, now time.Time, reads bool) (tablefeed.Confirmation, bool) {
 	newest, found := b.newest(table, now, reads)
-	if now.Sub(newest.At) >= pullAfter && (!reads || b.Patience(table) > 0) && b.mayPull(table, now) {
+	if now.Sub(newest.At) >= pullAfter && (!reads || b.TakeoverDelay(table) > 0) && b.mayPull(table, now) {
 		b.fleet.AskWords(table)
 	}
 	return newest, found
@@ -287,7 +287,7 @@
 
 // newest returns the word of the newest version, where this node reads among those of nodes
 // that come before it.
-func (b *Board) newest(table string, now time.Time, reads bool) (newest tablefeed.Word, found bool) {
+func (b *Board) newest(table string, now time.Time, reads bool) (newest tablefeed.Confirmation, found bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for reader, word := range b.words[table] {
@@ -307,7 +307,7 @@
 
 // newer compares versions, and times where these are the same: an age may be wrong by the
 // time for which the word lay in a buffer.
-func newer(left, right tablefeed.Word) bool {
+func newer(left, right tablefeed.Confirmation) bool {
 	if left.Confirmed != right.Confirmed {
 		return left.Confirmed > right.Confirmed
 	}
@@ -334,16 +334,16 @@
 	return true
 }
 
-// Confirmed implements tablefeed.Others.
-func (b *Board) Confirmed() {
+// BroadcastConfirmations implements tablefeed.Others.
+func (b *Board) BroadcastConfirmations() {
 	words := slices.DeleteFunc(b.Words(time.Now()), func(w Word) bool { return !b.tells(w.Table) })
 	if len(words) > 0 {
 		b.fleet.SpreadWords(words)
 	}
 }
 
-// Publish implements tablefeed.Others.
-func (b *Board) Publish(news tablefeed.News) {
+// BroadcastNews implements tablefeed.Others.
+func (b *Board) BroadcastNews(news tablefeed.News) {
 	if b.tells(news.Table) {
 		b.fleet.SpreadNews(news)
 	}
--- a/internal/tablerelay/board_test.go
+++ b/internal/tablerelay/board_test.go
@@ -62,11 +62,11 @@
 	} {
 		board := boardOf(&fleet{self: "m", place: 9})
 		board.Take([]Word{{Table: "table", Changed: 3, Confirmed: 9, AgeMillis: 500, Reader: test.from}}, origin)
-		got, found := board.Word("table", origin.Add(test.after), test.reads)
+		got, found := board.LatestConfirmation("table", origin.Add(test.after), test.reads)
 		if found != test.want {
 			t.Errorf("%s: relies %v", name, found)
 		}
-		want := tablefeed.Word{Changed: 3, Confirmed: 9, At: origin.Add(-500 * time.Millisecond)}
+		want := tablefeed.Confirmation{Changed: 3, Confirmed: 9, At: origin.Add(-500 * time.Millisecond)}
 		if diff := cmp.Diff(want, got); found && diff != "" {
 			t.Error(name, diff)
 		}
@@ -78,7 +78,7 @@
 	board := boardOf(&fleet{self: "m", place: 9})
 	board.Take([]Word{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "a"}}, origin)
 	board.Take([]Word{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
-	if got, found := board.Word("table", origin, false); !found || got.Confirmed != 9 {
+	if got, found := board.LatestConfirmation("table", origin, false); !found || got.Confirmed != 9 {
 		t.Errorf("%+v, %v", got, found)
 	}
 }
@@ -88,7 +88,7 @@
 	board := boardOf(&fleet{self: "m", place: 9})
 	board.Take([]Word{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
 	board.Take([]Word{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "z"}}, origin)
-	if got, found := board.Word("table", origin, false); !found || got.Confirmed != 9 {
+	if got, found := board.LatestConfirmation("table", origin, false); !found || got.Confirmed != 9 {
 		t.Errorf("%+v, %v", got, found)
 	}
 }
@@ -96,7 +96,7 @@
 // TestFirstNodesWaitLeastForOthers: the first for nobody, no other as long as a word counts.
 func TestFirstNodesWaitLeastForOthers(t *testing.T) {
 	for place, want := range map[int]time.Duration{0: 0, 1: takeover, 2: takeover + step, 300: Freshness} {
-		if got := New(&fleet{place: place}).Patience("table"); got != want {
+		if got := New(&fleet{place: place}).TakeoverDelay("table"); got != want {
 			t.Errorf("place %d waits %v, want %v", place, got, want)
 		}
 	}
@@ -139,14 +139,14 @@
 	others := &fleet{self: "m", place: 5}
 	board := boardOf(others)
 	board.Take([]Word{{Table: "table", Reader: "a"}}, origin)
-	board.Word("table", origin.Add(pullAfter-1), false)
+	board.LatestConfirmation("table", origin.Add(pullAfter-1), false)
 	if others.pulled != 0 {
 		t.Error("a fresh word is asked for")
 	}
 	for range 3 {
-		board.Word("table", origin.Add(pullAfter), false)
+		board.LatestConfirmation("table", origin.Add(pullAfter), false)
 	}
-	board.Word("table", origin.Add(pullAfter+pullEvery), false)
+	board.LatestConfirmation("table", origin.Add(pullAfter+pullEvery), false)
 	if others.pulled != 2 {
 		t.Errorf("words were asked for %d times", others.pulled)
 	}
@@ -156,7 +156,7 @@
 	board := boardOf(&fleet{self: "m", place: 1})
 	board.Take([]Word{{Table: "other", Reader: "a"}}, origin)
 	board.TakeNews(tablefeed.News{Table: "other"})
-	if _, found := board.Word("other", origin, false); found {
+	if _, found := board.LatestConfirmation("other", origin, false); found {
 		t.Error("a table that isn't followed has a word")
 	}
 }
@@ -164,7 +164,7 @@
 // TestLaterNodesCallALostStoreLess: hundreds would call one that is down.
 func TestLaterNodesCallALostStoreLess(t *testing.T) {
 	for place, want := range map[int]time.Duration{0: callPause, 3: callPause, 200: laterPause} {
-		if got := New(&fleet{place: place}).CallPause("table"); got != want {
+		if got := New(&fleet{place: place}).MaxBackoff("table"); got != want {
 			t.Errorf("place %d: %v", place, got)
 		}
 	}
@@ -325,8 +325,8 @@
 	board.Add("another", tablefeed.New(nil, "another", nil, board, logrus.New()))
 	const away = 20 * time.Second
 	for elapsed := time.Duration(0); elapsed < away; elapsed += pullEvery / 2 {
-		board.Word("table", origin.Add(elapsed), false)
-		board.Word("another", origin.Add(elapsed), false)
+		board.LatestConfirmation("table", origin.Add(elapsed), false)
+		board.LatestConfirmation("another", origin.Add(elapsed), false)
 	}
 	if most := 2 * (int(away/longestPull) + 5); others.pulled > most {
 		t.Errorf("words on two tables were asked for %d times in %v, want %d at most", others.pulled, away, most)
@@ -336,7 +336,7 @@
 	}
 	others.pulled = 0
 	for elapsed := time.Duration(0); elapsed <= pullEvery; elapsed += pullEvery {
-		board.Word("table", origin.Add(away+3*longestPull+elapsed), false)
+		board.LatestConfirmation("table", origin.Add(away+3*longestPull+elapsed), false)
 	}
 	if others.pulled != 2 {
 		t.Errorf("after a while words were asked for %d times, want 2", others.pulled)
@@ -347,10 +347,10 @@
 func TestALargeFleetCallsAStoreThatFailsNoMoreOften(t *testing.T) {
 	for _, nodes := range []int{6, 60, 985, 2000} {
 		first, other := New(&fleet{place: 0, nodes: nodes}), New(&fleet{place: 200, nodes: nodes})
-		if got := first.CallPause("table"); got != callPause {
+		if got := first.MaxBackoff("table"); got != callPause {
 			t.Errorf("%d nodes: the first pauses %v", nodes, got)
 		}
-		pause := other.CallPause("table")
+		pause := other.MaxBackoff("table")
 		if a, b := float64(nodes)/pause.Seconds(), laterFleet/laterPause.Seconds(); a > b+0.01 || pause < laterPause {
 			t.Errorf("%d nodes that pause %v call %.1f times a second, want %.1f at most", nodes, pause, a, b)
 		}
--- a/internal/tableshare/ask.go
+++ b/internal/tableshare/ask.go
@@ -34,7 +34,7 @@
 // first asks nodes until one begins to give what is wanted, for as long as wait. Each nextAfter
 // one more is asked beside those that have nothing yet or don't answer; one that fails isn't
 // asked again.
-func (c *Client) first(ctx context.Context, nodes []netip.AddrPort, asked question, wait, nextAfter time.Duration) (tablefeed.Copied, error) {
+func (c *Client) first(ctx context.Context, nodes []netip.AddrPort, asked question, wait, nextAfter time.Duration) (tablefeed.Transfer, error) {
 	replies := make(chan reply)
 	calls := make(map[netip.AddrPort]context.CancelFunc)
 	ended := make(chan struct{})
@@ -57,11 +57,11 @@
 		}
 		select {
 		case <-ctx.Done():
-			return tablefeed.Copied{}, tablefeed.ErrNoCopy
+			return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 		case <-over.C:
 			c.log.WithFields(logrus.Fields{"table": asked.table, "after": asked.after, "nodes": nodes[:min(count, len(nodes))]}).
 				Info("no node gave a newer copy of a table in time")
-			return tablefeed.Copied{}, tablefeed.ErrNoCopy
+			return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 		case <-next.C:
 			count++
 		case got := <-replies:
@@ -76,7 +76,7 @@
 			}
 		}
 	}
-	return tablefeed.Copied{}, tablefeed.ErrNoCopy
+	return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 }
 
 // without takes a node off those to be asked, because of a failure.
@@ -87,9 +87,9 @@
 }
 
 // take reads what a node gives.
-func (c *Client) take(asked question, got reply) (tablefeed.Copied, error) {
+func (c *Client) take(asked question, got reply) (tablefeed.Transfer, error) {
 	if got.err != nil {
-		return tablefeed.Copied{}, got.err
+		return tablefeed.Transfer{}, got.err
 	}
 	defer func() { _ = got.response.Body.Close() }()
 	return c.read(asked, got.response)
--- a/internal/tableshare/client.go
+++ b/internal/tableshare/client.go
@@ -79,7 +79,7 @@
 }
 
 // Copy returns a whole table as another node holds it, or ErrNoCopy.
-func (c *Client) Copy(ctx context.Context, table string) (tablefeed.Copied, error) {
+func (c *Client) Copy(ctx context.Context, table string) (tablefeed.Transfer, error) {
 	begun := time.Now()
 	if nodes := c.fleet.Givers(ctx); len(nodes) > 0 {
 		return c.first(ctx, nodes, question{table: table}, startWait-time.Since(begun), nextAfter)
@@ -89,27 +89,27 @@
 
 // Missed returns the changes of a table after a version, or ErrNoCopy. holders are nodes that
 // have told of them.
-func (c *Client) Missed(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Copied, error) {
+func (c *Client) Missed(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Transfer, error) {
 	nodes := c.fleet.ChangeGivers(table, holders)
 	return c.first(ctx, nodes, question{table: table, after: after}, missedWait, nextAfterMissed)
 }
 
 // read reads an answer, and has it handed on as it is.
-func (c *Client) read(asked question, response *http.Response) (tablefeed.Copied, error) {
+func (c *Client) read(asked question, response *http.Response) (tablefeed.Transfer, error) {
 	word, err := wordOf(response.Header, time.Now())
 	if err != nil {
-		return tablefeed.Copied{}, err
+		return tablefeed.Transfer{}, err
 	}
 	if word.Confirmed <= asked.after {
-		return tablefeed.Copied{}, eris.Errorf("the node gave version %d, not newer than %d", word.Confirmed, asked.after)
+		return tablefeed.Transfer{}, eris.Errorf("the node gave version %d, not newer than %d", word.Confirmed, asked.after)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
 	if err != nil {
-		return tablefeed.Copied{}, err
+		return tablefeed.Transfer{}, err
 	}
 	rows, err := unpack(body)
 	if err != nil {
-		return tablefeed.Copied{}, err
+		return tablefeed.Transfer{}, err
 	}
 	whole := response.Header.Get(headerWhole) == "true"
 	if whole {
@@ -117,18 +117,18 @@
 	} else {
 		c.server.seedChanges(asked.table, asked.after, packedTable{body, word, len(rows)})
 	}
-	return tablefeed.Copied{Whole: whole, Rows: rows, Word: word}, nil
+	return tablefeed.Transfer{Whole: whole, Rows: rows, Word: word}, nil
 }
 
 // wordOf reads what the answering node knows of the table's version.
-func wordOf(header http.Header, now time.Time) (tablefeed.Word, error) {
+func wordOf(header http.Header, now time.Time) (tablefeed.Confirmation, error) {
 	changed, changedErr := strconv.ParseUint(header.Get(headerChanged), decimal, 64)
 	confirmed, confirmedErr := strconv.ParseUint(header.Get(headerWord), decimal, 64)
 	age, ageErr := strconv.ParseInt(header.Get(headerAge), decimal, 64)
 	if changedErr != nil || confirmedErr != nil || ageErr != nil || age < 0 || confirmed < changed {
-		return tablefeed.Word{}, eris.New("the node doesn't tell which version its copy has")
+		return tablefeed.Confirmation{}, eris.New("the node doesn't tell which version its copy has")
 	}
-	return tablefeed.Word{
+	return tablefeed.Confirmation{
 		Changed: tablefeed.Version(changed), Confirmed: tablefeed.Version(confirmed),
 		At: now.Add(-time.Duration(age) * time.Millisecond),
 	}, nil
--- a/internal/tableshare/server.go
+++ b/internal/tableshare/server.go
@@ -36,9 +36,9 @@
 // Source is a table that this node holds.
 type Source interface {
 	// Held returns the changes after a version, or the whole table.
-	Held(after tablefeed.Version) (copied tablefeed.Copied, known bool)
+	Held(after tablefeed.Version) (copied tablefeed.Transfer, known bool)
 	// Word is what is known of the table's version, and Changed is closed when that changes.
-	Word() (word tablefeed.Word, own bool)
+	Word() (word tablefeed.Confirmation, own bool)
 	Changed() <-chan struct{}
 }
 
@@ -65,7 +65,7 @@
 // packedTable is a whole table, or changes of it, as it goes over the wire.
 type packedTable struct {
 	body []byte
-	word tablefeed.Word
+	word tablefeed.Confirmation
 	rows int
 }
 
@@ -187,7 +187,7 @@
 }
 
 // changed renders changes, unless the last ones that were rendered or came are the same.
-func (s *Server) changed(table string, after tablefeed.Version, copied tablefeed.Copied) (answer, int) {
+func (s *Server) changed(table string, after tablefeed.Version, copied tablefeed.Transfer) (answer, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last := s.changes[table]
--- a/internal/tableshare/tableshare_test.go
+++ b/internal/tableshare/tableshare_test.go
@@ -25,7 +25,7 @@
 // held is a table that a node holds.
 type held struct {
 	copied  tablefeed.Copy
-	word    atomic.Pointer[tablefeed.Word]
+	word    atomic.Pointer[tablefeed.Confirmation]
 	changed atomic.Pointer[chan struct{}]
 }
 
@@ -48,31 +48,31 @@
 	}
 }
 
-func (h *held) Word() (tablefeed.Word, bool) {
+func (h *held) Word() (tablefeed.Confirmation, bool) {
 	if word := h.word.Load(); word != nil {
 		return *word, false
 	}
-	return tablefeed.Word{}, false
+	return tablefeed.Confirmation{}, false
 }
 
-func (h *held) Held(after tablefeed.Version) (tablefeed.Copied, bool) {
+func (h *held) Held(after tablefeed.Version) (tablefeed.Transfer, bool) {
 	word, _ := h.Word()
 	if rows, _, kept := h.copied.Since(after); kept && after > 0 {
-		return tablefeed.Copied{Rows: rows, Word: word}, true
+		return tablefeed.Transfer{Rows: rows, Word: word}, true
 	}
 	rows, _, known := h.copied.Whole()
-	return tablefeed.Copied{Whole: true, Rows: rows, Word: word}, known
+	return tablefeed.Transfer{Whole: true, Rows: rows, Word: word}, known
 }
 
 func (h *held) set(rows []tablefeed.Row, version tablefeed.Version, age time.Duration) {
 	h.copied.Reset(rows, version)
-	h.word.Store(&tablefeed.Word{Changed: version, Confirmed: version, At: time.Now().Add(-age)})
+	h.word.Store(&tablefeed.Confirmation{Changed: version, Confirmed: version, At: time.Now().Add(-age)})
 	h.wake()
 }
 
 func (h *held) change(rows []tablefeed.Row, version tablefeed.Version) {
 	h.copied.Apply(rows, version)
-	h.word.Store(&tablefeed.Word{Changed: version, Confirmed: version, At: time.Now()})
+	h.word.Store(&tablefeed.Confirmation{Changed: version, Confirmed: version, At: time.Now()})
 	h.wake()
 }
 
@@ -233,7 +233,7 @@
 func TestNoChangesUpToALaterVersion(t *testing.T) {
 	giving := startNode(t)
 	giving.table.set(someRows(3), 10, 0)
-	giving.table.word.Store(&tablefeed.Word{Changed: 10, Confirmed: 17, At: time.Now()})
+	giving.table.word.Store(&tablefeed.Confirmation{Changed: 10, Confirmed: 17, At: time.Now()})
 	copied, err := client(giving.server, giving.address).Missed(context.Background(), "workers", 12, nil)
 	if err != nil || copied.Whole || len(copied.Rows) != 0 || copied.Word.Confirmed != 17 {
 		t.Errorf("%+v, %v", copied, err)
