--- a/internal/digest/detour.go
+++ b/internal/digest/detour.go
@@ -31,7 +31,7 @@
 func (e *Exchange) StoreUnacknowledgedUsage(ctx context.Context, name string, store UsageStore) {
 	ticker := time.NewTicker(detourEvery)
 	defer ticker.Stop()
-	begun := e.usage.tally.Span().At(e.usage.tally.Now(time.Now())) - 1
+	begun := e.usage.tally.WindowLength().WindowAt(e.usage.tally.Now(time.Now())) - 1
 	written := begun
 	for {
 		select {
@@ -40,7 +40,7 @@
 		case <-ticker.C:
 		}
 		now := e.usage.tally.Now(time.Now())
-		closed := e.usage.tally.Span().At(now.Add(-detourAfter)) - 1
+		closed := e.usage.tally.WindowLength().WindowAt(now.Add(-detourAfter)) - 1
 		acknowledged := max(e.UsageAcknowledged(), begun)
 		switch {
 		case acknowledged < closed && written < closed:
@@ -59,7 +59,7 @@
 const keptDetour = 3
 
 func (e *Exchange) writeUsage(ctx context.Context, name string, store UsageStore, after, through usage.Window) bool {
-	entries := e.usage.tally.Of(after, through)
+	entries := e.usage.tally.Entries(after, through)
 	log := e.log.WithFields(logrus.Fields{"after": after, "through": through, "entries": len(entries)})
 	if len(entries) == 0 {
 		return true
--- a/internal/digest/usage.go
+++ b/internal/digest/usage.go
@@ -79,7 +79,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.peers.supervises() && (len(e.peers.peers) == 0 || e.present() > 0) {
-		return e.usage.tally.Span().At(e.usage.tally.Now(time.Now()))
+		return e.usage.tally.WindowLength().WindowAt(e.usage.tally.Now(time.Now()))
 	}
 	return e.usage.acknowledged
 }
@@ -125,7 +125,7 @@
 	}
 	form := message.Usage
 	delta := usage.Delta{After: form.After, Through: form.Through, Closed: form.Closed, Entries: parseCounts(form.Counts)}
-	reply, wanted := e.usage.collector.Take(message.Node, delta)
+	reply, wanted := e.usage.collector.MergeDelta(message.Node, delta)
 	if wanted {
 		e.sendTo(from, Message{Node: e.node, UsageReply: &usageReply{Through: reply.Through, Closed: reply.Closed}})
 	}
@@ -182,7 +182,7 @@
 		return
 	}
 	e.tellRecorded(to, e.usage.collector.Recorded(after))
-	for node, entries := range e.usage.collector.Gathered(after) {
+	for node, entries := range e.usage.collector.EntriesAfter(after) {
 		for len(entries) > 0 {
 			count := min(len(entries), maxGathered)
 			e.sendTo(to, Message{Node: e.node, Gathered: &gatheredForm{Node: node, Counts: renderCounts(entries[:count])}})
@@ -195,9 +195,9 @@
 	switch {
 	case e.usage == nil:
 	case gathered.Recorded != nil:
-		e.usage.collector.KeepRecorded(gathered.Recorded)
+		e.usage.collector.MergeRecorded(gathered.Recorded)
 	default:
-		e.usage.collector.Merge(gathered.Node, parseCounts(gathered.Counts))
+		e.usage.collector.MergeEntries(gathered.Node, parseCounts(gathered.Counts))
 	}
 }
 
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -200,7 +200,7 @@
 	bounds := n.settings.Bounds
 	var began func(tenant string, at time.Time)
 	if n.tally != nil {
-		began = n.tally.Began
+		began = n.tally.CountStarted
 	}
 	costs := scheduling.DefaultCosts()
 	costs.Hold = n.settings.Late.Hold
--- a/internal/usage/collector.go
+++ b/internal/usage/collector.go
@@ -38,9 +38,9 @@
 	return &Collector{senders: make(map[string]*sender), recorded: make(map[Window]Counts)}
 }
 
-// KeepRecorded takes in windows as they were recorded, and forgets those that the store doesn't
+// MergeRecorded takes in windows as they were recorded, and forgets those that the store doesn't
 // keep any more either.
-func (c *Collector) KeepRecorded(recorded map[Window]Counts) {
+func (c *Collector) MergeRecorded(recorded map[Window]Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for window, counts := range recorded {
@@ -73,9 +73,9 @@
 	return known
 }
 
-// Take takes in what a node tells of its tally. It reports whether the node is to get the
+// MergeDelta takes in what a node tells of its tally. It reports whether the node is to get the
 // reply: where something is missing, and once for each window.
-func (c *Collector) Take(node string, delta Delta) (reply Reply, wanted bool) {
+func (c *Collector) MergeDelta(node string, delta Delta) (reply Reply, wanted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.sender(node)
@@ -92,8 +92,8 @@
 	return Reply{Through: known.through, Closed: known.closed}, true
 }
 
-// Merge takes in counts of a node that another one has gathered.
-func (c *Collector) Merge(node string, entries []Entry) {
+// MergeEntries takes in counts of a node that another one has gathered.
+func (c *Collector) MergeEntries(node string, entries []Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sender(node).merge(entries)
@@ -135,8 +135,8 @@
 	return total
 }
 
-// Gathered returns the counts of the windows after one, by node.
-func (c *Collector) Gathered(after Window) map[string][]Entry {
+// EntriesAfter returns the counts of the windows after one, by node.
+func (c *Collector) EntriesAfter(after Window) map[string][]Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	gathered := make(map[string][]Entry)
--- a/internal/usage/records.go
+++ b/internal/usage/records.go
@@ -57,7 +57,7 @@
 		if err := json.Unmarshal(row.Value, &node); err != nil {
 			return err
 		}
-		r.options.Collector.Merge(node.Incarnation, node.Entries)
+		r.options.Collector.MergeEntries(node.Incarnation, node.Entries)
 		return nil
 	}
 	number, err := strconv.ParseInt(strings.TrimPrefix(row.Key, windowPrefix), 10, 64)
@@ -75,7 +75,7 @@
 // recordAgain writes down the windows that are known to have been recorded and that a restored
 // store lacks: they may have been reported with these counts.
 func (r *Reporter) recordAgain(ctx context.Context, recorded map[Window]Counts, due Window) error {
-	r.options.Collector.KeepRecorded(recorded)
+	r.options.Collector.MergeRecorded(recorded)
 	known := r.options.Collector.Recorded(due - keptRows)
 	for _, window := range slices.Sorted(maps.Keys(known)) {
 		if recorded[window] != nil {
@@ -118,7 +118,7 @@
 	}
 	_, again := r.options.Collector.Recorded(window - 1)[window]
 	written := map[Window]Counts{window: counts}
-	r.options.Collector.KeepRecorded(written)
+	r.options.Collector.MergeRecorded(written)
 	r.options.Fleet.TellRecorded(written)
 	r.options.Log.WithFields(logrus.Fields{"window": window, "requests": counts.sum(), "tenants": len(counts), "again": again}).Info("usage recorded")
 	return nil
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -94,7 +94,7 @@
 // whomever and however late, has the same counts.
 type Reporter struct {
 	options Options
-	span    Span
+	span    WindowLength
 	// first is the window in which this process started.
 	first Window
 	// done is the newest window up to which all are sent.
@@ -109,10 +109,10 @@
 
 // NewReporter returns a reporter.
 func NewReporter(options Options) *Reporter {
-	span := options.Tally.Span()
+	span := options.Tally.WindowLength()
 	return &Reporter{
 		options: options, span: span, sent: make(map[Window]bool),
-		first: span.At(options.Tally.Now(time.Now())),
+		first: span.WindowAt(options.Tally.Now(time.Now())),
 	}
 }
 
@@ -137,9 +137,9 @@
 // Step reports the windows that are due.
 func (r *Reporter) Step(ctx context.Context, moment time.Time) {
 	own := r.options.Tally.Since(0, moment)
-	r.options.Collector.Merge(r.options.Incarnation, own.Entries)
+	r.options.Collector.MergeEntries(r.options.Incarnation, own.Entries)
 	now := r.options.Tally.Now(moment)
-	due := r.span.At(now.Add(-settle)) - 1
+	due := r.span.WindowAt(now.Add(-settle)) - 1
 	if era := r.options.Store.Era(); era != r.era {
 		r.era, r.done = era, 0 // what is recorded may be lost
 	}
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -67,7 +67,7 @@
 
 func (a alone) TellRecorded(recorded map[Window]Counts) {
 	for _, told := range a.told {
-		told.KeepRecorded(recorded)
+		told.MergeRecorded(recorded)
 	}
 }
 
@@ -92,14 +92,14 @@
 func (s *site) reporter(node string, counted int, members ...Member) *Reporter {
 	tally := NewTally(span)
 	for range counted {
-		tally.Began("a", at(1))
+		tally.CountStarted("a", at(1))
 	}
 	r := NewReporter(Options{
 		Node: node, Incarnation: node, Late: 10 * time.Second, Tally: tally, Collector: NewCollector(),
 		Authority: authority.New(authority.Options{Self: node, Life: shortLife, Store: s.store, Log: s.log}),
 		Store:     s.store, API: s.api, Fleet: alone{members: members}, Designated: func() bool { return true }, Log: s.log,
 	})
-	r.first = Span(span).At(at(0))
+	r.first = WindowLength(span).WindowAt(at(0))
 	return r
 }
 
@@ -115,7 +115,7 @@
 	for _, second := range []float64{5.7, 6, 9} {
 		r.Step(context.Background(), at(second))
 	}
-	want := map[Window][]Counts{Span(span).At(at(0)): {{"a": 3}}}
+	want := map[Window][]Counts{WindowLength(span).WindowAt(at(0)): {{"a": 3}}}
 	if diff := cmp.Diff(want, s.api.reports); diff != "" {
 		t.Error(diff)
 	}
@@ -130,10 +130,10 @@
 		t.Fatal("a node that lives was not waited for")
 	}
 	other := NewTally(span)
-	other.Began("a", at(2))
-	r.options.Collector.Take("late", other.Since(0, at(6.5)))
+	other.CountStarted("a", at(2))
+	r.options.Collector.MergeDelta("late", other.Since(0, at(6.5)))
 	r.Step(context.Background(), at(6.6))
-	if got := s.api.reports[Span(span).At(at(0))]; len(got) != 1 || got[0]["a"] != 2 {
+	if got := s.api.reports[WindowLength(span).WindowAt(at(0))]; len(got) != 1 || got[0]["a"] != 2 {
 		t.Errorf("%v", got)
 	}
 	silent := newSite()
@@ -169,7 +169,7 @@
 		second.Step(context.Background(), at(7))
 		first.Step(context.Background(), at(8)) // the old holder wakes
 		s.api.oneTruth(t)
-		if got := s.api.reports[Span(span).At(at(0))]; len(got) == 0 || got[0]["a"] != 5 {
+		if got := s.api.reports[WindowLength(span).WindowAt(at(0))]; len(got) == 0 || got[0]["a"] != 5 {
 			t.Errorf("%s: %v", lost.name, got)
 		}
 	}
@@ -197,7 +197,7 @@
 		if lives {
 			first.Step(context.Background(), at(6.2))
 		}
-		for moment := 8.0; len(s.api.reports[Span(span).At(at(0))]) < 2; moment += retryEvery.Seconds() {
+		for moment := 8.0; len(s.api.reports[WindowLength(span).WindowAt(at(0))]) < 2; moment += retryEvery.Seconds() {
 			if moment > 25 {
 				t.Fatal("the next holder reports nothing")
 			}
@@ -250,7 +250,7 @@
 // TestCountsThatCameByTheStoreAreTakenIn: of nodes that reach no supervisor.
 func TestCountsThatCameByTheStoreAreTakenIn(t *testing.T) {
 	s := newSite()
-	window := Span(span).At(at(0))
+	window := WindowLength(span).WindowAt(at(0))
 	row, _ := json.Marshal(NodeRow{Incarnation: "cut off", Entries: []Entry{{Window: window, Tenant: "a", Count: 7}}})
 	_, _, _ = s.store.Transact(context.Background(), rowstore.Transaction{Writes: []rowstore.Write{{Table: Table, Key: NodeKey("m"), Value: row}}})
 	r := s.reporter("n", 1)
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -37,7 +37,7 @@
 
 // Tally counts the requests that began at one node. It is safe for concurrent use.
 type Tally struct {
-	span Span
+	span WindowLength
 
 	mu      sync.Mutex
 	clock   Clock
@@ -53,11 +53,11 @@
 
 // NewTally returns an empty tally of windows of a length.
 func NewTally(span time.Duration) *Tally {
-	return &Tally{span: Span(span), windows: make(map[Window]map[string]*tallied)}
+	return &Tally{span: WindowLength(span), windows: make(map[Window]map[string]*tallied)}
 }
 
-// Span returns the length of the windows.
-func (t *Tally) Span() Span { return t.span }
+// WindowLength returns the length of the windows.
+func (t *Tally) WindowLength() WindowLength { return t.span }
 
 // Now returns the time of day by which the tally counts.
 func (t *Tally) Now(moment time.Time) time.Time {
@@ -66,11 +66,11 @@
 	return t.clock.Now(moment)
 }
 
-// Began counts a request of a tenant that began running at a moment.
-func (t *Tally) Began(tenant string, moment time.Time) {
+// CountStarted counts a request of a tenant that began running at a moment.
+func (t *Tally) CountStarted(tenant string, moment time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	window := t.span.At(t.clock.Now(moment))
+	window := t.span.WindowAt(t.clock.Now(moment))
 	counts, known := t.windows[window]
 	if !known {
 		counts = make(map[string]*tallied)
@@ -108,7 +108,7 @@
 		}
 	}
 	slices.SortFunc(found, func(a, b change) int { return cmp.Compare(a.at, b.at) })
-	delta := Delta{After: after, Through: t.changes, Closed: t.span.At(t.clock.Now(moment)) - 1}
+	delta := Delta{After: after, Through: t.changes, Closed: t.span.WindowAt(t.clock.Now(moment)) - 1}
 	if len(found) > maxEntries {
 		found = found[:maxEntries]
 		delta.Through = found[maxEntries-1].at
@@ -120,8 +120,8 @@
 	return delta
 }
 
-// Of returns the counts of the windows after one, up to another.
-func (t *Tally) Of(after, through Window) []Entry {
+// Entries returns the counts of the windows after one, up to another.
+func (t *Tally) Entries(after, through Window) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var entries []Entry
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -17,10 +17,10 @@
 }
 
 func TestWindows(t *testing.T) {
-	s := Span(span)
-	window := s.At(at(0))
-	if s.At(at(4.999)) != window || s.At(at(5)) != window+1 || !s.End(window).Equal(at(5)) {
-		t.Errorf("window %d ends at %v; 5 s later it is %d", window, s.End(window), s.At(at(5)))
+	s := WindowLength(span)
+	window := s.WindowAt(at(0))
+	if s.WindowAt(at(4.999)) != window || s.WindowAt(at(5)) != window+1 || !s.End(window).Equal(at(5)) {
+		t.Errorf("window %d ends at %v; 5 s later it is %d", window, s.End(window), s.WindowAt(at(5)))
 	}
 }
 
@@ -51,17 +51,17 @@
 
 func TestTallyTellsWhatChanged(t *testing.T) {
 	tally := NewTally(span)
-	tally.Began("a", at(1))
-	tally.Began("b", at(1))
-	tally.Began("a", at(2))
+	tally.CountStarted("a", at(1))
+	tally.CountStarted("b", at(1))
+	tally.CountStarted("a", at(2))
 	first := tally.Since(0, at(2))
-	if len(first.Entries) != 2 || first.Through != 3 || first.Closed != Span(span).At(at(2))-1 {
+	if len(first.Entries) != 2 || first.Through != 3 || first.Closed != WindowLength(span).WindowAt(at(2))-1 {
 		t.Errorf("%+v", first)
 	}
-	tally.Began("a", at(7))
+	tally.CountStarted("a", at(7))
 	second := tally.Since(first.Through, at(11))
-	want := []Entry{{Window: Span(span).At(at(7)), Tenant: "a", Count: 1}}
-	if diff := cmp.Diff(want, second.Entries); diff != "" || second.Closed != Span(span).At(at(7)) {
+	want := []Entry{{Window: WindowLength(span).WindowAt(at(7)), Tenant: "a", Count: 1}}
+	if diff := cmp.Diff(want, second.Entries); diff != "" || second.Closed != WindowLength(span).WindowAt(at(7)) {
 		t.Errorf("closed %d, %s", second.Closed, diff)
 	}
 }
@@ -82,7 +82,7 @@
 				if lossy && random.IntN(3) == 0 {
 					continue
 				}
-				if reply, wanted := collector.Take("n", delta); wanted && (!lossy || random.IntN(3) > 0) {
+				if reply, wanted := collector.MergeDelta("n", delta); wanted && (!lossy || random.IntN(3) > 0) {
 					told = min(told, reply.Through)
 				}
 			}
@@ -90,13 +90,13 @@
 		for i := range 200 {
 			moment := at(5 * float64(i) / 200)
 			tenant := string(rune('a' + random.IntN(8)))
-			tally.Began(tenant, moment)
+			tally.CountStarted(tenant, moment)
 			truth[tenant]++
 			if random.IntN(10) == 0 {
 				tell(moment, true)
 			}
 		}
-		window := Span(span).At(at(0))
+		window := WindowLength(span).WindowAt(at(0))
 		for i := 0; !collector.Closed("n", window); i++ {
 			if i > 100 {
 				t.Fatalf("seed %d: the window never closes", seed)
@@ -112,17 +112,17 @@
 // TestCountsOfAKilledProcessStay: beside those of the process that follows it, and a
 // supervisor that is new learns them from another.
 func TestCountsOfAKilledProcessStay(t *testing.T) {
-	window := Span(span).At(at(0))
+	window := WindowLength(span).WindowAt(at(0))
 	old := NewCollector()
 	for _, node := range []string{"before", "after"} {
 		tally := NewTally(span)
-		tally.Began("a", at(1))
-		old.Take(node, tally.Since(0, at(2)))
+		tally.CountStarted("a", at(1))
+		old.MergeDelta(node, tally.Since(0, at(2)))
 	}
 	fresh := NewCollector()
-	for node, entries := range old.Gathered(window - 1) {
-		fresh.Merge(node, entries)
-		fresh.Merge(node, entries)
+	for node, entries := range old.EntriesAfter(window - 1) {
+		fresh.MergeEntries(node, entries)
+		fresh.MergeEntries(node, entries)
 	}
 	if got := fresh.Total(window)["a"]; got != 2 {
 		t.Errorf("%d requests, want 2", got)
@@ -132,7 +132,7 @@
 func TestRecordedWindowsAreForgottenWithTheirRows(t *testing.T) {
 	c := NewCollector()
 	for window := Window(1); window <= 3*keptRows; window++ {
-		c.KeepRecorded(map[Window]Counts{window: {"a": 1}})
+		c.MergeRecorded(map[Window]Counts{window: {"a": 1}})
 	}
 	if recorded := c.Recorded(0); len(recorded) != keptRows || recorded[3*keptRows] == nil {
 		t.Errorf("%d windows are kept, want the newest %d", len(recorded), keptRows)
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -12,16 +12,16 @@
 // Window is the number of a window: window k begins k times its length after 1970.
 type Window int64
 
-// Span is the length of windows. It is above zero.
-type Span time.Duration
+// WindowLength is the length of windows. It is above zero.
+type WindowLength time.Duration
 
-// At returns the window of a moment.
-func (s Span) At(moment time.Time) Window {
+// WindowAt returns the window of a moment.
+func (s WindowLength) WindowAt(moment time.Time) Window {
 	return Window(math.Floor(float64(moment.UnixNano()) / float64(s)))
 }
 
 // End returns when a window ends.
-func (s Span) End(window Window) time.Time { return time.Unix(0, int64(window+1)*int64(s)) }
+func (s WindowLength) End(window Window) time.Time { return time.Unix(0, int64(window+1)*int64(s)) }
 
 // The figures of a clock.
 const (
