--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -31,7 +31,7 @@
 	// nodes returns the number of nodes that share the limits.
 	nodes    func() int
 	accounts Accounts
-	terms    retry.Terms
+	terms    retry.Limits
 	endings  *endings
 	// quarantine knows the requests under which workers ended.
 	quarantine Quarantine
@@ -67,7 +67,7 @@
 	Nodes     func() int
 	// Accounts may be nil where there are no other nodes.
 	Accounts Accounts
-	Retries  retry.Terms
+	Retries  retry.Limits
 	// Knowledge may be nil.
 	Knowledge func() Knowledge
 	// Began is told of each request that a worker has begun to run, once, with the name of
@@ -151,7 +151,7 @@
 func (d *Dispatcher) first(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget(service).First(d.nodes(), time.Now())
+	d.budget(service).RecordRequest(d.nodes(), time.Now())
 }
 
 // spend takes a repeat out of the service's budget.
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -75,7 +75,7 @@
 	costs.Hold = true
 	dispatcher := New(Options{
 		Registry: registry, Scheduler: scheduling.New(costs), Pool: workerconn.NewPool(), Wire: sendingWire{events.sent},
-		Log: log, Metrics: NewMetrics(prometheus.NewRegistry()), Nodes: func() int { return 1 }, Retries: retry.Terms{},
+		Log: log, Metrics: NewMetrics(prometheus.NewRegistry()), Nodes: func() int { return 1 }, Retries: retry.Limits{},
 		Knowledge: func() Knowledge {
 			events.planned <- struct{}{}
 			return Knowledge{}
--- a/internal/dispatch/outages.go
+++ b/internal/dispatch/outages.go
@@ -31,7 +31,7 @@
 	s.outageOf(func(outage *retry.Outage) {
 		now := time.Now()
 		outage.Failed(now)
-		left = outage.Left(now)
+		left = outage.ExpectedRemaining(now)
 	})
 	return left + time.Duration(returnPart*rand.Float64()*float64(left))
 }
--- a/internal/dispatch/pauses_test.go
+++ b/internal/dispatch/pauses_test.go
@@ -114,7 +114,7 @@
 	e.dispatcher = New(Options{
 		Registry: e.registry, Scheduler: scheduling.New(scheduling.DefaultCosts()), Pool: pool, Wire: pausingWire{},
 		Log: log, Metrics: NewMetrics(prometheus.NewRegistry()), Nodes: func() int { return 1 },
-		Retries: retry.Terms{Ratio: 1, Slack: 100, Window: time.Second},
+		Retries: retry.Limits{Ratio: 1, Slack: 100, Window: time.Second},
 	})
 	return e
 }
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -27,7 +27,7 @@
 }
 
 // retryTerms bound the requests of routes that are sent to a second worker.
-var retryTerms = retry.Terms{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
+var retryTerms = retry.Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 
 func (n *Node) buildRoutes() {
 	registry := worker.NewRegistry(topology.New(n.self.Zone, nil))
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -5,9 +5,9 @@
 
 import "time"
 
-// Terms are the bounds that hold over all nodes together: in any Window, at most
+// Limits are the bounds that hold over all nodes together: in any Window, at most
 // Ratio times the requests, plus Slack, may be sent again.
-type Terms struct {
+type Limits struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -17,7 +17,7 @@
 // and with each first request. In any window it gives out no more than the node's
 // part of the slack, plus the ratio of the node's requests.
 type Budget struct {
-	terms  Terms
+	terms  Limits
 	tokens float64
 	filled time.Time
 }
@@ -28,7 +28,7 @@
 
 // NewBudget returns a budget that holds half of its share, so that a fleet whose
 // processes all restart at once does not spend everything twice.
-func NewBudget(terms Terms, nodes int, now time.Time) *Budget {
+func NewBudget(terms Limits, nodes int, now time.Time) *Budget {
 	budget := &Budget{terms: terms, filled: now}
 	budget.tokens = budget.capacity(nodes) / 2
 	return budget
@@ -48,8 +48,8 @@
 	b.tokens = min(b.tokens, max(capacity, 1))
 }
 
-// First records a request that is sent for the first time.
-func (b *Budget) First(nodes int, now time.Time) {
+// RecordRequest records a request that is sent for the first time.
+func (b *Budget) RecordRequest(nodes int, now time.Time) {
 	b.fill(nodes, now)
 	b.tokens += caution * b.terms.Ratio
 }
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-var terms = Terms{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
+var terms = Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 
 // TestNodesTogetherKeepTheBudget: whatever nodes do and however requests arrive, no
 // window has more repeats than ratio times the requests in it, those of the window
@@ -29,7 +29,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			budget := budgets[rapid.IntRange(0, nodes-1).Draw(t, "node")]
 			if rapid.Bool().Draw(t, "first") {
-				budget.First(nodes, now)
+				budget.RecordRequest(nodes, now)
 				events = append(events, event{at: now})
 			} else if budget.Spend(nodes, now) {
 				events = append(events, event{at: now, spent: true})
--- a/internal/retry/outage.go
+++ b/internal/retry/outage.go
@@ -51,8 +51,8 @@
 	o.begun, o.last = time.Time{}, time.Time{}
 }
 
-// Left is for how much longer the service is expected to be away, zero where it isn't.
-func (o *Outage) Left(now time.Time) time.Duration {
+// ExpectedRemaining is for how much longer the service is expected to be away, zero where it isn't.
+func (o *Outage) ExpectedRemaining(now time.Time) time.Duration {
 	if o.begun.IsZero() {
 		return 0
 	}
--- a/internal/retry/outage_test.go
+++ b/internal/retry/outage_test.go
@@ -11,7 +11,7 @@
 	var o Outage
 	expect := func(seconds float64, want time.Duration) {
 		t.Helper()
-		if got := o.Left(at(seconds)); got != want {
+		if got := o.ExpectedRemaining(at(seconds)); got != want {
 			t.Errorf("at %v s the service is expected back in %v, want %v", seconds, got, want)
 		}
 	}
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -209,7 +209,7 @@
 		Registry: n.registry, Scheduler: scheduling.New(costs),
 		Pool: n.pool, Wire: n.platform, Log: n.log, Metrics: dispatch.NewMetrics(metrics),
 		Nodes: n.exchange.Nodes, Accounts: n.exchange, Knowledge: n.knowledge, Quarantine: n.quarantine, Turns: n.exchange,
-		Retries: retry.Terms{
+		Retries: retry.Limits{
 			Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack,
 			Window: settings.Milliseconds(bounds.RetryWindowMillis),
 		},
