--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -109,8 +109,8 @@
 	Until time.Time
 }
 
-// Act is one act under the authority, from its beginning to End.
-type Act struct {
+// Operation is one act under the authority, from its beginning to End.
+type Operation struct {
 	Fence uint64
 	// Context is bounded by the act's timeout, and by the end of the term.
 	Context context.Context
@@ -118,16 +118,16 @@
 }
 
 // End tells that the act is over: it was answered, or given up.
-func (a Act) End() { a.end() }
+func (a Operation) End() { a.end() }
 
 // Begin begins an act, false where none may begin now. Call it just before the act leaves,
 // and End after it.
-func (a *Authority) Begin(ctx context.Context, timeout time.Duration) (Act, bool) {
+func (a *Authority) Begin(ctx context.Context, timeout time.Duration) (Operation, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	term, held := a.term()
 	if !held {
-		return Act{}, false
+		return Operation{}, false
 	}
 	end := a.options.Clock().Add(timeout)
 	if !term.Until.IsZero() && term.Until.Before(end) {
@@ -135,7 +135,7 @@
 	}
 	bounded, cancel := clock.WithDeadline(ctx, a.options.Clock, end)
 	a.acts++
-	return Act{Fence: term.Fence, Context: bounded, end: sync.OnceFunc(func() {
+	return Operation{Fence: term.Fence, Context: bounded, end: sync.OnceFunc(func() {
 		cancel()
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -143,33 +143,33 @@
 	})}, true
 }
 
-// Hold is whether this node may act.
-type Hold string
+// Status is whether this node may act.
+type Status string
 
 // The states of a hold.
 const (
-	Held      Hold = "held"
-	HeldOther Hold = "another node may hold it"
-	StoreAway Hold = "the store did not answer"
+	Held               Status = "held"
+	MaybeHeldElsewhere Status = "another node may hold it"
+	StoreUnavailable   Status = "the store did not answer"
 )
 
 // Acquire takes the lease where nobody else may hold it, and reports whether this node
 // holds it now. The store is asked only when something is to be done: a lease that nobody
 // needs costs nothing. Where the store doesn't answer the node stands aside.
-func (a *Authority) Acquire(ctx context.Context) Hold {
+func (a *Authority) Acquire(ctx context.Context) Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	hold := a.acquire(ctx)
-	if hold == StoreAway && a.options.StandAside != nil {
+	if hold == StoreUnavailable && a.options.StandAside != nil {
 		a.options.StandAside(a.options.Life*11/10 + asideMargin)
 	}
 	return hold
 }
 
-func (a *Authority) acquire(ctx context.Context) Hold {
+func (a *Authority) acquire(ctx context.Context) Status {
 	now := a.options.Clock()
 	if a.leaving {
-		return HeldOther
+		return MaybeHeldElsewhere
 	}
 	if a.machine.Holds(now) {
 		restored := a.options.Store.Era() > a.machine.Era()
@@ -183,21 +183,21 @@
 		if a.roomy(a.options.Clock()) {
 			return Held
 		}
-		return HeldOther
+		return MaybeHeldElsewhere
 	}
 	if !a.observe(ctx) {
-		return StoreAway
+		return StoreUnavailable
 	}
 	if a.machine.Released() && a.options.Clock().Sub(a.created) < a.options.Life {
 		// An earlier process of this machine may have acted before the holder that gave the
 		// lease back: the two would have acted in turns within the life of a lease.
 		a.options.Log.Info("the authority was given back, and this process is too young to take it; waiting")
-		return HeldOther
+		return MaybeHeldElsewhere
 	}
 	proposal := a.machine.Next(a.options.Clock())
 	if proposal.Action == lease.Wait {
 		a.options.Log.WithField("holder", a.machine.Holder()).Info("another node may hold the authority; waiting")
-		return HeldOther
+		return MaybeHeldElsewhere
 	}
 	return a.take(ctx, proposal)
 }
@@ -312,10 +312,10 @@
 	return a.acts == 0
 }
 
-// Refused takes in that a write under a condition of this node's was not carried out.
+// ConditionFailed takes in that a write under a condition of this node's was not carried out.
 // Another node has taken the lease then, unless it was renewed meanwhile, or the condition was
 // of an earlier era of the store.
-func (a *Authority) Refused(condition rowstore.Condition) {
+func (a *Authority) ConditionFailed(condition rowstore.Condition) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if condition.Version == a.version && a.options.Store.Era() == a.machine.Era() {
@@ -354,20 +354,20 @@
 }
 
 // take writes the row, to take the lease or to renew it.
-func (a *Authority) take(ctx context.Context, proposal lease.Proposal) Hold {
+func (a *Authority) take(ctx context.Context, proposal lease.Proposal) Status {
 	content, err := json.Marshal(rowValue{Holder: a.options.Self, Fence: proposal.Fence})
 	if err != nil {
 		a.machine.WriteFailed()
-		return HeldOther
+		return MaybeHeldElsewhere
 	}
 	version, done, err := a.write(ctx, proposal, content)
 	if err != nil || !done {
 		a.machine.WriteFailed()
 		a.options.Log.WithFields(logrus.Fields{"if_version": proposal.IfVersion, "written": done, "cause": causeOf(err)}).Warn("the authority was not taken")
 		if err != nil && !errors.Is(err, rowstore.ErrRestored) {
-			return StoreAway
+			return StoreUnavailable
 		}
-		return HeldOther
+		return MaybeHeldElsewhere
 	}
 	a.machine.WriteSucceeded(version, a.options.Clock())
 	a.version = version
@@ -376,7 +376,7 @@
 		"fence": a.machine.Fence(now), "renewed": proposal.Action == lease.Renew, "left": a.machine.Until().Sub(now).String(),
 	}).Info("authority taken")
 	if !a.machine.Holds(a.options.Clock()) {
-		return HeldOther
+		return MaybeHeldElsewhere
 	}
 	return Held
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -140,7 +140,7 @@
 	a.Acquire(context.Background())
 	lost, _ := a.Condition()
 	store.Restore(0)
-	a.Refused(lost)
+	a.ConditionFailed(lost)
 	if hold := a.Acquire(context.Background()); hold != Held {
 		t.Fatal(hold)
 	}
@@ -175,7 +175,7 @@
 	var aside time.Duration
 	a := newAuthority(store, "a", shortLife, func(span time.Duration) { aside = span })
 	store.SetFaults(memorystore.Faults{Down: true})
-	if hold := a.Acquire(context.Background()); hold != StoreAway || aside <= shortLife {
+	if hold := a.Acquire(context.Background()); hold != StoreUnavailable || aside <= shortLife {
 		t.Errorf("%s, aside for %v", hold, aside)
 	}
 }
@@ -246,11 +246,11 @@
 		awaitHold(t, a)
 		current, _ = a.Condition()
 	}
-	a.Refused(old)
+	a.ConditionFailed(old)
 	if _, held := a.Condition(); !held {
 		t.Error("a renewed lease was given up")
 	}
-	a.Refused(current)
+	a.ConditionFailed(current)
 	if _, held := a.Condition(); held {
 		t.Error("a lost lease is held")
 	}
--- a/internal/usage/records.go
+++ b/internal/usage/records.go
@@ -113,7 +113,7 @@
 		return eris.Wrapf(err, "window %d can't be recorded", window)
 	}
 	if !done {
-		r.options.Authority.Refused(condition)
+		r.options.Authority.ConditionFailed(condition)
 		return eris.Errorf("window %d was recorded by another node, or another has the authority", window)
 	}
 	_, again := r.options.Collector.Recorded(window - 1)[window]
