--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -32,8 +32,8 @@
 	// Loads holds, by worker: requests, memory tokens, and tokens to be read by rank,
 	// without the zeros at the end.
 	Loads map[string][]int `json:"l,omitempty"`
-	// Reads hold "worker part:tokens part:tokens …", parts in hexadecimal.
-	Reads []string `json:"r,omitempty"`
+	// CacheUpdates hold "worker part:tokens part:tokens …", parts in hexadecimal.
+	CacheUpdates []string `json:"r,omitempty"`
 	// Failures are workers that failed.
 	Failures []string `json:"f,omitempty"`
 	// StageChanges hold, by worker, for how many milliseconds a change of its stage may be
@@ -177,7 +177,7 @@
 		}
 		message.StageChanges[changing.Worker] = left
 	}
-	message.Reads = renderReads(snapshot.CacheUpdates)
+	message.CacheUpdates = renderReads(snapshot.CacheUpdates)
 	message.Limits = renderLimits(snapshot.Limits, time.Now())
 	message.Draining = snapshot.Draining
 	return message
@@ -241,7 +241,7 @@
 		changing := worker.StageChange{Worker: id, Prefill: left > 0, Left: time.Duration(max(left, -left)) * time.Millisecond}
 		snapshot.Changing = append(snapshot.Changing, changing)
 	}
-	for _, text := range m.Reads {
+	for _, text := range m.CacheUpdates {
 		read, err := parseRead(text)
 		if err != nil {
 			return worker.Snapshot{}, err
--- a/internal/digest/memory.go
+++ b/internal/digest/memory.go
@@ -87,7 +87,7 @@
 func (e *Exchange) tellMemory(to netip.AddrPort, workers []string) {
 	memory, known := e.registry.LearnedState(workers)
 	for _, reads := range inMessages(memory.CacheUpdates) {
-		e.sendTo(to, Message{Node: e.node, Memory: true, Reads: renderReads(reads)})
+		e.sendTo(to, Message{Node: e.node, Memory: true, CacheUpdates: renderReads(reads)})
 	}
 	e.sendTo(to, Message{Node: e.node, Memory: true, Paces: memory.Paces, MemoryComplete: known})
 }
