--- a/internal/front/admit.go
+++ b/internal/ingress/admit.go
@@ -1,4 +1,4 @@
-package front
+package ingress
 
 import (
 	"net/http"
@@ -30,7 +30,7 @@
 }
 
 // admit finds the route of a request, and the tenant whose API key it carries.
-func (f *Front) admit(table *routing.Table, request *http.Request) (admission, *result.Error) {
+func (f *Handler) admit(table *routing.Table, request *http.Request) (admission, *result.Error) {
 	path := pathOf(request)
 	route := table.Match(request.Host, path)
 	if route == nil {
@@ -42,7 +42,7 @@
 
 // authenticate returns the tenant of the request's API key. A route that is public needs
 // none, but a key that is given must be known there too.
-func (f *Front) authenticate(table *routing.Table, route *routing.Route, header http.Header) (tenant.Tenant, *result.Error) {
+func (f *Handler) authenticate(table *routing.Table, route *routing.Route, header http.Header) (tenant.Tenant, *result.Error) {
 	if table.Tenants == nil {
 		return tenant.Tenant{}, nil
 	}
@@ -64,7 +64,7 @@
 
 // refuseOutdated refuses requests where this node has known for a while of a newer
 // configuration and can't get it: routes may have gone to other services.
-func (f *Front) refuseOutdated(table *routing.Table) *result.Error {
+func (f *Handler) refuseOutdated(table *routing.Table) *result.Error {
 	if !f.Outdated() {
 		return nil
 	}
@@ -74,11 +74,11 @@
 }
 
 // Outdated reports whether requests are refused since the configuration is known to be old.
-func (f *Front) Outdated() bool { return f.configurationBehind() > outdatedAfter }
+func (f *Handler) Outdated() bool { return f.configurationBehind() > outdatedAfter }
 
 // refuseUnknown turns a refusal of what the configuration doesn't hold into one that lets the
 // caller come back, where a newer version that holds it may be in force elsewhere.
-func (f *Front) refuseUnknown(failure *result.Error) *result.Error {
+func (f *Handler) refuseUnknown(failure *result.Error) *result.Error {
 	age, behind := f.configurationAge(), f.configurationBehind()
 	switch {
 	case behind > 0:
--- a/internal/front/caller.go
+++ b/internal/ingress/caller.go
@@ -1,4 +1,4 @@
-package front
+package ingress
 
 import (
 	"net/http"
--- a/internal/front/front.go
+++ b/internal/ingress/front.go
@@ -1,6 +1,6 @@
 // Package front takes callers' HTTP requests for routes: it reads them whole, finds
 // their route, has them served, and answers what was refused.
-package front
+package ingress
 
 import (
 	"context"
@@ -34,8 +34,8 @@
 	Run(ctx context.Context, call *dispatch.Call, caller dispatch.Caller) dispatch.Outcome
 }
 
-// Front takes callers' requests. It implements http.Handler.
-type Front struct {
+// Handler takes callers' requests. It implements http.Handler.
+type Handler struct {
 	parser   Parser
 	runner   Runner
 	splitter *routing.Splitter
@@ -71,8 +71,8 @@
 }
 
 // New returns a front without routes.
-func New(options Options) *Front {
-	f := &Front{
+func New(options Options) *Handler {
+	f := &Handler{
 		configurationAge: options.ConfigurationAge, configurationBehind: options.ConfigurationBehind,
 		parser: options.Parser, runner: options.Runner, log: options.Log, metrics: options.Metrics,
 		quotas:   options.Quotas,
@@ -90,16 +90,16 @@
 func never() time.Duration { return 0 }
 
 // Stop asks callers to use other connections from now on.
-func (f *Front) Stop() { f.stopping.Store(true) }
+func (f *Handler) Stop() { f.stopping.Store(true) }
 
 // Stopping reports whether Stop was called.
-func (f *Front) Stopping() bool { return f.stopping.Load() }
+func (f *Handler) Stopping() bool { return f.stopping.Load() }
 
 // Active returns the number of requests under way.
-func (f *Front) Active() int64 { return f.active.Load() }
+func (f *Handler) Active() int64 { return f.active.Load() }
 
-// Serves reports whether a request has a route.
-func (f *Front) Serves(request *http.Request) bool {
+// HasRoute reports whether a request has a route.
+func (f *Handler) HasRoute(request *http.Request) bool {
 	table := f.table.Load()
 	return table != nil && table.Match(request.Host, pathOf(request)) != nil
 }
@@ -115,13 +115,13 @@
 const notConfiguredPause = 300 * time.Millisecond
 
 // SetTable puts a version of the routes in force.
-func (f *Front) SetTable(table *routing.Table) { f.table.Store(table) }
+func (f *Handler) SetTable(table *routing.Table) { f.table.Store(table) }
 
 // Table returns the routes in force, nil before any are known.
-func (f *Front) Table() *routing.Table { return f.table.Load() }
+func (f *Handler) Table() *routing.Table { return f.table.Load() }
 
 // ServeHTTP implements http.Handler.
-func (f *Front) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (f *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	f.active.Add(1)
 	defer f.active.Add(-1)
 	arrived := time.Now()
@@ -140,7 +140,7 @@
 }
 
 // accept reads a request whole and finds its route.
-func (f *Front) accept(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*dispatch.Call, *result.Error) {
+func (f *Handler) accept(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*dispatch.Call, *result.Error) {
 	table := f.table.Load()
 	if table == nil {
 		return nil, result.New(result.NotConfigured, "this node has read no configuration yet").WithRetryAfter(notConfiguredPause)
@@ -232,7 +232,7 @@
 }
 
 // refuse answers a request that goes to no worker.
-func (f *Front) refuse(answer *httpCaller, request *http.Request, call *dispatch.Call, failure *result.Error, arrived time.Time) {
+func (f *Handler) refuse(answer *httpCaller, request *http.Request, call *dispatch.Call, failure *result.Error, arrived time.Time) {
 	if call == nil {
 		call = &dispatch.Call{Method: request.Method, Target: request.RequestURI, Header: request.Header, Arrived: arrived}
 		_ = f.parser.Parse(call)
@@ -251,7 +251,7 @@
 }
 
 // finish answers a call that the dispatcher has given back.
-func (f *Front) finish(answer *httpCaller, request *http.Request, call *dispatch.Call, outcome dispatch.Outcome) {
+func (f *Handler) finish(answer *httpCaller, request *http.Request, call *dispatch.Call, outcome dispatch.Outcome) {
 	f.logOutcome(call, outcome)
 	switch {
 	case outcome.Code == result.OK:
@@ -281,7 +281,7 @@
 	_ = answer.Write(body)
 }
 
-func (f *Front) logOutcome(call *dispatch.Call, outcome dispatch.Outcome) {
+func (f *Handler) logOutcome(call *dispatch.Call, outcome dispatch.Outcome) {
 	took := time.Since(call.Arrived)
 	route := ""
 	if call.Route != nil {
--- a/internal/front/quota.go
+++ b/internal/ingress/quota.go
@@ -1,4 +1,4 @@
-package front
+package ingress
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 
 // charge has a call's tenant charged by what its header declares, before its body is read
 // or a worker looked for. Tenants without a limit cost nothing.
-func (f *Front) charge(ctx context.Context, call *dispatch.Call) *result.Error {
+func (f *Handler) charge(ctx context.Context, call *dispatch.Call) *result.Error {
 	limit := call.Tenant.Limit()
 	if f.quotas == nil || !limit.Limited() {
 		return nil
@@ -42,7 +42,7 @@
 		claim.Tenant, limit.Rate, limit.Unit, limit.Burst).WithRetryAfter(verdict.RetryAfter)
 }
 
-func (f *Front) logOverQuota(call *dispatch.Call, claim quota.ChargeRequest, verdict quota.Outcome) {
+func (f *Handler) logOverQuota(call *dispatch.Call, claim quota.ChargeRequest, verdict quota.Outcome) {
 	f.log.WithFields(logrus.Fields{
 		"id": call.ID, "tenant": claim.Tenant, "cost": claim.Cost, "unit": claim.Limit.Unit,
 		"rate": claim.Limit.Rate, "burst": claim.Limit.Burst, "routes_version": claim.Version,
@@ -53,7 +53,7 @@
 }
 
 // giveBack returns what was charged for a call that has not run.
-func (f *Front) giveBack(call *dispatch.Call) {
+func (f *Handler) giveBack(call *dispatch.Call) {
 	if call == nil || call.Charge.None() {
 		return
 	}
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -6,7 +6,7 @@
 
 	"github.com/tinarch/tinarch/internal/catalog"
 	"github.com/tinarch/tinarch/internal/dispatch"
-	"github.com/tinarch/tinarch/internal/front"
+	"github.com/tinarch/tinarch/internal/ingress"
 	"github.com/tinarch/tinarch/internal/notices"
 	"github.com/tinarch/tinarch/internal/plainwire"
 	"github.com/tinarch/tinarch/internal/platform/machines"
@@ -20,7 +20,7 @@
 
 // routedServices serves the catalog's routes before workers of the machine list.
 type routedServices struct {
-	front    *front.Front
+	front    *ingress.Handler
 	registry *worker.Registry
 	pool     *workerconn.Pool
 	limits   routing.Limits
@@ -42,8 +42,8 @@
 		Nodes: func() int { return max(len(n.Candidates()), 1) }, Retries: retryTerms,
 	})
 	n.routes = &routedServices{
-		front: front.New(front.Options{
-			Parser: plainwire.Wire{}, Runner: dispatcher, Log: n.options.Log, Metrics: front.NewMetrics(n.registry),
+		front: ingress.New(ingress.Options{
+			Parser: plainwire.Wire{}, Runner: dispatcher, Log: n.options.Log, Metrics: ingress.NewMetrics(n.registry),
 		}),
 		registry: registry,
 		pool:     pool,
@@ -54,7 +54,7 @@
 // over lets routes go before the handler of all other requests.
 func (s *routedServices) over(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if s.front.Serves(request) {
+		if s.front.HasRoute(request) {
 			s.front.ServeHTTP(writer, request)
 			return
 		}
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -22,7 +22,7 @@
 	"github.com/tinarch/tinarch/internal/dispatch"
 	"github.com/tinarch/tinarch/internal/engine"
 	"github.com/tinarch/tinarch/internal/fleetsize"
-	"github.com/tinarch/tinarch/internal/front"
+	"github.com/tinarch/tinarch/internal/ingress"
 	"github.com/tinarch/tinarch/internal/notices"
 	"github.com/tinarch/tinarch/internal/prefixcache"
 	"github.com/tinarch/tinarch/internal/quarantine"
@@ -45,7 +45,7 @@
 type Platform interface {
 	tablefeed.Store
 	dispatch.Wire
-	front.Parser
+	ingress.Parser
 	// ReadinessPath is where the platform asks whether a node takes requests.
 	ReadinessPath() string
 	// ConfigurationTable and WorkerTable name the tables that are followed.
@@ -99,7 +99,7 @@
 	platform Platform
 	registry *worker.Registry
 	pool     *workerconn.Pool
-	front    *front.Front
+	front    *ingress.Handler
 	exchange *digest.Exchange
 	servers  []*http.Server
 	callers  *http.Server
@@ -167,8 +167,8 @@
 	n.nodesFeed = n.newFeed(nodesTable, &members{node: n})
 	n.keepQuarantine(metrics)
 	n.watchTables(metrics)
-	n.front = front.New(front.Options{
-		Parser: platform, Runner: n.dispatcher(metrics, quotas), Log: log, Metrics: front.NewMetrics(metrics),
+	n.front = ingress.New(ingress.Options{
+		Parser: platform, Runner: n.dispatcher(metrics, quotas), Log: log, Metrics: ingress.NewMetrics(metrics),
 		ConfigurationAge: n.configurationAge, ConfigurationBehind: n.configurationBehind, Quotas: quotas,
 	})
 	if err := n.listen(metrics); err != nil {
