--- a/internal/breaker/breaker.go
+++ b/internal/breaker/breaker.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// InRow returns the number of failures since the last success.
-func (b *Breaker) InRow() int { return b.inRow }
+// ConsecutiveFailures returns the number of failures since the last success.
+func (b *Breaker) ConsecutiveFailures() int { return b.inRow }
 
 // Open reports whether the worker should be avoided.
 func (b *Breaker) Open(now time.Time) bool { return now.Before(b.open) }
--- a/internal/worker/observe.go
+++ b/internal/worker/observe.go
@@ -144,7 +144,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	from, to := r.handlesOf(reader), r.handlesOf(runner)
-	fromRow, toRow := from.InRow(), to.InRow()
+	fromRow, toRow := from.ConsecutiveFailures(), to.ConsecutiveFailures()
 	if fromRow >= toRow {
 		from.Failed(now)
 	}
