--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -4,15 +4,15 @@
 
 import "time"
 
-// UserTimeout is how long the kernel goes on sending what a peer doesn't acknowledge, on
+// TCPUserTimeout is how long the kernel goes on sending what a peer doesn't acknowledge, on
 // connections that carry acts. It ends them also while this process is frozen. It is
 // above three resends over the longest way (24 ms there and back between regions).
-const UserTimeout = time.Second
+const TCPUserTimeout = time.Second
 
-// Act names the node that acts and the fence of its authority. A platform that compares
+// LeaseToken names the node that acts and the fence of its authority. A platform that compares
 // fences refuses a lower one than it has seen for the same duty. Before one that doesn't,
 // the caller's context ends with the authority, and nothing may leave after that.
-type Act struct {
+type LeaseToken struct {
 	Holder string
 	Fence  uint64
 }
--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -38,7 +38,7 @@
 type API interface {
 	// OrderWorkers orders the number of workers of a kind that a service is to have. The
 	// error tells why a verdict isn't duty.Accepted.
-	OrderWorkers(ctx context.Context, act duty.Act, service string, kind Kind, count int) (duty.Verdict, error)
+	OrderWorkers(ctx context.Context, act duty.LeaseToken, service string, kind Kind, count int) (duty.Verdict, error)
 }
 
 // Workers are what is known of the workers.
@@ -185,7 +185,7 @@
 		return eris.New("the authority lapsed before the order left")
 	}
 	defer act.End()
-	verdict, err := c.options.API.OrderWorkers(act.Context, duty.Act{Holder: c.options.Node, Fence: act.Fence}, service.Name, kind, count)
+	verdict, err := c.options.API.OrderWorkers(act.Context, duty.LeaseToken{Holder: c.options.Node, Fence: act.Fence}, service.Name, kind, count)
 	c.options.Log.WithFields(logrus.Fields{
 		"service": service.Name, "zone": kind.Zone, "spot": kind.Spot, "count": count, "standing": fleet.standing[kind],
 		"standing_total": fleet.standing.total(), "fence": act.Fence, "verdict": verdict, "cause": fmt.Sprint(err),
--- a/internal/fleetsize/controller_test.go
+++ b/internal/fleetsize/controller_test.go
@@ -42,7 +42,7 @@
 
 func (c *cloud) Idle(string, time.Time) bool { return c.idle }
 
-func (c *cloud) OrderWorkers(_ context.Context, act duty.Act, _ string, kind Kind, count int) (duty.Verdict, error) {
+func (c *cloud) OrderWorkers(_ context.Context, act duty.LeaseToken, _ string, kind Kind, count int) (duty.Verdict, error) {
 	c.orders++
 	if c.silent {
 		return duty.Unknown, errors.New("no answer")
--- a/internal/stagecontrol/controller.go
+++ b/internal/stagecontrol/controller.go
@@ -253,7 +253,7 @@
 	defer act.End()
 	request := c.options.Wire.StageOrder(to, order.Prefill, c.options.Self, act.Fence)
 	if c.options.Unfenced {
-		request.DropAfter = duty.UserTimeout
+		request.DropAfter = duty.TCPUserTimeout
 	}
 	answer, err := c.options.Pool.Do(act.Context, to.ID, to.Address, 0, request)
 	if err != nil {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -50,7 +50,7 @@
 type API interface {
 	// ReportUsage reports the counts of a window. The error tells why a verdict is
 	// duty.Unknown.
-	ReportUsage(ctx context.Context, act duty.Act, window Window, counts Counts) (duty.Verdict, error)
+	ReportUsage(ctx context.Context, act duty.LeaseToken, window Window, counts Counts) (duty.Verdict, error)
 }
 
 // Member is another node.
@@ -234,7 +234,7 @@
 		return eris.New("the authority lapsed before the report left")
 	}
 	defer act.End()
-	verdict, err := r.options.API.ReportUsage(act.Context, duty.Act{Holder: r.options.Node, Fence: act.Fence}, window, counts)
+	verdict, err := r.options.API.ReportUsage(act.Context, duty.LeaseToken{Holder: r.options.Node, Fence: act.Fence}, window, counts)
 	r.options.Log.WithFields(logrus.Fields{
 		"window": window, "requests": counts.sum(), "fence": act.Fence, "verdict": verdict, "cause": fmt.Sprint(err),
 	}).Info("usage reported")
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -29,7 +29,7 @@
 	until time.Time
 }
 
-func (a *memoryAPI) ReportUsage(ctx context.Context, act duty.Act, window Window, counts Counts) (duty.Verdict, error) {
+func (a *memoryAPI) ReportUsage(ctx context.Context, act duty.LeaseToken, window Window, counts Counts) (duty.Verdict, error) {
 	a.until, _ = ctx.Deadline()
 	if act.Fence < a.highest {
 		return duty.Refused, errors.New("a lower fence")
