--- a/internal/digest/digest.go
+++ b/internal/nodeexchange/digest.go
@@ -4,7 +4,7 @@
 // more. In a small fleet each node is a home of every worker, and nobody need ask.
 // Messages are JSON datagrams: a lost one is made up for by the next, since each holds
 // all that its sender has placed on the receiver's workers.
-package digest
+package nodeexchange
 
 import (
 	"encoding/json"
--- a/internal/digest/outbox.go
+++ b/internal/nodeexchange/outbox.go
@@ -1,4 +1,4 @@
-package digest
+package nodeexchange
 
 import (
 	"time"
--- a/internal/serving/listing.go
+++ b/internal/serving/listing.go
@@ -11,7 +11,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/tinarch/tinarch/internal/digest"
+	"github.com/tinarch/tinarch/internal/nodeexchange"
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
@@ -125,8 +125,8 @@
 func (n *Node) isLarge() { n.largeOnce.Do(func() { close(n.large) }) }
 
 // isAmong reports whether a list holds this node.
-func (n *Node) isAmong(peers []digest.Peer) bool {
-	return slices.ContainsFunc(peers, func(p digest.Peer) bool { return p.Address.String() == n.exchange.Address() })
+func (n *Node) isAmong(peers []nodeexchange.Peer) bool {
+	return slices.ContainsFunc(peers, func(p nodeexchange.Peer) bool { return p.Address.String() == n.exchange.Address() })
 }
 
 // largeLook is the time between two looks whether the fleet has grown large.
@@ -155,8 +155,8 @@
 }
 
 // listedPeers reads the rows of nodes.
-func (n *Node) listedPeers(rows []tablefeed.Row) []digest.Peer {
-	peers := make([]digest.Peer, 0, len(rows))
+func (n *Node) listedPeers(rows []tablefeed.Row) []nodeexchange.Peer {
+	peers := make([]nodeexchange.Peer, 0, len(rows))
 	for _, row := range rows {
 		peer, err := listedPeer(row)
 		if err != nil {
@@ -168,13 +168,13 @@
 	return peers
 }
 
-func listedPeer(row tablefeed.Row) (digest.Peer, error) {
+func listedPeer(row tablefeed.Row) (nodeexchange.Peer, error) {
 	var value nodeRow
 	if err := json.Unmarshal(row.Value, &value); err != nil {
-		return digest.Peer{}, err
+		return nodeexchange.Peer{}, err
 	}
 	address, err := netip.ParseAddrPort(value.Exchange)
-	return digest.Peer{
+	return nodeexchange.Peer{
 		Node: value.Incarnation, Address: address, Zone: value.Zone,
 		Listed: uint64(row.Version), Unaware: !strings.Contains(row.Key, zoneEnd),
 	}, err
@@ -225,7 +225,7 @@
 }
 
 // read reads rows, and remembers their addresses.
-func (m *members) read(rows []tablefeed.Row) []digest.Peer {
+func (m *members) read(rows []tablefeed.Row) []nodeexchange.Peer {
 	peers := m.node.listedPeers(rows)
 	for _, row := range rows {
 		if peer, err := listedPeer(row); err == nil {
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -18,11 +18,11 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/tinarch/tinarch/internal/authority"
-	"github.com/tinarch/tinarch/internal/digest"
 	"github.com/tinarch/tinarch/internal/dispatch"
 	"github.com/tinarch/tinarch/internal/engine"
 	"github.com/tinarch/tinarch/internal/fleetsize"
 	"github.com/tinarch/tinarch/internal/ingress"
+	"github.com/tinarch/tinarch/internal/nodeexchange"
 	"github.com/tinarch/tinarch/internal/notices"
 	"github.com/tinarch/tinarch/internal/prefixcache"
 	"github.com/tinarch/tinarch/internal/quarantine"
@@ -100,7 +100,7 @@
 	registry *worker.Registry
 	pool     *workerconn.Pool
 	front    *ingress.Handler
-	exchange *digest.Exchange
+	exchange *nodeexchange.Exchange
 	servers  []*http.Server
 	callers  *http.Server
 
@@ -147,13 +147,13 @@
 	}
 	metrics := prometheus.NewRegistry()
 	countCalls(platform, metrics, log)
-	exchange, err := digest.Listen(configured.Listen.Exchange, n.identity, configured.Node.Zone, n.registry, log)
+	exchange, err := nodeexchange.Listen(configured.Listen.Exchange, n.identity, configured.Node.Zone, n.registry, log)
 	if err != nil {
 		return nil, err
 	}
 	n.exchange = exchange
 	exchange.SetTopology(placesOf(configured))
-	exchange.SetMetrics(digest.NewMetrics(metrics))
+	exchange.SetMetrics(nodeexchange.NewMetrics(metrics))
 	n.watchLimits(metrics)
 	n.pool.SetMonitor(notices.New(notices.Options{
 		Registry: n.registry, Read: platform.Notice, Log: log, Metrics: metrics,
--- a/internal/serving/quota.go
+++ b/internal/serving/quota.go
@@ -5,14 +5,14 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/tinarch/tinarch/internal/digest"
+	"github.com/tinarch/tinarch/internal/nodeexchange"
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
 // quotas charges tenants by way of the exchange, and counts the verdicts. It implements
 // front.Quotas.
 type quotas struct {
-	exchange *digest.Exchange
+	exchange *nodeexchange.Exchange
 	verdicts *prometheus.CounterVec
 	returned prometheus.Counter
 	silent   prometheus.Counter
