--- a/internal/lab/cluster/routes_test.go
+++ b/internal/lab/cluster/routes_test.go
@@ -12,7 +12,7 @@
 	"connectrpc.com/connect"
 
 	tinarchv1 "github.com/tinarch/tinarch/api/tinarch/v1"
-	"github.com/tinarch/tinarch/internal/plainwire"
+	"github.com/tinarch/tinarch/internal/plainhttp"
 	"github.com/tinarch/tinarch/internal/platform/machines"
 )
 
@@ -28,7 +28,7 @@
 func (b *board) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if b.refuses.Load() {
 		b.refused.Add(1)
-		writer.Header().Set(plainwire.HeaderNotRun, "1")
+		writer.Header().Set(plainhttp.HeaderNotRun, "1")
 		if b.pause != "" {
 			writer.Header().Set("Retry-After", b.pause)
 		}
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -8,7 +8,7 @@
 	"github.com/tinarch/tinarch/internal/dispatch"
 	"github.com/tinarch/tinarch/internal/ingress"
 	"github.com/tinarch/tinarch/internal/notices"
-	"github.com/tinarch/tinarch/internal/plainwire"
+	"github.com/tinarch/tinarch/internal/plainhttp"
 	"github.com/tinarch/tinarch/internal/platform/machines"
 	"github.com/tinarch/tinarch/internal/retry"
 	"github.com/tinarch/tinarch/internal/routing"
@@ -33,17 +33,17 @@
 	registry := worker.NewRegistry(topology.New(n.self.Zone, nil))
 	pool := workerconn.NewPool()
 	pool.SetMonitor(notices.New(notices.Options{
-		Registry: registry, Read: plainwire.Wire{}.Notice, Log: n.options.Log, Metrics: n.registry,
+		Registry: registry, Read: plainhttp.Protocol{}.Notice, Log: n.options.Log, Metrics: n.registry,
 		ListAge: func() time.Duration { return 0 }, // the list is followed without a version
 	}))
 	dispatcher := dispatch.New(dispatch.Options{
 		Registry: registry, Scheduler: scheduling.New(scheduling.DefaultCosts()), Pool: pool,
-		Wire: plainwire.Wire{}, Log: n.options.Log, Metrics: dispatch.NewMetrics(n.registry),
+		Wire: plainhttp.Protocol{}, Log: n.options.Log, Metrics: dispatch.NewMetrics(n.registry),
 		Nodes: func() int { return max(len(n.Candidates()), 1) }, Retries: retryTerms,
 	})
 	n.routes = &routedServices{
 		front: ingress.New(ingress.Options{
-			Parser: plainwire.Wire{}, Runner: dispatcher, Log: n.options.Log, Metrics: ingress.NewMetrics(n.registry),
+			Parser: plainhttp.Protocol{}, Runner: dispatcher, Log: n.options.Log, Metrics: ingress.NewMetrics(n.registry),
 		}),
 		registry: registry,
 		pool:     pool,
--- a/internal/plainwire/plainwire.go
+++ b/internal/plainhttp/plainwire.go
@@ -1,7 +1,7 @@
 // Package plainwire speaks to workers that are ordinary HTTP servers: tinarch's own
 // names for what a request carries beside the caller's headers. A worker need know
 // none of them; one that does can tell that it did not run a request.
-package plainwire
+package plainhttp
 
 import (
 	"net/http"
@@ -32,11 +32,11 @@
 	HeaderLastEvent = "Last-Event-Id"
 )
 
-// Wire implements dispatch.Wire and front.Parser.
-type Wire struct{}
+// Protocol implements dispatch.Protocol and front.Parser.
+type Protocol struct{}
 
 // Parse implements front.Parser. The id is this node's own.
-func (Wire) Parse(call *dispatch.Call) error {
+func (Protocol) Parse(call *dispatch.Call) error {
 	call.ID = string(engine.NewIdentifier())
 	call.LastEventID = call.Header.Get(HeaderLastEvent)
 	text := call.Header.Get(HeaderDeadline)
@@ -55,13 +55,13 @@
 }
 
 // APIKeys implements front.Parser: routes to plain workers need no key.
-func (Wire) APIKeys(http.Header) []string { return nil }
+func (Protocol) APIKeys(http.Header) []string { return nil }
 
 // IDHeader implements dispatch.Wire.
-func (Wire) IDHeader() string { return HeaderAttempt }
+func (Protocol) IDHeader() string { return HeaderAttempt }
 
 // ForwardHeader implements dispatch.Wire.
-func (Wire) ForwardHeader(call *dispatch.Call, forward dispatch.Forward) http.Header {
+func (Protocol) ForwardHeader(call *dispatch.Call, forward dispatch.Forward) http.Header {
 	header := httpheader.WithoutHopByHop(call.Header)
 	header.Del(HeaderNotRun)
 	header.Del(HeaderLastEvent)
@@ -75,10 +75,12 @@
 }
 
 // AnswerHeader implements dispatch.Wire.
-func (Wire) AnswerHeader(header http.Header) http.Header { return httpheader.WithoutHopByHop(header) }
+func (Protocol) AnswerHeader(header http.Header) http.Header {
+	return httpheader.WithoutHopByHop(header)
+}
 
 // Reply implements dispatch.Wire.
-func (Wire) Reply(status int, header http.Header) dispatch.Reply {
+func (Protocol) Reply(status int, header http.Header) dispatch.Reply {
 	return dispatch.Reply{
 		NotExecuted: header.Get(HeaderNotRun) != "",
 		Misdirected: status == http.StatusMisdirectedRequest,
@@ -87,7 +89,7 @@
 
 // Notice reads what the head of an answer says of whether its worker takes further requests: the
 // pause that it asks for.
-func (Wire) Notice(status int, header http.Header) worker.Notice {
+func (Protocol) Notice(status int, header http.Header) worker.Notice {
 	if !httpheader.RetryAfterApplies(status) {
 		return worker.Notice{}
 	}
@@ -96,11 +98,11 @@
 }
 
 // Handle implements dispatch.Wire: plain workers read no prompts apart.
-func (Wire) Handle(string, []byte) (dispatch.Handle, error) {
+func (Protocol) Handle(string, []byte) (dispatch.Handle, error) {
 	return dispatch.Handle{}, eris.New("plain workers read no prompts apart")
 }
 
 // Release implements dispatch.Wire.
-func (Wire) Release(handle dispatch.Handle) *workerconn.Request {
+func (Protocol) Release(handle dispatch.Handle) *workerconn.Request {
 	return &workerconn.Request{Method: http.MethodDelete, Target: "/" + handle.ID, Host: handle.Address, Header: http.Header{}}
 }
--- a/internal/plainwire/plainwire_test.go
+++ b/internal/plainhttp/plainwire_test.go
@@ -1,4 +1,4 @@
-package plainwire
+package plainhttp
 
 import (
 	"net/http"
@@ -18,13 +18,13 @@
 			HeaderDeadline: {"2000"}, HeaderAttempt: {"forged"}, HeaderWorker: {"forged"}, HeaderNotRun: {"1"}, HeaderLastEvent: {"3"}, "Accept": {"*/*"},
 		},
 	}
-	if err := (Wire{}).Parse(call); err != nil {
+	if err := (Protocol{}).Parse(call); err != nil {
 		t.Fatal(err)
 	}
 	if call.ID == "forged" || call.ID == "" || !call.Deadline.Equal(arrived.Add(2*time.Second)) || call.LastEventID != "3" {
 		t.Errorf("%+v", call)
 	}
-	got := (Wire{}).ForwardHeader(call, dispatch.Forward{WorkerID: "w", Remaining: time.Second, ResumeAfter: "4"})
+	got := (Protocol{}).ForwardHeader(call, dispatch.Forward{WorkerID: "w", Remaining: time.Second, ResumeAfter: "4"})
 	want := http.Header{
 		HeaderDeadline: {"1000"}, HeaderAttempt: {call.ID}, HeaderWorker: {"w"}, HeaderLastEvent: {"4"}, "Accept": {"*/*"},
 	}
@@ -34,20 +34,20 @@
 }
 
 func TestReply(t *testing.T) {
-	if got := (Wire{}).Reply(503, http.Header{}); got.NotExecuted || got.Misdirected {
+	if got := (Protocol{}).Reply(503, http.Header{}); got.NotExecuted || got.Misdirected {
 		t.Error("a failure is taken for proof that nothing ran")
 	}
-	if got := (Wire{}).Reply(503, http.Header{HeaderNotRun: {"1"}}); !got.NotExecuted {
+	if got := (Protocol{}).Reply(503, http.Header{HeaderNotRun: {"1"}}); !got.NotExecuted {
 		t.Error("a worker's word is not taken")
 	}
-	if got := (Wire{}).Reply(421, http.Header{}); !got.Misdirected {
+	if got := (Protocol{}).Reply(421, http.Header{}); !got.Misdirected {
 		t.Error("421 is not taken")
 	}
 }
 
 func TestParseNamesMistakes(t *testing.T) {
 	for _, text := range []string{"soon", "-1", "1.5"} {
-		if err := (Wire{}).Parse(&dispatch.Call{Header: http.Header{HeaderDeadline: {text}}}); err == nil {
+		if err := (Protocol{}).Parse(&dispatch.Call{Header: http.Header{HeaderDeadline: {text}}}); err == nil {
 			t.Errorf("%q was taken", text)
 		}
 	}
