--- a/internal/prefixcache/prefixcache.go
+++ b/internal/prefixcache/prefixcache.go
@@ -90,8 +90,8 @@
 	return parts
 }
 
-// Held returns the tokens kept.
-func (c *Cache) Held() int { return c.held }
+// Size returns the tokens kept.
+func (c *Cache) Size() int { return c.held }
 
 func (c *Cache) evict() {
 	for c.held > c.capacity && len(c.entries) > 0 {
--- a/internal/prefixcache/prefixcache_test.go
+++ b/internal/prefixcache/prefixcache_test.go
@@ -39,7 +39,7 @@
 		t.Errorf("kept %v", cache.entries)
 	}
 	cache.Clear()
-	if cache.Held() != 0 || cache.Match([]Part{{1, 100}}) != 0 {
+	if cache.Size() != 0 || cache.Match([]Part{{1, 100}}) != 0 {
 		t.Error("something is kept after a restart")
 	}
 }
@@ -54,8 +54,8 @@
 			for _, kept := range cache.entries {
 				sum += kept.tokens
 			}
-			if sum != cache.Held() || sum > 500 {
-				t.Fatalf("holds %d, says %d", sum, cache.Held())
+			if sum != cache.Size() || sum > 500 {
+				t.Fatalf("holds %d, says %d", sum, cache.Size())
 			}
 		}
 	})
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -288,5 +288,5 @@
 	if !exists {
 		return 0
 	}
-	return known.cache.Held()
+	return known.cache.Size()
 }
