--- a/internal/fleetsize/basis.go
+++ b/internal/fleetsize/basis.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return eris.Wrap(err, "the basis of the plan can't be read")
 	}
-	var basis Observed
+	var basis Basis
 	if version > 0 {
 		if err := json.Unmarshal(content, &basis); err != nil {
 			return eris.Wrap(err, "the basis of the plan is malformed")
--- a/internal/fleetsize/ordered.go
+++ b/internal/fleetsize/ordered.go
@@ -16,7 +16,7 @@
 	since    time.Time
 	// basis is what the plan rests on, nil until it is known, and era that of the store's
 	// history in which it lies.
-	basis *Observed
+	basis *Basis
 	era   uint64
 	// whole is the plan where all kinds are to be had, on the terms planned.
 	whole   Counts
--- a/internal/fleetsize/plan.go
+++ b/internal/fleetsize/plan.go
@@ -73,8 +73,8 @@
 	return Policy{Elasticity: 2, AbsenceBase: 0.2, AbsencePerSecond: 0.02, Gain: 0.04}
 }
 
-// Observed is what is known of a service's work.
-type Observed struct {
+// Basis is what is known of a service's work.
+type Basis struct {
 	// Lost is the worth of requests that come late or are refused in a second for want of
 	// workers, in the unit of prices, while Workers stood.
 	Lost    float64 `json:"lost"`
@@ -97,20 +97,20 @@
 
 // Prior is what is known before any request has come: that the operators' fleet is right
 // at the prices of workers that stay. There, one more worker is worth its price.
-func (p Policy) Prior(terms *routing.Scaling, standing Counts) Observed {
+func (p Policy) Prior(terms *routing.Scaling, standing Counts) Basis {
 	workers, price := 0.0, 0.0
 	for kind, count := range standing {
 		workers += float64(count)
 		price += float64(count) * terms.PriceByZone[kind.Zone]
 	}
-	return Observed{Lost: price / p.Elasticity, Workers: workers}
+	return Basis{Lost: price / p.Elasticity, Workers: workers}
 }
 
 // fleet is a plan in the making.
 type fleet struct {
 	policy   Policy
 	terms    *routing.Scaling
-	observed Observed
+	observed Basis
 	counts   Counts
 	// most bounds the workers of some kinds.
 	most map[Kind]int
@@ -151,7 +151,7 @@
 
 // Plan returns the workers of each kind that cost least, all in all. Of kinds that are not
 // to be had there are at most so many.
-func (p Policy) Plan(terms *routing.Scaling, observed Observed, most map[Kind]int) Counts {
+func (p Policy) Plan(terms *routing.Scaling, observed Basis, most map[Kind]int) Counts {
 	f := &fleet{policy: p, terms: terms, observed: observed, counts: make(Counts), most: most}
 	for zone := range terms.PriceByZone {
 		f.counts[Kind{Zone: zone}] = terms.Min
@@ -217,7 +217,7 @@
 }
 
 // Cost returns what workers cost in a second, with the worth that is lost.
-func (p Policy) Cost(terms *routing.Scaling, observed Observed, counts Counts) float64 {
+func (p Policy) Cost(terms *routing.Scaling, observed Basis, counts Counts) float64 {
 	f := &fleet{policy: p, terms: terms, observed: observed, counts: counts}
 	return f.cost()
 }
