--- a/internal/nodeexchange/ask.go
+++ b/internal/nodeexchange/ask.go
@@ -128,7 +128,7 @@
 	workers := e.registry.Generation()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.peers.nodes() <= wholeFleet || e.peers.places.Several() {
+	if e.peers.nodes() <= wholeFleet || e.peers.places.MultiRegion() {
 		return nil, false
 	}
 	if e.keeping.engines != nil && e.keeping.nodes == e.peers.generation && e.keeping.workers == workers {
--- a/internal/nodeexchange/homes.go
+++ b/internal/nodeexchange/homes.go
@@ -59,7 +59,7 @@
 	nodes, count := float64(s.nodes()), float64(homeCount(s.nodes()))
 	const surelyHigher, perHome = 20, 2
 	expected := surelyHigher + perHome*count
-	if s.places.Several() || expected >= nodes {
+	if s.places.MultiRegion() || expected >= nodes {
 		return true
 	}
 	bound := uint64(math.MaxUint64 * (1 - expected/nodes))
@@ -150,7 +150,7 @@
 	s.generation++
 	s.members = nil
 	before := s.nodes() - len(added)
-	if s.places.Several() || homeCount(before) != homeCount(s.nodes()) {
+	if s.places.MultiRegion() || homeCount(before) != homeCount(s.nodes()) {
 		// More than the new ones' own ranking changes: how many are ranked, or whether a
 		// region has nodes of its own.
 		s.rerank()
@@ -165,7 +165,7 @@
 	delete(s.peers, address)
 	s.generation++
 	s.members = nil
-	if s.places.Several() || before != homeCount(s.nodes()) {
+	if s.places.MultiRegion() || before != homeCount(s.nodes()) {
 		s.rerank()
 		return
 	}
--- a/internal/nodeexchange/metrics.go
+++ b/internal/nodeexchange/metrics.go
@@ -38,7 +38,7 @@
 	if known, exists := e.peers.peers[address]; exists {
 		zone = known.zone
 	}
-	return e.peers.places.To(zone).String()
+	return e.peers.places.DistanceTo(zone).String()
 }
 
 // sent counts a datagram.
--- a/internal/nodeexchange/regions.go
+++ b/internal/nodeexchange/regions.go
@@ -65,7 +65,7 @@
 // far reports whether a region is another one. A node whose zone isn't known yet may be in
 // one, where there are several.
 func (e *Exchange) far(region string) bool {
-	return e.peers.places.Several() && region != e.peers.places.Own()
+	return e.peers.places.MultiRegion() && region != e.peers.places.OwnRegion()
 }
 
 // patience is how much longer than within the region an answer from another one is
@@ -94,7 +94,7 @@
 // regionOf is the region of a node, empty where it isn't known.
 func (s *peerSet) regionOf(address netip.AddrPort) string {
 	if address == s.address {
-		return s.places.Own()
+		return s.places.OwnRegion()
 	}
 	if known, exists := s.peers[address]; exists {
 		return s.places.Region(known.zone)
@@ -106,7 +106,7 @@
 // the accounts of a region that lost its nodes.
 func (s *peerSet) inRegion(region string) []netip.AddrPort {
 	members := append(s.all(), s.address)
-	if !s.places.Several() {
+	if !s.places.MultiRegion() {
 		return members
 	}
 	var near []netip.AddrPort
@@ -124,7 +124,7 @@
 // regionOfKept is the region whose nodes keep the account of a worker. In a small fleet
 // that is all of them.
 func (s *peerSet) regionOfKept(worker string) string {
-	if s.regionOfWorker == nil || !s.places.Several() || s.nodes() <= wholeFleet {
+	if s.regionOfWorker == nil || !s.places.MultiRegion() || s.nodes() <= wholeFleet {
 		return ""
 	}
 	return s.regionOfWorker(worker)
--- a/internal/nodeexchange/relay.go
+++ b/internal/nodeexchange/relay.go
@@ -75,7 +75,7 @@
 func (s *peerSet) zoneHeads() []netip.AddrPort {
 	var heads []netip.AddrPort
 	for _, zone := range s.zones() {
-		if !s.places.Several() || s.places.Region(zone) == s.places.Own() {
+		if !s.places.MultiRegion() || s.places.Region(zone) == s.places.OwnRegion() {
 			heads = append(heads, s.heads(zone)...)
 		}
 	}
@@ -89,9 +89,9 @@
 	if !s.large() {
 		return s.all(), nil
 	}
-	if s.places.Several() {
+	if s.places.MultiRegion() {
 		for _, head := range s.regionHeads() {
-			if s.regionOf(head) != s.places.Own() {
+			if s.regionOf(head) != s.places.OwnRegion() {
 				across = append(across, head)
 			}
 		}
--- a/internal/nodeexchange/relay_test.go
+++ b/internal/nodeexchange/relay_test.go
@@ -43,7 +43,7 @@
 	var carry func(sender, to netip.AddrPort, across, relayed bool)
 	carry = func(sender, to netip.AddrPort, across, relayed bool) {
 		set := sets[to]
-		if set.regionOf(sender) != set.places.Own() {
+		if set.regionOf(sender) != set.places.OwnRegion() {
 			crossings++
 		}
 		if slices.Contains(dead, to) {
@@ -114,7 +114,7 @@
 		set := sets[addressOf(i)]
 		heads := [][]netip.AddrPort{set.heads(set.zone)}
 		for _, head := range set.regionHeads() {
-			if set.regionOf(head) == set.places.Own() {
+			if set.regionOf(head) == set.places.OwnRegion() {
 				heads = append(heads, []netip.AddrPort{head})
 				break
 			}
@@ -179,7 +179,7 @@
 	supervisors := sets[addressOf(0)].supervisors()
 	regions := make(map[string]int)
 	for _, address := range supervisors {
-		regions[sets[address].places.Own()]++
+		regions[sets[address].places.OwnRegion()]++
 	}
 	if len(regions) != 3 || len(supervisors) < leastSupervisors {
 		t.Errorf("supervisors by region: %v", regions)
@@ -209,7 +209,7 @@
 	designated := func(lost string) []netip.AddrPort {
 		var found []netip.AddrPort
 		for _, address := range supervisors {
-			if set := sets[address]; set.places.Own() != lost && set.designated(false) {
+			if set := sets[address]; set.places.OwnRegion() != lost && set.designated(false) {
 				found = append(found, address)
 			}
 		}
@@ -219,10 +219,10 @@
 	if len(before) != 1 {
 		t.Fatalf("%v are designated", before)
 	}
-	lost, later := sets[before[0]].places.Own(), origin.Add(peerLife+1)
+	lost, later := sets[before[0]].places.OwnRegion(), origin.Add(peerLife+1)
 	for _, address := range supervisors {
 		for other, set := range sets {
-			if set.places.Own() != lost && other != address {
+			if set.places.OwnRegion() != lost && other != address {
 				sets[address].hear(other, Message{Node: set.self, Sequence: 2}, later)
 			}
 		}
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -51,8 +51,8 @@
 // Zone is the zone from which the map is seen.
 func (m Map) Zone() string { return m.zone }
 
-// Own is the region from which the map is seen, empty in a deployment in one region.
-func (m Map) Own() string { return m.regions[m.zone] }
+// OwnRegion is the region from which the map is seen, empty in a deployment in one region.
+func (m Map) OwnRegion() string { return m.regions[m.zone] }
 
 // Region is that of a zone, empty where none is known.
 func (m Map) Region(zone string) string { return m.regions[zone] }
@@ -60,8 +60,8 @@
 // Regions lists the regions in order of their names, none in a deployment in one region.
 func (m Map) Regions() []string { return m.names }
 
-// Several reports whether the deployment lies in more than one region.
-func (m Map) Several() bool { return len(m.names) > 1 }
+// MultiRegion reports whether the deployment lies in more than one region.
+func (m Map) MultiRegion() bool { return len(m.names) > 1 }
 
 // Between is the distance of two zones.
 func (m Map) Between(one, other string) Distance {
@@ -74,5 +74,5 @@
 	return OtherRegion
 }
 
-// To is the distance to a zone.
-func (m Map) To(zone string) Distance { return m.Between(m.zone, zone) }
+// DistanceTo is the distance to a zone.
+func (m Map) DistanceTo(zone string) Distance { return m.Between(m.zone, zone) }
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -9,12 +9,12 @@
 func TestDistances(t *testing.T) {
 	m := New("north-a", map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"})
 	for zone, want := range map[string]Distance{"north-a": SameZone, "north-b": SameRegion, "south-a": OtherRegion} {
-		if got := m.To(zone); got != want {
+		if got := m.DistanceTo(zone); got != want {
 			t.Errorf("distance to %s is %v, want %v", zone, got, want)
 		}
 	}
-	if !m.Several() || m.Own() != "north" {
-		t.Errorf("several %v, own region %q", m.Several(), m.Own())
+	if !m.MultiRegion() || m.OwnRegion() != "north" {
+		t.Errorf("several %v, own region %q", m.MultiRegion(), m.OwnRegion())
 	}
 	if diff := cmp.Diff([]string{"north", "south"}, m.Regions()); diff != "" {
 		t.Error(diff)
@@ -23,15 +23,15 @@
 
 func TestZonesWithoutRegionsLieTogether(t *testing.T) {
 	m := New("a", nil)
-	if m.Several() || m.To("b") != SameRegion || m.To("a") != SameZone {
-		t.Errorf("several %v, to b %v", m.Several(), m.To("b"))
+	if m.MultiRegion() || m.DistanceTo("b") != SameRegion || m.DistanceTo("a") != SameZone {
+		t.Errorf("several %v, to b %v", m.MultiRegion(), m.DistanceTo("b"))
 	}
 }
 
 // TestOneRegionIsNone: a zone that the settings don't name is as near as the others.
 func TestOneRegionIsNone(t *testing.T) {
 	m := New("a", map[string]string{"a": "north", "b": "north"})
-	if m.Several() || m.To("b") != SameRegion || m.To("c") != SameRegion || m.Own() != "" || m.Region("b") != m.Region("c") {
-		t.Errorf("several %v, to b %v, to c %v, regions %q and %q", m.Several(), m.To("b"), m.To("c"), m.Region("b"), m.Region("c"))
+	if m.MultiRegion() || m.DistanceTo("b") != SameRegion || m.DistanceTo("c") != SameRegion || m.OwnRegion() != "" || m.Region("b") != m.Region("c") {
+		t.Errorf("several %v, to b %v, to c %v, regions %q and %q", m.MultiRegion(), m.DistanceTo("b"), m.DistanceTo("c"), m.Region("b"), m.Region("c"))
 	}
 }
--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -60,7 +60,7 @@
 func (r *Registry) outline(known *state, kept bool, now time.Time) scheduling.Outline {
 	return scheduling.Outline{
 		ID: known.worker.ID, Prefill: known.worker.Stage == Prefill,
-		SameZone: r.places.To(known.worker.Zone) == topology.SameZone,
+		SameZone: r.places.DistanceTo(known.worker.Zone) == topology.SameZone,
 		Rank:     known.rank, Hash: known.hash, Tracked: kept,
 		Sound: r.stays(known, now) && !known.breaker.Open(now) && !known.handles.Open(now) && known.turnWait(now) == 0,
 	}
@@ -147,7 +147,7 @@
 func (r *Registry) candidate(known *state, parts []prefixcache.Part, rank int, now time.Time) scheduling.Candidate {
 	load := known.total(now, "")
 	terms, queuePace := r.readingOf(known)
-	distance := r.places.To(known.worker.Zone)
+	distance := r.places.DistanceTo(known.worker.Zone)
 	return scheduling.Candidate{
 		ID:            known.worker.ID,
 		Address:       known.worker.Address,
--- a/internal/worker/demand.go
+++ b/internal/worker/demand.go
@@ -136,7 +136,7 @@
 	case !r.regional:
 		region = ""
 	case region == "":
-		region = r.places.Own()
+		region = r.places.OwnRegion()
 	}
 	return demandKey{service, region}
 }
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -167,7 +167,7 @@
 func NewRegistry(places topology.Map) *Registry {
 	return &Registry{
 		places:   places,
-		regional: places.Several(),
+		regional: places.MultiRegion(),
 		seed:     maphash.MakeSeed(),
 		workers:  make(map[string]*state),
 		names:    make(map[string]string),
