--- a/internal/pace/coefficients.go
+++ b/internal/pace/coefficients.go
@@ -22,12 +22,12 @@
 
 // Milliseconds predicts the time to read tokens after a context of others.
 func (c Coefficients) Milliseconds(tokens, context int) float64 {
-	return c.Fixed + c.Own(tokens, context)
+	return c.Fixed + c.VariableMilliseconds(tokens, context)
 }
 
-// Own is Milliseconds without the fixed part: the time for which a reading holds up
+// VariableMilliseconds is Milliseconds without the fixed part: the time for which a reading holds up
 // others.
-func (c Coefficients) Own(tokens, context int) float64 {
+func (c Coefficients) VariableMilliseconds(tokens, context int) float64 {
 	return c.PerThousand*float64(tokens)/thousand + c.PerMillion*pairs(tokens, context)/million
 }
 
--- a/internal/pace/mean.go
+++ b/internal/pace/mean.go
@@ -41,7 +41,7 @@
 
 // Observe records a reading of the engine, which its group predicts by a model.
 func (f *Factor) Observe(reading Reading, group *Model) {
-	least, most := group.bounds(reading, group.Pace()/f.Value())
+	least, most := group.bounds(reading, group.Throughput()/f.Value())
 	predicted := group.Coefficients().Milliseconds(reading.Tokens, reading.Context)
 	if predicted <= 0 {
 		return
--- a/internal/pace/model.go
+++ b/internal/pace/model.go
@@ -67,9 +67,9 @@
 // Samples returns the number of readings seen.
 func (m *Model) Samples() int { return m.samples }
 
-// Pace is the mean pace at which prompts such as those seen are read, without the
+// Throughput is the mean pace at which prompts such as those seen are read, without the
 // fixed part, in tokens a millisecond.
-func (m *Model) Pace() float64 {
+func (m *Model) Throughput() float64 {
 	if m.pace > 0 {
 		return m.pace
 	}
@@ -152,7 +152,7 @@
 	tokens, own := 0.0, 0.0
 	for _, reading := range m.readings {
 		tokens += float64(reading.Tokens)
-		own += terms.Own(reading.Tokens, reading.Context)
+		own += terms.VariableMilliseconds(reading.Tokens, reading.Context)
 	}
 	return max(tokens/max(own, 1e-3), lowestPace)
 }
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -30,7 +30,7 @@
 
 func TestGuessHoldsUntilSomethingWasRead(t *testing.T) {
 	var model Model
-	if model.Coefficients() != guess || model.Samples() != 0 || model.Pace() != thousand/guessPerThousand {
+	if model.Coefficients() != guess || model.Samples() != 0 || model.Throughput() != thousand/guessPerThousand {
 		t.Errorf("%+v", model.Coefficients())
 	}
 	for _, nothing := range []Reading{{Tokens: 0, Elapsed: time.Second}, {Tokens: 10}, {Tokens: -1, Elapsed: 1}} {
@@ -105,9 +105,9 @@
 	}
 	for range 40 {
 		// Two prompts are read by turns: the short one takes twice its own time.
-		model.Observe(Reading{Tokens: 1500, Ahead: 36_000, Elapsed: millis(10 + 2*truth.Own(1500, 0))})
+		model.Observe(Reading{Tokens: 1500, Ahead: 36_000, Elapsed: millis(10 + 2*truth.VariableMilliseconds(1500, 0))})
 	}
-	if got := model.Pace(); got < 18*0.95 || got > 18*1.1 {
+	if got := model.Throughput(); got < 18*0.95 || got > 18*1.1 {
 		t.Errorf("learned %v tokens a millisecond, want 18", got)
 	}
 }
@@ -135,8 +135,8 @@
 	learned := engine(5, 300, 0.15)
 	var young, old, wrong Model
 	young.Assume(learned, 250)
-	if young.Coefficients() != learned || young.Pace() != 250 {
-		t.Errorf("%+v %v", young.Coefficients(), young.Pace())
+	if young.Coefficients() != learned || young.Throughput() != 250 {
+		t.Errorf("%+v %v", young.Coefficients(), young.Throughput())
 	}
 	old.Observe(Reading{Tokens: 1000, Elapsed: time.Second})
 	before := old.Coefficients()
--- a/internal/scheduling/reading.go
+++ b/internal/scheduling/reading.go
@@ -52,7 +52,7 @@
 	}
 	return reading{
 		time:   request.Engine.Queue*float64(candidate.ReadAhead)/pace + alone,
-		own:    candidate.Reading.Own(unread, atHand),
+		own:    candidate.Reading.VariableMilliseconds(unread, atHand),
 		held:   float64(candidate.ReadTokens)/pace + alone,
 		price:  s.costs.Reread * again * request.aim(),
 		unread: unread,
--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -224,7 +224,7 @@
 // tokens a millisecond.
 func (r *Registry) readingOf(known *state) (pace.Coefficients, float64) {
 	group, slower := r.group(known.worker), known.slower.Value()
-	return group.Coefficients().Scaled(slower), group.Pace() / slower
+	return group.Coefficients().Scaled(slower), group.Throughput() / slower
 }
 
 // decodeSlower is by how much decode engines are assumed to read more slowly than
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -164,7 +164,7 @@
 	}
 	for key, group := range r.groups {
 		if group.Samples() > 0 {
-			memory.Paces = append(memory.Paces, Pace{key.service, key.stage, group.Coefficients(), group.Pace()})
+			memory.Paces = append(memory.Paces, Pace{key.service, key.stage, group.Coefficients(), group.Throughput()})
 		}
 	}
 	return memory, known
