--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -8,7 +8,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"github.com/tinarch/tinarch/internal/pace"
+	"github.com/tinarch/tinarch/internal/latency"
 	"github.com/tinarch/tinarch/internal/quota"
 	"github.com/tinarch/tinarch/internal/result"
 	"github.com/tinarch/tinarch/internal/scheduling"
@@ -117,7 +117,7 @@
 	}
 	elapsed -= wayTo(reader)
 	context := s.call.PromptTokens - unread
-	reading := pace.Reading{Tokens: unread, Context: context, Ahead: reader.ReadAhead, Elapsed: elapsed}
+	reading := latency.Reading{Tokens: unread, Context: context, Ahead: reader.ReadAhead, Elapsed: elapsed}
 	if fetch == "" {
 		s.registry.ObserveReading(reader.ID, reading)
 		return
--- a/internal/pace/model.go
+++ b/internal/latency/model.go
@@ -1,6 +1,6 @@
 // Package pace learns how long engines take to read prompts, from the times that
 // they took. It is pure.
-package pace
+package latency
 
 import (
 	"math"
--- a/internal/pace/pace_test.go
+++ b/internal/latency/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package latency
 
 import (
 	"flag"
--- a/internal/nodeexchange/digest_test.go
+++ b/internal/nodeexchange/digest_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/sirupsen/logrus"
 
-	"github.com/tinarch/tinarch/internal/pace"
+	"github.com/tinarch/tinarch/internal/latency"
 	"github.com/tinarch/tinarch/internal/prefixcache"
 	"github.com/tinarch/tinarch/internal/topology"
 	"github.com/tinarch/tinarch/internal/worker"
@@ -152,7 +152,7 @@
 	old, young := registryWith("w", "unlearned"), registryWith("w", "unlearned")
 	parts := []prefixcache.Part{{ID: 1, Tokens: 700}, {ID: 2, Tokens: 30}}
 	old.ObserveCached("w", parts, time.Unix(1, 0))
-	old.ObserveReading("w", pace.Reading{Tokens: 5000, Elapsed: 100 * time.Millisecond})
+	old.ObserveReading("w", latency.Reading{Tokens: 5000, Elapsed: 100 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var exchanges []*Exchange
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/tinarch/tinarch/internal/pace"
+	"github.com/tinarch/tinarch/internal/latency"
 )
 
 func reader(id string, change ...func(*Candidate)) Candidate {
@@ -16,8 +16,8 @@
 }
 
 // readingAt are the terms of an engine that reads so many tokens a millisecond.
-func readingAt(tokensPerMillisecond float64) pace.Coefficients {
-	return pace.Coefficients{Fixed: 25, PerThousand: 1000 / tokensPerMillisecond}
+func readingAt(tokensPerMillisecond float64) latency.Coefficients {
+	return latency.Coefficients{Fixed: 25, PerThousand: 1000 / tokensPerMillisecond}
 }
 
 func opaque(id string, change ...func(*Candidate)) Candidate {
--- a/internal/scheduling/survey_test.go
+++ b/internal/scheduling/survey_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/tinarch/tinarch/internal/pace"
+	"github.com/tinarch/tinarch/internal/latency"
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
@@ -196,7 +196,7 @@
 // is no choice for reading or running.
 func TestHoldersAreFetchedFromAndGivenNothing(t *testing.T) {
 	engine := EngineTimes{MovePerToken: 0.0004, Fetch: 5, Queue: 1}
-	reading, slower := pace.Coefficients{Fixed: 10, PerThousand: 27}, pace.Coefficients{Fixed: 10, PerThousand: 54}
+	reading, slower := latency.Coefficients{Fixed: 10, PerThousand: 27}, latency.Coefficients{Fixed: 10, PerThousand: 54}
 	reader := Candidate{ID: "reader", Address: "1.1.1.1:1", Prefill: true, Slots: 8, Capacity: 400_000, Pace: 36, Reading: reading, SameZone: true}
 	holder := Candidate{ID: "holder", Address: "1.1.1.2:1", Prefill: true, Slots: 8, Capacity: 400_000, Pace: 36, Reading: reading, SameZone: true}
 	runner := Candidate{ID: "runner", Address: "1.1.1.3:1", Decode: true, Slots: 8, Capacity: 400_000, Pace: 18, Reading: slower, Requests: 5, SameZone: true}
--- a/internal/scheduling/types.go
+++ b/internal/scheduling/types.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/tinarch/tinarch/internal/pace"
+	"github.com/tinarch/tinarch/internal/latency"
 )
 
 // Candidate is what is known of one worker.
@@ -34,7 +34,7 @@
 	CachedTokens int
 	// Reading are the learned terms of reading a prompt, and Pace the pace at which
 	// the queue before it is read, in tokens a millisecond.
-	Reading pace.Coefficients
+	Reading latency.Coefficients
 	Pace    float64
 	// Avoid tells that the worker failed just now.
 	Avoid bool
--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -4,7 +4,7 @@
 	"iter"
 	"time"
 
-	"github.com/tinarch/tinarch/internal/pace"
+	"github.com/tinarch/tinarch/internal/latency"
 	"github.com/tinarch/tinarch/internal/prefixcache"
 	"github.com/tinarch/tinarch/internal/scheduling"
 	"github.com/tinarch/tinarch/internal/stageplan"
@@ -222,7 +222,7 @@
 
 // readingOf returns the terms of a worker's reading, and the pace of its queue in
 // tokens a millisecond.
-func (r *Registry) readingOf(known *state) (pace.Coefficients, float64) {
+func (r *Registry) readingOf(known *state) (latency.Coefficients, float64) {
 	group, slower := r.group(known.worker), known.slower.Value()
 	return group.Coefficients().Scaled(slower), group.Throughput() / slower
 }
@@ -231,11 +231,11 @@
 // prefill engines until they were measured: they read between the tokens of others.
 const decodeSlower = 2
 
-func (r *Registry) group(worker Worker) *pace.Model {
+func (r *Registry) group(worker Worker) *latency.Model {
 	key := groupKey{worker.Service, worker.Stage}
 	group, known := r.groups[key]
 	if !known {
-		group = &pace.Model{}
+		group = &latency.Model{}
 		if worker.Stage == Decode {
 			group.AssumeSlower(decodeSlower)
 		}
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/tinarch/tinarch/internal/pace"
+	"github.com/tinarch/tinarch/internal/latency"
 	"github.com/tinarch/tinarch/internal/prefixcache"
 )
 
@@ -136,7 +136,7 @@
 type Pace struct {
 	Service string
 	Stage   Stage
-	Terms   pace.Coefficients
+	Terms   latency.Coefficients
 	// TokensPerMillisecond is the pace of a queue.
 	TokensPerMillisecond float64
 }
--- a/internal/worker/observe.go
+++ b/internal/worker/observe.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/tinarch/tinarch/internal/breaker"
-	"github.com/tinarch/tinarch/internal/pace"
+	"github.com/tinarch/tinarch/internal/latency"
 	"github.com/tinarch/tinarch/internal/prefixcache"
 )
 
@@ -47,7 +47,7 @@
 
 // ObserveReading records how long a worker took to read a prompt. A time that isn't positive
 // tells nothing: more was taken off for the way to the worker than it took.
-func (r *Registry) ObserveReading(id string, reading pace.Reading) {
+func (r *Registry) ObserveReading(id string, reading latency.Reading) {
 	if reading.Elapsed <= 0 {
 		return
 	}
@@ -65,7 +65,7 @@
 
 // ObserveFetch records a reading that began with a fetch, the link taking part of the
 // time.
-func (r *Registry) ObserveFetch(id string, reading pace.Reading, link time.Duration) {
+func (r *Registry) ObserveFetch(id string, reading latency.Reading, link time.Duration) {
 	r.update(id, func(known *state) {
 		terms, _ := r.readingOf(known)
 		rest := reading.Elapsed - link - time.Duration(terms.Milliseconds(reading.Tokens, reading.Context)*float64(time.Millisecond))
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/tinarch/tinarch/internal/breaker"
-	"github.com/tinarch/tinarch/internal/pace"
+	"github.com/tinarch/tinarch/internal/latency"
 	"github.com/tinarch/tinarch/internal/prefixcache"
 	"github.com/tinarch/tinarch/internal/topology"
 )
@@ -30,7 +30,7 @@
 	// cacheKnown tells that what the worker kept before this node started is known.
 	cacheKnown bool
 	// slower is by how much the engine reads more slowly than its group.
-	slower pace.Factor
+	slower latency.Factor
 	// rank orders the workers for this node alone, hash for all nodes alike.
 	rank, hash uint64
 	breaker    breaker.Breaker
@@ -104,7 +104,7 @@
 	// generation rises whenever a worker is added or forgotten.
 	generation uint64
 	// groups hold the learned reading of all workers of a service and stage.
-	groups map[groupKey]*pace.Model
+	groups map[groupKey]*latency.Model
 	// steps hold what else was learned of a service's engines.
 	steps map[string]*steps
 	// memory is the KV cache of one engine by service, in tokens.
@@ -139,17 +139,17 @@
 type steps struct {
 	// queue is the part of the reading ahead of a prompt that it waits for: engines read
 	// several prompts by turns.
-	queue pace.Share
+	queue latency.Share
 	// handover is from sending a request to run with a prompt that was read apart to
 	// its first byte.
-	handover pace.Mean
+	handover latency.Mean
 	// fetch is what a fetch of kept parts takes besides the link.
-	fetch pace.Mean
+	fetch latency.Mean
 	// run is from the first byte of an answer to its end.
-	run pace.Mean
+	run latency.Mean
 	// writing is the time of a run for each token that its caller expected, in
 	// milliseconds.
-	writing pace.Ratio
+	writing latency.Ratio
 }
 
 type groupKey struct {
@@ -180,7 +180,7 @@
 		advisories:   make(map[string]NoticeState),
 		drainingNews: make(map[string]time.Time),
 		limitNews:    make(map[string]time.Time),
-		groups:       make(map[groupKey]*pace.Model),
+		groups:       make(map[groupKey]*latency.Model),
 		steps:        make(map[string]*steps),
 		demands:      make(map[demandKey]*demand),
 		memory:       make(map[string]int),
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"github.com/tinarch/tinarch/internal/pace"
+	"github.com/tinarch/tinarch/internal/latency"
 	"github.com/tinarch/tinarch/internal/prefixcache"
 	"github.com/tinarch/tinarch/internal/scheduling"
 	"github.com/tinarch/tinarch/internal/topology"
@@ -182,7 +182,7 @@
 	r.ObserveCached("gone", nil, origin)
 	r.Failed("gone", origin)
 	r.Succeeded("gone", origin)
-	r.ObserveReading("gone", pace.Reading{Tokens: 5000, Elapsed: time.Second})
+	r.ObserveReading("gone", latency.Reading{Tokens: 5000, Elapsed: time.Second})
 	if snapshot := r.Snapshot(); len(snapshot.Loads)+len(snapshot.CacheUpdates)+len(snapshot.Failures) != 0 {
 		t.Errorf("%+v", snapshot)
 	}
@@ -192,7 +192,7 @@
 func TestPaceOfTheGroupHoldsForANewWorker(t *testing.T) {
 	r := newTestRegistry()
 	for range 30 {
-		r.ObserveReading("p", pace.Reading{Tokens: 10_000, Elapsed: 125 * time.Millisecond})
+		r.ObserveReading("p", latency.Reading{Tokens: 10_000, Elapsed: 125 * time.Millisecond})
 	}
 	r.Apply(Change{Name: "p2", Worker: &Worker{ID: "p2", Service: "llm", Stage: Prefill}})
 	takes := func() float64 { return find(t, r, "p2", nil, origin).Reading.Milliseconds(10_000, 0) }
@@ -200,7 +200,7 @@
 		t.Errorf("a new worker is assumed to read the prompt in %v ms, want 125", got)
 	}
 	for range 34 {
-		r.ObserveReading("p2", pace.Reading{Tokens: 10_000, Elapsed: 925 * time.Millisecond})
+		r.ObserveReading("p2", latency.Reading{Tokens: 10_000, Elapsed: 925 * time.Millisecond})
 	}
 	if got := takes(); got < 830 || got > 1080 {
 		t.Errorf("a slow worker is assumed to read the prompt in %v ms, want 925", got)
@@ -306,12 +306,12 @@
 // be taken for longer than the engine's answer took.
 func TestTimesThatArentPositiveTeachNothing(t *testing.T) {
 	r := newTestRegistry()
-	slow := pace.Reading{Tokens: 10_000, Elapsed: 400 * time.Millisecond}
+	slow := latency.Reading{Tokens: 10_000, Elapsed: 400 * time.Millisecond}
 	for range 20 {
 		r.ObserveReading("p", slow)
 	}
 	reading, handover := find(t, r, "p", nil, origin).Reading, r.LearnedTimings("llm").Handover
-	r.ObserveReading("p", pace.Reading{Tokens: 1000, Elapsed: -5 * time.Millisecond})
+	r.ObserveReading("p", latency.Reading{Tokens: 1000, Elapsed: -5 * time.Millisecond})
 	r.ObserveHandover("d", -5*time.Millisecond)
 	if got := find(t, r, "p", nil, origin).Reading; got != reading {
 		t.Errorf("reads by %+v, by %+v before", got, reading)
