--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -68,7 +68,7 @@
 	ObserveCalls(observed func(rowstore.Call))
 	usage.API
 	fleetsize.API
-	stagecontrol.Wire
+	stagecontrol.OrderProtocol
 	// ReadSome returns the first rows of a table, and whether there are more.
 	ReadSome(ctx context.Context, table string, most int) (rows []tablefeed.Row, more bool, err error)
 	// ReadRange returns the rows of a table from one key up to another, which is left out.
--- a/internal/stagecontrol/controller.go
+++ b/internal/stagecontrol/controller.go
@@ -47,8 +47,8 @@
 	Unknown Verdict = "unknown"
 )
 
-// Wire is how orders are put.
-type Wire interface {
+// OrderProtocol is how orders are put.
+type OrderProtocol interface {
 	// StageOrder returns the order for a worker to have a stage.
 	StageOrder(to worker.Worker, prefill bool, holder string, fence uint64) *workerconn.Request
 	// OrderVerdict reads the status of its answer.
@@ -85,7 +85,7 @@
 	// Self names this node to engines.
 	Self      string
 	Authority *authority.Authority
-	Wire      Wire
+	Wire      OrderProtocol
 	Fleet     Fleet
 	Pool      Pool
 	Log       *logrus.Logger
