--- a/internal/nodeexchange/digest.go
+++ b/internal/nodeexchange/digest.go
@@ -62,7 +62,7 @@
 	// Zone is the sender's, told at rest only.
 	Zone string `json:"z,omitempty"`
 	// Words are on the tables of the store; such a message holds nothing else.
-	Words []tablerelay.Word `json:"t,omitempty"`
+	Words []tablerelay.Announcement `json:"t,omitempty"`
 	// CreatedMillis is when the maker of words made the message, in milliseconds of its clock since boot.
 	CreatedMillis int64 `json:"tm,omitempty"`
 	// WantWords asks the receiver for its words.
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -17,9 +17,9 @@
 type TableCoordinator interface {
 	// Words are what this node itself has from the store, and Known all that it relies
 	// on.
-	Words(now time.Time) []tablerelay.Word
-	Known(now time.Time) []tablerelay.Word
-	Take(words []tablerelay.Word, now time.Time)
+	Words(now time.Time) []tablerelay.Announcement
+	Known(now time.Time) []tablerelay.Announcement
+	Take(words []tablerelay.Announcement, now time.Time)
 	TakeNews(news tablefeed.News)
 }
 
@@ -29,7 +29,7 @@
 const maxFanOut = 30
 
 // SpreadWords tells the other nodes what the store has confirmed.
-func (e *Exchange) SpreadWords(words []tablerelay.Word) {
+func (e *Exchange) SpreadWords(words []tablerelay.Announcement) {
 	e.spread(Message{Node: e.node, Words: words, CreatedMillis: clock.Boottime().UnixMilli()})
 }
 
--- a/internal/nodeexchange/tables_test.go
+++ b/internal/nodeexchange/tables_test.go
@@ -10,14 +10,16 @@
 )
 
 // boardStub records what comes to it.
-type boardStub struct{ words chan []tablerelay.Word }
+type boardStub struct {
+	words chan []tablerelay.Announcement
+}
 
-func (b *boardStub) Words(time.Time) []tablerelay.Word { return nil }
-func (b *boardStub) Known(time.Time) []tablerelay.Word {
-	return []tablerelay.Word{{Table: "known"}}
+func (b *boardStub) Words(time.Time) []tablerelay.Announcement { return nil }
+func (b *boardStub) Known(time.Time) []tablerelay.Announcement {
+	return []tablerelay.Announcement{{Table: "known"}}
 }
-func (b *boardStub) Take(words []tablerelay.Word, _ time.Time) { b.words <- words }
-func (b *boardStub) TakeNews(tablefeed.News)                   {}
+func (b *boardStub) Take(words []tablerelay.Announcement, _ time.Time) { b.words <- words }
+func (b *boardStub) TakeNews(tablefeed.News)                           {}
 
 // TestWordsReachAllNodes: in a large fleet two nodes of each zone pass them on, so that
 // each node hears them at least once, and no node sends to all.
@@ -25,7 +27,7 @@
 	const nodes = 50
 	boards := make([]TableCoordinator, nodes)
 	for i := range boards {
-		boards[i] = &boardStub{words: make(chan []tablerelay.Word, 100)}
+		boards[i] = &boardStub{words: make(chan []tablerelay.Announcement, 100)}
 	}
 	exchanges, _ := clusterWithBoards(t, boards, "w")
 	exchanges[0].mu.Lock()
@@ -35,7 +37,7 @@
 	if targets > leastHomes {
 		t.Errorf("one node tells %d of one zone", targets)
 	}
-	exchanges[0].SpreadWords([]tablerelay.Word{{Table: "spread"}})
+	exchanges[0].SpreadWords([]tablerelay.Announcement{{Table: "spread"}})
 	for i, board := range boards[1:] {
 		select {
 		case words := <-board.(*boardStub).words:
@@ -50,7 +52,7 @@
 
 // TestWordsAreAskedFor where none has come.
 func TestWordsAreAskedFor(t *testing.T) {
-	asking, asked := &boardStub{words: make(chan []tablerelay.Word, 100)}, &boardStub{words: make(chan []tablerelay.Word, 100)}
+	asking, asked := &boardStub{words: make(chan []tablerelay.Announcement, 100)}, &boardStub{words: make(chan []tablerelay.Announcement, 100)}
 	exchanges, _ := clusterWithBoards(t, []TableCoordinator{asking, asked}, "w")
 	exchanges[0].AskWords("table")
 	select {
--- a/internal/nodeexchange/transit_test.go
+++ b/internal/nodeexchange/transit_test.go
@@ -30,10 +30,10 @@
 
 // TestWordThatLayInABufferIsAsOldAsItIs: the node didn't run while it came.
 func TestWordThatLayInABufferIsAsOldAsItIs(t *testing.T) {
-	board := &boardStub{words: make(chan []tablerelay.Word, 2)}
+	board := &boardStub{words: make(chan []tablerelay.Announcement, 2)}
 	exchanges, _ := clusterWithBoards(t, []TableCoordinator{board}, "w")
 	now := time.Now()
-	word := []tablerelay.Word{{Table: "table", Changed: tablefeed.Version(1), AgeMillis: 100}}
+	word := []tablerelay.Announcement{{Table: "table", Changed: tablefeed.Version(1), AgeMillis: 100}}
 	for _, late := range []time.Duration{0, 2 * time.Second} {
 		made := now.Add(-late - 5*time.Millisecond)
 		exchanges[0].takeWordsAt(exchanges[0].peers.address, Message{Node: "maker", Words: word, CreatedMillis: made.UnixMilli()}, now)
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -104,7 +104,7 @@
 	servers  []*http.Server
 	callers  *http.Server
 
-	board *tablerelay.Board
+	board *tablerelay.Coordinator
 	// configurationFeed and workersFeed follow the platform's tables.
 	configurationFeed, workersFeed *tablefeed.Feed
 	// nodesFeed follows the list of nodes, once the fleet is large; large is closed when the
@@ -300,7 +300,7 @@
 			n.isLarge()
 		}
 	})
-	n.board.SetCopies(tableshare.NewClient(n.exchange, n.tables, workerconn.DialStore, n.log))
+	n.board.SetFetcher(tableshare.NewClient(n.exchange, n.tables, workerconn.DialStore, n.log))
 }
 
 // follow starts the feeds of the platform's tables and the exchange.
--- a/internal/tablerelay/board.go
+++ b/internal/tablerelay/board.go
@@ -50,8 +50,8 @@
 	tellingPlaces = 3
 )
 
-// Word is what a node says of a table that some node reads at the store.
-type Word struct {
+// Announcement is what a node says of a table that some node reads at the store.
+type Announcement struct {
 	Table string `json:"n"`
 	// Changed is the version of the last change of the table.
 	Changed tablefeed.Version `json:"c"`
@@ -77,25 +77,25 @@
 	Nodes() int
 	Large() bool
 	// SpreadWords and SpreadNews tell all other nodes.
-	SpreadWords(words []Word)
+	SpreadWords(words []Announcement)
 	SpreadNews(news tablefeed.News)
 	// AskWords asks some nodes for their words.
 	AskWords(table string)
 }
 
-// Copies gets tables from other nodes.
-type Copies interface {
+// Fetcher gets tables from other nodes.
+type Fetcher interface {
 	// Copy and Missed are as in tablefeed.Others.
 	Copy(ctx context.Context, table string) (tablefeed.Transfer, error)
 	// holders are nodes that hold a change after that version.
 	Missed(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Transfer, error)
 }
 
-// Board holds the words of the nodes on all tables. It is safe for concurrent use.
-type Board struct {
+// Coordinator holds the words of the nodes on all tables. It is safe for concurrent use.
+type Coordinator struct {
 	fleet Fleet
 	// copies is nil where tables are read at the store only.
-	copies Copies
+	copies Fetcher
 
 	mu    sync.Mutex
 	feeds map[string]*tablefeed.Feed
@@ -114,18 +114,18 @@
 }
 
 // New returns a board.
-func New(fleet Fleet) *Board {
-	return &Board{
+func New(fleet Fleet) *Coordinator {
+	return &Coordinator{
 		fleet: fleet, feeds: make(map[string]*tablefeed.Feed),
 		words: make(map[string]map[string]tablefeed.Confirmation), pulls: make(map[string]pull), lags: newLags(),
 	}
 }
 
-// SetCopies has the feeds get tables from other nodes. It is called before they run.
-func (b *Board) SetCopies(copies Copies) { b.copies = copies }
+// SetFetcher has the feeds get tables from other nodes. It is called before they run.
+func (b *Coordinator) SetFetcher(copies Fetcher) { b.copies = copies }
 
 // FetchTable implements tablefeed.Others.
-func (b *Board) FetchTable(ctx context.Context, table string) (tablefeed.Transfer, error) {
+func (b *Coordinator) FetchTable(ctx context.Context, table string) (tablefeed.Transfer, error) {
 	if b.copies == nil {
 		return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 	}
@@ -133,7 +133,7 @@
 }
 
 // FetchChanges implements tablefeed.Others.
-func (b *Board) FetchChanges(ctx context.Context, table string, after tablefeed.Version) (tablefeed.Transfer, error) {
+func (b *Coordinator) FetchChanges(ctx context.Context, table string, after tablefeed.Version) (tablefeed.Transfer, error) {
 	if b.copies == nil {
 		return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 	}
@@ -141,13 +141,13 @@
 }
 
 // HasChangeAfter implements tablefeed.Others.
-func (b *Board) HasChangeAfter(table string, after tablefeed.Version, now time.Time) bool {
+func (b *Coordinator) HasChangeAfter(table string, after tablefeed.Version, now time.Time) bool {
 	return len(b.holders(table, after, now)) > 0
 }
 
 // holders returns the nodes whose words tell of a change after a version, the one heard last
 // first.
-func (b *Board) holders(table string, after tablefeed.Version, now time.Time) []netip.AddrPort {
+func (b *Coordinator) holders(table string, after tablefeed.Version, now time.Time) []netip.AddrPort {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var readers []string
@@ -169,7 +169,7 @@
 }
 
 // Add has a feed take part.
-func (b *Board) Add(table string, feed *tablefeed.Feed) {
+func (b *Coordinator) Add(table string, feed *tablefeed.Feed) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.feeds[table] = feed
@@ -177,10 +177,10 @@
 
 // Words returns what this node has to say: on the tables that it reads at the store,
 // and whose last confirmation still counts.
-func (b *Board) Words(now time.Time) []Word {
+func (b *Coordinator) Words(now time.Time) []Announcement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var words []Word
+	var words []Announcement
 	for table, feed := range b.feeds {
 		if word, own := feed.Word(); own && now.Sub(word.At) < Freshness {
 			words = append(words, render(table, word, b.fleet.Address(), now))
@@ -190,7 +190,7 @@
 }
 
 // Known returns all words that this node knows and that still count, its own included.
-func (b *Board) Known(now time.Time) []Word {
+func (b *Coordinator) Known(now time.Time) []Announcement {
 	known := b.Words(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -204,15 +204,15 @@
 	return known
 }
 
-func render(table string, word tablefeed.Confirmation, reader string, now time.Time) Word {
-	return Word{
+func render(table string, word tablefeed.Confirmation, reader string, now time.Time) Announcement {
+	return Announcement{
 		Table: table, Changed: word.Changed, Confirmed: word.Confirmed,
 		AgeMillis: now.Sub(word.At).Milliseconds(), Reader: reader,
 	}
 }
 
 // Take records words, which may have come through other nodes.
-func (b *Board) Take(words []Word, now time.Time) {
+func (b *Coordinator) Take(words []Announcement, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, said := range words {
@@ -242,14 +242,14 @@
 
 // endsPause reports whether a word lets a feed follow another node again whose calls to the
 // store failed. One that can't rely on the word would only call again.
-func (b *Board) endsPause(feed *tablefeed.Feed, said Word, word tablefeed.Confirmation, now time.Time) bool {
+func (b *Coordinator) endsPause(feed *tablefeed.Feed, said Announcement, word tablefeed.Confirmation, now time.Time) bool {
 	held, _ := feed.Word()
 	follows := word.Changed <= held.Confirmed // else it would have to ask for the changes
 	return follows && now.Sub(held.At) >= Freshness && now.Sub(word.At) < b.TakeoverDelay(said.Table)
 }
 
 // TakeNews gives changes that another node got from the store to the feed.
-func (b *Board) TakeNews(news tablefeed.News) {
+func (b *Coordinator) TakeNews(news tablefeed.News) {
 	b.mu.Lock()
 	feed, followed := b.feeds[news.Table]
 	b.mu.Unlock()
@@ -259,7 +259,9 @@
 }
 
 // TakeoverDelay implements tablefeed.Others.
-func (b *Board) TakeoverDelay(table string) time.Duration { return patience(b.fleet.Place(table)) }
+func (b *Coordinator) TakeoverDelay(table string) time.Duration {
+	return patience(b.fleet.Place(table))
+}
 
 func patience(place int) time.Duration {
 	if place == 0 {
@@ -269,7 +271,7 @@
 }
 
 // MaxBackoff implements tablefeed.Others.
-func (b *Board) MaxBackoff(table string) time.Duration {
+func (b *Coordinator) MaxBackoff(table string) time.Duration {
 	if b.TakeoverDelay(table) < Freshness {
 		return callPause
 	}
@@ -277,7 +279,7 @@
 }
 
 // LatestConfirmation implements tablefeed.Others.
-func (b *Board) LatestConfirmation(table string, now time.Time, reads bool) (tablefeed.Confirmation, bool) {
+func (b *Coordinator) LatestConfirmation(table string, now time.Time, reads bool) (tablefeed.Confirmation, bool) {
 	newest, found := b.newest(table, now, reads)
 	if now.Sub(newest.At) >= pullAfter && (!reads || b.TakeoverDelay(table) > 0) && b.mayPull(table, now) {
 		b.fleet.AskWords(table)
@@ -287,7 +289,7 @@
 
 // newest returns the word of the newest version, where this node reads among those of nodes
 // that come before it.
-func (b *Board) newest(table string, now time.Time, reads bool) (newest tablefeed.Confirmation, found bool) {
+func (b *Coordinator) newest(table string, now time.Time, reads bool) (newest tablefeed.Confirmation, found bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for reader, word := range b.words[table] {
@@ -315,7 +317,7 @@
 }
 
 // mayPull reports whether words on a table may be asked for, and records that they are.
-func (b *Board) mayPull(table string, now time.Time) bool {
+func (b *Coordinator) mayPull(table string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	last := b.pulls[table]
@@ -335,21 +337,21 @@
 }
 
 // BroadcastConfirmations implements tablefeed.Others.
-func (b *Board) BroadcastConfirmations() {
-	words := slices.DeleteFunc(b.Words(time.Now()), func(w Word) bool { return !b.tells(w.Table) })
+func (b *Coordinator) BroadcastConfirmations() {
+	words := slices.DeleteFunc(b.Words(time.Now()), func(w Announcement) bool { return !b.tells(w.Table) })
 	if len(words) > 0 {
 		b.fleet.SpreadWords(words)
 	}
 }
 
 // BroadcastNews implements tablefeed.Others.
-func (b *Board) BroadcastNews(news tablefeed.News) {
+func (b *Coordinator) BroadcastNews(news tablefeed.News) {
 	if b.tells(news.Table) {
 		b.fleet.SpreadNews(news)
 	}
 }
 
 // tells reports whether this node tells all others of what it reads of a table.
-func (b *Board) tells(table string) bool {
+func (b *Coordinator) tells(table string) bool {
 	return !b.fleet.Large() || b.fleet.Place(table) <= tellingPlaces
 }
--- a/internal/tablerelay/board_test.go
+++ b/internal/tablerelay/board_test.go
@@ -24,20 +24,20 @@
 	place  int
 	nodes  int
 	pulled int
-	spread [][]Word
+	spread [][]Announcement
 	news   int
 }
 
-func (f *fleet) Address() string                { return f.self }
-func (f *fleet) Outranks(_, reader string) bool { return reader < f.self }
-func (f *fleet) Place(string) int               { return f.place }
-func (f *fleet) Nodes() int                     { return f.nodes }
-func (f *fleet) Large() bool                    { return f.nodes > 30 }
-func (f *fleet) SpreadWords(words []Word)       { f.spread = append(f.spread, words) }
-func (f *fleet) SpreadNews(tablefeed.News)      { f.news++ }
-func (f *fleet) AskWords(string)                { f.pulled++ }
+func (f *fleet) Address() string                  { return f.self }
+func (f *fleet) Outranks(_, reader string) bool   { return reader < f.self }
+func (f *fleet) Place(string) int                 { return f.place }
+func (f *fleet) Nodes() int                       { return f.nodes }
+func (f *fleet) Large() bool                      { return f.nodes > 30 }
+func (f *fleet) SpreadWords(words []Announcement) { f.spread = append(f.spread, words) }
+func (f *fleet) SpreadNews(tablefeed.News)        { f.news++ }
+func (f *fleet) AskWords(string)                  { f.pulled++ }
 
-func boardOf(others *fleet) *Board {
+func boardOf(others *fleet) *Coordinator {
 	board := New(others)
 	board.Add("table", tablefeed.New(nil, "table", nil, board, logrus.New()))
 	return board
@@ -61,7 +61,7 @@
 		"it reads, of a node before it, just not": {"a", true, Freshness - 501*time.Millisecond, true},
 	} {
 		board := boardOf(&fleet{self: "m", place: 9})
-		board.Take([]Word{{Table: "table", Changed: 3, Confirmed: 9, AgeMillis: 500, Reader: test.from}}, origin)
+		board.Take([]Announcement{{Table: "table", Changed: 3, Confirmed: 9, AgeMillis: 500, Reader: test.from}}, origin)
 		got, found := board.LatestConfirmation("table", origin.Add(test.after), test.reads)
 		if found != test.want {
 			t.Errorf("%s: relies %v", name, found)
@@ -76,8 +76,8 @@
 // TestOlderVersionOfTheSameReaderIsPassedOver, however young the word seems.
 func TestOlderVersionOfTheSameReaderIsPassedOver(t *testing.T) {
 	board := boardOf(&fleet{self: "m", place: 9})
-	board.Take([]Word{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "a"}}, origin)
-	board.Take([]Word{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
+	board.Take([]Announcement{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "a"}}, origin)
+	board.Take([]Announcement{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
 	if got, found := board.LatestConfirmation("table", origin, false); !found || got.Confirmed != 9 {
 		t.Errorf("%+v, %v", got, found)
 	}
@@ -86,8 +86,8 @@
 // TestNewestVersionCounts, not the word that seems youngest: it may have lain in a buffer.
 func TestNewestVersionCounts(t *testing.T) {
 	board := boardOf(&fleet{self: "m", place: 9})
-	board.Take([]Word{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
-	board.Take([]Word{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "z"}}, origin)
+	board.Take([]Announcement{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
+	board.Take([]Announcement{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "z"}}, origin)
 	if got, found := board.LatestConfirmation("table", origin, false); !found || got.Confirmed != 9 {
 		t.Errorf("%+v, %v", got, found)
 	}
@@ -105,7 +105,7 @@
 // TestHoldersAreThoseThatToldOfTheChange, the one heard last first.
 func TestHoldersAreThoseThatToldOfTheChange(t *testing.T) {
 	board := boardOf(&fleet{self: "m", place: 9})
-	board.Take([]Word{
+	board.Take([]Announcement{
 		{Table: "table", Changed: 7, Confirmed: 8, AgeMillis: 200, Reader: "127.0.0.1:1"},
 		{Table: "table", Changed: 7, Confirmed: 8, AgeMillis: 100, Reader: "127.0.0.1:2"},
 		{Table: "table", Changed: 5, Confirmed: 8, Reader: "127.0.0.1:3"},
@@ -123,9 +123,9 @@
 // confirmation, and an older word doesn't take the place of a newer one.
 func TestWordsDontGrowYoungerOnTheWay(t *testing.T) {
 	board := boardOf(&fleet{self: "m", place: 5})
-	board.Take([]Word{{Table: "table", Changed: 4, Confirmed: 9, AgeMillis: 300, Reader: "a"}}, origin)
-	board.Take([]Word{{Table: "table", Changed: 3, Confirmed: 8, AgeMillis: 700, Reader: "a"}}, origin)
-	want := []Word{{Table: "table", Changed: 4, Confirmed: 9, AgeMillis: 800, Reader: "a"}}
+	board.Take([]Announcement{{Table: "table", Changed: 4, Confirmed: 9, AgeMillis: 300, Reader: "a"}}, origin)
+	board.Take([]Announcement{{Table: "table", Changed: 3, Confirmed: 8, AgeMillis: 700, Reader: "a"}}, origin)
+	want := []Announcement{{Table: "table", Changed: 4, Confirmed: 9, AgeMillis: 800, Reader: "a"}}
 	if diff := cmp.Diff(want, board.Known(origin.Add(500*time.Millisecond))); diff != "" {
 		t.Error(diff)
 	}
@@ -138,7 +138,7 @@
 func TestOldWordsAreAskedFor(t *testing.T) {
 	others := &fleet{self: "m", place: 5}
 	board := boardOf(others)
-	board.Take([]Word{{Table: "table", Reader: "a"}}, origin)
+	board.Take([]Announcement{{Table: "table", Reader: "a"}}, origin)
 	board.LatestConfirmation("table", origin.Add(pullAfter-1), false)
 	if others.pulled != 0 {
 		t.Error("a fresh word is asked for")
@@ -154,7 +154,7 @@
 
 func TestUnknownTablesArePassedOver(t *testing.T) {
 	board := boardOf(&fleet{self: "m", place: 1})
-	board.Take([]Word{{Table: "other", Reader: "a"}}, origin)
+	board.Take([]Announcement{{Table: "other", Reader: "a"}}, origin)
 	board.TakeNews(tablefeed.News{Table: "other"})
 	if _, found := board.LatestConfirmation("other", origin, false); found {
 		t.Error("a table that isn't followed has a word")
@@ -238,7 +238,7 @@
 	hour := time.Duration(0)
 	say := func(changed, confirmed tablefeed.Version) {
 		hour += time.Hour
-		board.Take([]Word{{Table: "table", Changed: changed, Confirmed: confirmed, Reader: "a"}}, time.Now().Add(hour))
+		board.Take([]Announcement{{Table: "table", Changed: changed, Confirmed: confirmed, Reader: "a"}}, time.Now().Add(hour))
 	}
 	say(5, 5)
 	go func() { feed.Run(ctx); close(ended) }()
@@ -277,7 +277,7 @@
 	board := New(&fleet{self: "m", place: 1})
 	feed := tablefeed.New(store, "table", got, board, log)
 	board.Add("table", feed)
-	board.Take([]Word{{Table: "table", Changed: 5, Confirmed: 5, Reader: "a"}}, time.Now().Add(time.Hour))
+	board.Take([]Announcement{{Table: "table", Changed: 5, Confirmed: 5, Reader: "a"}}, time.Now().Add(time.Hour))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { feed.Run(ctx); close(ended) }()
@@ -375,10 +375,10 @@
 		board := New(&fleet{self: "m", place: test.place})
 		feed := tablefeed.New(nil, "table", nil, board, logrus.New())
 		board.Add("table", feed)
-		word := Word{Table: "table", Changed: test.changed, Confirmed: 9, Reader: test.reader}
+		word := Announcement{Table: "table", Changed: test.changed, Confirmed: 9, Reader: test.reader}
 		now := time.Now()
 		for changed := range 2 { // the second word tells of no change
-			board.Take([]Word{word}, now)
+			board.Take([]Announcement{word}, now)
 			woken := false
 			select {
 			case <-feed.Woken():
--- a/internal/tablerelay/lag.go
+++ b/internal/tablerelay/lag.go
@@ -33,7 +33,7 @@
 }
 
 // heard compares a word with the version up to which this node holds a table.
-func (l *lags) heard(said Word, held tablefeed.Version, now time.Time) {
+func (l *lags) heard(said Announcement, held tablefeed.Version, now time.Time) {
 	lag, open := l.open[said.Table]
 	if open && held >= lag.Version {
 		l.end(said.Table, lag, held, now)
@@ -70,11 +70,11 @@
 }
 
 // SetLog has the board log the tables that lack changes. It is called before words come.
-func (b *Board) SetLog(log *logrus.Logger) { b.lags.log = log }
+func (b *Coordinator) SetLog(log *logrus.Logger) { b.lags.log = log }
 
 // Lag returns the change of a table that this node has heard of and doesn't hold, false where
 // there is none.
-func (b *Board) Lag(table string) (Lag, bool) {
+func (b *Coordinator) Lag(table string) (Lag, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	lag, open := b.lags.open[table]
