--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -130,11 +130,11 @@
 	// HasLoad tells that Running and Waiting are given.
 	HasLoad          bool
 	Running, Waiting int
-	Limit            NamedLimit
+	Limit            RateLimit
 }
 
-// NamedLimit is what an answer says of how many requests its worker takes.
-type NamedLimit struct {
+// RateLimit is what an answer says of how many requests its worker takes.
+type RateLimit struct {
 	// Named tells that the worker takes no more than PerSecond requests a second from all
 	// nodes together.
 	Named     bool
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -30,14 +30,14 @@
 	metrics   *Metrics
 	// nodes returns the number of nodes that share the limits.
 	nodes    func() int
-	accounts Accounts
+	accounts LoadReports
 	terms    retry.Limits
 	endings  *endings
 	// quarantine knows the requests under which workers ended.
 	quarantine Quarantine
 	turns      Turns
 	// knowledge tells how old what decides a request is.
-	knowledge func() Knowledge
+	knowledge func() Freshness
 	// began counts a request of a tenant that a worker has begun to run.
 	began func(tenant string, at time.Time)
 	// repeated charges for another run of a call that may have run already.
@@ -65,11 +65,11 @@
 	Log       *logrus.Logger
 	Metrics   *Metrics
 	Nodes     func() int
-	// Accounts may be nil where there are no other nodes.
-	Accounts Accounts
-	Retries  retry.Limits
-	// Knowledge may be nil.
-	Knowledge func() Knowledge
+	// LoadReports may be nil where there are no other nodes.
+	LoadReports LoadReports
+	Retries     retry.Limits
+	// Freshness may be nil.
+	Freshness func() Freshness
 	// Began is told of each request that a worker has begun to run, once, with the name of
 	// its tenant. It may be nil.
 	Began func(tenant string, at time.Time)
@@ -85,8 +85,8 @@
 	Turns Turns
 }
 
-// Knowledge tells versions and ages of what a node decides by, for the log.
-type Knowledge struct {
+// Freshness tells versions and ages of what a node decides by, for the log.
+type Freshness struct {
 	// Workers is the version of the list of workers, and WorkersAge the time since
 	// the platform confirmed it.
 	Workers    uint64
@@ -98,9 +98,9 @@
 
 // New returns a dispatcher.
 func New(options Options) *Dispatcher {
-	knowledge := options.Knowledge
+	knowledge := options.Freshness
 	if knowledge == nil {
-		knowledge = func() Knowledge { return Knowledge{} }
+		knowledge = func() Freshness { return Freshness{} }
 	}
 	began := options.Began
 	if began == nil {
@@ -136,7 +136,7 @@
 		log:         options.Log,
 		metrics:     options.Metrics,
 		nodes:       options.Nodes,
-		accounts:    options.Accounts,
+		accounts:    options.LoadReports,
 		terms:       options.Retries,
 		endings:     newEndings(options.Registry.IsDraining, quarantined, options.Log, options.Metrics),
 		budgets:     make(map[string]*retry.Budget),
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -76,9 +76,9 @@
 	dispatcher := New(Options{
 		Registry: registry, Scheduler: scheduling.New(costs), Pool: workerconn.NewPool(), Wire: sendingWire{events.sent},
 		Log: log, Metrics: NewMetrics(prometheus.NewRegistry()), Nodes: func() int { return 1 }, Retries: retry.Limits{},
-		Knowledge: func() Knowledge {
+		Freshness: func() Freshness {
 			events.planned <- struct{}{}
-			return Knowledge{}
+			return Freshness{}
 		},
 	})
 	route := &routing.Route{Name: "check", Kind: routing.Streaming, MaxAttempts: 1, Priority: 1, Objective: time.Millisecond, Patience: time.Hour}
--- a/internal/dispatch/survey.go
+++ b/internal/dispatch/survey.go
@@ -10,8 +10,8 @@
 	"github.com/tinarch/tinarch/internal/scheduling"
 )
 
-// Accounts are the accounts of the load that all nodes have placed on workers.
-type Accounts interface {
+// LoadReports are the accounts of the load that all nodes have placed on workers.
+type LoadReports interface {
 	// Kept reports for each worker whether this node itself keeps its account.
 	Kept(workers []string) []bool
 	// Ask asks other nodes for the accounts of workers, for a request of a rank with a
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -208,7 +208,7 @@
 		Began: began, Repeated: n.exchange.RecordQuotaCharge, Returned: quotas.Return,
 		Registry: n.registry, Scheduler: scheduling.New(costs),
 		Pool: n.pool, Wire: n.platform, Log: n.log, Metrics: dispatch.NewMetrics(metrics),
-		Nodes: n.exchange.Nodes, Accounts: n.exchange, Knowledge: n.knowledge, Quarantine: n.quarantine, Turns: n.exchange,
+		Nodes: n.exchange.Nodes, LoadReports: n.exchange, Freshness: n.knowledge, Quarantine: n.quarantine, Turns: n.exchange,
 		Retries: retry.Limits{
 			Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack,
 			Window: settings.Milliseconds(bounds.RetryWindowMillis),
@@ -256,9 +256,9 @@
 }
 
 // knowledge tells how old what decides requests is.
-func (n *Node) knowledge() dispatch.Knowledge {
+func (n *Node) knowledge() dispatch.Freshness {
 	word, _ := n.workersFeed.Word()
-	return dispatch.Knowledge{
+	return dispatch.Freshness{
 		Workers: uint64(word.Confirmed), WorkersAge: time.Since(word.At), DigestAge: n.exchange.OldestDigest(),
 	}
 }
