--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -57,9 +57,9 @@
 	Life  time.Duration
 	Store rowstore.Store
 	Log   *logrus.Logger
-	// StandAside leaves the duties to another node for a time: the store can't be
+	// StepBack leaves the duties to another node for a time: the store can't be
 	// reached. It may be nil.
-	StandAside func(span time.Duration)
+	StepBack func(span time.Duration)
 	// Unfenced tells that what receives the acts doesn't compare fences: every act must
 	// have ended before another node may act. docs/design/unfenced-duties.md.
 	Unfenced bool
@@ -160,8 +160,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	hold := a.acquire(ctx)
-	if hold == StoreUnavailable && a.options.StandAside != nil {
-		a.options.StandAside(a.options.Life*11/10 + asideMargin)
+	if hold == StoreUnavailable && a.options.StepBack != nil {
+		a.options.StepBack(a.options.Life*11/10 + asideMargin)
 	}
 	return hold
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -30,7 +30,7 @@
 func newAuthority(store *memorystore.Store, self string, life time.Duration, standAside func(time.Duration)) *Authority {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return New(Options{Self: self, Life: life, Store: store, Log: log, StandAside: standAside})
+	return New(Options{Self: self, Life: life, Store: store, Log: log, StepBack: standAside})
 }
 
 func TestNothingIsHeldUnasked(t *testing.T) {
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -176,7 +176,7 @@
 	}
 	n.authority = authority.New(authority.Options{
 		Self: n.identity, Life: settings.Milliseconds(configured.Bounds.LeaseMillis),
-		Store: platform, Log: log, StandAside: exchange.StepBack,
+		Store: platform, Log: log, StepBack: exchange.StepBack,
 		Unfenced: !configured.Bounds.Fencing,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/stagecontrol/controller_test.go
+++ b/internal/stagecontrol/controller_test.go
@@ -106,7 +106,7 @@
 func (b *bench) controllerThat(self string, standAside func(time.Duration)) *Controller {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	held := authority.New(authority.Options{Self: self, Life: leaseLife, Store: b.store, Log: log, StandAside: standAside})
+	held := authority.New(authority.Options{Self: self, Life: leaseLife, Store: b.store, Log: log, StepBack: standAside})
 	return New(Options{
 		Self: self, Authority: held, Wire: fakeWire{}, Fleet: b.fleet, Pool: workerconn.NewPool(), Log: log,
 		Services:   func() []Service { return []Service{{Name: "s", Switch: time.Second}} },
