--- a/internal/latency/mean.go
+++ b/internal/latency/mean.go
@@ -5,30 +5,30 @@
 // weight is that of a new measurement in a mean.
 const weight = 0.15
 
-// Mean is a moving mean of times. The zero value has seen nothing.
-type Mean struct {
+// MovingMean is a moving mean of times. The zero value has seen nothing.
+type MovingMean struct {
 	milliseconds float64
 	samples      int
 }
 
 // Observe records a time.
-func (m *Mean) Observe(elapsed time.Duration) {
+func (m *MovingMean) Observe(elapsed time.Duration) {
 	m.samples++
 	share := max(weight, 1/float64(m.samples))
 	m.milliseconds += (float64(elapsed)/float64(time.Millisecond) - m.milliseconds) * share
 }
 
 // Milliseconds returns the mean, or assumed where nothing was seen.
-func (m *Mean) Milliseconds(assumed float64) float64 {
+func (m *MovingMean) Milliseconds(assumed float64) float64 {
 	if m.samples == 0 {
 		return assumed
 	}
 	return m.milliseconds
 }
 
-// Factor is by how much one engine is slower than its group. The zero value is an
+// Slowdown is by how much one engine is slower than its group. The zero value is an
 // engine of which nothing is known.
-type Factor struct {
+type Slowdown struct {
 	deviation float64
 	samples   int
 }
@@ -37,10 +37,10 @@
 const slowest, fastest = 8, 0.25
 
 // Value returns the factor, 1 where nothing is known.
-func (f *Factor) Value() float64 { return 1 + f.deviation }
+func (f *Slowdown) Value() float64 { return 1 + f.deviation }
 
 // Observe records a reading of the engine, which its group predicts by a model.
-func (f *Factor) Observe(reading Reading, group *Model) {
+func (f *Slowdown) Observe(reading Reading, group *Model) {
 	least, most := group.bounds(reading, group.Throughput()/f.Value())
 	predicted := group.Coefficients().Milliseconds(reading.Tokens, reading.Context)
 	if predicted <= 0 {
@@ -52,16 +52,16 @@
 	f.deviation += (allowed - 1 - f.deviation) * weight
 }
 
-// Share is which part of an expected time is really needed. The zero value has seen
+// NeededShare is which part of an expected time is really needed. The zero value has seen
 // nothing.
-type Share struct {
+type NeededShare struct {
 	needed, expected float64
 	samples          int
 }
 
 // Observe records a time that was needed where another was expected, both in
 // milliseconds.
-func (s *Share) Observe(needed, expected float64) {
+func (s *NeededShare) Observe(needed, expected float64) {
 	s.samples++
 	s.needed += (min(max(needed, 0), mostNeeded*expected) - s.needed) * weight
 	s.expected += (expected - s.expected) * weight
@@ -71,7 +71,7 @@
 const mostNeeded = 3
 
 // Value returns the share, 1 where little was seen.
-func (s *Share) Value() float64 {
+func (s *NeededShare) Value() float64 {
 	const fewSamples = 8
 	if s.samples < fewSamples || s.expected <= 0 {
 		return 1
@@ -79,15 +79,15 @@
 	return s.needed / s.expected
 }
 
-// Ratio is the ratio of two sums of which the newest terms weigh most. The zero value
+// MovingRatio is the ratio of two sums of which the newest terms weigh most. The zero value
 // has seen nothing.
-type Ratio struct {
+type MovingRatio struct {
 	numerator, denominator float64
 	samples                int
 }
 
 // Observe records a term of each sum.
-func (r *Ratio) Observe(numerator, denominator float64) {
+func (r *MovingRatio) Observe(numerator, denominator float64) {
 	r.samples++
 	share := max(weight, 1/float64(r.samples))
 	r.numerator += (numerator - r.numerator) * share
@@ -95,7 +95,7 @@
 }
 
 // Value returns the ratio, 0 where nothing was seen.
-func (r *Ratio) Value() float64 {
+func (r *MovingRatio) Value() float64 {
 	if r.denominator <= 0 {
 		return 0
 	}
--- a/internal/latency/pace_test.go
+++ b/internal/latency/pace_test.go
@@ -120,7 +120,7 @@
 	for range 20 {
 		model.Observe(Reading{Tokens: 10_000, Elapsed: millis(truth.Milliseconds(10_000, 0))})
 	}
-	var slow, sound Factor
+	var slow, sound Slowdown
 	for range 40 {
 		took := truth.Milliseconds(10_000, 0)
 		slow.Observe(Reading{Tokens: 2000, Ahead: 8000, Elapsed: millis(4 * took)}, &model)
@@ -154,7 +154,7 @@
 }
 
 func TestMean(t *testing.T) {
-	var mean Mean
+	var mean MovingMean
 	if got := mean.Milliseconds(7); got != 7 {
 		t.Errorf("%v where nothing was seen", got)
 	}
@@ -188,7 +188,7 @@
 }
 
 func TestShare(t *testing.T) {
-	var share Share
+	var share NeededShare
 	if share.Value() != 1 {
 		t.Errorf("%v where nothing was seen", share.Value())
 	}
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -30,7 +30,7 @@
 	// cacheKnown tells that what the worker kept before this node started is known.
 	cacheKnown bool
 	// slower is by how much the engine reads more slowly than its group.
-	slower latency.Factor
+	slower latency.Slowdown
 	// rank orders the workers for this node alone, hash for all nodes alike.
 	rank, hash uint64
 	breaker    breaker.Breaker
@@ -139,17 +139,17 @@
 type steps struct {
 	// queue is the part of the reading ahead of a prompt that it waits for: engines read
 	// several prompts by turns.
-	queue latency.Share
+	queue latency.NeededShare
 	// handover is from sending a request to run with a prompt that was read apart to
 	// its first byte.
-	handover latency.Mean
+	handover latency.MovingMean
 	// fetch is what a fetch of kept parts takes besides the link.
-	fetch latency.Mean
+	fetch latency.MovingMean
 	// run is from the first byte of an answer to its end.
-	run latency.Mean
+	run latency.MovingMean
 	// writing is the time of a run for each token that its caller expected, in
 	// milliseconds.
-	writing latency.Ratio
+	writing latency.MovingRatio
 }
 
 type groupKey struct {
