--- a/internal/lab/site/store_test.go
+++ b/internal/lab/site/store_test.go
@@ -92,5 +92,5 @@
 	if lists := s.workers["portal-1"].Lists(); lists != 0 {
 		t.Errorf("a worker that is no engine was asked %d times", lists)
 	}
-	s.await("what it keeps is known", func() bool { return s.node.KeptTokens("read-1") == 1210 })
+	s.await("what it keeps is known", func() bool { return s.node.CachedTokens("read-1") == 1210 })
 }
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -378,5 +378,5 @@
 // Draining returns the number of workers known to drain.
 func (n *Node) Draining() int { return n.registry.CountDraining() }
 
-// KeptTokens returns how much of prompts a worker is believed to keep.
-func (n *Node) KeptTokens(id string) int { return n.registry.CachedTokens(id) }
+// CachedTokens returns how much of prompts a worker is believed to keep.
+func (n *Node) CachedTokens(id string) int { return n.registry.CachedTokens(id) }
