--- a/internal/nodeexchange/digest_test.go
+++ b/internal/nodeexchange/digest_test.go
@@ -181,7 +181,7 @@
 		}
 	}
 	for _, candidate := range young.Candidates("s", parts, 0, time.Now()) {
-		if candidate.ID == "w" && (candidate.CachedTokens != 730 || candidate.Pace < 50) {
+		if candidate.ID == "w" && (candidate.CachedTokens != 730 || candidate.Throughput < 50) {
 			t.Errorf("%+v", candidate)
 		}
 	}
--- a/internal/scheduling/late.go
+++ b/internal/scheduling/late.go
@@ -89,7 +89,7 @@
 
 // queueTime is what an engine takes for all that it has to read, in milliseconds.
 func queueTime(candidate Candidate) float64 {
-	return float64(candidate.ReadTokens) / max(candidate.Pace, lowestPace)
+	return float64(candidate.ReadTokens) / max(candidate.Throughput, lowestPace)
 }
 
 // hasRoom reports whether a worker has slots and memory for late work and others besides.
--- a/internal/scheduling/late_test.go
+++ b/internal/scheduling/late_test.go
@@ -19,7 +19,7 @@
 
 // fastest is an engine that costs least, although others wait there.
 func fastest(change ...func(*Candidate)) Candidate {
-	change = append(change, queued(20_000), func(c *Candidate) { c.Pace, c.Reading = 144, readingAt(144) })
+	change = append(change, queued(20_000), func(c *Candidate) { c.Throughput, c.Reading = 144, readingAt(144) })
 	return reader("fastest", change...)
 }
 
--- a/internal/scheduling/reading.go
+++ b/internal/scheduling/reading.go
@@ -44,7 +44,7 @@
 // read is the reading of all but the tokens at hand.
 func (s *Scheduler) read(request Request, candidate Candidate, atHand int) reading {
 	unread := request.PromptTokens - atHand
-	pace := max(candidate.Pace, lowestPace)
+	pace := max(candidate.Throughput, lowestPace)
 	alone := candidate.Reading.Milliseconds(unread, atHand)
 	again := float64(max(request.SharedTokens-atHand, 0)) / float64(request.PromptTokens)
 	if candidate.NotHome {
--- a/internal/scheduling/types.go
+++ b/internal/scheduling/types.go
@@ -34,8 +34,8 @@
 	CachedTokens int
 	// Reading are the learned terms of reading a prompt, and Pace the pace at which
 	// the queue before it is read, in tokens a millisecond.
-	Reading latency.Coefficients
-	Pace    float64
+	Reading    latency.Coefficients
+	Throughput float64
 	// Avoid tells that the worker failed just now.
 	Avoid bool
 	// Leaving tells that the worker's entry has just vanished.
--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -165,7 +165,7 @@
 		Capacity:      r.memory[known.worker.Service],
 		CachedTokens:  known.cache.Match(parts),
 		Reading:       terms,
-		Pace:          queuePace,
+		Throughput:    queuePace,
 		Rank:          known.rank,
 		Hash:          known.hash,
 		Avoid:         known.breaker.Open(now),
