--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// Outlives implements tablefeed.Reviewer: a configuration that was in force stays so until the
+// IsHeldNewer implements tablefeed.Reviewer: a configuration that was in force stays so until the
 // operator writes it again.
-func (c *configuration) Outlives(held, given tablefeed.Row) bool {
+func (c *configuration) IsHeldNewer(held, given tablefeed.Row) bool {
 	before, isRoutes, err := c.node.platform.Routes(held)
 	if err != nil || !isRoutes {
 		return false
@@ -132,9 +132,9 @@
 	return w.node.registry.ReplaceRestored(listed, doubt, time.Now())
 }
 
-// Outlives implements tablefeed.Reviewer: a start of a worker that has said it drains doesn't
+// IsHeldNewer implements tablefeed.Reviewer: a start of a worker that has said it drains doesn't
 // take that back.
-func (w *workers) Outlives(held, given tablefeed.Row) bool {
+func (w *workers) IsHeldNewer(held, given tablefeed.Row) bool {
 	before, err := w.node.platform.Worker(held)
 	if err != nil || !before.Draining || given.Gone {
 		return false
