--- a/internal/scheduling/costs.go
+++ b/internal/scheduling/costs.go
@@ -1,68 +1,73 @@
 package scheduling
 
-// Costs are the figures of the cost model that aren't learned. Prices are shares of a
-// request's objective, so that they keep their proportion to its time on any engines;
-// times come from what was observed (Engine, Candidate.Reading).
+// Costs are the parameters of the cost model that are not learned. Prices are fractions of a
+// request's objective, so that they stay in proportion to its duration on engines of any speed.
+// Durations come from measurements (EngineTimes, Candidate.Reading).
 type Costs struct {
-	// Move is the price of moving the memory of a whole prompt between engines.
+	// Move is the price of transferring the KV cache of a whole prompt between engines.
 	Move float64
-	// Reread is the price of reading a whole prompt again that some engine keeps.
+	// Reread is the price of prefilling a whole prompt that some engine already has cached.
 	Reread float64
-	// NotHomeFactor multiplies Reread where a prompt is read at an engine where other nodes don't
-	// look for it, so that one of them reads it again soon.
+	// NotHomeFactor multiplies Reread where a prompt is prefilled at an engine at which other
+	// nodes do not look for it, so that one of them soon prefills it again elsewhere.
 	NotHomeFactor float64
-	// OtherZone is the price of leaving the node's zone, once for each worker.
+	// OtherZone is the price of leaving the node's zone, charged for each worker involved.
 	OtherZone float64
-	// OtherRegion is the price of leaving the node's region, besides the way there: bytes
-	// between regions are dear.
+	// OtherRegion is the price of leaving the node's region, in addition to the round trip:
+	// traffic between regions is expensive.
 	OtherRegion float64
-	// Running is the price of each request that runs at a decode engine already.
+	// Running is the price of each request that already runs at a decode engine.
 	Running float64
-	// Failure is multiplied with a worker's failure rate.
+	// Failure is multiplied by a worker's failure rate.
 	Failure float64
-	// Avoided is the price of a worker that failed just now.
+	// Avoided is the price of a worker whose circuit breaker is open (Candidate.Avoid).
 	Avoided float64
-	// MemoryPressure is the price of running where an engine's memory is full.
+	// MemoryPressure is the price of running where an engine's KV cache is full.
 	MemoryPressure float64
-	// LatePast is the share of the objective past which a request is late: it gives way to
-	// others.
+	// LatePast is the fraction of the objective after which a request counts as late and yields
+	// to those that can be in time.
 	LatePast float64
-	// LateShare is the share of the time until its caller leaves up to which a late request
-	// is held and served, LateFill that of a worker's slots and memory up to which it may
-	// take any, and LateQueue that of the objective up to which an engine is free although
-	// prompts are queued there: about the rest of a short one.
+	// LateShare bounds the predicted time to the first byte of a late request, as a fraction of
+	// the time until its caller leaves. LateFill is the fraction of a worker's slots and memory
+	// up to which late requests may fill it. LateQueue is the prefill queue of an engine, as a
+	// fraction of the objective, up to which the engine still counts as free: about the rest of
+	// a short prompt.
 	LateShare, LateFill, LateQueue float64
-	// Hold tells that late requests wait at their node for a free engine. It pays where the
-	// share that is served at all is what counts; docs/design/late-work.md has the figures.
+	// Hold makes late requests wait at their node for a free engine. It pays off where the
+	// share of requests that are served at all is what counts; docs/design/late-work.md has the
+	// figures.
 	Hold bool
 
-	// Interference is the price of a millisecond of reading at a decode engine for each
-	// request that runs there, in milliseconds: it holds up their streams.
+	// Interference is the price of a millisecond of prefill at a decode engine for each request
+	// that runs there, in milliseconds: prefill stalls their streams.
 	Interference float64
-	// GapFactor has interference grow with the square of the time for which the engine reads:
-	// it is doubled where that is GapFactor-th of the pause allowed between two events.
+	// GapFactor makes interference grow with the square of the time for which the engine
+	// prefills. Interference doubles when that time reaches 1/GapFactor of the pause allowed
+	// between two events of a stream.
 	GapFactor float64
-	// MinFetchShare is the smallest part of a prompt that is worth a fetch.
+	// MinFetchShare is the smallest fraction of a prompt that is worth fetching from another
+	// engine.
 	MinFetchShare float64
 
-	// Opaque are the figures of requests that aren't for engines.
+	// Opaque are the parameters for opaque requests, those that are not for model engines.
 	Opaque OpaqueCosts
 }
 
-// OpaqueCosts are the figures of requests that aren't for engines. They are compared
-// with each other only.
+// OpaqueCosts are the parameters for opaque requests. The resulting costs are compared only
+// with each other.
 type OpaqueCosts struct {
-	// Fill is multiplied with the square of the share of a worker's slots in use, and
-	// Waiting with the requests past its slots.
+	// Fill is multiplied by the square of the fraction of a worker's slots in use, and Waiting
+	// by the number of requests beyond its slots.
 	Fill, Waiting float64
-	// Turn is multiplied with the milliseconds until a worker takes a further request.
+	// Turn is multiplied by the milliseconds until a rate-limited worker accepts another
+	// request.
 	Turn float64
 	// OtherZone, OtherRegion, Failure and Avoided are as in Costs.
 	OtherZone, OtherRegion, Failure, Avoided float64
 }
 
-// DefaultCosts returns the figures measured so far; docs/design/decisions.md tells
-// how, and what they are worth when halved and doubled.
+// DefaultCosts returns parameters that were found by measurement. docs/design/decisions.md
+// describes the measurements and the effect of halving and doubling each parameter.
 func DefaultCosts() Costs {
 	return Costs{
 		Move:           0.04,
--- a/internal/scheduling/late.go
+++ b/internal/scheduling/late.go
@@ -5,20 +5,23 @@
 	"time"
 )
 
-// Engines read prompts by turns once they have begun, whatever their priority: a late
-// prompt at an engine makes those that come after it later by all of its reading. So late
-// requests are read where nothing else waits, and may wait for that at their node.
+// Engines that have begun to prefill several prompts alternate between them, whatever their
+// priority, so a late prompt delays those that arrive after it by its whole prefill time. Late
+// requests are therefore prefilled where nothing else waits, and may wait for such an engine at
+// their node.
 
-// The bounds of the pause after which a request that is held is planned again: a few times
-// the age of what nodes know of each other's load, and about the reading of a long prompt.
+// Bounds of the pause after which a held request is planned again. The lower one is a few times
+// the age of what nodes know of each other's load, the upper one about the prefill time of a
+// long prompt.
 const (
 	minHold = 50 * time.Millisecond
 	maxHold = 200 * time.Millisecond
 )
 
-// planLate plans a request whose answer can't be in time: at an engine where nothing waits,
-// or else, where requests are held, it waits as long as one may get free before its caller
-// leaves. Otherwise it is refused. A stream that was begun goes on in its turn: what was done for it would be lost.
+// planLate plans a request whose answer cannot be in time. It is served at an engine where
+// nothing waits. If there is none and late requests are held (Costs.Hold), it waits as long as
+// an engine may become free before its caller leaves; otherwise it is refused. A stream that
+// has begun is served without yielding to others, since the work done for it would be lost.
 func (s *Scheduler) planLate(request Request, candidates []Candidate, inTurn Plan) Plan {
 	switch {
 	case request.Begun && s.worthwhile(request, inTurn):
@@ -42,15 +45,15 @@
 		RetryAfter: min(max(wait, minHold), maxHold)}
 }
 
-// worthwhile reports whether a late plan gives the first byte while the caller is still
-// there, with a margin: work that comes after it may pass it.
+// worthwhile reports whether a late plan delivers the first byte while the caller still waits,
+// with a margin, since requests that arrive later may overtake it.
 func (s *Scheduler) worthwhile(request Request, plan Plan) bool {
 	limit := s.costs.LateShare * float64(min(request.Remaining, request.Patience))
 	return plan.Mode != Refused && plan.First <= time.Duration(limit)
 }
 
-// spare describes the candidates as a late request finds them, which is read after all
-// others. Unsound ones and those without room to spare are known for what they keep only.
+// spare describes the candidates as a late request sees them, which is prefilled after all
+// others. Unsound workers and those without spare room remain only as sources of cached tokens.
 func (s *Scheduler) spare(request Request, candidates []Candidate) []Candidate {
 	spare := make([]Candidate, 0, len(candidates))
 	for _, candidate := range candidates {
@@ -64,9 +67,9 @@
 	return spare
 }
 
-// free makes sources only of the engines at which anything waits. Where requests
-// are held it returns none while fewer than half of the engines that read are free: those
-// that wait would take each of them just before work in time does.
+// free makes engines with a queue sources only, so that idle ones remain to prefill. Where late
+// requests are held it returns nil while fewer than half of the prefill engines are free: held
+// requests would otherwise take each engine just before a request that can be in time does.
 func (s *Scheduler) free(request Request, candidates []Candidate) []Candidate {
 	free := slices.Clone(candidates)
 	readers, busy := 0, 0
@@ -87,12 +90,14 @@
 	return free
 }
 
-// queueTime is what an engine takes for all that it has to read, in milliseconds.
+// queueTime is the time that an engine takes to prefill everything queued there, in
+// milliseconds.
 func queueTime(candidate Candidate) float64 {
 	return float64(candidate.ReadTokens) / max(candidate.Throughput, lowestPace)
 }
 
-// hasRoom reports whether a worker has slots and memory for late work and others besides.
+// hasRoom reports whether a worker has slots and memory for a late request and still keeps some
+// free for others.
 func (s *Scheduler) hasRoom(request Request, candidate Candidate) bool {
 	if candidate.Slots > 0 && float64(candidate.Requests+1) > s.costs.LateFill*float64(candidate.Slots) {
 		return false
@@ -101,7 +106,8 @@
 	return candidate.Capacity == 0 || float64(needed) <= s.costs.LateFill*float64(candidate.Capacity)
 }
 
-// tooLate refuses a request that could be carried out by a plan, but of no use.
+// tooLate refuses a request whose plan could be carried out but would be of no use to its
+// caller.
 func tooLate(request Request, plan Plan) Plan {
 	plan.Mode = Refused
 	plan.Reason = TooLate
--- a/internal/scheduling/reading.go
+++ b/internal/scheduling/reading.go
@@ -1,23 +1,25 @@
 package scheduling
 
-// reading is what it takes one worker to have a prompt in memory, in milliseconds.
+// reading is what it takes a worker to get a prompt into its KV cache. Times and prices are in
+// milliseconds.
 type reading struct {
-	// time is the wait for the tokens ahead and for those of the request, own the part
-	// of it for which the request holds up others.
+	// time is the wait for the tokens queued ahead plus the request's own prefill, and own the
+	// part of it for which the request delays others.
 	time, own float64
-	// held is time with the tokens of all ranks in place of those ahead: what is
-	// compared, since a request that passes others holds them up.
+	// held is time with the queued tokens of all ranks in place of those ahead. Plans are
+	// compared by it, since a request that overtakes others delays them.
 	held float64
-	// price is that of shared tokens read again, and of moves.
+	// price is that of prefilling shared tokens again and of transfers between engines.
 	price float64
-	// fetch is where a part of the prompt is taken from.
+	// fetch is the address of the worker from which part of the prompt is fetched, empty if
+	// nothing is fetched.
 	fetch string
-	// unread counts the tokens that are read anew.
+	// unread counts the tokens that have to be prefilled.
 	unread int
 }
 
-// reading compares reading all that the worker lacks with fetching what another
-// worker keeps.
+// reading compares prefilling everything that the worker lacks with fetching what another
+// worker has cached.
 func (s *Scheduler) reading(request Request, candidate Candidate, sources []Candidate) reading {
 	kept := min(candidate.CachedTokens, request.PromptTokens)
 	best := s.read(request, candidate, kept)
@@ -41,7 +43,8 @@
 	return best
 }
 
-// read is the reading of all but the tokens at hand.
+// read returns the reading in which all tokens are prefilled except the atHand leading ones,
+// which are cached or fetched.
 func (s *Scheduler) read(request Request, candidate Candidate, atHand int) reading {
 	unread := request.PromptTokens - atHand
 	pace := max(candidate.Throughput, lowestPace)
@@ -59,16 +62,18 @@
 	}
 }
 
-// movePrice is the price of moving tokens of a request's prompt.
+// movePrice is the price of transferring tokens of a request's prompt between engines.
 func (s *Scheduler) movePrice(request Request, tokens int) float64 {
 	return s.costs.Move * float64(tokens) / float64(request.PromptTokens) * request.aim()
 }
 
-// lowestPace keeps predictions finite, in tokens a millisecond.
+// lowestPace is the least throughput assumed, in tokens per millisecond. It keeps predictions
+// finite.
 const lowestPace = 0.1
 
-// longest returns the sound worker of a worker's region, other than itself, that keeps most
-// of the prompt: between regions memory moves too slowly to be fetched.
+// longest returns the other worker in the same region that has the most of the prompt cached,
+// nil if there is none. It passes over workers that are avoided or rate-limited. Between
+// regions KV cache transfers too slowly to be fetched.
 func longest(candidates []Candidate, to Candidate) *Candidate {
 	var found *Candidate
 	for i := range candidates {
--- a/internal/scheduling/regions.go
+++ b/internal/scheduling/regions.go
@@ -7,37 +7,41 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// Reach tells why a request is served in a region.
+// Reach tells why a request is served in a region. It is logged and counted under this name.
 type Reach string
 
-// The reaches of a request.
+// Values of Reach.
 const (
-	// Everywhere is that of a deployment in one region.
+	// Everywhere is the reach of all requests in a deployment with a single region.
 	Everywhere Reach = "everywhere"
-	// OwnRegion is that of the node.
+	// OwnRegion means the node's own region.
 	OwnRegion Reach = "own_region"
-	// ContentRegion is the one where all nodes look for what the prompt shares.
+	// ContentRegion means the region in which all nodes look for the prefix that the prompt
+	// shares.
 	ContentRegion Reach = "content_region"
-	// SpillOver is another one, since the first choice can't serve the request in time.
+	// SpillOver means another region, because the first choice cannot serve the request in
+	// time.
 	SpillOver Reach = "spill_over"
 )
 
-// Scope is a choice of regions for a request, and their workers.
+// Scope is a set of candidates that are considered together, and why their region is.
 type Scope struct {
 	Reach      Reach
 	Candidates []Candidate
 }
 
-// Scopes divides the candidates of a deployment in several regions into those that are
-// looked at first and those that are looked at where these can't serve the request in time.
-// In one region all are looked at first.
+// Scopes divides the candidates of a deployment with several regions into those considered
+// first and those considered if the first cannot serve the request in time. With one region all
+// candidates are considered first.
 //
-// A prompt that shares a content with others is read, and written, in the region where all
-// nodes look for it: a region keeps a third of what three keep, and the way there takes a
-// tenth of the time in which it is read again. The engines of the node's own region don't
-// compete: nearly always one of them seems a little cheaper, and each region then reads all
-// contents itself (docs/design/regions.md). Other requests stay in the region. A region none
-// of whose engines can run the request is passed over as if it had none.
+// A content is the prefix that a prompt shares with others. Such a prompt is prefilled and
+// decoded in the content's home region, where all nodes look for it. If each region cached all
+// contents, three regions would keep only a third of what they can keep together, while the
+// round trip to another region takes a tenth of the time of prefilling the content again. The
+// engines of the node's own region are not compared with those of the home region: one of them
+// nearly always seems slightly cheaper, and each region would then prefill all contents itself
+// (docs/design/regions.md). Other requests stay in the node's region. A region none of whose
+// engines can run the request is skipped.
 func Scopes(request Request, candidates []Candidate) []Scope {
 	candidates = withinReach(request, candidates)
 	if len(regionsOf(candidates)) < 2 {
@@ -59,8 +63,9 @@
 	return scopes
 }
 
-// withinReach leaves out the regions where no sound worker could run a request, unless that
-// leaves none: they may be cut off from this node while the store still lists their workers.
+// withinReach drops the regions in which no sound worker could run a request, unless no region
+// would be left. Such a region may be cut off from this node while the store still lists its
+// workers.
 func withinReach(request Request, candidates []Candidate) []Candidate {
 	sound := make(map[string]bool)
 	for _, candidate := range candidates {
@@ -75,10 +80,10 @@
 	return reached
 }
 
-// HomeRegion names the region in which all nodes look for a content: by weighted rendezvous
-// hashing (Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005), the
-// weight of a region being the number of its engines, so that one which loses some gives up
-// as many contents.
+// HomeRegion returns the region in which all nodes look for a content. It is chosen by weighted
+// rendezvous hashing (Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005).
+// The weight of a region is the number of its engines, so that a region that loses engines
+// gives up contents in proportion.
 func HomeRegion(content uint64, candidates []Candidate) string {
 	engines := make(map[string]int)
 	for _, candidate := range candidates {
@@ -88,7 +93,7 @@
 	}
 	home, best := "", math.Inf(-1)
 	for region, count := range engines {
-		// A score in (0, 1], evenly distributed.
+		// A score uniformly distributed in (0, 1].
 		score := (float64(rendezvous.Score(content, rendezvous.Hash(region))) + 1) / math.Exp2(64)
 		if weighted := math.Log(score) / float64(count); weighted > best {
 			home, best = region, weighted
@@ -97,7 +102,7 @@
 	return home
 }
 
-// regionsOf lists the regions of candidates in order.
+// regionsOf returns the sorted names of the candidates' regions.
 func regionsOf(candidates []Candidate) []string {
 	var regions []string
 	for _, candidate := range candidates {
@@ -109,7 +114,8 @@
 	return regions
 }
 
-// ownRegion is the node's own, as far as it has workers.
+// ownRegion returns the node's own region. If that has no workers, all nodes without workers
+// nearby agree on one by hashing.
 func ownRegion(candidates []Candidate) string {
 	near := slices.IndexFunc(candidates, func(c Candidate) bool { return !c.OtherRegion })
 	if near < 0 {
@@ -118,9 +124,9 @@
 	return candidates[near].Region
 }
 
-// nextRegion chooses the region that is looked at when the first choice can't serve a
-// request: contents have the same second region at all nodes, other requests one drawn by
-// the ranks of its workers, which are the node's own.
+// nextRegion chooses the region that is considered if the first choice cannot serve a request.
+// A content has the same second region at all nodes. Other requests go to the region of the
+// worker with the lowest rank, which differs from node to node.
 func nextRegion(request Request, candidates []Candidate) (string, bool) {
 	if len(candidates) == 0 {
 		return "", false
@@ -137,7 +143,7 @@
 	return lowest.Region, true
 }
 
-// split divides candidates by a condition.
+// split divides candidates by a predicate.
 func split(candidates []Candidate, holds func(Candidate) bool) (yes, no []Candidate) {
 	for _, candidate := range candidates {
 		if holds(candidate) {
@@ -149,7 +155,7 @@
 	return yes, no
 }
 
-// asStray marks candidates as those where other nodes won't look for what is read.
+// asStray marks candidates as engines at which other nodes do not look for what is prefilled.
 func asStray(candidates []Candidate) []Candidate {
 	for i := range candidates {
 		candidates[i].NotHome = true
@@ -157,12 +163,12 @@
 	return candidates
 }
 
-// farMove is how much slower memory moves between regions than within one, as the users'
-// pages tell of their links.
+// farMove is how many times slower KV cache transfers between regions are than within one,
+// according to the users' descriptions of their links.
 const farMove = 10
 
-// crossing is what moving a whole prompt between two engines costs beyond a move within a
-// region, in milliseconds: its time and its price.
+// crossing returns the time and the price of transferring a whole prompt between two engines
+// beyond those of a transfer within a region, in milliseconds.
 func (s *Scheduler) crossing(request Request, from string, to Candidate) (time, price float64) {
 	if from == to.Region {
 		return 0, 0
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -1,6 +1,9 @@
-// Package scheduling decides how a request is served: which worker reads its
-// prompt, which one writes the answer, or that it is refused at once. One cost
-// model compares all ways, in predicted milliseconds. It is pure.
+// Package scheduling decides how a request is served: which worker prefills its prompt, which
+// one generates the answer, or that it is refused at once. One cost model compares all options
+// in predicted milliseconds. The package is pure: it does no I/O and reads no clock.
+//
+// In names, reading a prompt means prefilling it: the reader is the worker that prefills a
+// prompt and the runner the one that answers.
 package scheduling
 
 import (
@@ -8,7 +11,7 @@
 	"time"
 )
 
-// Scheduler applies a cost model.
+// Scheduler chooses plans by a cost model.
 type Scheduler struct{ costs Costs }
 
 // New returns a scheduler.
@@ -26,7 +29,7 @@
 	return s.planLate(request, candidates, best)
 }
 
-// choose returns the way to serve a prompt that costs least.
+// choose returns the cheapest way to serve a prompt.
 func (s *Scheduler) choose(request Request, candidates []Candidate) Plan {
 	best := s.planWhole(request, candidates)
 	if !request.NoApart {
@@ -41,15 +44,15 @@
 	return left.Mode != Refused && (right.Mode == Refused || left.Cost < right.Cost)
 }
 
-// inTime reports whether a plan is carried out in its turn: its answer comes in time, or
-// nobody else waits.
+// inTime reports whether a plan is carried out without yielding to others: its answer comes in
+// time, or it comes before the caller leaves and nobody else waits.
 func (s *Scheduler) inTime(request Request, plan Plan) bool {
 	limit := time.Duration(s.costs.LatePast * float64(request.ObjectiveLeft))
 	return plan.First <= limit || plan.First < min(request.Remaining, request.Patience) && idle(plan)
 }
 
-// idle reports whether nothing waits where a plan would be carried out: then a
-// refusal would gain nobody anything.
+// idle reports whether nothing is queued where a plan would be carried out, so that refusing
+// the request would help nobody.
 func idle(plan Plan) bool {
 	if plan.Mode == Apart {
 		return plan.Reader.ReadAhead == 0
@@ -57,14 +60,14 @@
 	return plan.Runner.ReadAhead == 0
 }
 
-// minRetryAfter is the shortest time after which a refused request comes back.
+// minRetryAfter is the shortest time after which a refused caller is told to retry.
 const minRetryAfter = 100 * time.Millisecond
 
 func refuse(reason Reason) Plan {
 	return Plan{Mode: Refused, Reason: reason, RetryAfter: minRetryAfter, Cost: math.Inf(1)}
 }
 
-// planOpaque chooses the worker with the most room.
+// planOpaque chooses the worker with the most free room for an opaque request.
 func (s *Scheduler) planOpaque(request Request, candidates []Candidate) Plan {
 	best := refuse(NoWorker)
 	for _, candidate := range candidates {
@@ -86,13 +89,13 @@
 	return best
 }
 
-// opaque is the cost of a worker's state for a request that isn't for engines.
+// opaque is the cost of a worker's state for an opaque request.
 func (s *Scheduler) opaque(request Request, candidate Candidate) float64 {
 	costs := s.costs.Opaque
 	return state(request, candidate, statePrices{costs.Failure, costs.Avoided, costs.OtherZone, costs.OtherRegion})
 }
 
-// common is the part of the cost that all ways to serve a prompt share.
+// common is the part of the cost that all ways to serve a prompt share, for one worker.
 func (s *Scheduler) common(request Request, candidate Candidate) float64 {
 	prices := statePrices{s.costs.Failure, s.costs.Avoided, s.costs.OtherZone, s.costs.OtherRegion}
 	return request.aim()*state(request, candidate, prices) + candidate.RoundTrip
@@ -101,7 +104,7 @@
 // statePrices are the prices of a worker's state, as in Costs.
 type statePrices struct{ failure, avoided, otherZone, otherRegion float64 }
 
-// state sums up what speaks against a worker.
+// state adds up the prices of everything that counts against a worker.
 func state(request Request, candidate Candidate, prices statePrices) float64 {
 	cost := prices.failure * candidate.FailureRate
 	if request.Failed[candidate.ID] {
@@ -122,10 +125,10 @@
 	return cost
 }
 
-// aim is the objective in milliseconds, the unit of prices.
+// aim is the route's objective in milliseconds. Prices are fractions of it.
 func (r Request) aim() float64 { return float64(r.RouteObjective) / float64(time.Millisecond) }
 
-// planWhole chooses a decode engine that reads and runs the request.
+// planWhole chooses a decode engine that both prefills and runs the request.
 func (s *Scheduler) planWhole(request Request, candidates []Candidate) Plan {
 	best := refuse(NoWorker)
 	for _, candidate := range candidates {
@@ -148,9 +151,9 @@
 	return best
 }
 
-// interference is the price of a reading for each request that runs at the decode engine,
-// in milliseconds. It holds up their streams by as long as the engine reads at most: a small
-// part of the pause that is allowed between two events costs nobody anything.
+// interference is the price of a prefill for each request that runs at the decode engine, in
+// milliseconds. Prefill stalls their streams for at most its own duration, which does no harm
+// while it is a small part of the pause allowed between two events.
 func (s *Scheduler) interference(request Request, reading reading) float64 {
 	price := s.costs.Interference * reading.own
 	if request.GapObjective <= 0 {
@@ -161,7 +164,7 @@
 	return price * (1 + filled*filled)
 }
 
-// planApart chooses a prefill engine to read, and a decode engine to run.
+// planApart chooses a prefill engine for the prompt and a decode engine to run the request.
 func (s *Scheduler) planApart(request Request, candidates []Candidate) Plan {
 	best := refuse(NoWorker)
 	runners := make(map[string]Plan)
@@ -195,7 +198,8 @@
 	return best
 }
 
-// ChooseRunner chooses the decode engine for a prompt that is read apart in a region.
+// ChooseRunner chooses the decode engine for a prompt that is prefilled by another engine, in
+// the given region.
 func (s *Scheduler) ChooseRunner(request Request, candidates []Candidate, region string) Plan {
 	best := refuse(NoWorker)
 	for _, candidate := range candidates {
@@ -216,7 +220,7 @@
 	return best
 }
 
-// slotWait is the predicted wait for a slot of an engine of which all are taken, in
+// slotWait is the predicted wait for a slot at an engine whose slots are all taken, in
 // milliseconds.
 func slotWait(request Request, candidate Candidate) float64 {
 	if candidate.Slots == 0 || candidate.Requests < candidate.Slots {
@@ -225,13 +229,13 @@
 	return float64(candidate.Requests+1-candidate.Slots) / float64(candidate.Slots) * request.Engine.Run
 }
 
-// running is the cost of the requests that run at a decode engine already.
+// running is the cost of the requests that already run at a decode engine.
 func (s *Scheduler) running(request Request, candidate Candidate) float64 {
 	return s.costs.Running * float64(candidate.Requests) * request.aim()
 }
 
-// pressure is the cost of running where memory is short: running requests would
-// be put aside in the middle.
+// pressure is the cost of running where KV cache is short: the engine would preempt running
+// requests.
 func (s *Scheduler) pressure(request Request, candidate Candidate) float64 {
 	if candidate.Capacity == 0 {
 		return 0
--- a/internal/scheduling/shortlist.go
+++ b/internal/scheduling/shortlist.go
@@ -8,25 +8,26 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// Outline is what a shortlist is made by: what of a Candidate costs nothing to tell.
+// Outline is the part of a Candidate that is cheap to determine and that a shortlist is made
+// from.
 type Outline struct {
 	ID      string
 	Prefill bool
 	// SameZone, Rank and Hash are as in Candidate.
 	SameZone   bool
 	Rank, Hash uint64
-	// Sound tells that nothing speaks against the worker.
+	// Sound tells that nothing counts against the worker, as Candidate.sound does.
 	Sound bool
-	// Tracked tells that this node keeps account of the worker.
+	// Tracked tells that this node tracks the worker's load.
 	Tracked bool
-	// score is the worker's weight for the request's content.
+	// score is the worker's rendezvous score for the request's content.
 	score uint64
 }
 
-// Shortlist names the workers among which Survey chooses, without all others: in a fleet of
-// thousands of workers a survey looks at about a dozen, and to describe and sort all of them
-// for each request took 94 ms of a core at 9,695 workers, and a shortlist takes 1.9 ms
-// (BenchmarkSurveyOfAll, BenchmarkShortlist).
+// Shortlist returns the IDs of the workers among which Preselect chooses, without all others.
+// In a fleet of thousands Preselect looks at about a dozen workers. Describing and sorting all
+// of them for each request took 94 ms of a core at 9,695 workers, a shortlist takes 1.9 ms
+// (BenchmarkPreselectOfAll, BenchmarkShortlist).
 func Shortlist(request Request, workers iter.Seq[Outline]) []string {
 	readers, others := newStageList(request, contentChoices*widened), newStageList(request, 0)
 	for worker := range workers {
@@ -42,10 +43,10 @@
 	return slices.Concat(readers.names(), others.names())
 }
 
-// nearChoices is the most workers that a survey takes for their place in this node's order.
+// nearChoices is the largest number of workers that Preselect takes by nearness (byNearness).
 const nearChoices = widened * max(nearReaders, readersWithout, runnerChoices)
 
-// stageList is the shortlist of one stage: the sound workers, or where there are none all.
+// stageList is the shortlist of one stage: the sound workers, or the others if there are none.
 type stageList struct {
 	failed         map[string]bool
 	sound, unsound selection
@@ -77,14 +78,13 @@
 	return l.sound.names()
 }
 
-// selection holds the first workers by each of the orders in which a survey goes through
-// them.
+// selection holds the first workers in each of the orders by which Preselect chooses.
 type selection struct {
 	content  uint64
 	contents int
 	kept     []Outline
-	// near are those that come first in the node's order, and atContent those at which all
-	// nodes look for the content.
+	// near are the first workers by nearness, and atContent those at which all nodes look for
+	// the content.
 	near, atContent []Outline
 }
 
@@ -112,8 +112,8 @@
 	return names
 }
 
-// byNearness orders workers as a survey does: those of the node's zone first, and in an
-// order of its own.
+// byNearness orders workers as Preselect does: those in the node's zone first, then by their
+// rank at this node.
 func byNearness(left, right Outline) int {
 	if left.SameZone != right.SameZone {
 		if left.SameZone {
@@ -126,7 +126,7 @@
 
 func byScore(left, right Outline) int { return cmp.Compare(right.score, left.score) }
 
-// insert adds a worker to the first count in an order, if it is one of them.
+// insert adds a worker to the first count workers in an order, if it is one of them.
 func insert(first []Outline, added Outline, count int, order func(left, right Outline) int) []Outline {
 	if len(first) >= count {
 		if order(added, first[count-1]) >= 0 {
--- a/internal/scheduling/survey.go
+++ b/internal/scheduling/survey.go
@@ -7,31 +7,31 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// The figures of a survey. With more than two random choices by load little more is
-// gained (Mitzenmacher, "The power of two choices in randomized load balancing", 2001);
-// the third makes up for one that doesn't answer.
+// Parameters of Preselect. More than two random choices by load gain little (Mitzenmacher, "The
+// power of two choices in randomized load balancing", 2001); the third makes up for one that
+// does not answer.
 const (
 	// contentChoices is the number of prefill engines at which all nodes look for a
 	// content.
 	contentChoices = 3
-	// nearReaders is the number of prefill engines that a node considers besides, and
-	// readersWithout that where the prompt shares too little to be looked for.
+	// nearReaders is the number of prefill engines that a node considers in addition, and
+	// readersWithout their number for a prompt that shares too little to be placed by content.
 	nearReaders    = 1
 	readersWithout = 3
 	// runnerChoices is the number of other workers that a node considers.
 	runnerChoices = 3
-	// widened multiplies all of them where none of the first choices can serve a request.
+	// widened multiplies these numbers if none of the first choices can serve a request.
 	widened = 2
-	// MinSharedTokens is the number of shared tokens from which a prompt is read where
-	// others look for it.
+	// MinSharedTokens is the number of shared tokens from which a prompt is placed by its
+	// content, at the engines where other nodes look for it.
 	MinSharedTokens = 1024
 )
 
-// Preselect narrows the workers of a service to those whose load is worth asking for: the
-// ones that this node keeps account of, those where all nodes look for the request's
-// content, and some that are near. In a fleet in which each node keeps all accounts these
-// are all workers, and for requests that aren't for engines too: these workers tell their
-// load in each answer. Where wide is set it takes more.
+// Preselect narrows the workers of a service to those whose load is worth asking other nodes
+// for: those that this node tracks, those at which all nodes look for the request's content,
+// and some that are near. It returns all workers if this node tracks them all. It also returns
+// all for opaque requests, whose workers tell their load in each answer. If wide is set it
+// takes more workers.
 func Preselect(request Request, candidates []Candidate, wide bool) []Candidate {
 	if request.PromptTokens == 0 || !slices.ContainsFunc(candidates, func(c Candidate) bool { return c.Report == Unasked }) {
 		return candidates
@@ -44,7 +44,7 @@
 	return chosen
 }
 
-// surveyRegion is Survey in one region.
+// surveyRegion is Preselect within one region.
 func surveyRegion(request Request, candidates []Candidate, wide bool) []Candidate {
 	factor := 1
 	if wide {
@@ -53,14 +53,14 @@
 	readers, others := byStage(fit(request, candidates))
 	runners := nearest(others, runnerChoices*factor)
 	for i := range runners {
-		// Of prompts, all nodes look at prefill engines only.
+		// Nodes look for contents at prefill engines only.
 		runners[i].NotHome = runners[i].NotHome || request.Content != 0 && len(readers) > 0
 	}
 	return slices.Concat(surveyReaders(request, readers, factor), runners)
 }
 
-// fit returns the candidates that may serve the request: the sound ones, or all that are
-// not excluded where none is sound.
+// fit returns the candidates of each stage that may serve the request: the sound ones, or all
+// that are not excluded if none is sound.
 func fit(request Request, candidates []Candidate) []Candidate {
 	var sound, unsound []Candidate
 	for _, candidate := range candidates {
@@ -83,7 +83,7 @@
 	return slices.Concat(soundReaders, soundOthers)
 }
 
-// byStage divides candidates into those that only read and all others.
+// byStage divides candidates into prefill engines and all other workers.
 func byStage(candidates []Candidate) (readers, others []Candidate) {
 	for _, candidate := range candidates {
 		if candidate.Prefill {
@@ -95,8 +95,8 @@
 	return readers, others
 }
 
-// surveyReaders chooses prefill engines: where the prompt shares enough, those at which
-// all nodes look for its content come first, and what the others read is stray.
+// surveyReaders chooses prefill engines. If the prompt shares enough, the engines at which all
+// nodes look for its content come first, and the others are marked as NotHome.
 func surveyReaders(request Request, readers []Candidate, factor int) []Candidate {
 	if request.Content == 0 {
 		return nearest(readers, readersWithout*factor)
@@ -115,8 +115,8 @@
 	return chosen
 }
 
-// nearest returns the candidates whose account this node keeps, and besides count others,
-// those of its zone first and in an order of its own.
+// nearest returns the candidates whose load this node tracks and count others: those in its
+// zone first, then by their rank at this node.
 func nearest(candidates []Candidate, count int) []Candidate {
 	var near, unasked []Candidate
 	for _, candidate := range candidates {
@@ -130,8 +130,9 @@
 	return append(near, unasked[:min(count, len(unasked))]...)
 }
 
-// WithKnownLoad leaves out the workers whose account was asked for in vain, as long as others
-// of their stage are left: of a load that isn't known each node would take the least.
+// WithKnownLoad drops the workers whose load at other nodes is unknown, because no report was
+// asked for or none arrived, as long as others of their stage are left. An unknown load looks
+// like the smallest one, so that all nodes would choose these workers.
 func WithKnownLoad(candidates []Candidate) []Candidate {
 	readers, others := byStage(candidates)
 	return slices.Concat(informed(readers), informed(others))
@@ -147,9 +148,9 @@
 	return known
 }
 
-// Content names what a prompt of these parts shares with others: the last shared part,
-// since all parts before it are kept where that one is, and the tokens up to its end. It is
-// zero where too little is shared to be looked for.
+// Content identifies the prefix that a prompt of these parts shares with others, and returns
+// its length in tokens. The identity is that of the last shared part, since the parts before it
+// are cached wherever that one is. It is zero if the prefix is shorter than MinSharedTokens.
 func Content(parts []prefixcache.Part) (content uint64, tokens int) {
 	if len(parts) < 2 {
 		return 0, 0
@@ -162,8 +163,8 @@
 	return uint64(shared[len(shared)-1].ID), tokens
 }
 
-// WithHolders adds the workers that are told to keep the request's content to those that
-// were chosen, as sources only: their load isn't known.
+// WithHolders adds the workers that are reported to have the request's content cached to the
+// chosen ones, as sources only because their load is unknown.
 func WithHolders(chosen, candidates []Candidate, holders []Holder) []Candidate {
 	for _, holder := range holders {
 		is := func(c Candidate) bool { return c.ID == holder.Worker }
@@ -181,7 +182,7 @@
 	return chosen
 }
 
-// outline is what a shortlist is made by.
+// outline returns the part of a candidate that a shortlist is made from.
 func (c Candidate) outline() Outline {
 	return Outline{
 		ID: c.ID, Prefill: c.Prefill, SameZone: c.SameZone, Rank: c.Rank, Hash: c.Hash,
@@ -189,7 +190,8 @@
 	}
 }
 
-// sound reports whether nothing speaks against a worker.
+// sound reports whether nothing counts against a worker: it is neither avoided nor leaving,
+// needs no wait for a turn, and hands prompts over without failures.
 func (c Candidate) sound() bool {
 	return !c.Avoid && !c.Leaving && !c.HandleFailure && c.TurnWait == 0
 }
--- a/internal/scheduling/types.go
+++ b/internal/scheduling/types.go
@@ -6,104 +6,110 @@
 	"github.com/tinarch/tinarch/internal/latency"
 )
 
-// Candidate is what is known of one worker.
+// Candidate is what a node knows of a worker that may serve a request.
 type Candidate struct {
 	ID      string
 	Address string
-	// Region is that of the worker, empty where the deployment lies in one.
+	// Region is the worker's region, empty in a deployment with a single region.
 	Region string
-	// SameZone and OtherRegion tell how far it is from the node.
+	// SameZone and OtherRegion tell how far the worker is from the node.
 	SameZone, OtherRegion bool
-	// RoundTrip is the time of the way to another region and back, in milliseconds.
+	// RoundTrip is the round-trip time to a worker in another region, in milliseconds.
 	RoundTrip float64
 	Slots     int
 	// Prefill and Decode tell the stage of a model engine; both are false for
 	// other workers.
 	Prefill, Decode bool
-	// Requests, ReadTokens and MemoryTokens are the load placed by all nodes.
+	// Requests, ReadTokens and MemoryTokens are the load that all nodes have placed on the
+	// worker: its requests, the tokens to be prefilled in time, and the KV cache they need in
+	// tokens.
 	Requests     int
 	ReadTokens   int
 	MemoryTokens int
-	// ReadAhead is the part of ReadTokens that is read before the request's prompt.
+	// ReadAhead is the part of ReadTokens that is prefilled before the request's prompt.
 	ReadAhead int
-	// LateTokens are to be read for requests that can't be in time, after all ReadTokens.
+	// LateTokens are to be prefilled after all ReadTokens, for requests that cannot be in time.
 	LateTokens int
-	// Capacity is the KV cache in tokens, zero where it isn't known.
+	// Capacity is the size of the KV cache in tokens, zero if unknown.
 	Capacity int
-	// CachedTokens is the part of the request's prompt that the worker keeps.
+	// CachedTokens is the part of the request's prompt that the worker has cached.
 	CachedTokens int
-	// Reading are the learned terms of reading a prompt, and Pace the pace at which
-	// the queue before it is read, in tokens a millisecond.
+	// Reading holds the learned coefficients of prefill time, and Throughput is the rate at
+	// which the queue ahead is prefilled, in tokens per millisecond.
 	Reading    latency.Coefficients
 	Throughput float64
-	// Avoid tells that the worker failed just now.
+	// Avoid tells that the worker's circuit breaker is open, since it has just failed or
+	// rejected requests.
 	Avoid bool
-	// Leaving tells that the worker's entry has just vanished.
+	// Leaving tells that the worker is about to end or that its row in the store has just
+	// vanished.
 	Leaving bool
-	// Limited tells that the worker takes no more than so many requests a second from all
-	// nodes together, PerSecond, and TurnWait is the time until it takes a further one, as far
-	// as is known here, in milliseconds.
+	// Limited tells that the worker accepts no more than PerSecond requests a second from all
+	// nodes together. TurnWait is the time until it accepts another one, as far as this node
+	// knows, in milliseconds.
 	Limited   bool
 	PerSecond float64
 	TurnWait  float64
-	// FailureRate is the share of requests that it failed lately.
+	// FailureRate is the share of recent requests that the worker failed.
 	FailureRate float64
-	// Rank orders the workers for this node alone: it differs from node to node. Hash
-	// is that of the worker's name, the same at all nodes.
+	// Rank orders the workers for this node only and differs from node to node. Hash is the
+	// hash of the worker's name and the same at all nodes.
 	Rank, Hash uint64
-	// Report tells how much of the load of other nodes is counted in.
+	// Report tells how much of the load of other nodes is included.
 	Report ReportState
-	// NotHome tells that other nodes won't look here for what is read.
+	// NotHome tells that other nodes do not look here for the content that is prefilled.
 	NotHome bool
-	// SourceOnly workers are known for what they keep, not for their load: others may fetch
-	// it from them.
+	// SourceOnly marks a worker that is known for what it has cached but not for its load.
+	// Others may fetch from it, and it gets no requests.
 	SourceOnly bool
-	// HandleFailure tells that prompts read apart there could not be fetched, or where it
-	// writes that it could not fetch them.
+	// HandleFailure tells that handing over prompts failed recently: prompts prefilled here
+	// could not be fetched by others or, at a decode engine, it could not fetch them.
 	HandleFailure bool
 }
 
-// ReportState tells how a node knows the load that others have placed on a worker.
+// ReportState tells how a node knows the load that other nodes have placed on a worker.
 type ReportState string
 
-// The states of an account.
+// Values of ReportState.
 const (
-	// Tracked accounts are told to this node by all others.
+	// Tracked means that this node tracks the worker's load: all other nodes report theirs to
+	// it.
 	Tracked ReportState = ""
-	// Unasked accounts are kept by other nodes, which have not been asked.
+	// Unasked means that another node tracks the worker's load and has not been asked for it.
 	Unasked ReportState = "unasked"
-	// Answered accounts were told by another node just now.
+	// Answered means that the node that tracks the worker's load has just reported it.
 	Answered ReportState = "answered"
-	// Unanswered accounts were asked for in vain: only this node's own load is known.
+	// Unanswered means that the load was asked for in vain, so that only this node's own is
+	// known.
 	Unanswered ReportState = "unanswered"
 )
 
-// LoadReport is what the node that keeps account of a worker says of it: the load of all
-// nodes but the one that asks, and what it knows of the worker's state.
+// LoadReport is what the node that tracks a worker's load tells another one: the load of all
+// nodes but the asking one, and what it knows of the worker's state.
 type LoadReport struct {
 	Requests, ReadTokens, ReadAhead, LateTokens, MemoryTokens int
-	// CachedTokens is the part of the request's prompt that the worker keeps.
+	// CachedTokens is the part of the request's prompt that the worker has cached.
 	CachedTokens int
-	// Changing tells that an order to change its stage may be under way, and Leaving that the
-	// worker is about to end.
+	// Changing tells that an order to change the worker's stage may be under way, and Leaving
+	// that the worker is about to end.
 	Changing, Leaving, Avoid, HandleFailure bool
 	FailureRate                             float64
 }
 
-// Holder is a worker that keeps a content.
+// Holder is a worker that has a content cached, and how many tokens of it.
 type Holder struct {
 	Worker string
 	Tokens int
 }
 
-// Answers are what other nodes have told of workers.
+// Answers are what other nodes have reported of workers.
 type Answers struct {
 	Reports map[string]LoadReport
-	// Holders are the workers that keep the content which was asked for.
+	// Holders are the workers that have the content cached that was asked for.
 	Holders []Holder
 }
 
-// WithReport adds an account to what this node itself knows of a worker.
+// WithReport adds a load report to what this node itself knows of a worker.
 func (c Candidate) WithReport(account LoadReport) Candidate {
 	c.Report = Answered
 	c.Requests += account.Requests
@@ -119,60 +125,61 @@
 	return c
 }
 
-// EngineTimes is what was learned of a service's engines besides their reading, in
+// EngineTimes are the learned times of a service's engines other than those of prefill, in
 // milliseconds.
 type EngineTimes struct {
-	// Handover is from sending a request with a prompt that was read apart to its first
-	// byte.
+	// Handover is the time from sending a request whose prompt was prefilled by another engine
+	// to the first byte of its answer.
 	Handover float64
-	// Fetch is what a fetch of kept parts takes besides the link, and MovePerToken what
-	// the link takes for each token.
+	// Fetch is the fixed time of fetching cached parts of a prompt, and MovePerToken the time
+	// that the link takes for each token.
 	Fetch, MovePerToken float64
-	// Queue is the part of the reading ahead of a prompt that it waits for.
+	// Queue is the fraction of the prefill work ahead of a prompt that it really waits for.
 	Queue float64
-	// Run is from the first byte of an answer to its end.
+	// Run is the time from the first byte of an answer to its end.
 	Run float64
 }
 
-// Request is what is known of a request.
+// Request is what the scheduler knows of a request.
 type Request struct {
 	Engine EngineTimes
-	// RouteObjective is the objective of the request's route for the first byte of its answer.
+	// RouteObjective is the route's objective for the first byte of the answer.
 	RouteObjective time.Duration
-	// PromptTokens is zero for requests that aren't for model engines.
+	// PromptTokens is zero for opaque requests, which are not for model engines.
 	PromptTokens int
 	// SharedTokens is the part of the prompt that other requests share.
 	SharedTokens int
-	// OutputTokens is the length that the answer is expected to have.
+	// OutputTokens is the expected length of the answer.
 	OutputTokens int
-	// ObjectiveLeft is the time that is left for the first byte of the answer.
+	// ObjectiveLeft is the time left until the objective for the first byte, negative once that
+	// is missed.
 	ObjectiveLeft time.Duration
-	// GapObjective is the longest pause between two events of an answer, zero where none
+	// GapObjective is the longest pause allowed between two events of an answer, zero if none
 	// is set.
 	GapObjective time.Duration
-	// Remaining is the time that is left for the whole, and Patience that after which its
-	// caller leaves unless the answer has begun.
+	// Remaining is the time left until the request's deadline, and Patience the time until its
+	// caller leaves unless more of the answer has come.
 	Remaining, Patience time.Duration
-	// Excluded are workers that must not get this request any more, and Failed those
-	// that ran it and failed, which get it where no other is left.
+	// Excluded workers must not get this request again. Failed ones have run it and failed, and
+	// get it only if no other is left.
 	Excluded, Failed map[string]bool
-	// Content names what the prompt shares with others, zero where that is too little to
-	// be looked for.
+	// Content identifies the prefix that the prompt shares with others, zero if that is too
+	// short to be placed by content.
 	Content uint64
-	// Begun tells that the caller has a part of the answer.
+	// Begun tells that the caller already has part of the answer.
 	Begun bool
-	// NoApart tells that the prompt must not be read apart.
+	// NoApart tells that the prompt must not be prefilled by another engine than the runner.
 	NoApart bool
 }
 
 // Mode is the way in which a request is served.
 type Mode string
 
-// The modes.
+// Values of Mode.
 const (
-	// Whole requests run at one worker.
+	// Whole requests are prefilled and run by one worker.
 	Whole Mode = "whole"
-	// Apart requests are read at one engine and run at another.
+	// Apart requests are prefilled by one engine and run by another (disaggregated prefill).
 	Apart Mode = "apart"
 	// Held requests are planned again after a pause.
 	Held Mode = "held"
@@ -180,45 +187,45 @@
 	Refused Mode = "refused"
 )
 
-// Reason tells why a request was refused.
+// Reason tells why a request was refused or held.
 type Reason string
 
-// The reasons of a refusal.
+// Values of Reason.
 const (
 	NoWorker     Reason = "no worker"
 	TooLate      Reason = "too late"
 	NoWorkerLeft Reason = "all workers are full"
-	// Limited requests would wait too long for the turn of a worker that takes no more.
+	// Limited requests would wait too long for a turn at workers that limit their request rate.
 	Limited Reason = "the workers take no more now"
-	// Paused requests would wait too long for the end of a pause that all workers have asked for.
+	// Paused requests have to wait because all workers have asked for a pause (Retry-After).
 	Paused Reason = "the workers have asked for a pause"
 )
 
-// Plan is the decision.
+// Plan is the decision on how a request is served.
 type Plan struct {
 	Mode   Mode
 	Reason Reason
-	// Late requests can't be answered in time and give way to all others.
+	// Late requests cannot be answered in time and yield to all others.
 	Late bool
-	// Reader is the worker that reads the prompt, where Mode is Apart.
+	// Reader is the worker that prefills the prompt, if Mode is Apart.
 	Reader Candidate
-	// Runner is the worker that answers. Where Mode is Apart it is chosen again
-	// when the prompt was read.
+	// Runner is the worker that answers. If Mode is Apart it is chosen again once the prompt
+	// has been prefilled.
 	Runner Candidate
-	// Fetch is the address of a worker from which the one that reads the prompt
-	// takes over what it keeps of it; empty where nothing is to be fetched.
+	// Fetch is the address of a worker from which the prefilling worker fetches cached tokens
+	// of the prompt, empty if nothing is fetched.
 	Fetch string
-	// Unread is the part of the prompt that is read anew, in tokens.
+	// Unread is the part of the prompt that has to be prefilled, in tokens.
 	Unread int
 	// First is the predicted time to the first byte.
 	First time.Duration
-	// Cost is what was compared, in milliseconds.
+	// Cost is the value by which plans are compared, in milliseconds.
 	Cost float64
-	// RetryAfter is when a refused request should come back, and a held one is planned
-	// again.
+	// RetryAfter is the time after which a refused caller should retry, or a held request is
+	// planned again.
 	RetryAfter time.Duration
 }
 
-// InTime reports whether the plan answers the request as it is wanted: neither late nor
+// InTime reports whether the request is served as intended: the plan is neither late nor
 // refused.
 func (p Plan) InTime() bool { return p.Mode != Refused && !p.Late }
