--- a/internal/scheduling/late.go
+++ b/internal/scheduling/late.go
@@ -29,8 +29,8 @@
 	case request.Begun || request.NoApart:
 		return tooLate(request, inTurn)
 	}
-	spare := s.spare(request, candidates)
-	if free := s.free(request, spare); free != nil {
+	spare := s.lateView(request, candidates)
+	if free := s.idleOnly(request, spare); free != nil {
 		if plan := s.planApart(request, free); s.worthwhile(request, plan) {
 			plan.Late = true
 			return plan
@@ -52,9 +52,9 @@
 	return plan.Mode != Refused && plan.First <= time.Duration(limit)
 }
 
-// spare describes the candidates as a late request sees them, which is prefilled after all
-// others. Unsound workers and those without spare room remain only as sources of cached tokens.
-func (s *Scheduler) spare(request Request, candidates []Candidate) []Candidate {
+// lateView describes the candidates as a late request sees them, which is prefilled after all
+// others. Unsound workers and those without lateView room remain only as sources of cached tokens.
+func (s *Scheduler) lateView(request Request, candidates []Candidate) []Candidate {
 	spare := make([]Candidate, 0, len(candidates))
 	for _, candidate := range candidates {
 		candidate.ReadTokens += candidate.LateTokens
@@ -67,10 +67,10 @@
 	return spare
 }
 
-// free makes engines with a queue sources only, so that idle ones remain to prefill. Where late
-// requests are held it returns nil while fewer than half of the prefill engines are free: held
+// idleOnly makes engines with a queue sources only, so that idle ones remain to prefill. Where late
+// requests are held it returns nil while fewer than half of the prefill engines are idleOnly: held
 // requests would otherwise take each engine just before a request that can be in time does.
-func (s *Scheduler) free(request Request, candidates []Candidate) []Candidate {
+func (s *Scheduler) idleOnly(request Request, candidates []Candidate) []Candidate {
 	free := slices.Clone(candidates)
 	readers, busy := 0, 0
 	for i := range free {
@@ -79,7 +79,7 @@
 			continue
 		}
 		readers++
-		if queueTime(*candidate) > s.costs.LateQueue*request.aim() {
+		if queueTime(*candidate) > s.costs.LateQueue*request.objectiveMilliseconds() {
 			candidate.SourceOnly = true
 			busy++
 		}
@@ -93,7 +93,7 @@
 // queueTime is the time that an engine takes to prefill everything queued there, in
 // milliseconds.
 func queueTime(candidate Candidate) float64 {
-	return float64(candidate.ReadTokens) / max(candidate.Throughput, lowestPace)
+	return float64(candidate.ReadTokens) / max(candidate.Throughput, minThroughput)
 }
 
 // hasRoom reports whether a worker has slots and memory for a late request and still keeps some
--- a/internal/scheduling/reading.go
+++ b/internal/scheduling/reading.go
@@ -18,12 +18,12 @@
 	unread int
 }
 
-// reading compares prefilling everything that the worker lacks with fetching what another
+// cheapestReading compares prefilling everything that the worker lacks with fetching what another
 // worker has cached.
-func (s *Scheduler) reading(request Request, candidate Candidate, sources []Candidate) reading {
+func (s *Scheduler) cheapestReading(request Request, candidate Candidate, sources []Candidate) reading {
 	kept := min(candidate.CachedTokens, request.PromptTokens)
-	best := s.read(request, candidate, kept)
-	source := longest(sources, candidate)
+	best := s.readingWith(request, candidate, kept)
+	source := bestSource(sources, candidate)
 	if source == nil {
 		return best
 	}
@@ -31,7 +31,7 @@
 	if float64(moved) < s.costs.MinFetchShare*float64(request.PromptTokens) {
 		return best
 	}
-	fetched := s.read(request, candidate, kept+moved)
+	fetched := s.readingWith(request, candidate, kept+moved)
 	wait := request.Engine.Fetch + request.Engine.MovePerToken*float64(moved)
 	fetched.time += wait
 	fetched.held += wait
@@ -43,11 +43,11 @@
 	return best
 }
 
-// read returns the reading in which all tokens are prefilled except the atHand leading ones,
+// readingWith returns the reading in which all tokens are prefilled except the atHand leading ones,
 // which are cached or fetched.
-func (s *Scheduler) read(request Request, candidate Candidate, atHand int) reading {
+func (s *Scheduler) readingWith(request Request, candidate Candidate, atHand int) reading {
 	unread := request.PromptTokens - atHand
-	pace := max(candidate.Throughput, lowestPace)
+	pace := max(candidate.Throughput, minThroughput)
 	alone := candidate.Reading.Milliseconds(unread, atHand)
 	again := float64(max(request.SharedTokens-atHand, 0)) / float64(request.PromptTokens)
 	if candidate.NotHome {
@@ -57,24 +57,24 @@
 		time:   request.Engine.Queue*float64(candidate.ReadAhead)/pace + alone,
 		own:    candidate.Reading.VariableMilliseconds(unread, atHand),
 		held:   float64(candidate.ReadTokens)/pace + alone,
-		price:  s.costs.Reread * again * request.aim(),
+		price:  s.costs.Reread * again * request.objectiveMilliseconds(),
 		unread: unread,
 	}
 }
 
 // movePrice is the price of transferring tokens of a request's prompt between engines.
 func (s *Scheduler) movePrice(request Request, tokens int) float64 {
-	return s.costs.Move * float64(tokens) / float64(request.PromptTokens) * request.aim()
+	return s.costs.Move * float64(tokens) / float64(request.PromptTokens) * request.objectiveMilliseconds()
 }
 
-// lowestPace is the least throughput assumed, in tokens per millisecond. It keeps predictions
+// minThroughput is the least throughput assumed, in tokens per millisecond. It keeps predictions
 // finite.
-const lowestPace = 0.1
+const minThroughput = 0.1
 
-// longest returns the other worker in the same region that has the most of the prompt cached,
+// bestSource returns the other worker in the same region that has the most of the prompt cached,
 // nil if there is none. It passes over workers that are avoided or rate-limited. Between
 // regions KV cache transfers too slowly to be fetched.
-func longest(candidates []Candidate, to Candidate) *Candidate {
+func bestSource(candidates []Candidate, to Candidate) *Candidate {
 	var found *Candidate
 	for i := range candidates {
 		other := &candidates[i]
--- a/internal/scheduling/regions.go
+++ b/internal/scheduling/regions.go
@@ -58,7 +58,7 @@
 	scopes := []Scope{{reach, here}}
 	if next, found := nextRegion(request, rest); found {
 		spill, _ := split(rest, func(c Candidate) bool { return c.Region == next })
-		scopes = append(scopes, Scope{SpillOver, asStray(spill)})
+		scopes = append(scopes, Scope{SpillOver, markNotHome(spill)})
 	}
 	return scopes
 }
@@ -155,24 +155,24 @@
 	return yes, no
 }
 
-// asStray marks candidates as engines at which other nodes do not look for what is prefilled.
-func asStray(candidates []Candidate) []Candidate {
+// markNotHome marks candidates as engines at which other nodes do not look for what is prefilled.
+func markNotHome(candidates []Candidate) []Candidate {
 	for i := range candidates {
 		candidates[i].NotHome = true
 	}
 	return candidates
 }
 
-// farMove is how many times slower KV cache transfers between regions are than within one,
+// crossRegionSlowdown is how many times slower KV cache transfers between regions are than within one,
 // according to the users' descriptions of their links.
-const farMove = 10
+const crossRegionSlowdown = 10
 
-// crossing returns the time and the price of transferring a whole prompt between two engines
+// crossRegionExtra returns the time and the price of transferring a whole prompt between two engines
 // beyond those of a transfer within a region, in milliseconds.
-func (s *Scheduler) crossing(request Request, from string, to Candidate) (time, price float64) {
+func (s *Scheduler) crossRegionExtra(request Request, from string, to Candidate) (time, price float64) {
 	if from == to.Region {
 		return 0, 0
 	}
 	tokens := float64(request.PromptTokens)
-	return (farMove - 1) * request.Engine.MovePerToken * tokens, (farMove - 1) * s.movePrice(request, request.PromptTokens)
+	return (crossRegionSlowdown - 1) * request.Engine.MovePerToken * tokens, (crossRegionSlowdown - 1) * s.movePrice(request, request.PromptTokens)
 }
--- a/internal/scheduling/regions_test.go
+++ b/internal/scheduling/regions_test.go
@@ -48,8 +48,8 @@
 	return plan
 }
 
-// TestContentIsReadAndWrittenInItsRegion, the same at all nodes, unless that is loaded.
-func TestContentIsReadAndWrittenInItsRegion(t *testing.T) {
+// TestContentIsServedInItsHomeRegion, the same at all nodes, unless that is loaded.
+func TestContentIsServedInItsHomeRegion(t *testing.T) {
 	for key := range uint64(100) {
 		request := prompt(func(r *Request) { r.Content = key + 1 })
 		candidates := regional(12, "north", "south", "west")
@@ -135,12 +135,12 @@
 	}
 }
 
-// TestMemoryStaysInTheRegion: it is moved and fetched between regions only where nothing
+// TestKVCacheStaysInTheRegion: it is moved and fetched between regions only where nothing
 // else is left, and the prediction then counts the slower links.
-func TestMemoryStaysInTheRegion(t *testing.T) {
+func TestKVCacheStaysInTheRegion(t *testing.T) {
 	in := func(region string) func(*Candidate) { return func(c *Candidate) { c.Region = region } }
 	keeper := reader("p2", in("west"), cached(13_300), queued(100_000))
-	near := []Candidate{reader("p1", in("north")), writer("d1", in("north"), running(40)), writer("d2", in("south")), keeper}
+	near := []Candidate{reader("p1", in("north")), decoder("d1", in("north"), running(40)), decoder("d2", in("south")), keeper}
 	plan := New(DefaultCosts()).Plan(prompt(), near)
 	if plan.Mode != Apart || plan.Reader.ID != "p1" || plan.Runner.ID != "d1" || plan.Fetch != "" {
 		t.Errorf("%s, read at %s with a fetch from %q, written at %s", plan.Mode, plan.Reader.ID, plan.Fetch, plan.Runner.ID)
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -76,7 +76,7 @@
 		}
 		slots := max(candidate.Slots, 1)
 		fill := float64(candidate.Requests+1) / float64(slots)
-		cost := s.opaque(request, candidate) + s.costs.Opaque.Fill*fill*fill
+		cost := s.opaqueCost(request, candidate) + s.costs.Opaque.Fill*fill*fill
 		if candidate.Requests >= slots {
 			cost += s.costs.Opaque.Waiting * float64(candidate.Requests-slots+1)
 		}
@@ -89,23 +89,23 @@
 	return best
 }
 
-// opaque is the cost of a worker's state for an opaque request.
-func (s *Scheduler) opaque(request Request, candidate Candidate) float64 {
+// opaqueCost is the cost of a worker's state for an opaqueCost request.
+func (s *Scheduler) opaqueCost(request Request, candidate Candidate) float64 {
 	costs := s.costs.Opaque
-	return state(request, candidate, statePrices{costs.Failure, costs.Avoided, costs.OtherZone, costs.OtherRegion})
+	return stateCost(request, candidate, statePrices{costs.Failure, costs.Avoided, costs.OtherZone, costs.OtherRegion})
 }
 
-// common is the part of the cost that all ways to serve a prompt share, for one worker.
-func (s *Scheduler) common(request Request, candidate Candidate) float64 {
+// commonCost is the part of the cost that all ways to serve a prompt share, for one worker.
+func (s *Scheduler) commonCost(request Request, candidate Candidate) float64 {
 	prices := statePrices{s.costs.Failure, s.costs.Avoided, s.costs.OtherZone, s.costs.OtherRegion}
-	return request.aim()*state(request, candidate, prices) + candidate.RoundTrip
+	return request.objectiveMilliseconds()*stateCost(request, candidate, prices) + candidate.RoundTrip
 }
 
 // statePrices are the prices of a worker's state, as in Costs.
 type statePrices struct{ failure, avoided, otherZone, otherRegion float64 }
 
-// state adds up the prices of everything that counts against a worker.
-func state(request Request, candidate Candidate, prices statePrices) float64 {
+// stateCost adds up the prices of everything that counts against a worker.
+func stateCost(request Request, candidate Candidate, prices statePrices) float64 {
 	cost := prices.failure * candidate.FailureRate
 	if request.Failed[candidate.ID] {
 		cost += 2 * prices.avoided
@@ -125,8 +125,10 @@
 	return cost
 }
 
-// aim is the route's objective in milliseconds. Prices are fractions of it.
-func (r Request) aim() float64 { return float64(r.RouteObjective) / float64(time.Millisecond) }
+// objectiveMilliseconds is the route's objective in milliseconds. Prices are fractions of it.
+func (r Request) objectiveMilliseconds() float64 {
+	return float64(r.RouteObjective) / float64(time.Millisecond)
+}
 
 // planWhole chooses a decode engine that both prefills and runs the request.
 func (s *Scheduler) planWhole(request Request, candidates []Candidate) Plan {
@@ -135,11 +137,11 @@
 		if candidate.Prefill || candidate.SourceOnly || request.Excluded[candidate.ID] {
 			continue
 		}
-		reading := s.reading(request, candidate, candidates)
+		reading := s.cheapestReading(request, candidate, candidates)
 		running := float64(candidate.Requests)
 		slot := max(slotWait(request, candidate), candidate.TurnWait)
-		cost := slot + reading.held + reading.price + s.common(request, candidate) + s.pressure(request, candidate) +
-			s.running(request, candidate) + s.interference(request, reading)*running
+		cost := slot + reading.held + reading.price + s.commonCost(request, candidate) + s.pressureCost(request, candidate) +
+			s.runningCost(request, candidate) + s.interferencePrice(request, reading)*running
 		plan := Plan{
 			Mode: Whole, Runner: candidate, Fetch: reading.fetch, Unread: reading.unread,
 			First: milliseconds(slot + reading.time + candidate.RoundTrip), Cost: cost,
@@ -151,10 +153,10 @@
 	return best
 }
 
-// interference is the price of a prefill for each request that runs at the decode engine, in
+// interferencePrice is the price of a prefill for each request that runs at the decode engine, in
 // milliseconds. Prefill stalls their streams for at most its own duration, which does no harm
 // while it is a small part of the pause allowed between two events.
-func (s *Scheduler) interference(request Request, reading reading) float64 {
+func (s *Scheduler) interferencePrice(request Request, reading reading) float64 {
 	price := s.costs.Interference * reading.own
 	if request.GapObjective <= 0 {
 		return price
@@ -180,13 +182,13 @@
 		if runner.Mode == Refused {
 			return runner
 		}
-		reading := s.reading(request, candidate, candidates)
-		move, _ := s.crossing(request, candidate.Region, runner.Runner)
+		reading := s.cheapestReading(request, candidate, candidates)
+		move, _ := s.crossRegionExtra(request, candidate.Region, runner.Runner)
 		read := candidate.TurnWait + reading.time
 		first := max(read, runner.Runner.TurnWait) + request.Engine.Handover + slotWait(request, runner.Runner) +
 			candidate.RoundTrip + runner.Runner.RoundTrip + move
 		cost := candidate.TurnWait + reading.held + request.Engine.Handover + reading.price + s.movePrice(request, request.PromptTokens) +
-			s.common(request, candidate) + runner.Cost
+			s.commonCost(request, candidate) + runner.Cost
 		plan := Plan{
 			Mode: Apart, Reader: candidate, Runner: runner.Runner, Fetch: reading.fetch, Unread: reading.unread,
 			First: milliseconds(first), Cost: cost,
@@ -206,11 +208,11 @@
 		if !candidate.Decode || candidate.SourceOnly || request.Excluded[candidate.ID] {
 			continue
 		}
-		time, price := s.crossing(request, region, candidate)
-		cost := max(slotWait(request, candidate), candidate.TurnWait) + s.common(request, candidate) + s.running(request, candidate) +
-			s.pressure(request, candidate) + time + price
+		time, price := s.crossRegionExtra(request, region, candidate)
+		cost := max(slotWait(request, candidate), candidate.TurnWait) + s.commonCost(request, candidate) + s.runningCost(request, candidate) +
+			s.pressureCost(request, candidate) + time + price
 		if candidate.HandleFailure {
-			cost += s.costs.Avoided * request.aim()
+			cost += s.costs.Avoided * request.objectiveMilliseconds()
 		}
 		plan := Plan{Mode: Whole, Runner: candidate, Cost: cost}
 		if better(plan, best) {
@@ -229,25 +231,25 @@
 	return float64(candidate.Requests+1-candidate.Slots) / float64(candidate.Slots) * request.Engine.Run
 }
 
-// running is the cost of the requests that already run at a decode engine.
-func (s *Scheduler) running(request Request, candidate Candidate) float64 {
-	return s.costs.Running * float64(candidate.Requests) * request.aim()
+// runningCost is the cost of the requests that already run at a decode engine.
+func (s *Scheduler) runningCost(request Request, candidate Candidate) float64 {
+	return s.costs.Running * float64(candidate.Requests) * request.objectiveMilliseconds()
 }
 
-// pressure is the cost of running where KV cache is short: the engine would preempt running
+// pressureCost is the cost of running where KV cache is short: the engine would preempt running
 // requests.
-func (s *Scheduler) pressure(request Request, candidate Candidate) float64 {
+func (s *Scheduler) pressureCost(request Request, candidate Candidate) float64 {
 	if candidate.Capacity == 0 {
 		return 0
 	}
 	needed := candidate.MemoryTokens + request.PromptTokens + request.OutputTokens
 	fill := float64(needed) / float64(candidate.Capacity)
-	price := s.costs.MemoryPressure * request.aim()
+	price := s.costs.MemoryPressure * request.objectiveMilliseconds()
 	if fill > 1 {
 		return price * fill
 	}
-	const notFull = 0.1
-	return price * notFull * fill * fill
+	const belowCapacityShare = 0.1
+	return price * belowCapacityShare * fill * fill
 }
 
 func milliseconds(count float64) time.Duration {
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -11,7 +11,7 @@
 	return candidate(Candidate{ID: id, Prefill: true, Throughput: 36, Reading: readingAt(36), Capacity: 400_000, Slots: 64}, change)
 }
 
-func writer(id string, change ...func(*Candidate)) Candidate {
+func decoder(id string, change ...func(*Candidate)) Candidate {
 	return candidate(Candidate{ID: id, Decode: true, Throughput: 18, Reading: readingAt(18), Capacity: 400_000, Slots: 64}, change)
 }
 
@@ -39,7 +39,7 @@
 func running(count int) func(*Candidate) { return func(c *Candidate) { c.Requests = count } }
 func avoided(c *Candidate)               { c.Avoid = true }
 func otherZone(c *Candidate)             { c.SameZone = false }
-func lapsing(c *Candidate)               { c.HandleFailure = true }
+func handoverFails(c *Candidate)         { c.HandleFailure = true }
 
 func prompt(change ...func(*Request)) Request {
 	request := Request{PromptTokens: 17_000, SharedTokens: 13_300, OutputTokens: 15, RouteObjective: 800 * time.Millisecond, Engine: EngineTimes{Queue: 1, Handover: 30, Fetch: 8, MovePerToken: 0.0004},
@@ -76,37 +76,37 @@
 		{name: "no workers", request: prompt(), mode: Refused, reason: NoWorker},
 		{
 			name: "a long prompt is read apart", request: prompt(),
-			candidates: []Candidate{reader("p"), writer("d")}, mode: Apart, reader: "p", runner: "d",
+			candidates: []Candidate{reader("p"), decoder("d")}, mode: Apart, reader: "p", runner: "d",
 		},
 		{
 			name: "a short prompt runs whole", request: prompt(short),
-			candidates: []Candidate{reader("p"), writer("d")}, mode: Whole, runner: "d",
+			candidates: []Candidate{reader("p"), decoder("d")}, mode: Whole, runner: "d",
 		},
 		{
 			name: "the worker that keeps the shared part reads", request: prompt(),
-			candidates: []Candidate{reader("p1"), reader("p2", cached(13_300)), writer("d")}, mode: Apart, reader: "p2", runner: "d",
+			candidates: []Candidate{reader("p1"), reader("p2", cached(13_300)), decoder("d")}, mode: Apart, reader: "p2", runner: "d",
 		},
 		{
 			name: "what a busy worker keeps is fetched", request: prompt(),
-			candidates: []Candidate{reader("p1"), reader("p2", cached(13_300), queued(20_000)), writer("d")},
+			candidates: []Candidate{reader("p1"), reader("p2", cached(13_300), queued(20_000)), decoder("d")},
 			mode:       Apart, reader: "p1", runner: "d", fetch: "at-p2",
 		},
 		{
 			name: "nothing is fetched from a worker that failed just now", request: prompt(),
-			candidates: []Candidate{reader("p1"), reader("p2", cached(13_300), queued(40_000), avoided), writer("d")},
+			candidates: []Candidate{reader("p1"), reader("p2", cached(13_300), queued(40_000), avoided), decoder("d")},
 			mode:       Apart, reader: "p1", runner: "d",
 		},
 		{
 			name: "streams that run keep reading away from their worker", request: prompt(short),
-			candidates: []Candidate{writer("d1", running(40)), writer("d2", running(2))}, mode: Whole, runner: "d2",
+			candidates: []Candidate{decoder("d1", running(40)), decoder("d2", running(2))}, mode: Whole, runner: "d2",
 		},
 		{
 			name: "prompts aren't read where handles lapse", request: prompt(),
-			candidates: []Candidate{reader("p", lapsing), writer("d")}, mode: Whole, runner: "d",
+			candidates: []Candidate{reader("p", handoverFails), decoder("d")}, mode: Whole, runner: "d",
 		},
 		{
 			name: "a prompt that was read apart once is fetched", request: prompt(func(r *Request) { r.NoApart = true }),
-			candidates: []Candidate{reader("p", cached(17_000)), writer("d")}, mode: Whole, runner: "d", fetch: "at-p",
+			candidates: []Candidate{reader("p", cached(17_000)), decoder("d")}, mode: Whole, runner: "d", fetch: "at-p",
 		},
 		{
 			name: "no decode worker", request: prompt(),
@@ -114,15 +114,15 @@
 		},
 		{
 			name: "only prefill workers failed it", request: prompt(excluding("p")),
-			candidates: []Candidate{reader("p"), writer("d")}, mode: Whole, runner: "d",
+			candidates: []Candidate{reader("p"), decoder("d")}, mode: Whole, runner: "d",
 		},
 		{
 			name: "too late to be of use", request: prompt(),
-			candidates: []Candidate{reader("p", queued(200_000)), writer("d", queued(100_000))}, mode: Refused, reason: TooLate,
+			candidates: []Candidate{reader("p", queued(200_000)), decoder("d", queued(100_000))}, mode: Refused, reason: TooLate,
 		},
 		{
 			name: "late, but nothing waits: it is served", request: prompt(func(r *Request) { r.ObjectiveLeft = 0 }),
-			candidates: []Candidate{reader("p"), writer("d")}, mode: Apart, reader: "p", runner: "d",
+			candidates: []Candidate{reader("p"), decoder("d")}, mode: Apart, reader: "p", runner: "d",
 		},
 		{
 			name: "an opaque request goes to the least busy", request: Request{},
@@ -160,12 +160,12 @@
 	}
 }
 
-// TestReadingKeepsStreamsWithinTheirPause: an engine that runs streams and has as much to
+// TestPrefillKeepsStreamsWithinTheirPause: an engine that runs streams and has as much to
 // read as fills the pause they may make is given no more while another has less.
-func TestReadingKeepsStreamsWithinTheirPause(t *testing.T) {
+func TestPrefillKeepsStreamsWithinTheirPause(t *testing.T) {
 	short := prompt(func(r *Request) { r.PromptTokens, r.SharedTokens, r.GapObjective = 1400, 350, 200*time.Millisecond })
-	busy := writer("busy", queued(1500), running(10))
-	free := writer("free", running(10), func(c *Candidate) { c.FailureRate = 0.3 })
+	busy := decoder("busy", queued(1500), running(10))
+	free := decoder("free", running(10), func(c *Candidate) { c.FailureRate = 0.3 })
 	if plan := New(DefaultCosts()).Plan(short, []Candidate{busy, free}); plan.Runner.ID != "free" {
 		t.Errorf("reads at %s, which holds up ten streams for %v", plan.Runner.ID, plan.First)
 	}
@@ -181,7 +181,7 @@
 	scheduler := New(DefaultCosts())
 	last := time.Duration(0)
 	for _, ahead := range []int{0, 5_000, 10_000} {
-		plan := scheduler.Plan(prompt(func(r *Request) { r.ObjectiveLeft = time.Hour }), []Candidate{reader("p", queued(ahead)), writer("d")})
+		plan := scheduler.Plan(prompt(func(r *Request) { r.ObjectiveLeft = time.Hour }), []Candidate{reader("p", queued(ahead)), decoder("d")})
 		if plan.First <= last {
 			t.Errorf("with %d tokens ahead %v is predicted, with fewer %v", ahead, plan.First, last)
 		}
@@ -189,22 +189,22 @@
 	}
 }
 
-// TestEngineThatCantFetchWritesNothingReadApart while another can.
-func TestEngineThatCantFetchWritesNothingReadApart(t *testing.T) {
+// TestEngineThatCantFetchRunsNothingPrefilledElsewhere while another can.
+func TestEngineThatCantFetchRunsNothingPrefilledElsewhere(t *testing.T) {
 	scheduler := New(DefaultCosts())
-	plan := scheduler.ChooseRunner(prompt(), []Candidate{writer("d1", lapsing), writer("d2", running(20), otherZone)}, "")
+	plan := scheduler.ChooseRunner(prompt(), []Candidate{decoder("d1", handoverFails), decoder("d2", running(20), otherZone)}, "")
 	if plan.Runner.ID != "d2" {
 		t.Errorf("runs at %s", plan.Runner.ID)
 	}
-	if plan := scheduler.ChooseRunner(prompt(), []Candidate{writer("d1", lapsing)}, ""); plan.Runner.ID != "d1" {
+	if plan := scheduler.ChooseRunner(prompt(), []Candidate{decoder("d1", handoverFails)}, ""); plan.Runner.ID != "d1" {
 		t.Error("no engine is left for it")
 	}
 }
 
-// TestMemoryPressureMovesRuns: a full decode engine would put runs aside.
-func TestMemoryPressureMovesRuns(t *testing.T) {
-	full := writer("d1", func(c *Candidate) { c.MemoryTokens = 395_000 })
-	plan := New(DefaultCosts()).ChooseRunner(prompt(), []Candidate{full, writer("d2", running(10), otherZone)}, "")
+// TestMemoryPressureMovesRequestsElsewhere: a full decode engine would put runs aside.
+func TestMemoryPressureMovesRequestsElsewhere(t *testing.T) {
+	full := decoder("d1", func(c *Candidate) { c.MemoryTokens = 395_000 })
+	plan := New(DefaultCosts()).ChooseRunner(prompt(), []Candidate{full, decoder("d2", running(10), otherZone)}, "")
 	if plan.Runner.ID != "d2" {
 		t.Errorf("runs at %s", plan.Runner.ID)
 	}
--- a/internal/scheduling/shortlist.go
+++ b/internal/scheduling/shortlist.go
@@ -29,7 +29,7 @@
 // of them for each request took 94 ms of a core at 9,695 workers, a shortlist takes 1.9 ms
 // (BenchmarkPreselectOfAll, BenchmarkShortlist).
 func Shortlist(request Request, workers iter.Seq[Outline]) []string {
-	readers, others := newStageList(request, contentChoices*widened), newStageList(request, 0)
+	readers, others := newStageList(request, contentChoices*widenFactor), newStageList(request, 0)
 	for worker := range workers {
 		if request.Excluded[worker.ID] {
 			continue
@@ -44,7 +44,7 @@
 }
 
 // nearChoices is the largest number of workers that Preselect takes by nearness (byNearness).
-const nearChoices = widened * max(nearReaders, readersWithout, runnerChoices)
+const nearChoices = widenFactor * max(nearReaders, readersWithoutContent, runnerChoices)
 
 // stageList is the shortlist of one stage: the sound workers, or the others if there are none.
 type stageList struct {
--- a/internal/scheduling/shortlist_test.go
+++ b/internal/scheduling/shortlist_test.go
@@ -44,9 +44,9 @@
 	return slices.DeleteFunc(slices.Clone(workers), func(c Candidate) bool { return !slices.Contains(names, c.ID) })
 }
 
-// TestSurveyOfAShortlistChoosesTheSame workers as one of all, narrow and wide, also where
+// TestPreselectOfShortlistChoosesTheSame workers as one of all, narrow and wide, also where
 // workers failed, were tried or are all unsound.
-func TestSurveyOfAShortlistChoosesTheSame(t *testing.T) {
+func TestPreselectOfShortlistChoosesTheSame(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for round := range 300 {
 		workers := someWorkers(random, 1+random.IntN(400))
@@ -91,14 +91,14 @@
 func TestShortlistDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, count := range []int{300, 3000, 10_000} {
 		workers := someWorkers(rand.New(rand.NewPCG(1, 1)), count)
-		kept := 0
+		tracked := 0
 		for _, worker := range workers {
 			if worker.Report == Tracked {
-				kept++
+				tracked++
 			}
 		}
 		names := Shortlist(Request{PromptTokens: 1, Content: 9}, outlines(workers))
-		if most := kept + 2*nearChoices + contentChoices*widened; len(names) > most {
+		if most := tracked + 2*nearChoices + contentChoices*widenFactor; len(names) > most {
 			t.Errorf("%d workers: %d on the shortlist, %d at most", count, len(names), most)
 		}
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func BenchmarkSurveyOfAll(b *testing.B) {
+func BenchmarkPreselectOfAll(b *testing.B) {
 	workers := someWorkers(rand.New(rand.NewPCG(1, 1)), manyWorkers)
 	for b.Loop() {
 		Preselect(Request{PromptTokens: 1, Content: 9}, workers, false)
--- a/internal/scheduling/survey.go
+++ b/internal/scheduling/survey.go
@@ -16,12 +16,12 @@
 	contentChoices = 3
 	// nearReaders is the number of prefill engines that a node considers in addition, and
 	// readersWithout their number for a prompt that shares too little to be placed by content.
-	nearReaders    = 1
-	readersWithout = 3
+	nearReaders           = 1
+	readersWithoutContent = 3
 	// runnerChoices is the number of other workers that a node considers.
 	runnerChoices = 3
-	// widened multiplies these numbers if none of the first choices can serve a request.
-	widened = 2
+	// widenFactor multiplies these numbers if none of the first choices can serve a request.
+	widenFactor = 2
 	// MinSharedTokens is the number of shared tokens from which a prompt is placed by its
 	// content, at the engines where other nodes look for it.
 	MinSharedTokens = 1024
@@ -38,30 +38,30 @@
 	}
 	var chosen []Candidate
 	for _, region := range regionsOf(candidates) {
-		near, _ := split(candidates, func(c Candidate) bool { return c.Region == region })
-		chosen = append(chosen, surveyRegion(request, near, wide)...)
+		inRegion, _ := split(candidates, func(c Candidate) bool { return c.Region == region })
+		chosen = append(chosen, preselectRegion(request, inRegion, wide)...)
 	}
 	return chosen
 }
 
-// surveyRegion is Preselect within one region.
-func surveyRegion(request Request, candidates []Candidate, wide bool) []Candidate {
+// preselectRegion is Preselect within one region.
+func preselectRegion(request Request, candidates []Candidate, wide bool) []Candidate {
 	factor := 1
 	if wide {
-		factor = widened
+		factor = widenFactor
 	}
-	readers, others := byStage(fit(request, candidates))
+	readers, others := byStage(eligible(request, candidates))
 	runners := nearest(others, runnerChoices*factor)
 	for i := range runners {
 		// Nodes look for contents at prefill engines only.
 		runners[i].NotHome = runners[i].NotHome || request.Content != 0 && len(readers) > 0
 	}
-	return slices.Concat(surveyReaders(request, readers, factor), runners)
+	return slices.Concat(preselectReaders(request, readers, factor), runners)
 }
 
-// fit returns the candidates of each stage that may serve the request: the sound ones, or all
+// eligible returns the candidates of each stage that may serve the request: the sound ones, or all
 // that are not excluded if none is sound.
-func fit(request Request, candidates []Candidate) []Candidate {
+func eligible(request Request, candidates []Candidate) []Candidate {
 	var sound, unsound []Candidate
 	for _, candidate := range candidates {
 		switch {
@@ -95,11 +95,11 @@
 	return readers, others
 }
 
-// surveyReaders chooses prefill engines. If the prompt shares enough, the engines at which all
+// preselectReaders chooses prefill engines. If the prompt shares enough, the engines at which all
 // nodes look for its content come first, and the others are marked as NotHome.
-func surveyReaders(request Request, readers []Candidate, factor int) []Candidate {
+func preselectReaders(request Request, readers []Candidate, factor int) []Candidate {
 	if request.Content == 0 {
-		return nearest(readers, readersWithout*factor)
+		return nearest(readers, readersWithoutContent*factor)
 	}
 	hash := func(c Candidate) uint64 { return c.Hash }
 	chosen := rendezvous.Top(readers, hash, request.Content, contentChoices*factor)
@@ -135,10 +135,10 @@
 // like the smallest one, so that all nodes would choose these workers.
 func WithKnownLoad(candidates []Candidate) []Candidate {
 	readers, others := byStage(candidates)
-	return slices.Concat(informed(readers), informed(others))
+	return slices.Concat(withKnownLoad(readers), withKnownLoad(others))
 }
 
-func informed(candidates []Candidate) []Candidate {
+func withKnownLoad(candidates []Candidate) []Candidate {
 	known := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool {
 		return c.Report == Unanswered || c.Report == Unasked
 	})
--- a/internal/scheduling/survey_test.go
+++ b/internal/scheduling/survey_test.go
@@ -13,9 +13,9 @@
 
 // engines returns readers and writers of five zones as one node sees them, which keeps
 // none of their accounts.
-func engines(readers, writers, zone int, random *rand.Rand) []Candidate {
+func engines(readers, decoders, zone int, random *rand.Rand) []Candidate {
 	var candidates []Candidate
-	for i := range readers + writers {
+	for i := range readers + decoders {
 		id := fmt.Sprint(i)
 		candidates = append(candidates, Candidate{
 			ID: id, Address: id, Prefill: i < readers, Decode: i >= readers, SameZone: i%5 == zone,
@@ -69,10 +69,10 @@
 	}
 }
 
-// TestNodesDontAllChooseTheFreeWorker: one reader of many has come free, and no node
+// TestNodesDoNotAllChooseTheFreeWorker: one reader of many has come free, and no node
 // has heard yet of what the others place on it. If all looked at all readers, all would
 // choose it.
-func TestNodesDontAllChooseTheFreeWorker(t *testing.T) {
+func TestNodesDoNotAllChooseTheFreeWorker(t *testing.T) {
 	const nodes, most = 60, 12
 	random := rand.New(rand.NewPCG(1, 2))
 	chosen := 0
@@ -93,11 +93,11 @@
 	}
 }
 
-// TestSurveyIsBounded: what is asked for doesn't grow with the fleet.
-func TestSurveyIsBounded(t *testing.T) {
+// TestPreselectIsBounded: what is asked for doesn't grow with the fleet.
+func TestPreselectIsBounded(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for _, size := range []int{40, 160, 5000} {
-		for key, want := range map[uint64]int{0: readersWithout + runnerChoices, 9: contentChoices + nearReaders + runnerChoices} {
+		for key, want := range map[uint64]int{0: readersWithoutContent + runnerChoices, 9: contentChoices + nearReaders + runnerChoices} {
 			got := Preselect(content(key), engines(size/2, size/2, 0, random), false)
 			if len(got) > want || len(got) < want-nearReaders {
 				t.Errorf("%d engines: %d are asked for, want %d", size, len(got), want)
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestKeptAccountsAreAllLookedAt: they cost no message. Where a node keeps all accounts it
+// TestTrackedWorkersAreAllPreselected: they cost no message. Where a node keeps all accounts it
 // places on all workers, as it does for requests that aren't for engines.
-func TestKeptAccountsAreAllLookedAt(t *testing.T) {
+func TestTrackedWorkersAreAllPreselected(t *testing.T) {
 	candidates := engines(36, 54, 0, rand.New(rand.NewPCG(5, 6)))
 	for _, i := range []int{7, 30, 60, 80} {
 		candidates[i].Report = Tracked
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestUnsoundWorkersMakeRoomForOthers(t *testing.T) {
+func TestUnsoundWorkersAreReplacedBySoundOnes(t *testing.T) {
 	candidates := engines(36, 0, 0, rand.New(rand.NewPCG(5, 6)))
 	for i := range candidates {
 		candidates[i].Avoid = i != 20
@@ -152,7 +152,7 @@
 		t.Errorf("%v", names(got))
 	}
 	candidates[20].Avoid = true
-	if got := Preselect(content(9), candidates, true); len(got) < contentChoices*widened {
+	if got := Preselect(content(9), candidates, true); len(got) < contentChoices*widenFactor {
 		t.Errorf("%d of 36 workers that failed", len(got))
 	}
 	request := content(9)
@@ -162,22 +162,22 @@
 	}
 }
 
-// TestUnknownLoadIsNotTaken as long as another is known: of a load that isn't known each
+// TestUnknownLoadIsNotChosen as long as another is known: of a load that isn't known each
 // node would take the least.
-func TestUnknownLoadIsNotTaken(t *testing.T) {
+func TestUnknownLoadIsNotChosen(t *testing.T) {
 	candidates := engines(2, 2, 0, rand.New(rand.NewPCG(5, 6)))
-	for i, account := range []ReportState{Unanswered, Answered, Unanswered, Unanswered} {
-		candidates[i].Report = account
+	for i, report := range []ReportState{Unanswered, Answered, Unanswered, Unanswered} {
+		candidates[i].Report = report
 	}
 	if got := names(WithKnownLoad(candidates)); !slices.Equal(got, []string{"1", "2", "3"}) {
 		t.Errorf("%v", got)
 	}
 }
 
-// TestReadingStaysWhereOthersLook: of two idle engines that don't keep a prompt, the one
+// TestPrefillStaysWhereOthersLook: of two idle engines that don't keep a prompt, the one
 // where all look for it reads, also in another zone; a long queue there is left.
-func TestReadingStaysWhereOthersLook(t *testing.T) {
-	stray := func(c *Candidate) { c.NotHome = true }
+func TestPrefillStaysWhereOthersLook(t *testing.T) {
+	notHome := func(c *Candidate) { c.NotHome = true }
 	for name, test := range map[string]struct {
 		found Candidate
 		want  string
@@ -185,16 +185,16 @@
 		"idle":   {reader("found", otherZone), "found"},
 		"queued": {reader("found", otherZone, queued(15_000)), "stray"},
 	} {
-		plan := New(DefaultCosts()).Plan(prompt(), []Candidate{test.found, reader("stray", stray), writer("d")})
+		plan := New(DefaultCosts()).Plan(prompt(), []Candidate{test.found, reader("stray", notHome), decoder("d")})
 		if plan.Reader.ID != test.want {
 			t.Errorf("%s: read at %s", name, plan.Reader.ID)
 		}
 	}
 }
 
-// TestHoldersAreFetchedFromAndGivenNothing: a worker that is known for what it keeps only
+// TestHoldersAreOnlyFetchedFrom: a worker that is known for what it keeps only
 // is no choice for reading or running.
-func TestHoldersAreFetchedFromAndGivenNothing(t *testing.T) {
+func TestHoldersAreOnlyFetchedFrom(t *testing.T) {
 	engine := EngineTimes{MovePerToken: 0.0004, Fetch: 5, Queue: 1}
 	reading, slower := latency.Coefficients{Fixed: 10, PerThousand: 27}, latency.Coefficients{Fixed: 10, PerThousand: 54}
 	reader := Candidate{ID: "reader", Address: "1.1.1.1:1", Prefill: true, Slots: 8, Capacity: 400_000, Throughput: 36, Reading: reading, SameZone: true}
--- a/internal/scheduling/types.go
+++ b/internal/scheduling/types.go
@@ -110,18 +110,18 @@
 }
 
 // WithReport adds a load report to what this node itself knows of a worker.
-func (c Candidate) WithReport(account LoadReport) Candidate {
+func (c Candidate) WithReport(report LoadReport) Candidate {
 	c.Report = Answered
-	c.Requests += account.Requests
-	c.ReadTokens += account.ReadTokens
-	c.ReadAhead += account.ReadAhead
-	c.LateTokens += account.LateTokens
-	c.MemoryTokens += account.MemoryTokens
-	c.CachedTokens = max(c.CachedTokens, account.CachedTokens)
-	c.Leaving = c.Leaving || account.Leaving
-	c.Avoid = c.Avoid || account.Avoid
-	c.HandleFailure = c.HandleFailure || account.HandleFailure
-	c.FailureRate = max(c.FailureRate, account.FailureRate)
+	c.Requests += report.Requests
+	c.ReadTokens += report.ReadTokens
+	c.ReadAhead += report.ReadAhead
+	c.LateTokens += report.LateTokens
+	c.MemoryTokens += report.MemoryTokens
+	c.CachedTokens = max(c.CachedTokens, report.CachedTokens)
+	c.Leaving = c.Leaving || report.Leaving
+	c.Avoid = c.Avoid || report.Avoid
+	c.HandleFailure = c.HandleFailure || report.HandleFailure
+	c.FailureRate = max(c.FailureRate, report.FailureRate)
 	return c
 }
 
