--- a/internal/scheduling/regions_test.go
+++ b/internal/scheduling/regions_test.go
@@ -8,8 +8,8 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// regional returns engines of regions as a node of the first region sees them, which keeps
-// the accounts of its own region: a third of each region's engines read.
+// regional returns engines of several regions as seen by a node of the first region, which
+// tracks the load of its own region only. A third of each region's engines are for prefill.
 func regional(perRegion int, regions ...string) []Candidate {
 	random := rand.New(rand.NewPCG(1, 2))
 	var candidates []Candidate
@@ -33,7 +33,7 @@
 	return candidates
 }
 
-// planned plans a request as a node does that is answered for all that it asks.
+// planned plans a request as a node does that gets an answer to all its questions.
 func planned(request Request, candidates []Candidate) Plan {
 	plan := Plan{}
 	for _, scope := range Scopes(request, candidates) {
@@ -48,7 +48,8 @@
 	return plan
 }
 
-// TestContentIsServedInItsHomeRegion, the same at all nodes, unless that is loaded.
+// TestContentIsServedInItsHomeRegion checks that a content is prefilled and decoded in its home
+// region unless that is overloaded.
 func TestContentIsServedInItsHomeRegion(t *testing.T) {
 	for key := range uint64(100) {
 		request := prompt(func(r *Request) { r.Content = key + 1 })
@@ -56,7 +57,7 @@
 		home := HomeRegion(request.Content, candidates)
 		plan := planned(request, candidates)
 		if plan.Mode != Apart || plan.Reader.Region != home || plan.Runner.Region != home {
-			t.Fatalf("content %d of %s: %s, read in %s, written in %s", key, home, plan.Mode, plan.Reader.Region, plan.Runner.Region)
+			t.Fatalf("content %d of %s: mode %s, prefilled in %s, decoded in %s", key, home, plan.Mode, plan.Reader.Region, plan.Runner.Region)
 		}
 		for i := range candidates {
 			if candidates[i].Region == home {
@@ -64,13 +65,13 @@
 			}
 		}
 		if plan = planned(request, candidates); plan.Mode == Refused || plan.Reader.Region == home {
-			t.Fatalf("content %d of %s, which is loaded: %s, read in %s", key, home, plan.Mode, plan.Reader.Region)
+			t.Fatalf("content %d of overloaded %s: mode %s, prefilled in %s", key, home, plan.Mode, plan.Reader.Region)
 		}
 	}
 }
 
-// TestContentsFollowTheEngines: a region gets contents by the number of its engines, and
-// one that loses all gives up only its own.
+// TestContentsFollowTheEngines checks that regions get contents in proportion to their engines,
+// and that the loss of a region moves only its own contents.
 func TestContentsFollowTheEngines(t *testing.T) {
 	const contents = 3000
 	all := append(regional(20, "north", "south"), regional(10, "west")...)
@@ -91,12 +92,13 @@
 	}
 }
 
-// TestOtherRequestsStayInTheRegion, and leave it only where it can't serve them in time.
+// TestOtherRequestsStayInTheRegion checks that requests without a content leave the node's
+// region only if it cannot serve them in time.
 func TestOtherRequestsStayInTheRegion(t *testing.T) {
 	request := prompt(func(r *Request) { r.SharedTokens, r.PromptTokens = 0, 1100 })
 	candidates := regional(12, "north", "south")
 	if plan := planned(request, candidates); plan.Mode == Refused || plan.Runner.Region != "north" {
-		t.Errorf("%s in %s", plan.Mode, plan.Runner.Region)
+		t.Errorf("mode %s in region %s, want it served in north", plan.Mode, plan.Runner.Region)
 	}
 	for i := range candidates {
 		if candidates[i].Region == "north" {
@@ -104,7 +106,7 @@
 		}
 	}
 	if plan := planned(request, candidates); plan.Mode == Refused || plan.Runner.Region != "south" {
-		t.Errorf("with a loaded region: %s in %s", plan.Mode, plan.Runner.Region)
+		t.Errorf("with an overloaded region: mode %s in region %s, want it served in south", plan.Mode, plan.Runner.Region)
 	}
 	_, lost := split(candidates, func(c Candidate) bool { return c.Region == "north" })
 	if plan := planned(request, lost); plan.Mode == Refused {
@@ -112,8 +114,8 @@
 	}
 }
 
-// TestCutOffRegionGetsNoRequests: its engines are still listed, and those that run requests
-// all failed just now, or failed this request.
+// TestCutOffRegionGetsNoRequests checks that no request goes to a region whose engines are
+// still listed although all its decode engines have just failed or failed this request.
 func TestCutOffRegionGetsNoRequests(t *testing.T) {
 	candidates := regional(12, "north", "south", "west")
 	failed := make(map[string]bool)
@@ -126,7 +128,7 @@
 	for key := range uint64(100) {
 		request := prompt(func(r *Request) { r.Content, r.Failed = key+1, failed })
 		if plan := planned(request, candidates); plan.Mode == Refused || plan.Runner.Region == "south" {
-			t.Fatalf("content %d of %s: %s at %q", key, HomeRegion(key+1, candidates), plan.Mode, plan.Runner.ID)
+			t.Fatalf("content %d of %s: mode %s at %q", key, HomeRegion(key+1, candidates), plan.Mode, plan.Runner.ID)
 		}
 	}
 	south, _ := split(candidates, func(c Candidate) bool { return c.Region == "south" })
@@ -135,18 +137,18 @@
 	}
 }
 
-// TestKVCacheStaysInTheRegion: it is moved and fetched between regions only where nothing
-// else is left, and the prediction then counts the slower links.
+// TestKVCacheStaysInTheRegion checks that KV cache is moved and fetched between regions only if
+// nothing else is left, and that the prediction then includes the slower links.
 func TestKVCacheStaysInTheRegion(t *testing.T) {
 	in := func(region string) func(*Candidate) { return func(c *Candidate) { c.Region = region } }
 	keeper := reader("p2", in("west"), cached(13_300), queued(100_000))
 	near := []Candidate{reader("p1", in("north")), decoder("d1", in("north"), running(40)), decoder("d2", in("south")), keeper}
 	plan := New(DefaultCosts()).Plan(prompt(), near)
 	if plan.Mode != Apart || plan.Reader.ID != "p1" || plan.Runner.ID != "d1" || plan.Fetch != "" {
-		t.Errorf("%s, read at %s with a fetch from %q, written at %s", plan.Mode, plan.Reader.ID, plan.Fetch, plan.Runner.ID)
+		t.Errorf("mode %s, prefilled at %s with a fetch from %q, decoded at %s", plan.Mode, plan.Reader.ID, plan.Fetch, plan.Runner.ID)
 	}
 	far := New(DefaultCosts()).Plan(prompt(), []Candidate{near[0], near[2]})
 	if far.Mode != Apart || far.Runner.ID != "d2" || far.First <= plan.First {
-		t.Errorf("without a writer of the region: %s at %s after %v, %v within the region", far.Mode, far.Runner.ID, far.First, plan.First)
+		t.Errorf("without a decode engine in the region: mode %s at %s after %v, within the region after %v", far.Mode, far.Runner.ID, far.First, plan.First)
 	}
 }
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -15,7 +15,7 @@
 	return candidate(Candidate{ID: id, Decode: true, Throughput: 18, Reading: readingAt(18), Capacity: 400_000, Slots: 64}, change)
 }
 
-// readingAt are the terms of an engine that reads so many tokens a millisecond.
+// readingAt returns the coefficients of an engine that prefills so many tokens a millisecond.
 func readingAt(tokensPerMillisecond float64) latency.Coefficients {
 	return latency.Coefficients{Fixed: 25, PerThousand: 1000 / tokensPerMillisecond}
 }
@@ -75,7 +75,7 @@
 	}{
 		{name: "no workers", request: prompt(), mode: Refused, reason: NoWorker},
 		{
-			name: "a long prompt is read apart", request: prompt(),
+			name: "a long prompt is prefilled apart", request: prompt(),
 			candidates: []Candidate{reader("p"), decoder("d")}, mode: Apart, reader: "p", runner: "d",
 		},
 		{
@@ -83,11 +83,11 @@
 			candidates: []Candidate{reader("p"), decoder("d")}, mode: Whole, runner: "d",
 		},
 		{
-			name: "the worker that keeps the shared part reads", request: prompt(),
+			name: "the worker that has the shared prefix cached prefills", request: prompt(),
 			candidates: []Candidate{reader("p1"), reader("p2", cached(13_300)), decoder("d")}, mode: Apart, reader: "p2", runner: "d",
 		},
 		{
-			name: "what a busy worker keeps is fetched", request: prompt(),
+			name: "what a busy worker has cached is fetched", request: prompt(),
 			candidates: []Candidate{reader("p1"), reader("p2", cached(13_300), queued(20_000)), decoder("d")},
 			mode:       Apart, reader: "p1", runner: "d", fetch: "at-p2",
 		},
@@ -97,15 +97,15 @@
 			mode:       Apart, reader: "p1", runner: "d",
 		},
 		{
-			name: "streams that run keep reading away from their worker", request: prompt(short),
+			name: "running streams keep prefill away from their engine", request: prompt(short),
 			candidates: []Candidate{decoder("d1", running(40)), decoder("d2", running(2))}, mode: Whole, runner: "d2",
 		},
 		{
-			name: "prompts aren't read where handles lapse", request: prompt(),
+			name: "nothing is prefilled apart where handing over fails", request: prompt(),
 			candidates: []Candidate{reader("p", handoverFails), decoder("d")}, mode: Whole, runner: "d",
 		},
 		{
-			name: "a prompt that was read apart once is fetched", request: prompt(func(r *Request) { r.NoApart = true }),
+			name: "a prompt that was prefilled apart before is fetched", request: prompt(func(r *Request) { r.NoApart = true }),
 			candidates: []Candidate{reader("p", cached(17_000)), decoder("d")}, mode: Whole, runner: "d", fetch: "at-p",
 		},
 		{
@@ -113,7 +113,7 @@
 			candidates: []Candidate{reader("p")}, mode: Refused, reason: NoWorker,
 		},
 		{
-			name: "only prefill workers failed it", request: prompt(excluding("p")),
+			name: "the only prefill engine is excluded", request: prompt(excluding("p")),
 			candidates: []Candidate{reader("p"), decoder("d")}, mode: Whole, runner: "d",
 		},
 		{
@@ -129,11 +129,11 @@
 			candidates: []Candidate{opaque("a", running(3)), opaque("b", running(1))}, mode: Whole, runner: "b",
 		},
 		{
-			name: "and stays in its zone where that costs little", request: Request{},
+			name: "an opaque request stays in its zone where that costs little", request: Request{},
 			candidates: []Candidate{opaque("a", otherZone), opaque("b", running(1))}, mode: Whole, runner: "b",
 		},
 		{
-			name: "but leaves it for room", request: Request{},
+			name: "an opaque request leaves its zone for free slots", request: Request{},
 			candidates: []Candidate{opaque("a", otherZone), opaque("b", running(6))}, mode: Whole, runner: "a",
 		},
 		{
@@ -141,7 +141,7 @@
 			candidates: []Candidate{opaque("a", avoided)}, mode: Whole, runner: "a",
 		},
 		{
-			name: "a worker that failed this request is not", request: Request{Excluded: map[string]bool{"a": true}},
+			name: "an excluded worker gets nothing", request: Request{Excluded: map[string]bool{"a": true}},
 			candidates: []Candidate{opaque("a")}, mode: Refused, reason: NoWorker,
 		},
 	} {
@@ -154,58 +154,61 @@
 				t.Errorf("reader %q, runner %q", plan.Reader.ID, plan.Runner.ID)
 			}
 			if plan.Mode == Refused && plan.RetryAfter <= 0 {
-				t.Error("a refusal does not say when to come back")
+				t.Error("the refusal has no RetryAfter")
 			}
 		})
 	}
 }
 
-// TestPrefillKeepsStreamsWithinTheirPause: an engine that runs streams and has as much to
-// read as fills the pause they may make is given no more while another has less.
+// TestPrefillKeepsStreamsWithinTheirPause checks that an engine gets no more prompts, while
+// another has fewer queued, if its queue already stalls its streams for as long as they may
+// pause.
 func TestPrefillKeepsStreamsWithinTheirPause(t *testing.T) {
 	short := prompt(func(r *Request) { r.PromptTokens, r.SharedTokens, r.GapObjective = 1400, 350, 200*time.Millisecond })
 	busy := decoder("busy", queued(1500), running(10))
 	free := decoder("free", running(10), func(c *Candidate) { c.FailureRate = 0.3 })
 	if plan := New(DefaultCosts()).Plan(short, []Candidate{busy, free}); plan.Runner.ID != "free" {
-		t.Errorf("reads at %s, which holds up ten streams for %v", plan.Runner.ID, plan.First)
+		t.Errorf("prefilled at %s, which stalls ten streams for %v", plan.Runner.ID, plan.First)
 	}
 	short.GapObjective = 5 * time.Second
 	if plan := New(DefaultCosts()).Plan(short, []Candidate{busy, free}); plan.Runner.ID != "busy" {
-		t.Errorf("with long pauses allowed: reads at %s", plan.Runner.ID)
+		t.Errorf("with long pauses allowed: prefilled at %s, want busy", plan.Runner.ID)
 	}
 }
 
-// TestPredictionGrowsWithTheQueue: the time to the first byte is that of the tokens
-// ahead and those of the request.
+// TestPredictionGrowsWithTheQueue checks that the predicted time to the first byte includes the
+// tokens queued ahead.
 func TestPredictionGrowsWithTheQueue(t *testing.T) {
 	scheduler := New(DefaultCosts())
 	last := time.Duration(0)
 	for _, ahead := range []int{0, 5_000, 10_000} {
 		plan := scheduler.Plan(prompt(func(r *Request) { r.ObjectiveLeft = time.Hour }), []Candidate{reader("p", queued(ahead)), decoder("d")})
 		if plan.First <= last {
-			t.Errorf("with %d tokens ahead %v is predicted, with fewer %v", ahead, plan.First, last)
+			t.Errorf("%d tokens ahead: predicted %v, with fewer tokens %v", ahead, plan.First, last)
 		}
 		last = plan.First
 	}
 }
 
-// TestEngineThatCantFetchRunsNothingPrefilledElsewhere while another can.
+// TestEngineThatCantFetchRunsNothingPrefilledElsewhere checks that a decode engine that failed
+// to fetch prompts is chosen only if no other is left.
 func TestEngineThatCantFetchRunsNothingPrefilledElsewhere(t *testing.T) {
 	scheduler := New(DefaultCosts())
 	plan := scheduler.ChooseRunner(prompt(), []Candidate{decoder("d1", handoverFails), decoder("d2", running(20), otherZone)}, "")
 	if plan.Runner.ID != "d2" {
-		t.Errorf("runs at %s", plan.Runner.ID)
+		t.Errorf("runs at %s, want d2", plan.Runner.ID)
 	}
 	if plan := scheduler.ChooseRunner(prompt(), []Candidate{decoder("d1", handoverFails)}, ""); plan.Runner.ID != "d1" {
-		t.Error("no engine is left for it")
+		t.Error("the only decode engine was not chosen")
 	}
 }
 
-// TestMemoryPressureMovesRequestsElsewhere: a full decode engine would put runs aside.
+// TestMemoryPressureMovesRequestsElsewhere checks that a decode engine with full memory, which
+// would preempt running requests, is avoided.
 func TestMemoryPressureMovesRequestsElsewhere(t *testing.T) {
 	full := decoder("d1", func(c *Candidate) { c.MemoryTokens = 395_000 })
 	plan := New(DefaultCosts()).ChooseRunner(prompt(), []Candidate{full, decoder("d2", running(10), otherZone)}, "")
 	if plan.Runner.ID != "d2" {
-		t.Errorf("runs at %s", plan.Runner.ID)
+		t.Errorf("runs at %s, want d2", plan.Runner.ID)
 	}
 }
--- a/internal/scheduling/shortlist_test.go
+++ b/internal/scheduling/shortlist_test.go
@@ -12,7 +12,7 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// someWorkers draws workers of a service, of which the node keeps some accounts.
+// someWorkers returns random workers of a service, some of which the node tracks.
 func someWorkers(random *rand.Rand, count int) []Candidate {
 	workers := make([]Candidate, 0, count)
 	for i := range count {
@@ -44,8 +44,9 @@
 	return slices.DeleteFunc(slices.Clone(workers), func(c Candidate) bool { return !slices.Contains(names, c.ID) })
 }
 
-// TestPreselectOfShortlistChoosesTheSame workers as one of all, narrow and wide, also where
-// workers failed, were tried or are all unsound.
+// TestPreselectOfShortlistChoosesTheSame checks that Preselect chooses the same workers from a
+// shortlist as from all workers, also where some have failed or are excluded or all are
+// unsound.
 func TestPreselectOfShortlistChoosesTheSame(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for round := range 300 {
@@ -87,7 +88,8 @@
 	return 1
 }
 
-// TestShortlistDoesNotGrowWithTheFleet, but for the accounts that the node keeps.
+// TestShortlistDoesNotGrowWithTheFleet checks that only the number of tracked workers makes a
+// shortlist longer.
 func TestShortlistDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, count := range []int{300, 3000, 10_000} {
 		workers := someWorkers(rand.New(rand.NewPCG(1, 1)), count)
--- a/internal/scheduling/survey_test.go
+++ b/internal/scheduling/survey_test.go
@@ -11,8 +11,8 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// engines returns readers and writers of five zones as one node sees them, which keeps
-// none of their accounts.
+// engines returns prefill and decode engines in five zones as seen by a node that tracks none
+// of them.
 func engines(readers, decoders, zone int, random *rand.Rand) []Candidate {
 	var candidates []Candidate
 	for i := range readers + decoders {
@@ -38,8 +38,8 @@
 	return Request{PromptTokens: 9000, SharedTokens: 6000, Content: key, ObjectiveLeft: 5 * time.Second, Remaining: 5 * time.Second}
 }
 
-// TestNodesLookForAContentAtTheSameEngines, wherever they are, and contents are spread
-// over all engines.
+// TestNodesLookForAContentAtTheSameEngines checks that all nodes look for a content at the same
+// engines, whatever their zone, and that contents are spread over all engines.
 func TestNodesLookForAContentAtTheSameEngines(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	const readers, contents = 80, 1000
@@ -50,12 +50,12 @@
 			chosen := Preselect(content(key+1), engines(readers, 80, node, random), false)
 			found := slices.DeleteFunc(slices.Clone(chosen), func(c Candidate) bool { return !c.Prefill || c.NotHome })
 			if len(found) != contentChoices {
-				t.Fatalf("%d engines at which all look", len(found))
+				t.Fatalf("%d engines at which all nodes look, want contentChoices", len(found))
 			}
 			if node == 0 {
 				first = names(found)
 			} else if !slices.Equal(first, names(found)) {
-				t.Fatalf("one node looks at %v, another at %v", first, names(found))
+				t.Fatalf("one node looks at engines %v, another at %v", first, names(found))
 			}
 		}
 		for _, id := range first {
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestNodesDoNotAllChooseTheFreeWorker: one reader of many has come free, and no node
-// has heard yet of what the others place on it. If all looked at all readers, all would
-// choose it.
+// TestNodesDoNotAllChooseTheFreeWorker guards against a stampede: one of many prefill engines
+// has become free, and no node knows yet what the others place on it. If all nodes compared all
+// engines, all would choose that one.
 func TestNodesDoNotAllChooseTheFreeWorker(t *testing.T) {
 	const nodes, most = 60, 12
 	random := rand.New(rand.NewPCG(1, 2))
@@ -89,11 +89,12 @@
 		}
 	}
 	if chosen < 1 || chosen > most {
-		t.Errorf("%d of %d nodes chose the free reader", chosen, nodes)
+		t.Errorf("%d of %d nodes chose the free prefill engine", chosen, nodes)
 	}
 }
 
-// TestPreselectIsBounded: what is asked for doesn't grow with the fleet.
+// TestPreselectIsBounded checks that the number of workers asked for does not grow with the
+// fleet.
 func TestPreselectIsBounded(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for _, size := range []int{40, 160, 5000} {
@@ -103,14 +104,15 @@
 				t.Errorf("%d engines: %d are asked for, want %d", size, len(got), want)
 			}
 			if wide := Preselect(content(key), engines(size/2, size/2, 0, random), true); len(wide) <= len(got) {
-				t.Errorf("%d engines: a wide survey takes %d, a narrow one %d", size, len(wide), len(got))
+				t.Errorf("%d engines: wide takes %d workers, narrow %d", size, len(wide), len(got))
 			}
 		}
 	}
 }
 
-// TestTrackedWorkersAreAllPreselected: they cost no message. Where a node keeps all accounts it
-// places on all workers, as it does for requests that aren't for engines.
+// TestTrackedWorkersAreAllPreselected checks that all tracked workers are considered, since
+// they cost no message. A node that tracks all workers considers all, as it does for opaque
+// requests.
 func TestTrackedWorkersAreAllPreselected(t *testing.T) {
 	candidates := engines(36, 54, 0, rand.New(rand.NewPCG(5, 6)))
 	for _, i := range []int{7, 30, 60, 80} {
@@ -119,25 +121,26 @@
 	got := names(Preselect(content(9), candidates, false))
 	for _, id := range []string{"7", "30", "60", "80"} {
 		if !slices.Contains(got, id) {
-			t.Errorf("%s isn't looked at", id)
+			t.Errorf("tracked worker %s is not chosen", id)
 		}
 	}
 	if got := Preselect(Request{}, candidates, false); len(got) != 90 {
-		t.Errorf("%d of 90 workers that aren't engines", len(got))
+		t.Errorf("an opaque request: %d of 90 workers chosen, want all", len(got))
 	}
 	for i := range candidates {
 		candidates[i].Report = Tracked
 	}
 	if got := Preselect(content(9), candidates, false); len(got) != 90 || slices.ContainsFunc(got, func(c Candidate) bool { return c.NotHome }) {
-		t.Errorf("%d of 90 workers", len(got))
+		t.Errorf("%d of 90 tracked workers chosen, want all and all at home", len(got))
 	}
 }
 
-// TestEnginesOfTheZoneComeFirst: bytes between zones are dear.
+// TestEnginesOfTheZoneComeFirst checks that a node prefers engines in its own zone, since
+// traffic between zones is expensive.
 func TestEnginesOfTheZoneComeFirst(t *testing.T) {
 	for _, candidate := range Preselect(content(0), engines(40, 40, 2, rand.New(rand.NewPCG(7, 8))), false) {
 		if !candidate.SameZone {
-			t.Errorf("%s of another zone is looked at", candidate.ID)
+			t.Errorf("engine %s of another zone is chosen", candidate.ID)
 		}
 	}
 }
@@ -149,33 +152,34 @@
 	}
 	got := Preselect(content(9), candidates, false)
 	if len(got) != 1 || got[0].ID != "20" {
-		t.Errorf("%v", names(got))
+		t.Errorf("got %v, want only the sound worker 20", names(got))
 	}
 	candidates[20].Avoid = true
 	if got := Preselect(content(9), candidates, true); len(got) < contentChoices*widenFactor {
-		t.Errorf("%d of 36 workers that failed", len(got))
+		t.Errorf("all 36 workers failed: only %d chosen", len(got))
 	}
 	request := content(9)
 	request.Excluded = map[string]bool{got[0].ID: true}
 	if slices.Contains(names(Preselect(request, candidates, true)), got[0].ID) {
-		t.Error("an engine that may not get the request is looked at")
+		t.Error("an excluded engine is chosen")
 	}
 }
 
-// TestUnknownLoadIsNotChosen as long as another is known: of a load that isn't known each
-// node would take the least.
+// TestUnknownLoadIsNotChosen checks that workers of unknown load are dropped as long as the
+// load of another is known. An unknown load looks like the smallest, so that all nodes would
+// choose them.
 func TestUnknownLoadIsNotChosen(t *testing.T) {
 	candidates := engines(2, 2, 0, rand.New(rand.NewPCG(5, 6)))
 	for i, report := range []ReportState{Unanswered, Answered, Unanswered, Unanswered} {
 		candidates[i].Report = report
 	}
 	if got := names(WithKnownLoad(candidates)); !slices.Equal(got, []string{"1", "2", "3"}) {
-		t.Errorf("%v", got)
+		t.Errorf("got %v, want 1, 2 and 3", got)
 	}
 }
 
-// TestPrefillStaysWhereOthersLook: of two idle engines that don't keep a prompt, the one
-// where all look for it reads, also in another zone; a long queue there is left.
+// TestPrefillStaysWhereOthersLook checks which of two idle engines without the prompt prefills
+// it: the one where all nodes look for it, even in another zone, unless its queue is long.
 func TestPrefillStaysWhereOthersLook(t *testing.T) {
 	notHome := func(c *Candidate) { c.NotHome = true }
 	for name, test := range map[string]struct {
@@ -187,13 +191,13 @@
 	} {
 		plan := New(DefaultCosts()).Plan(prompt(), []Candidate{test.found, reader("stray", notHome), decoder("d")})
 		if plan.Reader.ID != test.want {
-			t.Errorf("%s: read at %s", name, plan.Reader.ID)
+			t.Errorf("%s: prefilled at %s", name, plan.Reader.ID)
 		}
 	}
 }
 
-// TestHoldersAreOnlyFetchedFrom: a worker that is known for what it keeps only
-// is no choice for reading or running.
+// TestHoldersAreOnlyFetchedFrom checks that a worker known only for what it has cached is
+// chosen neither to prefill nor to run.
 func TestHoldersAreOnlyFetchedFrom(t *testing.T) {
 	engine := EngineTimes{MovePerToken: 0.0004, Fetch: 5, Queue: 1}
 	reading, slower := latency.Coefficients{Fixed: 10, PerThousand: 27}, latency.Coefficients{Fixed: 10, PerThousand: 54}
@@ -208,10 +212,10 @@
 		[]Holder{{Worker: "holder", Tokens: 13_000}, {Worker: "gone", Tokens: 13_000}})
 	plan := New(DefaultCosts()).Plan(request, candidates)
 	if plan.Reader.ID != "reader" || plan.Fetch != holder.Address || plan.Unread != 4000 {
-		t.Errorf("%s reads %d tokens, fetching from %q", plan.Reader.ID, plan.Unread, plan.Fetch)
+		t.Errorf("%s prefills %d tokens and fetches from %q", plan.Reader.ID, plan.Unread, plan.Fetch)
 	}
 	known := WithHolders([]Candidate{reader}, []Candidate{reader}, []Holder{{Worker: "reader", Tokens: 13_000}})
 	if len(known) != 1 || known[0].SourceOnly || known[0].CachedTokens != 13_000 {
-		t.Errorf("%+v", known)
+		t.Errorf("holder that was chosen already: %+v", known)
 	}
 }
