--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing holds the operators' routes: which service answers a request,
-// by host and path, and how long, how often and how urgently it may be tried.
-// A Table is immutable; a new configuration makes a new one.
+// Package routing holds the configured routes: which service answers a request, by host and
+// path, and within which time, number of attempts and priority. A Table is immutable; a new
+// configuration makes a new one.
 package routing
 
 import (
@@ -15,21 +15,21 @@
 // Kind tells how often a request of a route may run.
 type Kind string
 
-// The kinds of routes.
+// Values of Kind.
 const (
 	// Idempotent requests may run any number of times.
 	Idempotent Kind = "idempotent"
 	// NonIdempotent requests run at most once.
 	NonIdempotent Kind = "non_idempotent"
-	// Streaming answers are a series of events. They run at most once unless the
-	// route is resumable.
+	// Streaming answers are series of events. Such requests run at most once unless the route
+	// is resumable.
 	Streaming Kind = "streaming"
 )
 
 // Target is a service that takes a share of a route's requests.
 type Target struct {
 	Service string
-	// Weight is the share, relative to the other targets of the route.
+	// Weight is the target's share of the requests relative to the route's other targets.
 	Weight int
 }
 
@@ -40,19 +40,18 @@
 	// PathPrefix begins and ends with a slash. The longest prefix wins.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest that a request may be held.
+	// Timeout bounds the time from a request's arrival to the end of its answer.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
-	// stream, is worth most.
+	// Objective is the target time for an answer or, of a stream, for its first event.
 	Objective time.Duration
-	// GapObjective is the longest pause between events of a stream.
+	// GapObjective is the longest pause wanted between two events of a stream.
 	GapObjective time.Duration
-	// Patience is how long callers wait for the beginning of an answer, zero where they
-	// wait until their deadline.
+	// Patience is how long callers wait for an answer to begin or to go on. It is zero where
+	// they wait until their deadline.
 	Patience time.Duration
-	// MaxAttempts bounds the workers that one request is sent to.
+	// MaxAttempts bounds the workers to which one request is sent.
 	MaxAttempts int
-	// Priority is the rank of the requests, zero being the most urgent.
+	// Priority is the rank of the requests. Zero is the most urgent.
 	Priority int
 	// Resumable streams may be continued at another worker.
 	Resumable bool
@@ -69,23 +68,23 @@
 // Streams reports whether answers of the route are event streams.
 func (r *Route) Streams() bool { return r.Kind == Streaming }
 
-// EngineSpec describes the model engines of a service.
+// EngineSpec describes a service's model engines, which are all alike.
 type EngineSpec struct {
-	// Slots bounds the requests that one engine runs at once.
+	// Slots is the number of requests that one engine runs at once.
 	Slots int
-	// MemoryTokens is the KV cache of one engine, in tokens.
+	// MemoryTokens is the size of one engine's KV cache in tokens.
 	MemoryTokens int
-	// TokenBytes is the size of one token's KV cache.
+	// TokenBytes is the size of one token in the KV cache.
 	TokenBytes int
-	// LinkBytesPerSecond is the pace at which KV cache moves between engines.
+	// LinkBytesPerSecond is the rate at which KV cache is transferred between engines.
 	LinkBytesPerSecond float64
-	// HandleLife is how long an engine keeps a prompt that it has read apart.
+	// HandleLife is how long an engine keeps a prompt that it prefilled for another engine.
 	HandleLife time.Duration
-	// RoleSwitch is how long an engine is away when its role changes.
+	// RoleSwitch is how long an engine is unavailable while it changes its stage.
 	RoleSwitch time.Duration
 }
 
-// MoveTime is what the link between two engines takes for the KV cache of tokens.
+// MoveTime is the time to transfer the KV cache of so many tokens between two engines.
 func (e *EngineSpec) MoveTime(tokens int) time.Duration {
 	if e.LinkBytesPerSecond <= 0 {
 		return 0
@@ -97,26 +96,26 @@
 // Service is a group of workers that answer the same requests.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections to one worker, over all nodes.
+	// MaxConnections bounds the connections to one worker from all nodes together.
 	MaxConnections int
-	// HealthPath is where a worker tells whether it is well, empty where it doesn't.
+	// HealthPath is the path of a worker's health check, empty if it has none.
 	HealthPath string
-	// Engine is nil where the workers aren't model engines.
+	// Engine is nil if the workers are not model engines.
 	Engine *EngineSpec
-	// Scaling is nil where the number of workers is fixed.
+	// Scaling is nil if the number of workers is fixed.
 	Scaling *Scaling
 }
 
-// Scaling are the terms on which workers of a service may be ordered.
+// Scaling bounds the number of a service's workers and describes what ordering one costs.
 type Scaling struct {
-	// Min and Max bound the workers of a zone, of all prices together.
+	// Min and Max bound the workers in a zone, spot and on-demand together.
 	Min, Max int
-	// Boot is the time from an order to a worker that serves.
+	// Boot is the time from ordering a worker until it serves requests.
 	Boot time.Duration
-	// SpotPrice is the price of workers that may be taken away, as a share of that of the
-	// others; zero where there are none.
+	// SpotPrice is the price of spot workers, which the platform may take away, as a fraction
+	// of the on-demand price; zero if there are none.
 	SpotPrice float64
-	// PriceByZone are the prices of a second of a worker, by zone.
+	// PriceByZone is the price of a worker per second, by zone.
 	PriceByZone map[string]float64
 }
 
@@ -130,13 +129,13 @@
 type Table struct {
 	Version uint64
 	Limits  Limits
-	// Tenants finds callers by their API keys; nil where callers need none.
+	// Tenants finds callers by their API keys. It is nil if callers need none.
 	Tenants  *tenant.Keyring[tenant.Tenant]
 	byHost   map[string][]*Route
 	services map[string]*Service
 }
 
-// NewTable checks and indexes a configuration. The error names every mistake.
+// NewTable validates and indexes a configuration. The error lists every mistake.
 func NewTable(version uint64, routes []*Route, services []*Service, limits Limits) (*Table, error) {
 	table := &Table{
 		Version:  version,
@@ -197,8 +196,8 @@
 	return mistakes
 }
 
-// Match returns the route of a request, nil where there is none. The host may
-// carry a port; the path carries no query.
+// Match returns the route of a request, nil if there is none. The host may include a port; the
+// path must not include a query.
 func (t *Table) Match(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
@@ -211,13 +210,13 @@
 	return nil
 }
 
-// Service returns a service by name, nil where there is none.
+// Service returns a service by name, nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services returns all services, in no order.
+// Services returns all services by name.
 func (t *Table) Services() map[string]*Service { return t.services }
 
-// RoutesTo returns the routes that send requests to a service, in no order.
+// RoutesTo returns the routes that send requests to a service, in no particular order.
 func (t *Table) RoutesTo(service string) []*Route {
 	var found []*Route
 	for _, routes := range t.byHost {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestSplitterKeepsTheWeights: after any number of requests, each target is within
-// its number of targets of its exact share.
+// TestSplitterKeepsTheWeights checks that, after any number of requests, each target's count
+// differs from its exact share by at most the number of targets.
 func TestSplitterKeepsTheWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 5).Draw(t, "weights")
--- a/internal/routing/splitter.go
+++ b/internal/routing/splitter.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Splitter divides the requests of routes among their targets by weight, with
-// smooth weighted round robin: every run of requests is divided as evenly as
-// whole requests allow. It is safe for concurrent use.
+// Splitter divides the requests of routes among their targets by weight, with smooth weighted
+// round robin: any run of consecutive requests is divided as evenly as whole requests allow. It
+// is safe for concurrent use.
 type Splitter struct {
 	mu     sync.Mutex
 	credit map[splitKey]int
@@ -13,14 +13,14 @@
 
 type splitKey struct{ route, service string }
 
-// NewSplitter returns a splitter. start draws the first credit of a target from
-// [0, total), so that nodes don't all begin with the same target.
+// NewSplitter returns a splitter. start draws the initial credit of a target from [0, total),
+// so that not all nodes begin with the same target.
 func NewSplitter(start func(total int) int) *Splitter {
 	return &Splitter{credit: make(map[splitKey]int), start: start}
 }
 
-// Choose returns the service that takes the next request of a route, or an empty
-// text where all weights are zero.
+// Choose returns the service that takes the next request of a route, or an empty string if all
+// weights are zero.
 func (s *Splitter) Choose(route *Route) string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
