--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,41 +1,42 @@
-// Package retry holds the budget of requests that are sent to a second worker.
-// The budget is common to all nodes; each node spends only its own share, so that
-// no message is needed to keep it. It is pure: time is an argument.
+// Package retry bounds the requests that are sent to a second worker, and estimates how long a
+// service stays unavailable. The retry budget is shared by all nodes; each node spends only its
+// own share, so that they need no messages to keep it. The package is pure: time is an
+// argument.
 package retry
 
 import "time"
 
-// Limits are the bounds that hold over all nodes together: in any Window, at most
-// Ratio times the requests, plus Slack, may be sent again.
+// Limits hold over all nodes together: in any Window, at most Ratio times the requests, plus
+// Slack, may be sent again.
 type Limits struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Budget is one node's share for one service: a token bucket that fills by time
-// and with each first request. In any window it gives out no more than the node's
-// part of the slack, plus the ratio of the node's requests.
+// Budget is one node's share of the budget for one service. It is a token bucket that fills
+// with time and with each first request. In any window it grants no more than the node's part
+// of the slack plus Ratio times the node's requests.
 type Budget struct {
 	terms  Limits
 	tokens float64
 	filled time.Time
 }
 
-// caution is the part of its share that a node spends: arrivals that other nodes
-// or the network repeat are not seen here.
+// caution is the fraction of its share that a node spends, since it does not see requests that
+// other nodes or the network repeat.
 const caution = 0.8
 
-// NewBudget returns a budget that holds half of its share, so that a fleet whose
-// processes all restart at once does not spend everything twice.
+// NewBudget returns a budget that is half full, so that a fleet whose processes all restart at
+// once does not spend its whole budget a second time.
 func NewBudget(terms Limits, nodes int, now time.Time) *Budget {
 	budget := &Budget{terms: terms, filled: now}
 	budget.tokens = budget.capacity(nodes) / 2
 	return budget
 }
 
-// capacity is half of the node's slack: what is full at a window's begin and what
-// is filled during it add up to the whole.
+// capacity is half of the node's slack, because a full bucket at the start of a window and the
+// tokens added during it must not exceed the slack together.
 func (b *Budget) capacity(nodes int) float64 {
 	return caution * b.terms.Slack / float64(max(nodes, 1)) / 2
 }
@@ -54,7 +55,7 @@
 	b.tokens += caution * b.terms.Ratio
 }
 
-// Spend takes one repeat out of the budget, or reports that there is none left.
+// Spend takes one retry from the budget. It returns false if none is left.
 func (b *Budget) Spend(nodes int, now time.Time) bool {
 	b.fill(nodes, now)
 	if b.tokens < 1 {
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -9,9 +9,9 @@
 
 var terms = Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 
-// TestNodesTogetherKeepTheBudget: whatever nodes do and however requests arrive, no
-// window has more repeats than ratio times the requests in it, those of the window
-// before included, plus the slack.
+// TestNodesTogetherKeepTheBudget checks that, whatever the nodes do and however requests
+// arrive, no window has more retries than Ratio times the requests of this and the previous
+// window, plus the slack.
 func TestNodesTogetherKeepTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 9).Draw(t, "nodes")
--- a/internal/retry/outage.go
+++ b/internal/retry/outage.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// Outage tells callers of a service that no worker runs when to come back: when the service is
-// expected to be back, by how long it was away before. The zero value has seen no outage. It is
-// pure: time is an argument.
+// Outage predicts when a service that no worker serves will be available again, from how long
+// it was unavailable before. Callers are told to retry then. The zero value has seen no outage.
+// It is pure: time is an argument.
 type Outage struct {
-	// begun and last are when the first and the last call failed since a worker ran one, zero
-	// where none has.
+	// begun and last are when the first and the last call failed since one succeeded, zero if
+	// none has failed since.
 	begun, last time.Time
-	// usual is how long the service was away lately, zero where it never was.
+	// usual is a moving mean of the durations of past outages, zero if there was none.
 	usual time.Duration
 }
 
 const (
-	// usualShare is the share of the newest outage in what is usual.
+	// usualShare is the weight of the newest outage in usual.
 	usualShare = 0.5
-	// longerShare is the share of the time since an outage began for which it is expected to
-	// last longer, once it has lasted as long as usual.
+	// longerShare is the expected rest of an outage that has lasted longer than usual, as a
+	// fraction of the time since it began.
 	longerShare = 0.5
-	// shortestOutage is from when on failures without a success between them are an outage.
+	// shortestOutage is how long calls must keep failing, without a success between them, to
+	// count as an outage.
 	shortestOutage = 300 * time.Millisecond
-	// outageGap is the time without a call after which a failure begins another outage.
+	// outageGap is the time without a call after which a failure begins a new outage.
 	outageGap = 5 * time.Second
-	// longestExpected bounds what callers are told.
+	// longestExpected bounds the time that callers are told.
 	longestExpected = 8 * time.Second
 )
 
@@ -51,7 +52,8 @@
 	o.begun, o.last = time.Time{}, time.Time{}
 }
 
-// ExpectedRemaining is for how much longer the service is expected to be away, zero where it isn't.
+// ExpectedRemaining is how much longer the service is expected to be unavailable, zero if no
+// outage is under way.
 func (o *Outage) ExpectedRemaining(now time.Time) time.Duration {
 	if o.begun.IsZero() {
 		return 0
--- a/internal/retry/outage_test.go
+++ b/internal/retry/outage_test.go
@@ -43,7 +43,7 @@
 		o.Served(now.Add(100 * time.Millisecond))
 	}
 	o.Failed(begin)
-	o.Served(begin.Add(time.Minute)) // nobody asked meanwhile
+	o.Served(begin.Add(time.Minute)) // no calls came in between
 	if o.usual != 0 {
 		t.Errorf("the service is away for %v as a rule, it never was", o.usual)
 	}
