--- a/internal/breaker/breaker.go
+++ b/internal/breaker/breaker.go
@@ -1,5 +1,5 @@
-// Package breaker judges a worker by the outcomes of the requests that it was
-// sent: a passive circuit breaker without probes. It is pure: time is an argument.
+// Package breaker implements a passive circuit breaker: it judges a worker by the outcomes of
+// the requests sent to it and sends no probes. It is pure: time is an argument.
 package breaker
 
 import (
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// The figures of the breaker.
+// Parameters of the breaker.
 const (
-	// openFor is how long a worker is avoided after one failure; it doubles with
-	// each further failure in a row.
+	// openFor is how long a worker is avoided after a failure. It doubles with each further
+	// consecutive failure.
 	openFor = 1500 * time.Millisecond
-	// errorsInRow is how many failures of requests' own open the breaker.
+	// errorsInRow is the number of consecutive failures at which an error answer opens the
+	// breaker.
 	errorsInRow = 3
-	// rejectedFor is how long a worker is avoided after it has rejected a request; it
-	// doubles with each further rejection in a row.
+	// rejectedFor is how long a worker is avoided after it has rejected a request. It doubles
+	// with each further consecutive rejection.
 	rejectedFor = 250 * time.Millisecond
-	// maxOpen bounds the doubling.
+	// maxOpen bounds the doubling after failures.
 	maxOpen = 6 * time.Second
-	// halfLife is how fast old outcomes lose weight.
+	// halfLife is the time in which the weight of an outcome in FailureRate halves.
 	halfLife = 4 * time.Second
 )
 
-// Breaker is what is remembered of one worker. The zero value is a worker that
-// nothing is known of.
+// Breaker holds what is remembered of one worker. The zero value is a worker about which
+// nothing is known.
 type Breaker struct {
 	failures float64
 	total    float64
@@ -45,7 +46,7 @@
 	b.updated = now
 }
 
-// Succeeded records a request that the worker answered as it should.
+// Succeeded records a request that the worker answered without an error.
 func (b *Breaker) Succeeded(now time.Time) {
 	b.decay(now)
 	b.total++
@@ -55,7 +56,8 @@
 	}
 }
 
-// Failed records a request that the worker failed.
+// Failed records a request that the worker failed other than by an error answer, for example by
+// a broken connection.
 func (b *Breaker) Failed(now time.Time) {
 	b.decay(now)
 	b.total++
@@ -65,8 +67,8 @@
 	b.open = now.Add(min(pause, maxOpen))
 }
 
-// Errored records a request that the worker answered with a failure of its own. That
-// may be due to the request: only a row of them opens the breaker.
+// Errored records a request that the worker answered with an error. The request itself may be
+// the cause, so only several consecutive errors open the breaker.
 func (b *Breaker) Errored(now time.Time) {
 	b.decay(now)
 	b.total++
@@ -77,8 +79,8 @@
 	}
 }
 
-// Rejected records a request that the worker proved not to have run: it is full, or
-// carries out an order.
+// Rejected records a request that the worker provably did not run, because it is full or is
+// changing its stage.
 func (b *Breaker) Rejected(now time.Time) {
 	pause := min(rejectedFor<<min(b.rejectedInRow, 4), openFor)
 	b.rejectedInRow++
@@ -87,14 +89,14 @@
 	}
 }
 
-// ConsecutiveFailures returns the number of failures since the last success.
+// ConsecutiveFailures returns the number of failures and errors since the last success.
 func (b *Breaker) ConsecutiveFailures() int { return b.inRow }
 
 // Open reports whether the worker should be avoided.
 func (b *Breaker) Open(now time.Time) bool { return now.Before(b.open) }
 
-// FailureRate estimates the share of requests that fail, between 0 and 1. It
-// leans to zero while little is known.
+// FailureRate estimates the share of requests that fail, between 0 and 1. While few outcomes
+// are known the estimate is biased towards zero.
 func (b *Breaker) FailureRate(now time.Time) float64 {
 	if b.total == 0 {
 		return 0
--- a/internal/breaker/breaker_test.go
+++ b/internal/breaker/breaker_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestSuccessLeavesAnOpenBreaker: requests that were sent before the failure may
-// still succeed; they don't make the worker sound.
+// TestSuccessLeavesAnOpenBreaker checks that the late success of a request sent before a
+// failure does not close the breaker.
 func TestSuccessLeavesAnOpenBreaker(t *testing.T) {
 	var b Breaker
 	b.Failed(origin)
@@ -68,7 +68,8 @@
 	}
 }
 
-// TestErrorsOfRequestsOpenOnlyInARow: a share of requests may fail at any worker.
+// TestErrorsOfRequestsOpenOnlyInARow checks that isolated error answers, which any worker may
+// give, do not open the breaker.
 func TestErrorsOfRequestsOpenOnlyInARow(t *testing.T) {
 	var b Breaker
 	for range 10 {
@@ -87,8 +88,8 @@
 	}
 }
 
-// TestRejectionsAreAvoidedShortly: a worker that runs nothing now, because it is full
-// or changes its stage, is left alone for a moment, and is no worse afterwards.
+// TestRejectionsAreAvoidedShortly checks that a worker that is full or changes its stage is
+// avoided for a moment only and that its failure rate stays the same.
 func TestRejectionsAreAvoidedShortly(t *testing.T) {
 	var b Breaker
 	b.Rejected(origin)
