--- a/internal/prefixcache/prefixcache.go
+++ b/internal/prefixcache/prefixcache.go
@@ -1,5 +1,5 @@
-// Package prefixcache predicts which parts of prompts a worker keeps in its KV
-// cache, from what was placed there. It is pure: time is an argument.
+// Package prefixcache predicts which parts of prompts a worker has in its KV cache, from the
+// prompts that were sent to it. It is pure: time is an argument.
 package prefixcache
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// PartID names a part of a prompt; parts with the same id have the same text.
+// PartID identifies a part of a prompt. Parts with the same ID have the same text.
 type PartID uint64
 
 // Part is a run of prompt tokens that several prompts may share.
@@ -17,7 +17,7 @@
 	Tokens int
 }
 
-// Tokens returns the sum over parts.
+// Tokens returns the number of tokens in parts.
 func Tokens(parts []Part) int {
 	sum := 0
 	for _, part := range parts {
@@ -31,21 +31,21 @@
 	used   time.Time
 }
 
-// Cache is the predicted content of one worker's KV cache. The parts that were
-// used longest ago give way when it is full.
+// Cache is the predicted content of one worker's KV cache. When it is full, the least recently
+// used parts are evicted.
 type Cache struct {
 	capacity int
 	held     int
 	entries  map[PartID]entry
 }
 
-// New returns an empty cache of a capacity in tokens.
+// New returns an empty cache with a capacity in tokens.
 func New(capacity int) *Cache {
 	return &Cache{capacity: capacity, entries: make(map[PartID]entry)}
 }
 
-// Match returns the number of leading tokens of a prompt that are kept: a part
-// counts only if all parts before it are kept.
+// Match returns the number of leading tokens of a prompt that are cached. A part counts only if
+// all parts before it are cached.
 func (c *Cache) Match(parts []Part) int {
 	matched := 0
 	for _, part := range parts {
@@ -57,7 +57,7 @@
 	return matched
 }
 
-// Use records that a prompt was read, so that all of its parts are kept now.
+// Use records that a prompt was prefilled, so that all of its parts are cached now.
 func (c *Cache) Use(parts []Part, now time.Time) {
 	for _, part := range parts {
 		if old, kept := c.entries[part.ID]; kept {
@@ -69,13 +69,13 @@
 	c.evict()
 }
 
-// Clear forgets everything, as a restarted worker does.
+// Clear empties the cache, as when its worker restarts.
 func (c *Cache) Clear() {
 	clear(c.entries)
 	c.held = 0
 }
 
-// Parts returns what is kept, those used longest ago first.
+// Parts returns the cached parts, the least recently used first.
 func (c *Cache) Parts() []Part {
 	parts := make([]Part, 0, len(c.entries))
 	for id, kept := range c.entries {
@@ -90,7 +90,7 @@
 	return parts
 }
 
-// Size returns the tokens kept.
+// Size returns the number of cached tokens.
 func (c *Cache) Size() int { return c.held }
 
 func (c *Cache) evict() {
