--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,5 +1,5 @@
-// Package topology tells how far apart the places of a deployment are: zones near each
-// other form a region. It is pure.
+// Package topology tells how far apart the zones of a deployment are. Zones that are near each
+// other form a region. The package is pure.
 package topology
 
 import (
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// Distance is how far apart two places are.
+// Distance is how far apart two zones are.
 type Distance int
 
-// The distances, the nearest first.
+// Values of Distance, the nearest first.
 const (
 	SameZone Distance = iota
 	SameRegion
@@ -28,18 +28,18 @@
 	return "far"
 }
 
-// Map holds the zones of a deployment by region, as seen from one of them. The zero Map
-// is of a deployment in one region.
+// Map holds the region of each zone, as seen from one node's zone. The zero Map is that of a
+// deployment with a single region.
 type Map struct {
 	zone    string
 	regions map[string]string
-	// names are the regions in order.
+	// names are the sorted names of the regions.
 	names []string
 }
 
-// New returns the map of a node in a zone, given the region of each zone. Zones without
-// one lie together in a region without a name, and so do all zones where only one region is
-// named.
+// New returns the map of a node in a zone, given the region of each zone. Zones without a
+// region form an unnamed region together. If only one region is named, all zones form the
+// unnamed one.
 func New(zone string, regions map[string]string) Map {
 	names := slices.Compact(slices.Sorted(maps.Values(regions)))
 	if len(names) < 2 {
@@ -48,22 +48,22 @@
 	return Map{zone: zone, regions: regions, names: names}
 }
 
-// Zone is the zone from which the map is seen.
+// Zone returns the node's own zone.
 func (m Map) Zone() string { return m.zone }
 
-// OwnRegion is the region from which the map is seen, empty in a deployment in one region.
+// OwnRegion returns the node's own region, empty in a deployment with a single region.
 func (m Map) OwnRegion() string { return m.regions[m.zone] }
 
-// Region is that of a zone, empty where none is known.
+// Region returns the region of a zone, empty if none is known.
 func (m Map) Region(zone string) string { return m.regions[zone] }
 
-// Regions lists the regions in order of their names, none in a deployment in one region.
+// Regions returns the sorted names of the regions, none in a deployment with a single region.
 func (m Map) Regions() []string { return m.names }
 
-// MultiRegion reports whether the deployment lies in more than one region.
+// MultiRegion reports whether the deployment has more than one region.
 func (m Map) MultiRegion() bool { return len(m.names) > 1 }
 
-// Between is the distance of two zones.
+// Between returns the distance of two zones.
 func (m Map) Between(one, other string) Distance {
 	switch {
 	case one == other:
@@ -74,5 +74,5 @@
 	return OtherRegion
 }
 
-// DistanceTo is the distance to a zone.
+// DistanceTo returns the distance from the node's zone to another one.
 func (m Map) DistanceTo(zone string) Distance { return m.Between(m.zone, zone) }
--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// TestOneRegionIsNone: a zone that the settings don't name is as near as the others.
+// TestOneRegionIsNone checks that in a deployment with a single named region a zone that the
+// settings do not name is as near as the others.
 func TestOneRegionIsNone(t *testing.T) {
 	m := New("a", map[string]string{"a": "north", "b": "north"})
 	if m.MultiRegion() || m.DistanceTo("b") != SameRegion || m.DistanceTo("c") != SameRegion || m.OwnRegion() != "" || m.Region("b") != m.Region("c") {
