--- a/internal/latency/mean.go
+++ b/internal/latency/mean.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// weight is that of a new measurement in a mean.
+// weight is the weight of a new measurement in a moving mean.
 const weight = 0.15
 
-// MovingMean is a moving mean of times. The zero value has seen nothing.
+// MovingMean is an exponentially weighted moving mean of durations. The zero value has no
+// samples.
 type MovingMean struct {
 	milliseconds float64
 	samples      int
 }
 
-// Observe records a time.
+// Observe records a duration.
 func (m *MovingMean) Observe(elapsed time.Duration) {
 	m.samples++
 	share := max(weight, 1/float64(m.samples))
 	m.milliseconds += (float64(elapsed)/float64(time.Millisecond) - m.milliseconds) * share
 }
 
-// Milliseconds returns the mean, or assumed where nothing was seen.
+// Milliseconds returns the mean, or the assumed value if there are no samples.
 func (m *MovingMean) Milliseconds(assumed float64) float64 {
 	if m.samples == 0 {
 		return assumed
@@ -26,20 +27,20 @@
 	return m.milliseconds
 }
 
-// Slowdown is by how much one engine is slower than its group. The zero value is an
-// engine of which nothing is known.
+// Slowdown is the factor by which an engine is slower than others of its group. The zero value
+// is the factor 1, that of an engine without samples.
 type Slowdown struct {
 	deviation float64
 	samples   int
 }
 
-// slowest and fastest bound a single measurement.
+// slowest and fastest bound the factor that a single measurement can show.
 const slowest, fastest = 8, 0.25
 
-// Value returns the factor, 1 where nothing is known.
+// Value returns the factor, 1 if there are no samples.
 func (f *Slowdown) Value() float64 { return 1 + f.deviation }
 
-// Observe records a reading of the engine, which its group predicts by a model.
+// Observe compares a measured prefill of the engine with what the model of its group predicts.
 func (f *Slowdown) Observe(reading Reading, group *Model) {
 	least, most := group.bounds(reading, group.Throughput()/f.Value())
 	predicted := group.Coefficients().Milliseconds(reading.Tokens, reading.Context)
@@ -52,14 +53,14 @@
 	f.deviation += (allowed - 1 - f.deviation) * weight
 }
 
-// NeededShare is which part of an expected time is really needed. The zero value has seen
-// nothing.
+// NeededShare is the fraction of an expected time that turns out to be needed. The zero value
+// has no samples.
 type NeededShare struct {
 	needed, expected float64
 	samples          int
 }
 
-// Observe records a time that was needed where another was expected, both in
+// Observe records the time that was needed and the time that was expected, both in
 // milliseconds.
 func (s *NeededShare) Observe(needed, expected float64) {
 	s.samples++
@@ -67,10 +68,10 @@
 	s.expected += (expected - s.expected) * weight
 }
 
-// mostNeeded bounds a single measurement, as a multiple of what was expected.
+// mostNeeded bounds the time needed in a single measurement, as a multiple of that expected.
 const mostNeeded = 3
 
-// Value returns the share, 1 where little was seen.
+// Value returns the fraction, 1 if there are fewer than 8 samples.
 func (s *NeededShare) Value() float64 {
 	const fewSamples = 8
 	if s.samples < fewSamples || s.expected <= 0 {
@@ -79,14 +80,14 @@
 	return s.needed / s.expected
 }
 
-// MovingRatio is the ratio of two sums of which the newest terms weigh most. The zero value
-// has seen nothing.
+// MovingRatio is the ratio of two exponentially weighted moving means. The zero value has no
+// samples.
 type MovingRatio struct {
 	numerator, denominator float64
 	samples                int
 }
 
-// Observe records a term of each sum.
+// Observe records a sample of the numerator and one of the denominator.
 func (r *MovingRatio) Observe(numerator, denominator float64) {
 	r.samples++
 	share := max(weight, 1/float64(r.samples))
@@ -94,7 +95,7 @@
 	r.denominator += (denominator - r.denominator) * share
 }
 
-// Value returns the ratio, 0 where nothing was seen.
+// Value returns the ratio, 0 if there are no samples.
 func (r *MovingRatio) Value() float64 {
 	if r.denominator <= 0 {
 		return 0
--- a/internal/latency/model.go
+++ b/internal/latency/model.go
@@ -1,5 +1,5 @@
-// Package pace learns how long engines take to read prompts, from the times that
-// they took. It is pure.
+// Package latency learns how long engines take to prefill prompts, from measured times. It is
+// pure: it does no I/O and reads no clock. In names, a reading is a measured prefill.
 package latency
 
 import (
@@ -7,56 +7,57 @@
 	"time"
 )
 
-// The figures of the estimate. None is a time or a pace of some engine but for the
-// first guess, which holds until anything was measured.
+// Parameters of the estimate. Only the guess describes an engine; it is used until a prefill
+// was measured.
 const (
-	// guessFixed, guessPerThousand and guessPerMillion are the first guess, in
-	// milliseconds.
+	// guessFixed, guessPerThousand and guessPerMillion are the coefficients assumed at first,
+	// in milliseconds.
 	guessFixed       = 10
 	guessPerThousand = 20
 	guessPerMillion  = 0
-	// remembered is the number of readings that a model is fitted to.
+	// remembered is the number of readings to which a model is fitted.
 	remembered = 64
-	// refitEvery is the number of new readings after which it is fitted again, once
-	// there are as many.
+	// refitEvery is the number of new readings after which a model is fitted again. The first
+	// refitEvery readings are each followed by a fit.
 	refitEvery = 4
-	// guessWeight is the number of readings that the guess weighs as much as.
+	// guessWeight is the number of readings that the previous coefficients count for in a fit.
 	guessWeight = 2
-	// excess is the weight of a reading that took longer than predicted, against one
-	// that took less: readings of other nodes that are not known of make them longer.
+	// excess is the weight of a reading that took longer than predicted, relative to one that
+	// took less: prefills for other nodes that are not known here make readings longer.
 	excess = 0.15
-	// rounds bounds the repetitions of a fit.
+	// rounds is the number of iterations of a fit.
 	rounds = 4
-	// lowestPace keeps predictions finite, in tokens a millisecond.
+	// lowestPace is the least throughput assumed, in tokens per millisecond. It keeps
+	// predictions finite.
 	lowestPace = 0.1
 )
 
-// Reading is one measurement.
+// Reading is one measured prefill.
 type Reading struct {
-	// Tokens were read after Context tokens that were kept.
+	// Tokens were prefilled after Context tokens that were cached.
 	Tokens, Context int
-	// Ahead counts tokens of others that were placed before it. How many of these were
-	// really read in the time isn't known: engines read several prompts by turns, and
-	// some were nearly done.
+	// Ahead counts the tokens of others that were queued before. How many of these were really
+	// prefilled during Elapsed is unknown: engines alternate between prompts, and some of these
+	// were nearly done.
 	Ahead   int
 	Elapsed time.Duration
 }
 
 func (r Reading) milliseconds() float64 { return float64(r.Elapsed) / float64(time.Millisecond) }
 
-// Model is the learned time of one group of engines. The zero value is a model that
-// has seen nothing.
+// Model predicts the prefill time of a group of engines that are alike. The zero value has no
+// readings.
 type Model struct {
 	fitted   Coefficients
 	known    bool
 	readings []Reading
 	next     int
 	samples  int
-	// pace is the mean pace of the readings remembered, zero before any.
+	// pace is the mean throughput of the remembered readings, zero if there are none.
 	pace float64
 }
 
-// Coefficients returns the terms as they are estimated now.
+// Coefficients returns the current estimate.
 func (m *Model) Coefficients() Coefficients {
 	if !m.known {
 		return guess
@@ -64,11 +65,11 @@
 	return m.fitted
 }
 
-// Samples returns the number of readings seen.
+// Samples returns the number of readings that were observed.
 func (m *Model) Samples() int { return m.samples }
 
-// Throughput is the mean pace at which prompts such as those seen are read, without the
-// fixed part, in tokens a millisecond.
+// Throughput returns the mean rate at which prompts such as those observed are prefilled, not
+// counting the fixed part, in tokens per millisecond.
 func (m *Model) Throughput() float64 {
 	if m.pace > 0 {
 		return m.pace
@@ -76,14 +77,14 @@
 	return max(thousand/m.Coefficients().PerThousand, lowestPace)
 }
 
-// AssumeSlower makes the first guess that of an engine which is slower by a factor.
+// AssumeSlower scales the first guess to an engine that is slower by a factor.
 func (m *Model) AssumeSlower(by float64) {
 	if !m.known {
 		m.fitted, m.known = guess.Scaled(by), true
 	}
 }
 
-// Assume takes over what was learned elsewhere, where nothing was seen here yet.
+// Assume adopts what another node has learned, unless this model has readings of its own.
 func (m *Model) Assume(learned Coefficients, pace float64) {
 	if m.samples == 0 && learned.valid() && pace >= lowestPace {
 		m.fitted, m.known, m.pace = learned, true, pace
@@ -107,15 +108,16 @@
 	}
 }
 
-// bounds returns the least and the most time that a reading alone can have taken.
+// bounds returns the least and the most time that the prefill itself can have taken, without
+// the queue ahead of it.
 func (m *Model) bounds(reading Reading, pace float64) (least, most float64) {
 	most = reading.milliseconds()
 	return max(most-float64(reading.Ahead)/pace, 0), most
 }
 
-// fit estimates the terms anew by asymmetric least squares (expectiles: Newey and
-// Powell, 1987): of the time that a reading alone took only bounds are known, and what
-// exceeds the prediction weighs less than what falls short of it.
+// fit estimates the coefficients by asymmetric least squares (expectiles: Newey and Powell,
+// 1987). Only bounds of the time that a prefill itself took are known, and a time above the
+// prediction weighs less than one below it.
 func (m *Model) fit() {
 	base := guess
 	if m.known {
@@ -133,8 +135,8 @@
 	m.pace = m.paceOf(current)
 }
 
-// ratio is by how much the readings take longer than terms predict, judged by the
-// fastest of them. Once there are enough to tell the terms apart it is 1.
+// ratio returns how much longer the readings take than terms predict, judged by the fastest of
+// them. It is 1 once there are enough readings to tell the coefficients apart.
 func (m *Model) ratio(terms Coefficients) float64 {
 	if m.samples > guessWeight*refitEvery {
 		return 1
@@ -147,7 +149,7 @@
 	return ratio
 }
 
-// paceOf is the mean pace of the readings under given terms.
+// paceOf returns the mean throughput of the readings under given coefficients.
 func (m *Model) paceOf(terms Coefficients) float64 {
 	tokens, own := 0.0, 0.0
 	for _, reading := range m.readings {
@@ -157,8 +159,8 @@
 	return max(tokens/max(own, 1e-3), lowestPace)
 }
 
-// step solves the weighted least squares around current, with base as readings of
-// its own.
+// step solves one weighted least-squares problem with the weights that current implies, in
+// which base counts as some readings of its own.
 func (m *Model) step(base, current Coefficients) Coefficients {
 	var normal system
 	pace := m.paceOf(current)
--- a/internal/latency/pace_test.go
+++ b/internal/latency/pace_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the random engines, so that the verdict is the same every
-// time: about one engine in five thousand with readings of 2 % noise is predicted 10.1 %
+// TestMain fixes the seed of the random engines, so that the result is the same every time: in
+// about one engine in five thousand, with readings that vary by 2 %, the prediction is 10.1 %
 // off (seed noted in docs/design/decisions.md). -rapid.seed draws others.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -23,7 +23,7 @@
 
 func millis(count float64) time.Duration { return time.Duration(count * float64(time.Millisecond)) }
 
-// engine returns the terms of an engine that reads so many tokens a millisecond.
+// engine returns the coefficients of an engine that prefills so many tokens a millisecond.
 func engine(fixed, tokensPerMillisecond, perMillion float64) Coefficients {
 	return Coefficients{Fixed: fixed, PerThousand: thousand / tokensPerMillisecond, PerMillion: perMillion}
 }
@@ -41,10 +41,10 @@
 	}
 }
 
-// TestModelsConverge: whatever the engine, after a hundred readings of prompts such as
-// callers send its times are predicted within a tenth, or within 1 % of the time of the
-// longest prompt, for prompts of under a thousand tokens 2 %: the readings vary by 2 %,
-// so that the terms are not known better than that.
+// TestModelsConverge checks that, whatever the engine, a hundred readings of typical prompts
+// suffice to predict its times within a tenth, or within 1 % of the time of the longest prompt
+// (2 % for prompts of under a thousand tokens). The readings vary by 2 %, so that the
+// coefficients cannot be known better than that.
 func TestModelsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := engine(
@@ -57,7 +57,8 @@
 		var model Model
 		for range 100 {
 			tokens, context := draw()
-			// Times vary by some percent, and some readings shared the engine unseen.
+			// Times vary by some percent, and some prefills shared the engine with unknown
+			// others.
 			took := truth.Milliseconds(tokens, context) * (0.98 + 0.04*random.Float64())
 			if random.IntN(10) == 0 {
 				took *= 1.5
@@ -80,7 +81,8 @@
 	})
 }
 
-// TestFirstReadingsSetTheScale: long before the terms can be told apart.
+// TestFirstReadingsSetTheScale checks that three readings suffice to predict a typical time,
+// long before the coefficients can be told apart.
 func TestFirstReadingsSetTheScale(t *testing.T) {
 	for _, pace := range []float64{20, 100, 500} {
 		truth := engine(10, pace, 0.1)
@@ -95,8 +97,9 @@
 	}
 }
 
-// TestPromptsReadByTurns: a short prompt is read beside long ones that came before
-// it; that tells nothing of a high pace.
+// TestPromptsReadByTurns guards against overrating an engine that alternates between prompts: a
+// short prompt that is prefilled beside long ones queued before it seems to have overtaken a
+// long queue quickly.
 func TestPromptsReadByTurns(t *testing.T) {
 	truth := engine(10, 18, 0)
 	var model Model
@@ -104,7 +107,7 @@
 		model.Observe(Reading{Tokens: 10_000, Elapsed: millis(truth.Milliseconds(10_000, 0))})
 	}
 	for range 40 {
-		// Two prompts are read by turns: the short one takes twice its own time.
+		// The engine alternates between two prompts: the short one takes twice its own time.
 		model.Observe(Reading{Tokens: 1500, Ahead: 36_000, Elapsed: millis(10 + 2*truth.VariableMilliseconds(1500, 0))})
 	}
 	if got := model.Throughput(); got < 18*0.95 || got > 18*1.1 {
@@ -112,8 +115,8 @@
 	}
 }
 
-// TestSlowEnginesAreFoundUnderLoad: they need longer than all that was placed there
-// would take.
+// TestSlowEnginesAreFoundUnderLoad checks that a slow engine is recognised by taking longer
+// than all its queued tokens would take.
 func TestSlowEnginesAreFoundUnderLoad(t *testing.T) {
 	truth := engine(10, 100, 0)
 	var model Model
@@ -194,7 +197,7 @@
 	}
 	for range 200 {
 		share.Observe(30, 60)
-		share.Observe(-5, 20) // sooner than with no queue at all
+		share.Observe(-5, 20) // sooner than without any queue
 	}
 	if got := share.Value(); got < 0.3 || got > 0.5 {
 		t.Errorf("share %v, want about 30 of 80", got)
@@ -209,7 +212,7 @@
 
 func TestUnknownsArePositive(t *testing.T) {
 	var s system
-	// Without the second unknown, which would be -1, the first is 2.
+	// The second unknown would be -1. Without it the first one is 2.
 	s.add([3]float64{1, 1, 0}, 1, 1)
 	s.add([3]float64{1, 0, 0}, 2, 1)
 	s.add([3]float64{1, -1, 0}, 3, 1)
--- a/internal/latency/system.go
+++ b/internal/latency/system.go
@@ -8,7 +8,7 @@
 	right  [3]float64
 }
 
-// add takes in one equation.
+// add adds one weighted observation.
 func (s *system) add(factors [3]float64, target, weight float64) {
 	for i, left := range factors {
 		for j, right := range factors {
@@ -18,14 +18,14 @@
 	}
 }
 
-// pull draws one unknown towards a value.
+// pull adds an observation that one unknown has a value.
 func (s *system) pull(unknown int, value, weight float64) {
 	s.matrix[unknown][unknown] += weight
 	s.right[unknown] += weight * value
 }
 
-// solvePositive is solve for unknowns that can't be negative: those that would be are
-// zero, and the others are solved for without them.
+// solvePositive solves the equations for unknowns that cannot be negative: any that would be is
+// set to zero, and the others are solved for again.
 func (s *system) solvePositive() [3]float64 {
 	reduced := *s
 	for {
@@ -43,7 +43,7 @@
 	}
 }
 
-// drop takes an unknown out of the equations, so that it is zero.
+// drop removes an unknown from the equations, so that its solution is zero.
 func (s *system) drop(unknown int) {
 	for i := range s.right {
 		s.matrix[unknown][i], s.matrix[i][unknown] = 0, 0
@@ -51,8 +51,8 @@
 	s.matrix[unknown][unknown], s.right[unknown] = 1, 0
 }
 
-// solve eliminates by rows, the largest pivot first. An unknown that the equations
-// leave open is zero.
+// solve uses Gaussian elimination with partial pivoting. An unknown that the equations do not
+// determine is zero.
 func (s *system) solve() [3]float64 {
 	matrix, right := s.matrix, s.right
 	const n = len(right)
