--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -50,11 +50,11 @@
 	broken.Kind, broken.Timeout, broken.MaxAttempts = "odd", 0, 0
 	_, err := NewTable(7, []*Route{broken, testRoute("empty", "h", "/")}, nil, Limits{})
 	if err == nil {
-		t.Fatal("a broken configuration was taken")
+		t.Fatal("an invalid configuration was accepted")
 	}
 	for _, part := range []string{"version 7", `"x" must begin`, `"odd"`, "timeout", "attempt", `"absent" is not configured`, "below zero", `route "empty": it names no service`} {
 		if !strings.Contains(err.Error(), part) {
-			t.Errorf("%q is not told: %v", part, err)
+			t.Errorf("the error does not contain %q: %v", part, err)
 		}
 	}
 }
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestSplitterKeepsTheWeights checks that, after any number of requests, each target's count
+// TestSplitterKeepsToTheWeights checks that, after any number of requests, each target's count
 // differs from its exact share by at most the number of targets.
-func TestSplitterKeepsTheWeights(t *testing.T) {
+func TestSplitterKeepsToTheWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 5).Draw(t, "weights")
 		requests := rapid.IntRange(1, 500).Draw(t, "requests")
