--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -7,18 +7,18 @@
 	"pgregory.net/rapid"
 )
 
-var terms = Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
+var testLimits = Limits{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 
-// TestNodesTogetherKeepTheBudget checks that, whatever the nodes do and however requests
+// TestNodesTogetherStayWithinTheBudget checks that, whatever the nodes do and however requests
 // arrive, no window has more retries than Ratio times the requests of this and the previous
 // window, plus the slack.
-func TestNodesTogetherKeepTheBudget(t *testing.T) {
+func TestNodesTogetherStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 9).Draw(t, "nodes")
 		now := time.Unix(0, 0)
 		budgets := make([]*Budget, nodes)
 		for i := range budgets {
-			budgets[i] = NewBudget(terms, nodes, now)
+			budgets[i] = NewBudget(testLimits, nodes, now)
 		}
 		type event struct {
 			at    time.Time
@@ -39,15 +39,15 @@
 			requests, repeats := 0, 0
 			for _, e := range events {
 				age := end.at.Sub(e.at)
-				if !e.spent && age >= 0 && age <= 2*terms.Window {
+				if !e.spent && age >= 0 && age <= 2*testLimits.Window {
 					requests++
 				}
-				if e.spent && age >= 0 && age < terms.Window {
+				if e.spent && age >= 0 && age < testLimits.Window {
 					repeats++
 				}
 			}
-			if float64(repeats) > terms.Ratio*float64(requests)+terms.Slack+float64(nodes) {
-				t.Fatalf("%d repeats for %d requests in a window of %d nodes", repeats, requests, nodes)
+			if float64(repeats) > testLimits.Ratio*float64(requests)+testLimits.Slack+float64(nodes) {
+				t.Fatalf("%d retries for %d requests in a window of %d nodes", repeats, requests, nodes)
 			}
 		}
 	})
@@ -55,18 +55,18 @@
 
 func TestEmptyBudgetRefusesAndFillsWithTime(t *testing.T) {
 	now := time.Unix(0, 0)
-	budget := NewBudget(terms, 1, now)
+	budget := NewBudget(testLimits, 1, now)
 	spent := 0
 	for budget.Spend(1, now) {
 		spent++
 	}
-	if spent == 0 || float64(spent) > terms.Slack/2 {
-		t.Errorf("%d repeats at the start", spent)
+	if spent == 0 || float64(spent) > testLimits.Slack/2 {
+		t.Errorf("%d retries granted at the start", spent)
 	}
 	if budget.Spend(1, now.Add(10*time.Millisecond)) {
-		t.Error("an empty budget gave a repeat")
+		t.Error("an empty budget granted a retry")
 	}
-	if !budget.Spend(1, now.Add(terms.Window)) {
-		t.Error("the budget does not fill")
+	if !budget.Spend(1, now.Add(testLimits.Window)) {
+		t.Error("the budget does not refill with time")
 	}
 }
--- a/internal/retry/outage.go
+++ b/internal/retry/outage.go
@@ -9,23 +9,23 @@
 	// begun and last are when the first and the last call failed since one succeeded, zero if
 	// none has failed since.
 	begun, last time.Time
-	// usual is a moving mean of the durations of past outages, zero if there was none.
-	usual time.Duration
+	// usualDuration is a moving mean of the durations of past outages, zero if there was none.
+	usualDuration time.Duration
 }
 
 const (
-	// usualShare is the weight of the newest outage in usual.
-	usualShare = 0.5
-	// longerShare is the expected rest of an outage that has lasted longer than usual, as a
+	// newestWeight is the weight of the newest outage in usual.
+	newestWeight = 0.5
+	// overdueShare is the expected rest of an outage that has lasted longer than usual, as a
 	// fraction of the time since it began.
-	longerShare = 0.5
+	overdueShare = 0.5
 	// shortestOutage is how long calls must keep failing, without a success between them, to
 	// count as an outage.
 	shortestOutage = 300 * time.Millisecond
 	// outageGap is the time without a call after which a failure begins a new outage.
 	outageGap = 5 * time.Second
-	// longestExpected bounds the time that callers are told.
-	longestExpected = 8 * time.Second
+	// maxExpected bounds the time that callers are told.
+	maxExpected = 8 * time.Second
 )
 
 // Failed records a call that no worker ran.
@@ -44,10 +44,10 @@
 	lasted := now.Sub(o.begun)
 	switch {
 	case now.Sub(o.last) > outageGap || lasted < shortestOutage:
-	case o.usual == 0:
-		o.usual = lasted
+	case o.usualDuration == 0:
+		o.usualDuration = lasted
 	default:
-		o.usual += time.Duration(usualShare * float64(lasted-o.usual))
+		o.usualDuration += time.Duration(newestWeight * float64(lasted-o.usualDuration))
 	}
 	o.begun, o.last = time.Time{}, time.Time{}
 }
@@ -62,6 +62,6 @@
 	if elapsed < shortestOutage {
 		return 0
 	}
-	left := max(o.usual-elapsed, time.Duration(longerShare*float64(elapsed)))
-	return min(left, longestExpected)
+	left := max(o.usualDuration-elapsed, time.Duration(overdueShare*float64(elapsed)))
+	return min(left, maxExpected)
 }
--- a/internal/retry/outage_test.go
+++ b/internal/retry/outage_test.go
@@ -34,7 +34,7 @@
 	expect(100, 8*time.Second)
 }
 
-func TestSingleFailuresAreNoOutage(t *testing.T) {
+func TestIsolatedFailuresAreNoOutage(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	var o Outage
 	for second := range 10 {
@@ -44,7 +44,7 @@
 	}
 	o.Failed(begin)
 	o.Served(begin.Add(time.Minute)) // no calls came in between
-	if o.usual != 0 {
-		t.Errorf("the service is away for %v as a rule, it never was", o.usual)
+	if o.usualDuration != 0 {
+		t.Errorf("isolated failures make a usual outage of %v", o.usualDuration)
 	}
 }
