--- a/internal/breaker/breaker.go
+++ b/internal/breaker/breaker.go
@@ -12,9 +12,9 @@
 	// openFor is how long a worker is avoided after a failure. It doubles with each further
 	// consecutive failure.
 	openFor = 1500 * time.Millisecond
-	// errorsInRow is the number of consecutive failures at which an error answer opens the
+	// errorsToOpen is the number of consecutive failures at which an error answer opens the
 	// breaker.
-	errorsInRow = 3
+	errorsToOpen = 3
 	// rejectedFor is how long a worker is avoided after it has rejected a request. It doubles
 	// with each further consecutive rejection.
 	rejectedFor = 250 * time.Millisecond
@@ -27,13 +27,13 @@
 // Breaker holds what is remembered of one worker. The zero value is a worker about which
 // nothing is known.
 type Breaker struct {
-	failures float64
-	total    float64
-	updated  time.Time
-	inRow    int
-	// rejectedInRow counts rejections since the last success.
-	rejectedInRow int
-	open          time.Time
+	failures            float64
+	total               float64
+	updated             time.Time
+	consecutiveFailures int
+	// consecutiveRejections counts rejections since the last success.
+	consecutiveRejections int
+	openUntil             time.Time
 }
 
 func (b *Breaker) decay(now time.Time) {
@@ -50,9 +50,9 @@
 func (b *Breaker) Succeeded(now time.Time) {
 	b.decay(now)
 	b.total++
-	b.inRow, b.rejectedInRow = 0, 0
-	if now.After(b.open) {
-		b.open = time.Time{}
+	b.consecutiveFailures, b.consecutiveRejections = 0, 0
+	if now.After(b.openUntil) {
+		b.openUntil = time.Time{}
 	}
 }
 
@@ -62,9 +62,9 @@
 	b.decay(now)
 	b.total++
 	b.failures++
-	b.inRow++
-	pause := openFor << min(b.inRow-1, 4)
-	b.open = now.Add(min(pause, maxOpen))
+	b.consecutiveFailures++
+	pause := openFor << min(b.consecutiveFailures-1, 4)
+	b.openUntil = now.Add(min(pause, maxOpen))
 }
 
 // Errored records a request that the worker answered with an error. The request itself may be
@@ -73,27 +73,27 @@
 	b.decay(now)
 	b.total++
 	b.failures++
-	b.inRow++
-	if b.inRow >= errorsInRow {
-		b.open = now.Add(openFor)
+	b.consecutiveFailures++
+	if b.consecutiveFailures >= errorsToOpen {
+		b.openUntil = now.Add(openFor)
 	}
 }
 
 // Rejected records a request that the worker provably did not run, because it is full or is
 // changing its stage.
 func (b *Breaker) Rejected(now time.Time) {
-	pause := min(rejectedFor<<min(b.rejectedInRow, 4), openFor)
-	b.rejectedInRow++
-	if until := now.Add(pause); until.After(b.open) {
-		b.open = until
+	pause := min(rejectedFor<<min(b.consecutiveRejections, 4), openFor)
+	b.consecutiveRejections++
+	if until := now.Add(pause); until.After(b.openUntil) {
+		b.openUntil = until
 	}
 }
 
 // ConsecutiveFailures returns the number of failures and errors since the last success.
-func (b *Breaker) ConsecutiveFailures() int { return b.inRow }
+func (b *Breaker) ConsecutiveFailures() int { return b.consecutiveFailures }
 
 // Open reports whether the worker should be avoided.
-func (b *Breaker) Open(now time.Time) bool { return now.Before(b.open) }
+func (b *Breaker) Open(now time.Time) bool { return now.Before(b.openUntil) }
 
 // FailureRate estimates the share of requests that fail, between 0 and 1. While few outcomes
 // are known the estimate is biased towards zero.
--- a/internal/breaker/breaker_test.go
+++ b/internal/breaker/breaker_test.go
@@ -7,7 +7,7 @@
 
 var origin = time.Unix(100, 0)
 
-func TestOpensAfterAFailureAndHalfOpensByTime(t *testing.T) {
+func TestOpensAfterAFailureAndClosesWithTime(t *testing.T) {
 	var b Breaker
 	if b.Open(origin) || b.FailureRate(origin) != 0 {
 		t.Error("an unknown worker is avoided")
@@ -17,29 +17,29 @@
 		t.Error("not avoided after a failure")
 	}
 	if b.Open(origin.Add(openFor)) {
-		t.Error("avoided for ever")
+		t.Error("still avoided after openFor")
 	}
 }
 
-func TestFailuresInARowAreAvoidedLonger(t *testing.T) {
+func TestConsecutiveFailuresAreAvoidedLonger(t *testing.T) {
 	var b Breaker
 	now := origin
 	for range 6 {
 		b.Failed(now)
 	}
 	if !b.Open(now.Add(maxOpen-1)) || b.Open(now.Add(maxOpen)) {
-		t.Error("six failures in a row aren't avoided for the longest time")
+		t.Error("six consecutive failures do not open the breaker for maxOpen")
 	}
 	b.Succeeded(now.Add(maxOpen))
 	b.Failed(now.Add(maxOpen))
 	if b.Open(now.Add(maxOpen + openFor)) {
-		t.Error("a success does not end the row")
+		t.Error("a success does not reset the backoff")
 	}
 }
 
-// TestSuccessLeavesAnOpenBreaker checks that the late success of a request sent before a
+// TestLateSuccessLeavesBreakerOpen checks that the late success of a request sent before a
 // failure does not close the breaker.
-func TestSuccessLeavesAnOpenBreaker(t *testing.T) {
+func TestLateSuccessLeavesBreakerOpen(t *testing.T) {
 	var b Breaker
 	b.Failed(origin)
 	b.Succeeded(origin.Add(time.Millisecond))
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestFailureRateFadesAndLeansToZero(t *testing.T) {
+func TestFailureRateDecaysAndIsBiasedTowardsZero(t *testing.T) {
 	var b Breaker
 	for range 10 {
 		b.Failed(origin)
@@ -59,18 +59,18 @@
 		t.Errorf("half of 20 failed: rate %v", fresh)
 	}
 	if later := b.FailureRate(origin.Add(10 * halfLife)); later > 0.02 {
-		t.Errorf("rate %v long after", later)
+		t.Errorf("rate %v after ten half-lives, want about zero", later)
 	}
 	var once Breaker
 	once.Failed(origin)
 	if rate := once.FailureRate(origin); rate > 0.34 {
-		t.Errorf("a single failure makes rate %v", rate)
+		t.Errorf("a single failure makes a rate of %v", rate)
 	}
 }
 
-// TestErrorsOfRequestsOpenOnlyInARow checks that isolated error answers, which any worker may
+// TestOnlyConsecutiveErrorsOpen checks that isolated error answers, which any worker may
 // give, do not open the breaker.
-func TestErrorsOfRequestsOpenOnlyInARow(t *testing.T) {
+func TestOnlyConsecutiveErrorsOpen(t *testing.T) {
 	var b Breaker
 	for range 10 {
 		b.Errored(origin)
@@ -78,29 +78,29 @@
 		b.Succeeded(origin)
 	}
 	if b.Open(origin.Add(1)) {
-		t.Error("two errors in a row opened the breaker")
+		t.Error("two consecutive errors opened the breaker")
 	}
-	for range errorsInRow {
+	for range errorsToOpen {
 		b.Errored(origin)
 	}
 	if !b.Open(origin.Add(1)) {
-		t.Error("a row of errors left the breaker closed")
+		t.Error("consecutive errors left the breaker closed")
 	}
 }
 
-// TestRejectionsAreAvoidedShortly checks that a worker that is full or changes its stage is
+// TestRejectingWorkerIsAvoidedBriefly checks that a worker that is full or changes its stage is
 // avoided for a moment only and that its failure rate stays the same.
-func TestRejectionsAreAvoidedShortly(t *testing.T) {
+func TestRejectingWorkerIsAvoidedBriefly(t *testing.T) {
 	var b Breaker
 	b.Rejected(origin)
 	if !b.Open(origin.Add(rejectedFor-1)) || b.Open(origin.Add(rejectedFor)) {
-		t.Error("a rejection isn't avoided for its time")
+		t.Error("a rejecting worker is not avoided for rejectedFor")
 	}
 	for range 9 {
 		b.Rejected(origin)
 	}
 	if !b.Open(origin.Add(openFor-1)) || b.Open(origin.Add(openFor)) {
-		t.Error("a row of rejections isn't avoided for longer")
+		t.Error("consecutive rejections do not open the breaker for openFor")
 	}
 	if b.FailureRate(origin) != 0 {
 		t.Error("a rejection counts as a failure")
@@ -108,6 +108,6 @@
 	b.Succeeded(origin.Add(openFor))
 	b.Rejected(origin.Add(openFor))
 	if b.Open(origin.Add(openFor + rejectedFor)) {
-		t.Error("a success does not end the row")
+		t.Error("a success does not reset the backoff")
 	}
 }
