--- a/internal/prefixcache/prefixcache.go
+++ b/internal/prefixcache/prefixcache.go
@@ -35,7 +35,7 @@
 // used parts are evicted.
 type Cache struct {
 	capacity int
-	held     int
+	size     int
 	entries  map[PartID]entry
 }
 
@@ -61,10 +61,10 @@
 func (c *Cache) Use(parts []Part, now time.Time) {
 	for _, part := range parts {
 		if old, kept := c.entries[part.ID]; kept {
-			c.held -= old.tokens
+			c.size -= old.tokens
 		}
 		c.entries[part.ID] = entry{tokens: part.Tokens, used: now}
-		c.held += part.Tokens
+		c.size += part.Tokens
 	}
 	c.evict()
 }
@@ -72,7 +72,7 @@
 // Clear empties the cache, as when its worker restarts.
 func (c *Cache) Clear() {
 	clear(c.entries)
-	c.held = 0
+	c.size = 0
 }
 
 // Parts returns the cached parts, the least recently used first.
@@ -91,10 +91,10 @@
 }
 
 // Size returns the number of cached tokens.
-func (c *Cache) Size() int { return c.held }
+func (c *Cache) Size() int { return c.size }
 
 func (c *Cache) evict() {
-	for c.held > c.capacity && len(c.entries) > 0 {
+	for c.size > c.capacity && len(c.entries) > 0 {
 		var oldest PartID
 		var oldestUse time.Time
 		first := true
@@ -103,7 +103,7 @@
 				oldest, oldestUse, first = id, candidate.used, false
 			}
 		}
-		c.held -= c.entries[oldest].tokens
+		c.size -= c.entries[oldest].tokens
 		delete(c.entries, oldest)
 	}
 }
--- a/internal/prefixcache/prefixcache_test.go
+++ b/internal/prefixcache/prefixcache_test.go
@@ -11,7 +11,7 @@
 
 func at(second int) time.Time { return origin.Add(time.Duration(second) * time.Second) }
 
-func TestMatchCountsOnlyAnUnbrokenBeginning(t *testing.T) {
+func TestMatchCountsOnlyTheLeadingParts(t *testing.T) {
 	cache := New(1000)
 	cache.Use([]Part{{1, 100}, {2, 50}, {3, 25}}, at(1))
 	for _, example := range []struct {
@@ -24,27 +24,27 @@
 		{nil, 0},
 	} {
 		if got := cache.Match(example.prompt); got != example.want {
-			t.Errorf("%v: %d kept, want %d", example.prompt, got, example.want)
+			t.Errorf("%v: %d tokens match, want %d", example.prompt, got, example.want)
 		}
 	}
 }
 
-func TestLongestUnusedGivesWay(t *testing.T) {
+func TestLeastRecentlyUsedIsEvicted(t *testing.T) {
 	cache := New(250)
 	cache.Use([]Part{{1, 100}}, at(1))
 	cache.Use([]Part{{2, 100}}, at(2))
 	cache.Use([]Part{{1, 100}}, at(3))
 	cache.Use([]Part{{3, 100}}, at(4))
 	if cache.Match([]Part{{2, 100}}) != 0 || cache.Match([]Part{{1, 100}}) != 100 || cache.Match([]Part{{3, 100}}) != 100 {
-		t.Errorf("kept %v", cache.entries)
+		t.Errorf("cached %v, want parts 1 and 3", cache.entries)
 	}
 	cache.Clear()
 	if cache.Size() != 0 || cache.Match([]Part{{1, 100}}) != 0 {
-		t.Error("something is kept after a restart")
+		t.Error("something is cached after Clear")
 	}
 }
 
-func TestNeverHoldsMoreThanItsCapacity(t *testing.T) {
+func TestSizeStaysWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cache := New(500)
 		for second := range rapid.IntRange(1, 40).Draw(t, "uses") {
@@ -55,7 +55,7 @@
 				sum += kept.tokens
 			}
 			if sum != cache.Size() || sum > 500 {
-				t.Fatalf("holds %d, says %d", sum, cache.Size())
+				t.Fatalf("%d tokens cached, Size returns %d", sum, cache.Size())
 			}
 		}
 	})
