--- a/internal/topology/topology_test.go
+++ b/internal/topology/topology_test.go
@@ -14,25 +14,25 @@
 		}
 	}
 	if !m.MultiRegion() || m.OwnRegion() != "north" {
-		t.Errorf("several %v, own region %q", m.MultiRegion(), m.OwnRegion())
+		t.Errorf("multi-region %v, own region %q", m.MultiRegion(), m.OwnRegion())
 	}
 	if diff := cmp.Diff([]string{"north", "south"}, m.Regions()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestZonesWithoutRegionsLieTogether(t *testing.T) {
+func TestZonesWithoutRegionsFormOneRegion(t *testing.T) {
 	m := New("a", nil)
 	if m.MultiRegion() || m.DistanceTo("b") != SameRegion || m.DistanceTo("a") != SameZone {
-		t.Errorf("several %v, to b %v", m.MultiRegion(), m.DistanceTo("b"))
+		t.Errorf("multi-region %v, distance to b %v", m.MultiRegion(), m.DistanceTo("b"))
 	}
 }
 
-// TestOneRegionIsNone checks that in a deployment with a single named region a zone that the
-// settings do not name is as near as the others.
-func TestOneRegionIsNone(t *testing.T) {
+// TestSingleNamedRegionCountsAsNone checks that in a deployment with a single named region a
+// zone that the settings do not name is as near as the others.
+func TestSingleNamedRegionCountsAsNone(t *testing.T) {
 	m := New("a", map[string]string{"a": "north", "b": "north"})
 	if m.MultiRegion() || m.DistanceTo("b") != SameRegion || m.DistanceTo("c") != SameRegion || m.OwnRegion() != "" || m.Region("b") != m.Region("c") {
-		t.Errorf("several %v, to b %v, to c %v, regions %q and %q", m.MultiRegion(), m.DistanceTo("b"), m.DistanceTo("c"), m.Region("b"), m.Region("c"))
+		t.Errorf("multi-region %v, distance to b %v, to c %v, regions %q and %q", m.MultiRegion(), m.DistanceTo("b"), m.DistanceTo("c"), m.Region("b"), m.Region("c"))
 	}
 }
