--- a/internal/latency/coefficients.go
+++ b/internal/latency/coefficients.go
@@ -52,7 +52,7 @@
 	return c.PerThousand > 0 || c.PerMillion > 0
 }
 
-// terms returns the values that the coefficients are multiplied by.
-func terms(tokens, context int) [3]float64 {
+// regressors returns the values that the coefficients are multiplied by.
+func regressors(tokens, context int) [3]float64 {
 	return [3]float64{1, float64(tokens) / thousand, pairs(tokens, context) / million}
 }
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -28,16 +28,16 @@
 	return Coefficients{Fixed: fixed, PerThousand: thousand / tokensPerMillisecond, PerMillion: perMillion}
 }
 
-func TestGuessHoldsUntilSomethingWasRead(t *testing.T) {
+func TestGuessIsUsedUntilSomethingWasMeasured(t *testing.T) {
 	var model Model
 	if model.Coefficients() != guess || model.Samples() != 0 || model.Throughput() != thousand/guessPerThousand {
-		t.Errorf("%+v", model.Coefficients())
+		t.Errorf("a model without readings has %+v, want the guess", model.Coefficients())
 	}
 	for _, nothing := range []Reading{{Tokens: 0, Elapsed: time.Second}, {Tokens: 10}, {Tokens: -1, Elapsed: 1}} {
 		model.Observe(nothing)
 	}
 	if model.Samples() != 0 {
-		t.Error("nothing was learned from")
+		t.Error("an impossible reading was counted")
 	}
 }
 
@@ -84,23 +84,23 @@
 // TestFirstReadingsSetTheScale checks that three readings suffice to predict a typical time,
 // long before the coefficients can be told apart.
 func TestFirstReadingsSetTheScale(t *testing.T) {
-	for _, pace := range []float64{20, 100, 500} {
-		truth := engine(10, pace, 0.1)
+	for _, tokensPerMillisecond := range []float64{20, 100, 500} {
+		truth := engine(10, tokensPerMillisecond, 0.1)
 		var model Model
 		for _, tokens := range []int{5000, 7000, 6000} {
 			model.Observe(Reading{Tokens: tokens, Elapsed: millis(truth.Milliseconds(tokens, 0))})
 		}
 		got, want := model.Coefficients().Milliseconds(6000, 0), truth.Milliseconds(6000, 0)
 		if math.Abs(got-want) > 0.15*want {
-			t.Errorf("%v tokens a millisecond: predicted %.1f ms, take %.1f", pace, got, want)
+			t.Errorf("%v tokens a millisecond: predicted %.1f ms, take %.1f", tokensPerMillisecond, got, want)
 		}
 	}
 }
 
-// TestPromptsReadByTurns guards against overrating an engine that alternates between prompts: a
-// short prompt that is prefilled beside long ones queued before it seems to have overtaken a
-// long queue quickly.
-func TestPromptsReadByTurns(t *testing.T) {
+// TestAlternatingPromptsDoNotRaiseThroughput guards against overrating an engine that
+// alternates between prompts: if the tokens queued ahead of a short prompt counted as prefilled
+// during its time, the engine would seem much faster than it is.
+func TestAlternatingPromptsDoNotRaiseThroughput(t *testing.T) {
 	truth := engine(10, 18, 0)
 	var model Model
 	for range 8 {
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestSlowEnginesAreFoundUnderLoad checks that a slow engine is recognised by taking longer
+// TestSlowEnginesAreDetectedUnderLoad checks that a slow engine is recognised by taking longer
 // than all its queued tokens would take.
-func TestSlowEnginesAreFoundUnderLoad(t *testing.T) {
+func TestSlowEnginesAreDetectedUnderLoad(t *testing.T) {
 	truth := engine(10, 100, 0)
 	var model Model
 	for range 20 {
@@ -130,36 +130,36 @@
 		sound.Observe(Reading{Tokens: 2000, Ahead: 8000, Elapsed: millis(took)}, &model)
 	}
 	if slow.Value() < 3 || math.Abs(sound.Value()-1) > 0.1 {
-		t.Errorf("the slow engine's factor is %v, the sound one's %v", slow.Value(), sound.Value())
+		t.Errorf("the slow engine has a slowdown of %v, the other one of %v", slow.Value(), sound.Value())
 	}
 }
 
-func TestWhatWasLearnedElsewhereHolds(t *testing.T) {
+func TestCoefficientsOfAnotherNodeAreAdopted(t *testing.T) {
 	learned := engine(5, 300, 0.15)
 	var young, old, wrong Model
 	young.Assume(learned, 250)
 	if young.Coefficients() != learned || young.Throughput() != 250 {
-		t.Errorf("%+v %v", young.Coefficients(), young.Throughput())
+		t.Errorf("adopted %+v and throughput %v, want those learned elsewhere", young.Coefficients(), young.Throughput())
 	}
 	old.Observe(Reading{Tokens: 1000, Elapsed: time.Second})
 	before := old.Coefficients()
 	old.Assume(learned, 250)
 	if old.Coefficients() != before {
-		t.Error("what was seen here gave way")
+		t.Error("coefficients learned elsewhere replaced measured ones")
 	}
 	for _, bad := range []Coefficients{{}, {Fixed: -1, PerThousand: 1}, {PerThousand: math.NaN()}, {PerThousand: math.Inf(1)}} {
 		wrong.Assume(bad, 250)
 	}
 	wrong.Assume(learned, 0)
 	if wrong.Coefficients() != guess {
-		t.Errorf("%+v was taken over", wrong.Coefficients())
+		t.Errorf("impossible coefficients or throughput were adopted: %+v", wrong.Coefficients())
 	}
 }
 
-func TestMean(t *testing.T) {
+func TestMovingMean(t *testing.T) {
 	var mean MovingMean
 	if got := mean.Milliseconds(7); got != 7 {
-		t.Errorf("%v where nothing was seen", got)
+		t.Errorf("mean %v without samples, want the assumed 7", got)
 	}
 	for range 60 {
 		mean.Observe(40 * time.Millisecond)
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestSystemSolves(t *testing.T) {
+func TestSolve(t *testing.T) {
 	var s system
 	want := [3]float64{3, -2, 0.5}
 	for _, factors := range [][3]float64{{1, 2, 3}, {1, 5, 1}, {1, 0, 7}, {1, 9, 9}} {
@@ -182,18 +182,18 @@
 	got := s.solve()
 	for i := range want {
 		if math.Abs(got[i]-want[i]) > 1e-9 {
-			t.Errorf("%v, want %v", got, want)
+			t.Errorf("solved %v, want %v", got, want)
 		}
 	}
 	if open := (&system{}).solve(); open != [3]float64{} {
-		t.Errorf("%v of nothing", open)
+		t.Errorf("an empty system has the solution %v, want zeros", open)
 	}
 }
 
-func TestShare(t *testing.T) {
+func TestNeededShare(t *testing.T) {
 	var share NeededShare
 	if share.Value() != 1 {
-		t.Errorf("%v where nothing was seen", share.Value())
+		t.Errorf("share %v without samples, want 1", share.Value())
 	}
 	for range 200 {
 		share.Observe(30, 60)
@@ -205,20 +205,20 @@
 	for range 100 {
 		share.Observe(1e9, 10)
 	}
-	if got := share.Value(); got > mostNeeded+0.01 {
-		t.Errorf("one measurement makes %v", got)
+	if got := share.Value(); got > maxNeededRatio+0.01 {
+		t.Errorf("measurements far above the expected time make a share of %v", got)
 	}
 }
 
-func TestUnknownsArePositive(t *testing.T) {
+func TestSolvePositive(t *testing.T) {
 	var s system
 	// The second unknown would be -1. Without it the first one is 2.
 	s.add([3]float64{1, 1, 0}, 1, 1)
 	s.add([3]float64{1, 0, 0}, 2, 1)
 	s.add([3]float64{1, -1, 0}, 3, 1)
-	s.pull(2, 0.5, 1)
+	s.addPrior(2, 0.5, 1)
 	got := s.solvePositive()
 	if math.Abs(got[0]-2) > 1e-9 || got[1] != 0 || math.Abs(got[2]-0.5) > 1e-9 {
-		t.Errorf("%v", got)
+		t.Errorf("solved %v, want 2, 0 and 0.5", got)
 	}
 }
--- a/internal/latency/mean.go
+++ b/internal/latency/mean.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// weight is the weight of a new measurement in a moving mean.
-const weight = 0.15
+// newSampleWeight is the newSampleWeight of a new measurement in a moving mean.
+const newSampleWeight = 0.15
 
 // MovingMean is an exponentially weighted moving mean of durations. The zero value has no
 // samples.
@@ -15,7 +15,7 @@
 // Observe records a duration.
 func (m *MovingMean) Observe(elapsed time.Duration) {
 	m.samples++
-	share := max(weight, 1/float64(m.samples))
+	share := max(newSampleWeight, 1/float64(m.samples))
 	m.milliseconds += (float64(elapsed)/float64(time.Millisecond) - m.milliseconds) * share
 }
 
@@ -34,8 +34,8 @@
 	samples   int
 }
 
-// slowest and fastest bound the factor that a single measurement can show.
-const slowest, fastest = 8, 0.25
+// maxSlowdown and minSlowdown bound the factor that a single measurement can show.
+const maxSlowdown, minSlowdown = 8, 0.25
 
 // Value returns the factor, 1 if there are no samples.
 func (f *Slowdown) Value() float64 { return 1 + f.deviation }
@@ -49,8 +49,8 @@
 	}
 	f.samples++
 	allowed := min(max(f.Value(), least/predicted), most/predicted)
-	allowed = min(max(allowed, fastest), slowest)
-	f.deviation += (allowed - 1 - f.deviation) * weight
+	allowed = min(max(allowed, minSlowdown), maxSlowdown)
+	f.deviation += (allowed - 1 - f.deviation) * newSampleWeight
 }
 
 // NeededShare is the fraction of an expected time that turns out to be needed. The zero value
@@ -64,12 +64,13 @@
 // milliseconds.
 func (s *NeededShare) Observe(needed, expected float64) {
 	s.samples++
-	s.needed += (min(max(needed, 0), mostNeeded*expected) - s.needed) * weight
-	s.expected += (expected - s.expected) * weight
+	s.needed += (min(max(needed, 0), maxNeededRatio*expected) - s.needed) * newSampleWeight
+	s.expected += (expected - s.expected) * newSampleWeight
 }
 
-// mostNeeded bounds the time needed in a single measurement, as a multiple of that expected.
-const mostNeeded = 3
+// maxNeededRatio bounds the time needed in a single measurement, as a multiple of that
+// expected.
+const maxNeededRatio = 3
 
 // Value returns the fraction, 1 if there are fewer than 8 samples.
 func (s *NeededShare) Value() float64 {
@@ -90,7 +91,7 @@
 // Observe records a sample of the numerator and one of the denominator.
 func (r *MovingRatio) Observe(numerator, denominator float64) {
 	r.samples++
-	share := max(weight, 1/float64(r.samples))
+	share := max(newSampleWeight, 1/float64(r.samples))
 	r.numerator += (numerator - r.numerator) * share
 	r.denominator += (denominator - r.denominator) * share
 }
--- a/internal/latency/model.go
+++ b/internal/latency/model.go
@@ -15,21 +15,21 @@
 	guessFixed       = 10
 	guessPerThousand = 20
 	guessPerMillion  = 0
-	// remembered is the number of readings to which a model is fitted.
-	remembered = 64
+	// maxReadings is the number of readings to which a model is fitted.
+	maxReadings = 64
 	// refitEvery is the number of new readings after which a model is fitted again. The first
 	// refitEvery readings are each followed by a fit.
 	refitEvery = 4
 	// guessWeight is the number of readings that the previous coefficients count for in a fit.
 	guessWeight = 2
-	// excess is the weight of a reading that took longer than predicted, relative to one that
-	// took less: prefills for other nodes that are not known here make readings longer.
-	excess = 0.15
-	// rounds is the number of iterations of a fit.
-	rounds = 4
-	// lowestPace is the least throughput assumed, in tokens per millisecond. It keeps
+	// overrunWeight is the weight of a reading that took longer than predicted, relative to one
+	// that took less: prefills for other nodes that are not known here make readings longer.
+	overrunWeight = 0.15
+	// fitIterations is the number of iterations of a fit.
+	fitIterations = 4
+	// minThroughput is the least throughput assumed, in tokens per millisecond. It keeps
 	// predictions finite.
-	lowestPace = 0.1
+	minThroughput = 0.1
 )
 
 // Reading is one measured prefill.
@@ -53,8 +53,8 @@
 	readings []Reading
 	next     int
 	samples  int
-	// pace is the mean throughput of the remembered readings, zero if there are none.
-	pace float64
+	// throughput is the mean throughput of the remembered readings, zero if there are none.
+	throughput float64
 }
 
 // Coefficients returns the current estimate.
@@ -71,10 +71,10 @@
 // Throughput returns the mean rate at which prompts such as those observed are prefilled, not
 // counting the fixed part, in tokens per millisecond.
 func (m *Model) Throughput() float64 {
-	if m.pace > 0 {
-		return m.pace
+	if m.throughput > 0 {
+		return m.throughput
 	}
-	return max(thousand/m.Coefficients().PerThousand, lowestPace)
+	return max(thousand/m.Coefficients().PerThousand, minThroughput)
 }
 
 // AssumeSlower scales the first guess to an engine that is slower by a factor.
@@ -85,9 +85,9 @@
 }
 
 // Assume adopts what another node has learned, unless this model has readings of its own.
-func (m *Model) Assume(learned Coefficients, pace float64) {
-	if m.samples == 0 && learned.valid() && pace >= lowestPace {
-		m.fitted, m.known, m.pace = learned, true, pace
+func (m *Model) Assume(learned Coefficients, throughput float64) {
+	if m.samples == 0 && learned.valid() && throughput >= minThroughput {
+		m.fitted, m.known, m.throughput = learned, true, throughput
 	}
 }
 
@@ -97,11 +97,11 @@
 		return
 	}
 	m.samples++
-	if len(m.readings) < remembered {
+	if len(m.readings) < maxReadings {
 		m.readings = append(m.readings, reading)
 	} else {
 		m.readings[m.next] = reading
-		m.next = (m.next + 1) % remembered
+		m.next = (m.next + 1) % maxReadings
 	}
 	if m.samples <= refitEvery || m.samples%refitEvery == 0 {
 		m.fit()
@@ -110,9 +110,9 @@
 
 // bounds returns the least and the most time that the prefill itself can have taken, without
 // the queue ahead of it.
-func (m *Model) bounds(reading Reading, pace float64) (least, most float64) {
+func (m *Model) bounds(reading Reading, throughput float64) (least, most float64) {
 	most = reading.milliseconds()
-	return max(most-float64(reading.Ahead)/pace, 0), most
+	return max(most-float64(reading.Ahead)/throughput, 0), most
 }
 
 // fit estimates the coefficients by asymmetric least squares (expectiles: Newey and Powell,
@@ -123,62 +123,62 @@
 	if m.known {
 		base = m.fitted
 	}
-	base = base.Scaled(m.ratio(base))
+	base = base.Scaled(m.scaleFor(base))
 	current := base
-	for range rounds {
-		current = m.step(base, current)
+	for range fitIterations {
+		current = m.reweightedFit(base, current)
 	}
 	if !current.valid() {
 		return
 	}
 	m.fitted, m.known = current, true
-	m.pace = m.paceOf(current)
+	m.throughput = m.throughputOf(current)
 }
 
-// ratio returns how much longer the readings take than terms predict, judged by the fastest of
-// them. It is 1 once there are enough readings to tell the coefficients apart.
-func (m *Model) ratio(terms Coefficients) float64 {
+// scaleFor returns how much longer the readings take than terms predict, judged by the fastest
+// of them. It is 1 once there are enough readings to tell the coefficients apart.
+func (m *Model) scaleFor(coefficients Coefficients) float64 {
 	if m.samples > guessWeight*refitEvery {
 		return 1
 	}
-	ratio, pace := math.Inf(1), m.paceOf(terms)
+	ratio, throughput := math.Inf(1), m.throughputOf(coefficients)
 	for _, reading := range m.readings {
-		_, most := m.bounds(reading, pace)
-		ratio = min(ratio, most/terms.Milliseconds(reading.Tokens, reading.Context))
+		_, most := m.bounds(reading, throughput)
+		ratio = min(ratio, most/coefficients.Milliseconds(reading.Tokens, reading.Context))
 	}
 	return ratio
 }
 
-// paceOf returns the mean throughput of the readings under given coefficients.
-func (m *Model) paceOf(terms Coefficients) float64 {
+// throughputOf returns the mean throughput of the readings under given coefficients.
+func (m *Model) throughputOf(coefficients Coefficients) float64 {
 	tokens, own := 0.0, 0.0
 	for _, reading := range m.readings {
 		tokens += float64(reading.Tokens)
-		own += terms.VariableMilliseconds(reading.Tokens, reading.Context)
+		own += coefficients.VariableMilliseconds(reading.Tokens, reading.Context)
 	}
-	return max(tokens/max(own, 1e-3), lowestPace)
+	return max(tokens/max(own, 1e-3), minThroughput)
 }
 
-// step solves one weighted least-squares problem with the weights that current implies, in
-// which base counts as some readings of its own.
-func (m *Model) step(base, current Coefficients) Coefficients {
+// reweightedFit solves one weighted least-squares problem with the weights that current
+// implies, in which base counts as some readings of its own.
+func (m *Model) reweightedFit(base, current Coefficients) Coefficients {
 	var normal system
-	pace := m.paceOf(current)
+	throughput := m.throughputOf(current)
 	scale := 0.0
 	for _, reading := range m.readings {
 		predicted := current.Milliseconds(reading.Tokens, reading.Context)
-		least, most := m.bounds(reading, pace)
+		least, most := m.bounds(reading, throughput)
 		target, weight := min(max(predicted, least), most), 1.0
 		if target > predicted {
-			weight = excess
+			weight = overrunWeight
 		}
 		weight /= max(predicted, 1) // errors grow with the time
-		normal.add(terms(reading.Tokens, reading.Context), target, weight)
+		normal.add(regressors(reading.Tokens, reading.Context), target, weight)
 		scale += weight
 	}
 	scale *= guessWeight / float64(len(m.readings))
 	for i, term := range []float64{base.Fixed, base.PerThousand, base.PerMillion} {
-		normal.pull(i, term, scale)
+		normal.addPrior(i, term, scale)
 	}
 	solved := normal.solvePositive()
 	return Coefficients{Fixed: solved[0], PerThousand: solved[1], PerMillion: solved[2]}
--- a/internal/latency/system.go
+++ b/internal/latency/system.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// pull adds an observation that one unknown has a value.
-func (s *system) pull(unknown int, value, weight float64) {
+// addPrior adds an observation that one unknown has a value.
+func (s *system) addPrior(unknown int, value, weight float64) {
 	s.matrix[unknown][unknown] += weight
 	s.right[unknown] += weight * value
 }
@@ -39,12 +39,12 @@
 		if solved[lowest] >= 0 {
 			return solved
 		}
-		reduced.drop(lowest)
+		reduced.fixAtZero(lowest)
 	}
 }
 
-// drop removes an unknown from the equations, so that its solution is zero.
-func (s *system) drop(unknown int) {
+// fixAtZero removes an unknown from the equations, so that its solution is zero.
+func (s *system) fixAtZero(unknown int) {
 	for i := range s.right {
 		s.matrix[unknown][i], s.matrix[i][unknown] = 0, 0
 	}
