--- a/internal/scheduling/late.go
+++ b/internal/scheduling/late.go
@@ -53,7 +53,8 @@
 }
 
 // lateView describes the candidates as a late request sees them, which is prefilled after all
-// others. Unsound workers and those without lateView room remain only as sources of cached tokens.
+// others. Unsound workers and those without lateView room remain only as sources of cached
+// tokens.
 func (s *Scheduler) lateView(request Request, candidates []Candidate) []Candidate {
 	spare := make([]Candidate, 0, len(candidates))
 	for _, candidate := range candidates {
@@ -67,9 +68,10 @@
 	return spare
 }
 
-// idleOnly makes engines with a queue sources only, so that idle ones remain to prefill. Where late
-// requests are held it returns nil while fewer than half of the prefill engines are idleOnly: held
-// requests would otherwise take each engine just before a request that can be in time does.
+// idleOnly makes engines with a queue sources only, so that idle ones remain to prefill. Where
+// late requests are held it returns nil while fewer than half of the prefill engines are
+// idleOnly: held requests would otherwise take each engine just before a request that can be in
+// time does.
 func (s *Scheduler) idleOnly(request Request, candidates []Candidate) []Candidate {
 	free := slices.Clone(candidates)
 	readers, busy := 0, 0
--- a/internal/scheduling/reading.go
+++ b/internal/scheduling/reading.go
@@ -18,8 +18,8 @@
 	unread int
 }
 
-// cheapestReading compares prefilling everything that the worker lacks with fetching what another
-// worker has cached.
+// cheapestReading compares prefilling everything that the worker lacks with fetching what
+// another worker has cached.
 func (s *Scheduler) cheapestReading(request Request, candidate Candidate, sources []Candidate) reading {
 	kept := min(candidate.CachedTokens, request.PromptTokens)
 	best := s.readingWith(request, candidate, kept)
@@ -43,8 +43,8 @@
 	return best
 }
 
-// readingWith returns the reading in which all tokens are prefilled except the atHand leading ones,
-// which are cached or fetched.
+// readingWith returns the reading in which all tokens are prefilled except the atHand leading
+// ones, which are cached or fetched.
 func (s *Scheduler) readingWith(request Request, candidate Candidate, atHand int) reading {
 	unread := request.PromptTokens - atHand
 	pace := max(candidate.Throughput, minThroughput)
@@ -67,13 +67,13 @@
 	return s.costs.Move * float64(tokens) / float64(request.PromptTokens) * request.objectiveMilliseconds()
 }
 
-// minThroughput is the least throughput assumed, in tokens per millisecond. It keeps predictions
-// finite.
+// minThroughput is the least throughput assumed, in tokens per millisecond. It keeps
+// predictions finite.
 const minThroughput = 0.1
 
-// bestSource returns the other worker in the same region that has the most of the prompt cached,
-// nil if there is none. It passes over workers that are avoided or rate-limited. Between
-// regions KV cache transfers too slowly to be fetched.
+// bestSource returns the other worker in the same region that has the most of the prompt
+// cached, nil if there is none. It passes over workers that are avoided or rate-limited.
+// Between regions KV cache transfers too slowly to be fetched.
 func bestSource(candidates []Candidate, to Candidate) *Candidate {
 	var found *Candidate
 	for i := range candidates {
--- a/internal/scheduling/regions.go
+++ b/internal/scheduling/regions.go
@@ -155,7 +155,8 @@
 	return yes, no
 }
 
-// markNotHome marks candidates as engines at which other nodes do not look for what is prefilled.
+// markNotHome marks candidates as engines at which other nodes do not look for what is
+// prefilled.
 func markNotHome(candidates []Candidate) []Candidate {
 	for i := range candidates {
 		candidates[i].NotHome = true
@@ -163,12 +164,12 @@
 	return candidates
 }
 
-// crossRegionSlowdown is how many times slower KV cache transfers between regions are than within one,
-// according to the users' descriptions of their links.
+// crossRegionSlowdown is how many times slower KV cache transfers between regions are than
+// within one, according to the users' descriptions of their links.
 const crossRegionSlowdown = 10
 
-// crossRegionExtra returns the time and the price of transferring a whole prompt between two engines
-// beyond those of a transfer within a region, in milliseconds.
+// crossRegionExtra returns the time and the price of transferring a whole prompt between two
+// engines beyond those of a transfer within a region, in milliseconds.
 func (s *Scheduler) crossRegionExtra(request Request, from string, to Candidate) (time, price float64) {
 	if from == to.Region {
 		return 0, 0
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -153,9 +153,9 @@
 	return best
 }
 
-// interferencePrice is the price of a prefill for each request that runs at the decode engine, in
-// milliseconds. Prefill stalls their streams for at most its own duration, which does no harm
-// while it is a small part of the pause allowed between two events.
+// interferencePrice is the price of a prefill for each request that runs at the decode engine,
+// in milliseconds. Prefill stalls their streams for at most its own duration, which does no
+// harm while it is a small part of the pause allowed between two events.
 func (s *Scheduler) interferencePrice(request Request, reading reading) float64 {
 	price := s.costs.Interference * reading.own
 	if request.GapObjective <= 0 {
--- a/internal/scheduling/survey.go
+++ b/internal/scheduling/survey.go
@@ -59,8 +59,8 @@
 	return slices.Concat(preselectReaders(request, readers, factor), runners)
 }
 
-// eligible returns the candidates of each stage that may serve the request: the sound ones, or all
-// that are not excluded if none is sound.
+// eligible returns the candidates of each stage that may serve the request: the sound ones, or
+// all that are not excluded if none is sound.
 func eligible(request Request, candidates []Candidate) []Candidate {
 	var sound, unsound []Candidate
 	for _, candidate := range candidates {
@@ -95,8 +95,8 @@
 	return readers, others
 }
 
-// preselectReaders chooses prefill engines. If the prompt shares enough, the engines at which all
-// nodes look for its content come first, and the others are marked as NotHome.
+// preselectReaders chooses prefill engines. If the prompt shares enough, the engines at which
+// all nodes look for its content come first, and the others are marked as NotHome.
 func preselectReaders(request Request, readers []Candidate, factor int) []Candidate {
 	if request.Content == 0 {
 		return nearest(readers, readersWithoutContent*factor)
