--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -25,37 +25,37 @@
 )
 
 const (
-	// maxReadAnswer bounds the answer of a prompt that was read apart.
+	// maxReadAnswer bounds the body of an answer that is not passed on to the caller.
 	maxReadAnswer = 16 << 10
-	// releaseTimeout bounds the freeing of a handle.
+	// releaseTimeout bounds the request that frees a handle.
 	releaseTimeout = 500 * time.Millisecond
-	// longestRelease bounds the wait for the end of the worker's pause before that; handles
-	// lapse by themselves.
+	// longestRelease bounds the wait for the end of the worker's pause before that request.
+	// Handles expire anyway.
 	longestRelease = 10 * time.Second
 )
 
-// source is a prompt that was read apart for this call.
+// source is a prompt that an engine has prefilled for this call and keeps for another one.
 type source struct {
 	handle Handle
 	reader scheduling.Candidate
 }
 
-// reading is how the worker that runs a call comes by its prompt.
+// reading is how the worker that runs a call gets its prompt.
 type reading struct {
-	// from is where the prompt was read apart, nil where the worker itself reads.
+	// from is the prompt prefilled by another engine, nil if the worker itself prefills.
 	from *source
-	// unread counts the tokens that the worker reads.
+	// unread counts the tokens that the worker prefills.
 	unread int
-	// fetch is the address of a worker that keeps a part of the prompt.
+	// fetch is the address of a worker that has part of the prompt cached.
 	fetch string
 }
 
-// send sends the call to a worker, and returns its answer and what the head of that says.
+// send sends the call to a worker. It returns the answer and what its head says.
 func (s *session) send(ctx context.Context, to scheduling.Candidate, forward Forward) (*workerconn.Answer, Reply, error) {
 	forward.WorkerID = to.ID
 	forward.Remaining = s.remaining()
-	// A late prompt that was read goes on in its turn: what is left is little, and its
-	// memory is held at two engines until then.
+	// Once a late prompt has been prefilled its request no longer yields: little work is left,
+	// and until it runs the prompt takes memory at two engines.
 	forward.Priority, forward.Late = s.call.Priority(), s.late && forward.ReadApart
 	request := &workerconn.Request{
 		Method: s.call.Method, Target: s.call.Target, Host: s.call.Host,
@@ -73,8 +73,8 @@
 	return answer, reply, nil
 }
 
-// readApart lets a worker read the prompt. It returns no handle where that failed;
-// such a call has not run.
+// readApart has the planned reader prefill the prompt. If it fails, the handle is nil and the
+// call provably has not run.
 func (s *session) readApart(ctx context.Context, plan scheduling.Plan) (*Handle, tryEnd) {
 	reader := plan.Reader
 	unread := plan.Unread
@@ -108,9 +108,9 @@
 	return &handle, tryEnd{}
 }
 
-// observeReading records the time that a worker took to read what it lacked of the
-// prompt, fetching a part of it where fetch says from where.
-// Late prompts teach nothing: others that came after them were read first.
+// observeReading records the time that a worker took to prefill what it lacked of the prompt.
+// fetch is the address from which it fetched a part, or empty. Late prompts are not recorded,
+// since prompts that arrived after them were prefilled first.
 func (s *session) observeReading(reader scheduling.Candidate, unread int, fetch string, elapsed time.Duration) {
 	if s.late {
 		return
@@ -127,8 +127,8 @@
 	}
 }
 
-// readFailed ends a reading that got no answer: the call has not run, but the
-// worker may have read in vain.
+// readFailed ends a prefill that got no answer. The call has not run, but the worker may have
+// done the work.
 func (s *session) readFailed(reader scheduling.Candidate, err error) tryEnd {
 	s.excludeUnlessWithheld(reader, err)
 	state := s.brokeOff(reader, err)
@@ -136,8 +136,8 @@
 	return tryEnd{verdict: notRun, worker: reader.ID, err: err, counted: counted, workerState: state}
 }
 
-// brokeOff records that a worker failed a request. Where the worker had the request, it
-// returns what a look at the worker shows.
+// brokeOff records that a worker failed a request. If the worker had received the request, it
+// returns whether the worker still accepts connections.
 func (s *session) brokeOff(failed scheduling.Candidate, err error) workerconn.Liveness {
 	if gone(err) || late(err) || workerconn.Withheld(err) {
 		return ""
@@ -149,8 +149,8 @@
 	return s.endings.inspect(failed)
 }
 
-// excludeUnlessPausing keeps the call from a worker that rejected it. One that named when it
-// takes requests again may get the call then.
+// excludeUnlessPausing excludes a worker that rejected the call, unless the worker said when it
+// takes requests again: it may get the call then.
 func (s *session) excludeUnlessPausing(rejecting scheduling.Candidate) {
 	if !s.registry.IsBackingOff(rejecting.ID) {
 		s.excluded[rejecting.ID] = true
@@ -168,10 +168,10 @@
 	return tryEnd{verdict: notRun, worker: reader.ID, err: errNotExecuted, counted: true}
 }
 
-// release frees a handle that nobody will take.
+// release frees a handle that no engine will fetch.
 func (s *session) release(handle Handle, reader scheduling.Candidate) {
 	limit := s.connectionLimit(s.call)
-	s.turns.CountTurn(reader.ID) // sent all the same: what a worker keeps for nobody weighs more
+	s.turns.CountTurn(reader.ID) // sent despite the rate limit: memory kept for nobody weighs more
 	go func() {
 		time.Sleep(min(s.registry.NoticeState(reader.ID).BackoffRemaining(time.Now()), longestRelease))
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
@@ -184,7 +184,7 @@
 	}()
 }
 
-// run sends the call to the worker that is to answer it.
+// run sends the call to the worker that is to answer it, and passes the answer on.
 func (s *session) run(ctx context.Context, runner scheduling.Candidate, prompt reading) tryEnd {
 	s.attempts++
 	from := prompt.from
@@ -222,13 +222,13 @@
 		s.registry.HandleFetched(from.reader.ID, runner.ID, time.Now())
 	}
 	if !s.call.Route.Streams() || answer.Status >= http.StatusInternalServerError {
-		s.countBegun(time.Now()) // its run has ended already
+		s.countBegun(time.Now()) // its run has already ended
 	}
 	return s.pass(runner, answer, work)
 }
 
-// chargeAgain charges another run of a call that may have run already. It does so before a
-// worker has the call: an answer may take as long as the quota's window.
+// chargeAgain charges for another run of a call that may have run already. It does so before
+// the worker gets the call, because the answer may take as long as the quota's window.
 func (s *session) chargeAgain() quota.Charge {
 	if !s.ranBefore || s.call.Charge.None() {
 		return quota.Charge{}
@@ -237,15 +237,15 @@
 	return s.call.Charge
 }
 
-// giveBack returns a charge of a run that proved not to have been.
+// giveBack refunds the charge for a run that provably did not happen.
 func (s *session) giveBack(charge quota.Charge) {
 	if !charge.None() {
 		s.returned(charge)
 	}
 }
 
-// excludeUnlessWithheld keeps the call from a worker that failed it. One that takes nothing now
-// is left out of plans as long as that lasts.
+// excludeUnlessWithheld excludes a worker that failed the call, unless the request was never
+// sent because the worker accepts nothing now: plans leave it out for as long as that lasts.
 func (s *session) excludeUnlessWithheld(failed scheduling.Candidate, err error) {
 	if !workerconn.Withheld(err) {
 		s.excluded[failed.ID] = true
@@ -261,14 +261,14 @@
 	}
 	s.ranBefore = true
 	if !s.call.Route.Streams() && !gone(err) && !late(err) {
-		// A worker that takes a request and breaks off without an answer has run it as a
-		// rule: most such losses are of answers.
+		// A worker that accepts a request and breaks off without an answer has usually run it:
+		// most of the time only the answer is lost.
 		s.countBegun(time.Now())
 	}
 	return tryEnd{verdict: mayHaveRun, worker: runner.ID, err: err, counted: true, workerState: state}
 }
 
-// rejected ends a try that the worker proved not to have run.
+// rejected ends a try that the worker provably did not run.
 func (s *session) rejected(runner scheduling.Candidate, reply Reply, from *source) tryEnd {
 	err := errNotExecuted
 	switch {
@@ -277,7 +277,7 @@
 		s.excluded[runner.ID] = true
 		s.registry.Failed(runner.ID, time.Now())
 	case from != nil && s.registry.IsBackingOff(runner.ID):
-		s.kept = from // the engine has no room, whoever read the prompt
+		s.kept = from // the engine has no room, whichever engine prefilled the prompt
 		s.registry.Rejected(runner.ID, time.Now())
 	case from != nil:
 		err = errNoHandle
@@ -289,7 +289,7 @@
 	return tryEnd{verdict: notRun, worker: runner.ID, err: err, counted: true}
 }
 
-// finishedWith is the end of a try whose answer was passed on whole.
+// finishedWith is the end of a try whose complete answer was passed on.
 func finishedWith(runner scheduling.Candidate, status int) tryEnd {
 	return tryEnd{verdict: finished, code: result.OK, status: status, worker: runner.ID}
 }
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -1,7 +1,10 @@
-// Package dispatch carries out one request: it asks the scheduler for a plan,
-// sends the request to workers within the limits of attempts, time and retries,
-// and hands the answer to the caller as it comes. A request that may not be
-// repeated is never sent again unless a worker proved that it did not run.
+// Package dispatch carries out one request: it asks the scheduler for a plan, sends the request
+// to workers within its limits of attempts, time and retries, and passes the answer on to the
+// caller as it arrives. A request that must not be repeated is never sent again unless a worker
+// proved that it did not run it.
+//
+// In names, reading a prompt means prefilling it, and a prompt that is read apart is prefilled
+// by another engine (the reader) than the one that runs the request (the runner).
 package dispatch
 
 import (
@@ -21,7 +24,7 @@
 
 // Call is one request of a caller.
 type Call struct {
-	// ID is the caller's, and unique to this try of the caller.
+	// ID is given by the caller and unique to this attempt of the caller.
 	ID     string
 	Method string
 	// Target is the path and query as they were sent.
@@ -32,38 +35,38 @@
 
 	Route   *routing.Route
 	Service *routing.Service
-	// RoutesVersion is that of the configuration which the route is of.
+	// RoutesVersion is the version of the configuration that Route belongs to.
 	RoutesVersion uint64
-	// Tenant is whose request it is, as its API key tells.
+	// Tenant is the owner of the request, found by its API key.
 	Tenant tenant.Tenant
 
-	// Charge is what the request has cost its tenant's quota, none where it has none.
+	// Charge is what the request was charged to its tenant's quota, zero if there is no quota.
 	Charge quota.Charge
 
-	// Prompt lists the parts of a generation's prompt in order; it is empty for
-	// other requests.
+	// Prompt lists the parts of a generation's prompt in order. It is empty for other requests.
 	Prompt       []prefixcache.Part
 	PromptTokens int
-	// OutputTokens is the most that the caller asks for, and ExpectedOutput what it
-	// expects.
+	// OutputTokens is the maximum that the caller asks for, and ExpectedOutput the number of
+	// tokens that it expects.
 	OutputTokens   int
 	ExpectedOutput int
-	// LastEventID is where the caller wants a stream to go on.
+	// LastEventID is the event after which the caller wants a stream to continue.
 	LastEventID string
 
-	// Fingerprint names what the request asks for, whatever its id; the dispatcher sets it.
+	// Fingerprint identifies what the request asks for, regardless of its ID. The dispatcher
+	// sets it.
 	Fingerprint quarantine.Fingerprint
 
 	Arrived time.Time
-	// Deadline is the earlier of the caller's and the route's.
+	// Deadline is the earlier one of the caller's deadline and the route's.
 	Deadline time.Time
 }
 
-// Priority is the rank of the request, zero being the most urgent.
+// Priority is the rank of the request. Zero is the most urgent.
 func (c *Call) Priority() int { return c.Tenant.Priority(c.Route.Priority) }
 
-// patience is the time that is left until the caller leaves unless it gets a further piece
-// of the answer; lastPiece is when it got one, counted from its arrival.
+// patience is the time left until the caller leaves unless it gets more of the answer.
+// lastPiece is when it last got some, counted from its arrival.
 func (c *Call) patience(now time.Time, lastPiece time.Duration) time.Duration {
 	left := c.Deadline.Sub(now)
 	if c.Route.Patience > 0 {
@@ -72,17 +75,17 @@
 	return left
 }
 
-// rank is that by which engines read the prompt while it can be in time.
+// rank is the rank by which engines order the prompt as long as it can be in time.
 func (c *Call) rank() int { return min(c.Priority(), worker.LateRank-1) }
 
-// identified names what the request asks for.
+// identified returns the fingerprint of what the request asks for.
 func (c *Call) identified() quarantine.Fingerprint {
 	content := quarantine.Content{Method: c.Method, Host: c.Host, Target: c.Target, Tenant: c.Tenant.Name(), Body: c.Body}
 	return content.Fingerprint()
 }
 
-// shared returns the tokens of the prompt that other requests may share: all
-// parts but the last, which is the request's own.
+// shared returns the number of prompt tokens that other requests may share: all parts but the
+// last, which is specific to the request.
 func (c *Call) shared() int {
 	if len(c.Prompt) == 0 {
 		return 0
@@ -90,103 +93,104 @@
 	return prefixcache.Tokens(c.Prompt[:len(c.Prompt)-1])
 }
 
-// content names what the prompt shares with others, zero where too little is shared.
+// content identifies the prefix that the prompt shares with others, zero if it is too short.
 func (c *Call) content() uint64 {
 	content, _ := scheduling.Content(c.Prompt)
 	return content
 }
 
-// Handle names a prompt that was read apart.
+// Handle identifies a prompt that one engine prefilled and keeps for another one.
 type Handle struct {
-	// Address is that of the worker that keeps it.
+	// Address is the address of the engine that keeps it.
 	Address string
 	ID      string
 }
 
-// Forward is what a worker is told beside the caller's request.
+// Forward is what a worker is told in addition to the caller's request.
 type Forward struct {
-	// WorkerID is the only worker that may take the request.
+	// WorkerID is the only worker that may accept the request.
 	WorkerID  string
 	Remaining time.Duration
 	Priority  int
-	// Late requests give way to all that are in time.
+	// Late requests yield to all that can be in time.
 	Late bool
-	// ReadApart asks for the prompt to be read and kept, and not to run.
+	// ReadApart asks the worker to prefill and keep the prompt without running the request.
 	ReadApart bool
-	// Source is where the prompt was read apart.
+	// Source is the handle of a prompt that another engine has prefilled, nil if there is none.
 	Source *Handle
-	// FetchFrom is the address of a worker that keeps a part of the prompt.
+	// FetchFrom is the address of a worker that has part of the prompt cached.
 	FetchFrom string
-	// ResumeAfter is the last event that the caller has.
+	// ResumeAfter is the ID of the last event that the caller has received.
 	ResumeAfter string
 }
 
-// Reply is what the head of a worker's answer says.
+// Reply is what status and header of a worker's answer say.
 type Reply struct {
 	// NotExecuted proves that the worker did not run the request.
 	NotExecuted bool
-	// Misdirected tells that another worker has the address.
+	// Misdirected tells that another worker has this address now.
 	Misdirected bool
-	// HasLoad tells that Running and Waiting are given.
+	// HasLoad tells that Running and Waiting are set.
 	HasLoad          bool
 	Running, Waiting int
 	Limit            RateLimit
 }
 
-// RateLimit is what an answer says of how many requests its worker takes.
+// RateLimit is what an answer says of the worker's limit on requests.
 type RateLimit struct {
-	// Named tells that the worker takes no more than PerSecond requests a second from all
-	// nodes together.
+	// Named tells that the answer names a limit: the worker accepts no more than PerSecond
+	// requests a second from all nodes together.
 	Named     bool
 	PerSecond float64
-	// Malformed quotes what can't be read, empty where nothing of that kind was said.
+	// Malformed quotes a limit that cannot be parsed, empty if there is none.
 	Malformed string
 }
 
-// Wire is how workers are spoken to.
+// Wire translates between the dispatcher and the protocol that workers speak.
 type Wire interface {
-	// IDHeader names the header that carries a request's id and is echoed.
+	// IDHeader returns the name of the header that carries a request's ID and that workers
+	// echo.
 	IDHeader() string
-	// ForwardHeader returns the header of a call for a worker.
+	// ForwardHeader returns the header of a call that is sent to a worker.
 	ForwardHeader(call *Call, forward Forward) http.Header
-	// AnswerHeader returns the header of a worker's answer for the caller.
+	// AnswerHeader returns the header of a worker's answer as it is passed on to the caller.
 	AnswerHeader(header http.Header) http.Header
-	// Reply reads the head of an answer.
+	// Reply parses status and header of an answer.
 	Reply(status int, header http.Header) Reply
-	// Handle reads the answer of a prompt that was read apart.
+	// Handle parses the answer of an engine that prefilled a prompt for another one.
 	Handle(address string, body []byte) (Handle, error)
 	// Release returns the request that frees a handle.
 	Release(handle Handle) *workerconn.Request
 }
 
-// Caller receives the answer.
+// Caller receives the answer of a call.
 type Caller interface {
-	// Head gives status, header and length of the body, -1 where it isn't known.
+	// Head sends status, header and length of the body, -1 if the length is unknown.
 	Head(status int, header http.Header, length int64)
-	// Write gives a piece of the body, which is sent on at once.
+	// Write sends a piece of the body without buffering.
 	Write(piece []byte) error
 }
 
 // Outcome is how a call ended.
 type Outcome struct {
-	// Code is OK where a whole answer of a worker was passed on.
+	// Code is OK if a complete answer of a worker was passed on.
 	Code result.Code
-	// Status is that of the worker's answer, zero where none was passed on.
+	// Status is the status of the worker's answer, zero if none was passed on.
 	Status int
-	// HeadGiven tells that the caller has the head of an answer already.
+	// HeadGiven tells that the head of an answer was already sent to the caller.
 	HeadGiven bool
-	// RetryAfter tells a refused caller when to come back.
+	// RetryAfter is the time after which a refused caller should retry.
 	RetryAfter time.Duration
 	// Detail is for the log.
 	Detail string
-	// Attempts counts the workers that were sent the request to run, and MayHaveRun tells
-	// that one of them didn't prove that it has not.
+	// Attempts counts the workers that were sent the request to run it. MayHaveRun tells that
+	// at least one of them did not prove that it has not run it.
 	Attempts   int
 	MayHaveRun bool
-	// First is the time to the first byte of the answer, and Last to the last piece
-	// that was passed on; Gap is the longest pause between two pieces.
+	// First is the time from the arrival to the first byte of the answer and Last that to the
+	// last piece passed on. Gap is the longest pause between two pieces.
 	First, Last, Gap time.Duration
-	// Pieces counts the pieces passed on.
+	// Pieces counts the pieces that were passed on.
 	Pieces int
 }
 
--- a/internal/dispatch/charge_test.go
+++ b/internal/dispatch/charge_test.go
@@ -18,8 +18,7 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// refusingWire speaks to workers that need no header, and takes a 503 as proof that a request
-// didn't run.
+// refusingWire is a protocol without headers in which a 503 proves that a request did not run.
 type refusingWire struct{ Wire }
 
 func (refusingWire) IDHeader() string                            { return "X-Id" }
@@ -30,13 +29,13 @@
 	return Reply{NotExecuted: status == http.StatusServiceUnavailable}
 }
 
-// charged is what a tenant was charged for repeats.
+// charged adds up what a tenant was charged for further runs.
 type charged struct{ cost atomic.Int64 }
 
 func (c *charged) repeated(charge quota.Charge) { c.cost.Add(int64(charge.Cost)) }
 func (c *charged) returned(charge quota.Charge) { c.cost.Add(-int64(charge.Cost)) }
 
-// runAgain runs a call that may have run already at the worker of an address.
+// runAgain runs a call that may have run already at the worker with an address.
 func (c *charged) runAgain(address string) tryEnd {
 	dispatcher := New(Options{
 		Registry: worker.NewRegistry(topology.Map{}), Pool: workerconn.NewPool(), Wire: refusingWire{},
@@ -51,8 +50,9 @@
 	return s.run(context.Background(), scheduling.Candidate{ID: "w", Address: address}, reading{})
 }
 
-// TestRepeatIsChargedBeforeItRuns, since a window may not hold a run that is charged only
-// when its answer comes; and one that proves not to have run is given back.
+// TestRepeatIsChargedBeforeItRuns checks that a further run is charged before the worker gets
+// it, since a quota window must not contain a run that is charged only when its answer arrives,
+// and that a run that provably did not happen is refunded.
 func TestRepeatIsChargedBeforeItRuns(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -85,7 +85,8 @@
 	}
 }
 
-// TestCallerThatLeftBeforeARun: the call has not run, however many workers refused it.
+// TestCallerThatLeftBeforeARun checks that a call whose caller has left counts as not run if
+// all workers that got it refused it.
 func TestCallerThatLeftBeforeARun(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -17,10 +17,10 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// errDeadline is the cause of a context that ended by the call's deadline.
+// errDeadline is the cause of a context that the call's deadline has ended.
 var errDeadline = eris.New("the time for the request is over")
 
-// Dispatcher is safe for concurrent use.
+// Dispatcher serves calls. It is safe for concurrent use.
 type Dispatcher struct {
 	registry  *worker.Registry
 	scheduler *scheduling.Scheduler
@@ -28,35 +28,36 @@
 	wire      Wire
 	log       *logrus.Logger
 	metrics   *Metrics
-	// nodes returns the number of nodes that share the limits.
+	// nodes returns the number of nodes among which limits are divided.
 	nodes    func() int
 	accounts LoadReports
 	terms    retry.Limits
 	endings  *endings
-	// quarantine knows the requests under which workers ended.
+	// quarantine knows the requests that crash workers.
 	quarantine Quarantine
 	turns      Turns
-	// knowledge tells how old what decides a request is.
+	// knowledge returns the versions and ages of the data that decisions are based on.
 	knowledge func() Freshness
-	// began counts a request of a tenant that a worker has begun to run.
+	// began counts a tenant's request that a worker has begun to run.
 	began func(tenant string, at time.Time)
 	// repeated charges for another run of a call that may have run already.
 	repeated func(charge quota.Charge)
-	// returned gives such a charge back.
+	// returned refunds such a charge.
 	returned func(charge quota.Charge)
 
 	mu      sync.Mutex
 	budgets map[string]*retry.Budget
-	// outages are the times, by service, in which no worker ran a call.
+	// outages estimates, by service, how long no worker will run calls.
 	outages map[string]*retry.Outage
-	// returning is, by service, until when turns are promised to callers that were refused one.
+	// returning is the time, by service, up to which turns are promised to callers that were
+	// refused one.
 	returning map[string]time.Time
 	// lateWaiters counts, by service, the calls that wait for the end of a pause although they
 	// will be late.
 	lateWaiters map[string]int
 }
 
-// Options are what a dispatcher works with.
+// Options configures a dispatcher.
 type Options struct {
 	Registry  *worker.Registry
 	Scheduler *scheduling.Scheduler
@@ -65,34 +66,36 @@
 	Log       *logrus.Logger
 	Metrics   *Metrics
 	Nodes     func() int
-	// LoadReports may be nil where there are no other nodes.
+	// LoadReports may be nil if there are no other nodes.
 	LoadReports LoadReports
 	Retries     retry.Limits
 	// Freshness may be nil.
 	Freshness func() Freshness
-	// Began is told of each request that a worker has begun to run, once, with the name of
+	// Began is called once for each request that a worker has begun to run, with the name of
 	// its tenant. It may be nil.
 	Began func(tenant string, at time.Time)
-	// Repeated is told of each further run of a request that may have run already, with
-	// what it was charged, before a worker has it. It may be nil.
+	// Repeated is called before a worker gets a request that may have run already, with the
+	// charge for this further run. It may be nil.
 	Repeated func(charge quota.Charge)
-	// Returned is told of each of them that proved not to have run. It may be nil.
+	// Returned is called with the charge of each such run that provably did not happen. It may
+	// be nil.
 	Returned func(charge quota.Charge)
-	// Quarantine keeps requests under which workers end away from workers. It may be nil.
+	// Quarantine keeps requests that crash workers away from them. It may be nil.
 	Quarantine Quarantine
-	// Turns are those at workers that take no more than so many requests a second. It may be
-	// nil where there are none.
+	// Turns grants turns at workers that limit their request rate. It may be nil if there are
+	// none.
 	Turns Turns
 }
 
-// Freshness tells versions and ages of what a node decides by, for the log.
+// Freshness holds versions and ages of the data that a node's decisions are based on, for the
+// log.
 type Freshness struct {
-	// Workers is the version of the list of workers, and WorkersAge the time since
-	// the platform confirmed it.
+	// Workers is the version of the worker list, and WorkersAge the time since the platform
+	// last confirmed it.
 	Workers    uint64
 	WorkersAge time.Duration
-	// DigestAge is the time since the node least lately heard told its load; zero
-	// where there is no other node.
+	// DigestAge is the time since the last load message of the node that has been silent the
+	// longest, zero if there is no other node.
 	DigestAge time.Duration
 }
 
@@ -146,15 +149,15 @@
 	}
 }
 
-// first records the first sending of a call, which earns the budget a share of a
-// repeat.
+// first records that a call is sent for the first time, which earns its service a fraction of a
+// retry.
 func (d *Dispatcher) first(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.budget(service).RecordRequest(d.nodes(), time.Now())
 }
 
-// spend takes a repeat out of the service's budget.
+// spend takes a retry from the service's budget. It returns false if none is left.
 func (d *Dispatcher) spend(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,7 +173,7 @@
 	return budget
 }
 
-// connectionLimit is this node's share of the connections to one worker.
+// connectionLimit is this node's share of the connections to one worker, zero for no limit.
 func (d *Dispatcher) connectionLimit(call *Call) int {
 	if call.Service.MaxConnections == 0 {
 		return 0
@@ -178,7 +181,7 @@
 	return max(call.Service.MaxConnections*9/10/max(d.nodes(), 1), 2)
 }
 
-// Run serves a call to its end.
+// Run serves a call until it has ended.
 func (d *Dispatcher) Run(parent context.Context, call *Call, caller Caller) Outcome {
 	ctx, cancel := context.WithDeadlineCause(parent, call.Deadline, errDeadline)
 	defer cancel()
@@ -226,13 +229,13 @@
 	}
 }
 
-// gone reports whether an error is due to the caller's leaving.
+// gone reports whether an error means that the caller has left.
 func gone(err error) bool { return errors.Is(err, context.Canceled) }
 
-// late reports whether an error is due to the call's deadline.
+// late reports whether an error means that the call's deadline has passed.
 func late(err error) bool { return errors.Is(err, errDeadline) }
 
-// codeOfLost is the code of a call that was sent and whose answer can't be had.
+// codeOfLost returns the code of a call that was sent and whose answer is lost.
 func codeOfLost(err error, repeatable bool) result.Code {
 	switch {
 	case gone(err):
--- a/internal/dispatch/endings.go
+++ b/internal/dispatch/endings.go
@@ -16,29 +16,30 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// The figures of looks at workers whose answers broke off.
+// A look is a probe of a worker whose answer broke off, to learn whether the worker has ended.
 const (
-	// lookPatience is for how long a request waits to learn whether its worker has ended
-	// before it goes on elsewhere: the way to another region and back is 24 ms, and the
-	// shortest objective of a first byte 300 ms.
+	// lookPatience is how long a request waits to learn whether its worker has ended before it
+	// is sent elsewhere. The round trip to another region is 24 ms, and the shortest objective
+	// for a first byte is 300 ms.
 	lookPatience = 30 * time.Millisecond
-	// lookLife is how long a look at a worker that hasn't ended serves others whose answers
-	// broke off there: all that a worker ran break off within some milliseconds.
+	// lookLife is how long the result of a look at a worker that has not ended is valid for
+	// other requests whose answers broke off there. When a worker ends, all its answers break
+	// off within some milliseconds.
 	lookLife = 100 * time.Millisecond
 	// maxLooks bounds the looks that are remembered.
 	maxLooks = 1000
 )
 
-// look is one look at a worker.
+// look is one probe of a worker, under way or done.
 type look struct {
 	begun time.Time
-	// done is closed once liveness is known.
+	// done is closed once liveness is set.
 	done     chan struct{}
 	liveness workerconn.Liveness
 }
 
-// isDone reports whether it is known what the look showed, and isDead whether that is an
-// end.
+// isDone reports whether the look has a result, and isDead whether the result is that the
+// worker has ended.
 func (l *look) isDone() bool {
 	select {
 	case <-l.done:
@@ -50,23 +51,23 @@
 
 func (l *look) isDead() bool { return l.isDone() && l.liveness == workerconn.Dead }
 
-// serves reports whether a look tells of a worker at a time: one that has ended does not
-// come back under the same id.
+// serves reports whether a look is still valid at a time. A worker that has ended does not come
+// back under the same ID.
 func (l *look) serves(now time.Time) bool {
 	return !l.isDone() || l.isDead() || now.Sub(l.begun) < lookLife
 }
 
-// run is a request that a worker was given.
+// run is a request that a worker is running.
 type run struct {
 	request quarantine.Fingerprint
-	// suspected tells that workers had ended under it before.
+	// suspected tells that workers have crashed while running it before.
 	suspected bool
 	// answering tells that the worker has begun to answer.
 	answering atomic.Bool
 }
 
-// endings knows what this node runs at each worker, and finds out which of those whose
-// answers broke off have ended. It is safe for concurrent use.
+// endings knows the requests that this node runs at each worker, and finds out which workers
+// have ended when their answers break off. It is safe for concurrent use.
 type endings struct {
 	probe func(ctx context.Context, address string) workerconn.Liveness
 	// drains reports whether a worker is known to end as planned.
@@ -87,7 +88,7 @@
 	}
 }
 
-// begin records that a worker is given a request, and end that it isn't any more.
+// begin records that a worker is given a request, and end that it no longer has it.
 func (e *endings) begin(worker string, request quarantine.Fingerprint, suspected bool) *run {
 	begun := &run{request: request, suspected: suspected}
 	e.mu.Lock()
@@ -108,7 +109,7 @@
 	}
 }
 
-// suspects counts the suspected requests that a worker runs for this node.
+// suspects counts the suspected requests that a worker is running for this node.
 func (e *endings) suspects(worker string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,10 +122,10 @@
 	return count
 }
 
-// answered records that a worker has run a request to an end that it was given at a time. One
-// that was taken for ended lives: its address may refuse a connection for other reasons. A
-// worker that may start again under its name says nothing of before by a request that it was
-// given after that.
+// answered records that a worker completed a request that it was given at a time. If a look has
+// found the worker ended, that was a mistake, since an address may refuse a connection for
+// other reasons, and the quarantine is told. A worker whose ID names an incarnation may have
+// started again under its name: then only a request given before the look shows a mistake.
 func (e *endings) answered(id string, given, now time.Time) {
 	e.mu.Lock()
 	known, exists := e.looks[id]
@@ -138,8 +139,8 @@
 	}
 }
 
-// inspect tells whether a worker has ended whose answer broke off, as far as that is known
-// within lookPatience. The worker is looked at once for all that it ran.
+// inspect reports whether a worker whose answer broke off has ended, as far as that is known
+// within lookPatience. All requests that the worker ran share one look.
 func (e *endings) inspect(worker scheduling.Candidate) workerconn.Liveness {
 	seen := e.look(worker)
 	timer := time.NewTimer(lookPatience)
@@ -152,7 +153,7 @@
 	}
 }
 
-// look returns the look that serves, or begins one.
+// look returns a look that is still valid, or begins one.
 func (e *endings) look(worker scheduling.Candidate) *look {
 	now := time.Now()
 	e.mu.Lock()
@@ -168,7 +169,7 @@
 	return begun
 }
 
-// forget makes room for a look: the oldest one goes.
+// forget drops the oldest look if there is no room for another.
 func (e *endings) forget() {
 	if len(e.looks) < maxLooks {
 		return
@@ -182,7 +183,7 @@
 	delete(e.looks, oldest)
 }
 
-// carryOut looks at a worker, and tells of its end and of what it ran.
+// carryOut probes a worker. If the worker has crashed it reports the requests that it ran.
 func (e *endings) carryOut(begun *look, worker scheduling.Candidate, ran []*run) {
 	drains := e.drains(worker.ID)
 	begun.liveness = e.probe(context.Background(), worker.Address)
@@ -198,8 +199,8 @@
 	}).Warn("worker looked at: answers broke off")
 }
 
-// crashesOf tells of a worker's end for each request that it ran. It was answering one that
-// it ran several times if it answered each.
+// crashesOf returns one crash of the worker for each request that it ran. If it ran one several
+// times, it counts as answering that only if it was answering each of them.
 func crashesOf(worker scheduling.Candidate, ran []*run) map[quarantine.Fingerprint]quarantine.Crash {
 	crashes := make(map[quarantine.Fingerprint]quarantine.Crash, len(ran))
 	for _, running := range ran {
@@ -210,7 +211,7 @@
 	return crashes
 }
 
-// maxLogged bounds the fingerprints in one line of the log.
+// maxLogged bounds the fingerprints in one log line.
 const maxLogged = 32
 
 func rendered(crashes map[quarantine.Fingerprint]quarantine.Crash) []string {
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -16,7 +16,7 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// fingerprintOf makes a fingerprint up.
+// fingerprintOf returns a made-up fingerprint.
 func fingerprintOf(name string) quarantine.Fingerprint {
 	return quarantine.Content{Target: name}.Fingerprint()
 }
@@ -27,14 +27,15 @@
 	return log
 }
 
-// newTestEndings returns endings that find workers as probe says.
+// newTestEndings returns endings whose looks find what probe returns.
 func newTestEndings(probe func(ctx context.Context, address string) workerconn.Liveness) *endings {
 	e := newEndings(func(string) bool { return false }, noQuarantine{}, quietLogger(), NewMetrics(prometheus.NewRegistry()))
 	e.probe = probe
 	return e
 }
 
-// TestEndedWorkerIsLookedAtOnce, however many of its answers broke off.
+// TestEndedWorkerIsLookedAtOnce checks that a worker is probed once, however many of its
+// answers broke off.
 func TestEndedWorkerIsLookedAtOnce(t *testing.T) {
 	var mu sync.Mutex
 	looks := 0
@@ -60,8 +61,8 @@
 	}
 }
 
-// TestLookHoldsNoRequestUp: a worker that gives no answer is left for what it is, though
-// the look goes on.
+// TestLookHoldsNoRequestUp checks that a request does not wait for a probe that gets no answer,
+// although the probe goes on.
 func TestLookHoldsNoRequestUp(t *testing.T) {
 	answered := make(chan struct{})
 	e := newTestEndings(func(context.Context, string) workerconn.Liveness {
@@ -90,7 +91,7 @@
 	}
 }
 
-// told records for which workers a quarantine is told that they live.
+// told records the workers that a quarantine is told are alive.
 type told struct {
 	noQuarantine
 	lives []string
@@ -98,9 +99,9 @@
 
 func (q *told) Lives(worker string, _ time.Time) { q.lives = append(q.lives, worker) }
 
-// TestAnswerOfALaterStartDoesNotUndoAnEnd: a worker that ended is back under its name, and the
-// list that tells of it comes later than its answers. A run that was given to it before it
-// was taken for ended shows a mistake.
+// TestAnswerOfALaterStartDoesNotUndoAnEnd guards against taking the answers of a restarted
+// worker for a sign that it never ended: they arrive before the worker list tells of the new
+// incarnation. Only a request given to it before the look shows that the look was mistaken.
 func TestAnswerOfALaterStartDoesNotUndoAnEnd(t *testing.T) {
 	for id, want := range map[string]int{"w": 2, worker.IncarnationID("w", 7): 1} {
 		quarantined := &told{}
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -2,8 +2,8 @@
 
 import "bytes"
 
-// eventCutter cuts a stream of server-sent events into whole events, so that a
-// caller never gets part of an event of a worker that breaks off.
+// eventCutter splits a stream of server-sent events at event boundaries, so that a caller never
+// gets part of an event from a worker that breaks off.
 type eventCutter struct {
 	pending []byte
 	last    []byte
@@ -14,7 +14,7 @@
 	idField  = []byte("id:")
 )
 
-// add takes a piece of the stream and returns the events that are whole now.
+// add takes a piece of the stream and returns the events that are complete now.
 func (c *eventCutter) add(piece []byte) []byte {
 	c.pending = append(c.pending, piece...)
 	end := bytes.LastIndex(c.pending, eventEnd)
@@ -27,10 +27,10 @@
 	return whole
 }
 
-// rest returns what follows the last whole event.
+// rest returns what follows the last complete event.
 func (c *eventCutter) rest() []byte { return c.pending }
 
-// lastID returns the id of the last event given out, or known where it had none.
+// lastID returns the ID of the last event returned by add, or known if it had none.
 func (c *eventCutter) lastID(known string) string {
 	lines := bytes.Split(c.last, []byte("\n"))
 	for i := len(lines) - 1; i >= 0; i-- {
--- a/internal/dispatch/events_test.go
+++ b/internal/dispatch/events_test.go
@@ -8,8 +8,8 @@
 
 const streamText = "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n: note\n\nid:3\ndata: d\n\nid: 4\ndata: cut"
 
-// TestEventCutterGivesWholeEvents: however a stream is cut into pieces, what is
-// given out are whole events, and the last id is theirs.
+// TestEventCutterGivesWholeEvents checks that, however a stream is split into pieces, only
+// complete events are returned and the last ID is theirs.
 func TestEventCutterGivesWholeEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cutter, given, last := &eventCutter{}, "", "0"
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -21,7 +21,7 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// sendingWire speaks to workers without headers of its own.
+// sendingWire is a protocol without headers that signals each request that is sent.
 type sendingWire struct{ sent chan struct{} }
 
 func (sendingWire) IDHeader() string                            { return "" }
@@ -40,7 +40,7 @@
 	return http.Header{}
 }
 
-// sink takes answers.
+// sink collects answers.
 type sink struct{ strings.Builder }
 
 func (s *sink) Head(int, http.Header, int64) {}
@@ -50,11 +50,11 @@
 	return err
 }
 
-// lateEvents tell of each plan that is made and of each sending to a worker.
+// lateEvents signals each plan that is made and each request that is sent to a worker.
 type lateEvents struct{ planned, sent chan struct{} }
 
-// lateSetting is a dispatcher with one engine that reads and one that writes, and a call
-// that can't be in time at either.
+// lateSetting returns a dispatcher with a prefill and a decode engine, and a call that cannot
+// be in time at either.
 func lateSetting(t *testing.T) (*Dispatcher, *worker.Registry, *Call, lateEvents) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -91,14 +91,15 @@
 	return dispatcher, registry, call, events
 }
 
-// queueAt is what others have placed on both engines. It is less where prompts are read, so
-// that this is the way chosen.
+// queueAt sets what others have placed on both engines. The queue is shorter at the prefill
+// engine, so that the prompt is read apart.
 func queueAt(registry *worker.Registry, change func(string, worker.Load)) {
 	change("read", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 20_000)})
 	change("write", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 400_000)})
 }
 
-// TestLateCallIsHeldUntilAnEngineIsFree, where it was refused.
+// TestLateCallIsHeldUntilAnEngineIsFree checks that a late call waits for an engine and is not
+// refused.
 func TestLateCallIsHeldUntilAnEngineIsFree(t *testing.T) {
 	dispatcher, registry, call, events := lateSetting(t)
 	queueAt(registry, registry.Begin)
@@ -119,7 +120,8 @@
 	}
 }
 
-// TestHeldCallEndsWithItsCaller.
+// TestHeldCallEndsWithItsCaller checks that a held call ends when its caller leaves and is not
+// sent.
 func TestHeldCallEndsWithItsCaller(t *testing.T) {
 	dispatcher, registry, call, events := lateSetting(t)
 	queueAt(registry, registry.Begin)
@@ -133,7 +135,8 @@
 	}
 }
 
-// TestLateCallsAreReadLast, behind the least urgent route.
+// TestLateCallsAreReadLast checks that late calls are prefilled after those of the least urgent
+// route.
 func TestLateCallsAreReadLast(t *testing.T) {
 	for _, example := range []struct {
 		priority int
@@ -147,7 +150,8 @@
 	}
 }
 
-// TestPatienceCountsFromTheLastPiece, and ends with the deadline.
+// TestPatienceCountsFromTheLastPiece checks that patience restarts with each piece of the
+// answer and ends with the deadline.
 func TestPatienceCountsFromTheLastPiece(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	call := &Call{Route: &routing.Route{Patience: 2 * time.Second}, Arrived: arrived, Deadline: arrived.Add(5 * time.Second)}
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -14,19 +14,19 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// Turns are those at workers that take no more than so many requests a second from all nodes
-// together.
+// Turns grants turns: rate-limit slots at workers that accept no more than some number of
+// requests a second from all nodes together.
 type Turns interface {
-	// TakeTurn asks for a request's turn at a worker, for which it can wait for a time. A turn
-	// that was given is the request's alone; it comes after the verdict's delay.
+	// TakeTurn asks for a turn at a worker for a request that can wait for at most patience. A
+	// granted turn belongs to the request alone. It comes after the outcome's delay.
 	TakeTurn(ctx context.Context, worker string, patience time.Duration) quota.Outcome
-	// ReturnTurn gives a turn back: the worker got nothing.
+	// ReturnTurn gives a turn back that was not used because the worker got nothing.
 	ReturnTurn(worker string)
-	// CountTurn counts a request that a worker gets without its turn, if it has a limit.
+	// CountTurn counts a request that a worker gets without a turn, if the worker has a limit.
 	CountTurn(worker string)
 }
 
-// noTurns are those of a node that no worker has told of a limit.
+// noTurns grants every turn at once. A node uses it if no worker has a limit.
 type noTurns struct{}
 
 func (noTurns) TakeTurn(context.Context, string, time.Duration) quota.Outcome {
@@ -35,19 +35,19 @@
 func (noTurns) ReturnTurn(string) {}
 func (noTurns) CountTurn(string)  {}
 
-// The figures of turns.
+// Parameters of turns.
 const (
-	// turnShare is the share of the time that is left until an answer is late for which a call
-	// of the highest rank waits for its turn. Each rank below waits half as long, so that the
-	// queue before a worker never keeps the more urgent out. A longer queue would have all that
-	// is served come late.
+	// turnShare is the fraction of the time left until an answer is late for which a call of
+	// the highest rank waits for its turn. Each lower rank waits half as long, so that the
+	// queue at a worker never keeps more urgent calls out. With a longer queue, all calls that
+	// are served would be late.
 	turnShare = 0.6
-	// turnMargin is added to the expected wait: others may have taken turns meanwhile.
+	// turnMargin is added to the expected wait, since others may have taken turns meanwhile.
 	turnMargin = 50 * time.Millisecond
-	// maxTurns bounds the turns that are asked for one call: each is a question to another
-	// node.
+	// maxTurns bounds the turns that are asked for on behalf of one call. Each one takes a
+	// question to another node.
 	maxTurns = 8
-	// longestReturn bounds when a refused caller is told to come back.
+	// longestReturn bounds the time after which a refused caller is told to retry.
 	longestReturn = 8 * time.Second
 )
 
@@ -61,14 +61,14 @@
 	return time.Duration(float64(time.Second) / max(at.PerSecond, worker.MinRate))
 }
 
-// longestTurn is for how long the call may wait for its turn at a worker: as long as it can be
-// in time, or to be the next one there, while its caller is there.
+// longestTurn is how long the call may wait for its turn at a worker: until it would be late,
+// but at least until the next turn there, and no longer than its caller stays.
 func (s *session) longestTurn(at scheduling.Candidate) time.Duration {
 	return min(max(s.longestWait(), turnEvery(at)), s.longestStay())
 }
 
-// inTurn leaves out the workers whose turn comes too late for the call, and all that take turns
-// once it has asked for many.
+// inTurn drops the workers whose turn comes too late for the call. Once the call has asked for
+// maxTurns turns it drops all workers that have a limit.
 func (s *session) inTurn(candidates []scheduling.Candidate) []scheduling.Candidate {
 	s.nextTurn, s.turnsASecond = 0, 0
 	isLimited := func(c scheduling.Candidate) bool { return c.Limited }
@@ -90,8 +90,8 @@
 	})
 }
 
-// untilTurn makes a plan that found no worker one that tells when there is a turn for the caller
-// at those that were left out.
+// untilTurn adds to a refusal for lack of workers when the caller can have a turn at those that
+// inTurn has dropped.
 func (s *session) untilTurn(plan scheduling.Plan) scheduling.Plan {
 	if plan.Mode == scheduling.Refused && plan.Reason != scheduling.TooLate && s.nextTurn > 0 {
 		plan.Reason, plan.RetryAfter = scheduling.Limited, s.promiseTurn(s.call.Service.Name, s.nextTurn, s.turnsASecond)
@@ -99,9 +99,9 @@
 	return plan
 }
 
-// promiseTurn returns when a refused caller of a service is to come back: after those that were
-// refused here before it, as fast as this node's part of the turns of all workers comes. All of
-// them would else come back at once, and be refused again.
+// promiseTurn returns the time after which a refused caller of a service should retry. Callers
+// are scheduled one after the other, at this node's share of the rate of all workers, since
+// they would otherwise all retry at once and be refused again.
 func (d *Dispatcher) promiseTurn(service string, next time.Duration, perSecond float64) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -122,9 +122,10 @@
 	return right
 }
 
-// takeTurns has the call take its turns at the workers of a plan. It reports false where it is
-// to be planned again. The turn of the one that is to run a prompt which another reads is taken
-// first: a prompt is not read for nothing, and the wait for it passes meanwhile.
+// takeTurns takes the call's turns at the workers of a plan and waits for them. It returns
+// false if the call has to be planned again. The turn at the runner of a prompt that is read
+// apart is taken first, so that no prompt is prefilled in vain and the wait for it overlaps
+// with the prefill.
 func (s *session) takeTurns(ctx context.Context, plan scheduling.Plan) (taken bool, err error) {
 	if plan.Mode == scheduling.Whole || s.kept != nil {
 		return s.takeTurn(ctx, plan.Runner)
@@ -139,9 +140,8 @@
 	return taken, err
 }
 
-// takeTurn has the call wait for its turn at a worker that takes no more than so many requests
-// a second. It reports false where it is to be planned again: the worker takes none so soon, or
-// may not be used any more.
+// takeTurn takes the call's turn at a worker and waits for it. It returns false if the call has
+// to be planned again, because no turn comes in time or the worker must not be used any more.
 func (s *session) takeTurn(ctx context.Context, at scheduling.Candidate) (taken bool, err error) {
 	if taken, err := s.askTurn(ctx, at); !taken || err != nil {
 		return false, err
@@ -149,8 +149,8 @@
 	return s.awaitTurn(ctx, at)
 }
 
-// askTurn asks for a turn at a worker, where it takes turns. It reports false where none comes
-// in time.
+// askTurn takes a turn at a worker if the worker has a limit. It returns false if none comes in
+// time.
 func (s *session) askTurn(ctx context.Context, at scheduling.Candidate) (taken bool, err error) {
 	if _, held := s.turnsHeld[at.ID]; held || !s.registry.HasLimit(at.ID) {
 		return true, nil
@@ -172,8 +172,8 @@
 	return true, nil
 }
 
-// awaitTurn waits for a turn that was taken. It gives the turn back, and reports false, where the
-// worker may not be used any more.
+// awaitTurn waits for a turn that was taken. If the worker must not be used any more, it gives
+// the turn back and returns false.
 func (s *session) awaitTurn(ctx context.Context, at scheduling.Candidate) (taken bool, err error) {
 	turn, held := s.turnsHeld[at.ID]
 	wait := time.Until(turn)
@@ -199,7 +199,8 @@
 	clear(s.turnsHeld)
 }
 
-// usedTurn records that the call was sent with its turn, or that its worker got nothing.
+// usedTurn records that the call was sent in its turn. If the worker got nothing, the turn is
+// given back.
 func (s *session) usedTurn(id string, err error) {
 	_, held := s.turnsHeld[id]
 	if held && err != nil && workerconn.Unsent(err) {
@@ -209,7 +210,7 @@
 }
 
 // turnAtRunner chooses the engine that runs a prompt which was read apart, and takes the call's
-// turn there: the one at which it has a turn already, if that can still be used.
+// turn there. It keeps the planned runner if the call has a turn there that can still be used.
 func (s *session) turnAtRunner(ctx context.Context, plan scheduling.Plan) (scheduling.Plan, error) {
 	if _, held := s.turnsHeld[plan.Runner.ID]; held && s.registry.IsUsable(plan.Runner.ID) {
 		if taken, err := s.awaitTurn(ctx, plan.Runner); taken || err != nil {
@@ -238,10 +239,10 @@
 	}).Info("turn at a limited worker")
 }
 
-// observeLimit takes in what the head of an answer says of its worker's limit. The request was
-// sent at a time, and the head came now. An answer that names none ends the limit only where
-// the worker has run the request: others may come from the way to it, or from another worker at
-// its address.
+// observeLimit records what the head of an answer says of its worker's limit. The request was
+// sent at the given time and the head has just arrived. An answer without a limit ends the
+// limit only if the worker has run the request: other answers may come from a proxy in between
+// or from another worker at the same address.
 func (s *session) observeLimit(id string, status int, reply Reply, sent time.Time) {
 	limit := reply.Limit
 	ran := !reply.NotExecuted && !reply.Misdirected && status < http.StatusInternalServerError
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -10,7 +10,7 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// noTurnAt are turns of which one worker has none.
+// noTurnAt grants turns at all workers but one.
 type noTurnAt struct{ worker string }
 
 func (n noTurnAt) TakeTurn(_ context.Context, worker string, _ time.Duration) quota.Outcome {
@@ -19,12 +19,13 @@
 func (noTurnAt) ReturnTurn(string) {}
 func (noTurnAt) CountTurn(string)  {}
 
-// TestPromptIsNotReadWithoutATurnToRun: the engine that is to run it takes no more.
+// TestPromptIsNotReadWithoutATurnToRun checks that no prompt is prefilled while the engine that
+// is to run it has no turn left.
 func TestPromptIsNotReadWithoutATurnToRun(t *testing.T) {
 	dispatcher, registry, call, events := lateSetting(t)
 	dispatcher.turns = noTurnAt{"write"}
 	call.Route.Objective = time.Minute
-	registry.Begin("write", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 400_000)}) // read apart, then
+	registry.Begin("write", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 400_000)}) // so that the prompt is read apart
 	now := time.Now()
 	registry.ObserveLimit("write", "request", worker.LimitStatement{Named: true, Rate: 1, Sent: now, Heard: now})
 	outcome := dispatcher.Run(context.Background(), call, &sink{})
@@ -33,8 +34,8 @@
 	}
 }
 
-// TestRefusedCallersComeBackOneAfterTheOther: told the same time, all but one of them would be
-// refused again.
+// TestRefusedCallersComeBackOneAfterTheOther checks that refused callers are told different
+// times. Otherwise all but one of them would be refused again.
 func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
 	const nodes, perSecond = 3, 6
 	d := &Dispatcher{nodes: func() int { return nodes }, returning: make(map[string]time.Time)}
@@ -57,8 +58,8 @@
 	}
 }
 
-// TestWorkersWhoseTurnIsLateAreLeftOut, the more urgent calls waiting longer, and each at least
-// as long as to be the next.
+// TestWorkersWhoseTurnIsLateAreLeftOut checks that more urgent calls wait longer for a turn,
+// and that each waits at least until the next one.
 func TestWorkersWhoseTurnIsLateAreLeftOut(t *testing.T) {
 	setting, _, call, _ := lateSetting(t)
 	call.Route.Objective, call.Deadline = 4*time.Second, time.Now().Add(8*time.Second)
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -7,18 +7,18 @@
 	"github.com/tinarch/tinarch/internal/scheduling"
 )
 
-// Metrics count what the dispatcher decides.
+// Metrics counts the decisions of the dispatcher and what becomes of them.
 type Metrics struct {
 	Plans *prometheus.CounterVec
-	// Reaches count them by why they are for their region.
+	// Reaches counts the plans by region and by why that region was chosen.
 	Reaches  *prometheus.CounterVec
 	Failures *prometheus.CounterVec
 	Late     prometheus.Counter
-	// Breaks count the looks at workers whose answers broke off, by what they showed.
+	// Breaks counts the looks at workers whose answers broke off, by the state found.
 	Breaks *prometheus.CounterVec
-	// Turns count the requests for a turn at a worker with a limit, by what became of them.
+	// Turns counts the turns asked for at workers with a limit, by their outcome.
 	Turns *prometheus.CounterVec
-	// MalformedLimits count the answers whose limit can't be read.
+	// MalformedLimits counts the answers whose limit cannot be parsed.
 	MalformedLimits prometheus.Counter
 }
 
--- a/internal/dispatch/outages.go
+++ b/internal/dispatch/outages.go
@@ -8,12 +8,13 @@
 	"github.com/tinarch/tinarch/internal/retry"
 )
 
-// returnPart is the part of the time until a service is expected back over which callers come
-// back after that.
+// returnPart is the length of the interval, as a fraction of the time until a service is
+// expected back, over which callers are told to retry after that time.
 const returnPart = 0.5
 
-// observeOutage records how a call ended. Where no worker ran it, it returns when its caller may
-// find the service back, zero where it doesn't seem to be away.
+// observeOutage records how a call ended. If no worker ran the call, it returns the time after
+// which the caller may find the service back, zero if the service does not seem to be
+// unavailable.
 func (s *session) observeOutage(code result.Code) time.Duration {
 	switch code {
 	case result.OK:
@@ -24,8 +25,8 @@
 	return 0
 }
 
-// expectedBack records that no worker ran the call, and returns when its caller may find the
-// service back.
+// expectedBack records that no worker ran the call, and returns the time after which the caller
+// may find the service back.
 func (s *session) expectedBack() time.Duration {
 	var left time.Duration
 	s.outageOf(func(outage *retry.Outage) {
@@ -36,7 +37,7 @@
 	return left + time.Duration(returnPart*rand.Float64()*float64(left))
 }
 
-// outageOf uses what is known of the outages of the call's service.
+// outageOf calls use with the outage estimate of the call's service.
 func (s *session) outageOf(use func(outage *retry.Outage)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/dispatch/pass.go
+++ b/internal/dispatch/pass.go
@@ -14,17 +14,17 @@
 const (
 	// pieceBytes is how much of an answer is read at once.
 	pieceBytes = 16 << 10
-	// heldBytes is the largest answer that is read whole before its head is passed
-	// on, so that one that breaks off may still be fetched elsewhere.
+	// heldBytes is the largest answer that is read completely before its head is passed on, so
+	// that the call can be sent elsewhere if the answer breaks off.
 	heldBytes = 64 << 10
 )
 
-// errCallerWrite tells that the caller does not take the answer any more.
+// errCallerWrite means that writing to the caller failed because it has left.
 type errCallerWrite struct{ cause error }
 
 func (e errCallerWrite) Error() string { return "the caller left: " + e.cause.Error() }
 
-// pass hands a worker's answer to the caller.
+// pass passes a worker's answer on to the caller.
 func (s *session) pass(runner scheduling.Candidate, answer *workerconn.Answer, load *work) tryEnd {
 	failed := answer.Status >= http.StatusInternalServerError
 	if failed {
@@ -69,8 +69,8 @@
 	return tryEnd{verdict: mayHaveRun, worker: runner.ID, err: err, counted: true, workerState: state}
 }
 
-// passWhole reads a short answer to its end before passing it on, and a long one
-// as it comes.
+// passWhole reads a short answer completely before passing it on. It passes a long one on as it
+// arrives.
 func (s *session) passWhole(answer *workerconn.Answer, load *work) error {
 	held, err := io.ReadAll(io.LimitReader(answer.Body, heldBytes))
 	if err != nil {
@@ -88,8 +88,8 @@
 	return s.copyPieces(answer, load, s.give)
 }
 
-// passStream passes events on as they come. The head is given with the first, so
-// that a stream which breaks off before it may begin anew elsewhere.
+// passStream passes events on as they arrive. The head is sent together with the first event,
+// so that a stream that breaks off before it can be started anew elsewhere.
 func (s *session) passStream(answer *workerconn.Answer, load *work) error {
 	give := func(piece []byte) error {
 		s.giveHead(answer, answer.Length)
@@ -141,8 +141,8 @@
 	}
 }
 
-// giveHead passes the head of the first answer on; a stream that goes on at
-// another worker keeps it.
+// giveHead sends the head of the first answer. A stream that is resumed at another worker keeps
+// that head.
 func (s *session) giveHead(answer *workerconn.Answer, length int64) {
 	if s.headGiven {
 		return
--- a/internal/dispatch/pass_test.go
+++ b/internal/dispatch/pass_test.go
@@ -15,7 +15,7 @@
 	return nil
 }
 
-// TestLongestPauseOfAnAnswer: the time to the first piece isn't a pause.
+// TestLongestPauseOfAnAnswer checks that the time to the first piece does not count as a pause.
 func TestLongestPauseOfAnAnswer(t *testing.T) {
 	s := &session{call: &Call{Arrived: time.Now().Add(-time.Hour)}, caller: &collector{}}
 	if err := s.give([]byte("first")); err != nil || s.gap != 0 {
--- a/internal/dispatch/pauses.go
+++ b/internal/dispatch/pauses.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// returnSpread is the time over which refused callers come back after the end of a pause.
+	// returnSpread is the time over which refused callers retry after the end of a pause.
 	returnSpread = 500 * time.Millisecond
 	// maxLateWaiters is how many calls of a service wait at a node for the end of a pause
-	// although they will be late: about as many as its workers take in their first steps after
-	// it. More would wait in vain.
+	// although they will be late. It is about the number that the workers accept in the first
+	// steps of their recovery after it; any more would wait in vain.
 	maxLateWaiters = 8
 )
 
-// longestWait is for how long the call may wait for a worker: as long as it can be in time, a
-// half of that for each rank below the first, and while its caller is there.
+// longestWait is how long the call may wait for a worker: until it would be late, half as long
+// for each rank below the first, and no longer than its caller stays.
 func (s *session) longestWait() time.Duration {
 	inTime := time.Duration(turnShare * float64(s.call.Route.Objective-time.Since(s.call.Arrived)))
 	return min(max(inTime, 0)>>min(max(s.call.Priority(), 0), worker.RankCount), s.longestStay())
@@ -30,9 +30,9 @@
 	return time.Duration(turnShare * float64(s.call.patience(time.Now(), s.last)))
 }
 
-// untilPauseEnds makes a plan that found no worker one that waits for the first whose pause ends,
-// if the call can be in time then, or is one of a few whose callers are still there. Else it tells
-// the caller when that is.
+// untilPauseEnds turns a refusal for lack of workers into a wait for the first worker whose
+// pause ends, if the call can be in time then or is one of the few that may wait although late.
+// Otherwise it tells the caller when the pause ends.
 func (s *session) untilPauseEnds(plan scheduling.Plan) scheduling.Plan {
 	if plan.Mode != scheduling.Refused || plan.Reason == scheduling.TooLate || plan.Reason == scheduling.Limited {
 		return plan
@@ -50,9 +50,9 @@
 	return plan
 }
 
-// waitsLate reports whether the call is one of the few that wait for a pause that ends too late
-// for them to be in time. One that was charged to a quota doesn't: it would run in another window
-// than it was charged in.
+// waitsLate reports whether the call is one of the few that wait for a pause which ends too
+// late for them to be in time. A call that was charged to a quota is not, since it would run in
+// another window than it was charged in.
 func (s *session) waitsLate() bool {
 	if s.lateWaiter || !s.call.Charge.None() {
 		return s.lateWaiter
@@ -68,7 +68,7 @@
 	return true
 }
 
-// endLateWait makes room for another call that waits late.
+// endLateWait makes room for another call that waits although it will be late.
 func (s *session) endLateWait() {
 	if !s.lateWaiter {
 		return
@@ -83,8 +83,8 @@
 }
 
 // planKept plans where a prompt that was read apart and kept is to run, or waits for the first
-// engine whose pause ends. It reports false where there is none, or no engine for it in time; then
-// it is freed.
+// engine whose pause ends. It returns false if there is no such prompt, or if no engine can run
+// it in time; then the prompt is freed.
 func (s *session) planKept(ctx context.Context) (scheduling.Plan, bool) {
 	if s.kept == nil {
 		return scheduling.Plan{}, false
@@ -109,8 +109,8 @@
 	}
 }
 
-// untilUsable is the time until a worker that may get the call takes requests again, zero where
-// one does now or none is known to.
+// untilUsable is the time until a worker that may get the call takes requests again. It is zero
+// if one does now or no such time is known.
 func (s *session) untilUsable() time.Duration {
 	return s.registry.UsableIn(s.call.Service.Name, s.excluded, time.Now())
 }
--- a/internal/dispatch/pauses_test.go
+++ b/internal/dispatch/pauses_test.go
@@ -23,7 +23,8 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// pausingWire speaks to engines that are told what they are to do by the path.
+// pausingWire is a protocol in which headers tell the test engines whether to prefill or to
+// run.
 type pausingWire struct{ sendingWire }
 
 func (pausingWire) ForwardHeader(_ *Call, forward Forward) http.Header {
@@ -45,7 +46,7 @@
 	return &workerconn.Request{Method: http.MethodDelete, Target: "/", Host: handle.Address}
 }
 
-// pausingMonitor takes in that an engine which rejects asks for a pause.
+// pausingMonitor records that an engine which rejects a request asks for a pause.
 type pausingMonitor struct {
 	registry *worker.Registry
 	pause    time.Duration
@@ -63,15 +64,15 @@
 	}
 }
 
-// engines are one that reads and some that write.
+// engines is one prefill engine and some decode engines, with counts of what they did.
 type engines struct {
 	read, ran, tookOver, rejected, freed atomic.Int64
 	registry                             *worker.Registry
 	dispatcher                           *Dispatcher
 }
 
-// startEngines starts engines of which the one that is chosen to write first rejects so many
-// requests, and asks for a pause each time.
+// startEngines starts engines. The decode engine that is chosen first rejects so many requests
+// and asks for a pause each time.
 func startEngines(t *testing.T, writers int, rejects int64, pause time.Duration) *engines {
 	e := &engines{registry: worker.NewRegistry(topology.New("a", nil))}
 	address := func(rejects int64) string {
@@ -104,7 +105,7 @@
 		list = append(list, worker.Worker{ID: fmt.Sprint("write-", number), Service: "llm", Address: address(rejects), Zone: "a", Slots: 8, Stage: worker.Decode})
 	}
 	e.registry.Replace(list)
-	for number := range writers { // so that the first is chosen, and doesn't read
+	for number := range writers { // so that the first is chosen and does not prefill
 		e.registry.Begin(fmt.Sprint("write-", number), worker.Load{Requests: number, Unread: worker.UnreadTokensOf(0, 400_000)})
 	}
 	log := logrus.New()
@@ -119,7 +120,7 @@
 	return e
 }
 
-// run sends a request with a prompt, and tells what became of it.
+// run sends a request with a prompt and returns a summary of what happened.
 func (e *engines) run() string {
 	now := time.Now()
 	outcome := e.dispatcher.Run(context.Background(), &Call{
@@ -131,7 +132,8 @@
 		outcome.Status, e.rejected.Load(), e.read.Load(), e.ran.Load(), e.tookOver.Load(), e.freed.Load())
 }
 
-// TestPromptIsNotReadTwiceForAPause: the engine that was to run it asks for one.
+// TestPromptIsNotReadTwiceForAPause checks that a prefilled prompt is kept when the engine that
+// was to run it asks for a pause.
 func TestPromptIsNotReadTwiceForAPause(t *testing.T) {
 	e := startEngines(t, 2, 1, time.Hour)
 	if got, want := e.run(), "status 200, 1 rejected, 1 read, 1 ran, 1 took the prompt over, 0 freed"; got != want {
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -18,83 +18,81 @@
 type verdict string
 
 const (
-	// finished tries passed a whole answer on, or ended for good.
+	// finished tries passed on a complete answer, or ended because the caller left.
 	finished verdict = "finished"
 	// notRun tries are proved not to have run.
 	notRun verdict = "not run"
-	// mayHaveRun tries were sent, and their outcome can't be had.
+	// mayHaveRun tries were sent and their outcome is unknown.
 	mayHaveRun verdict = "may have run"
 )
 
 // tryEnd is how one try ended.
 type tryEnd struct {
 	verdict verdict
-	// code is that of a finished try.
+	// code is the result code of a finished try.
 	code   result.Code
 	status int
 	worker string
 	err    error
-	// counted tells that the try counts as a repeat for limits.
+	// counted tells that another try counts as a retry against the budget.
 	counted bool
-	// workerState is what a look at the worker showed, empty where its answer didn't break
-	// off.
+	// workerState is what a look at the worker found, empty if its answer did not break off.
 	workerState workerconn.Liveness
 }
 
-// session is a call under way.
+// session is the state of a call under way.
 type session struct {
 	*Dispatcher
 	call   *Call
 	caller Caller
 
-	// excluded workers get this call no more; failed ones only where no other is
-	// left.
+	// excluded workers do not get this call again. failed ones get it only if no other is left.
 	excluded, failed map[string]bool
-	// attempts counts the workers that were sent the call, besides the first that
-	// read its prompt apart.
+	// attempts counts the workers that were sent the call to run it, or that refused to prefill
+	// its prompt for another engine.
 	attempts int
-	// ranBefore tells that some try may have run.
+	// ranBefore tells that an earlier try may have run.
 	ranBefore bool
-	// readTaken tells that the prompt was read apart: once that costs neither an
-	// attempt nor a repeat, so it is not done again.
+	// readTaken tells that the prompt was read apart. That is done at most once, since it costs
+	// neither an attempt nor a retry.
 	readTaken bool
-	// kept is a prompt that was read apart for the call and that no engine has taken over, since
-	// the one that was to do so asked for a pause; nil where there is none.
+	// kept is a prompt that was read apart for the call and not yet fetched, because the engine
+	// that was to run it asked for a pause. It is nil if there is none.
 	kept *source
 	// lateWaiter tells that the call is one of those that wait for the end of a pause although
 	// they will be late.
 	lateWaiter bool
-	// late tells that the call gives way to all that are in time.
+	// late tells that the call yields to all that can be in time.
 	late      bool
 	headGiven bool
-	// begun tells that a worker has begun to run the call, so that it was counted.
+	// begun tells that the call was counted as one that a worker has begun to run.
 	begun bool
-	// resumeAfter is the last event that the caller has.
+	// resumeAfter is the ID of the last event that the caller has received.
 	resumeAfter string
 	// first, last and gap are as in Outcome.
 	first, last, gap time.Duration
 	pieces           int
-	// known are the accounts that other nodes told for the last plan.
+	// known are the load reports of other nodes that the last plan was based on.
 	known map[string]scheduling.LoadReport
-	// reach tells why the last plan is for its region.
+	// reach is why the region of the last plan was chosen.
 	reach scheduling.Reach
-	// surveyed is what the last survey took.
+	// surveyed describes the last questions to other nodes.
 	surveyed surveyed
-	// turnsHeld are the workers at which the call has a turn that it hasn't used, with when it
-	// comes, and turnsAsked counts the turns that were asked for. nextTurn is when the first
-	// worker takes a request that was left out of the last plan, zero where none was.
+	// turnsHeld are the workers at which the call has an unused turn, with the time of that
+	// turn. turnsAsked counts the turns that were asked for. nextTurn is the time until the
+	// first turn at a worker that was left out of the last plan, zero if none was.
 	turnsHeld  map[string]time.Time
 	turnsAsked int
 	nextTurn   time.Duration
-	// turnsASecond are those that the workers left out have together, engines that only read
-	// not among them.
+	// turnsASecond is the rate limit of the workers that were left out, added up without
+	// prefill engines.
 	turnsASecond float64
-	// standing is how the call is to be treated, as of its last plan.
+	// standing is the quarantine's status of the call as of its last plan.
 	standing quarantine.Status
 }
 
 // countBegun counts the call as one that a worker has begun to run, unless it was counted
-// before or belongs to no tenant.
+// before or has no tenant.
 func (s *session) countBegun(at time.Time) {
 	name := s.call.Tenant.Name()
 	if s.begun || name == "" {
@@ -104,7 +102,7 @@
 	s.began(name, at)
 }
 
-// rank is that by which engines read the call's prompt.
+// rank is the rank by which engines order the call's prompt.
 func (s *session) rank() int {
 	if s.late {
 		return worker.LateRank
@@ -132,7 +130,7 @@
 	}
 }
 
-// engine is what is known of the service's engines, for all requests alike.
+// engine returns the learned times of the service's engines.
 func (s *session) engine() scheduling.EngineTimes {
 	learned := s.registry.LearnedTimings(s.call.Service.Name)
 	if spec := s.call.Service.Engine; spec != nil {
@@ -151,14 +149,14 @@
 		s.registry.ObserveDemand(s.call.Service.Name, readingRegion(plan), plan.Unread, time.Now())
 	}
 	if plan.Mode == scheduling.Refused && plan.Reason == scheduling.NoWorker && len(s.excluded) > 0 && s.attempts > 0 {
-		// Every worker has failed this call: none is left to be tried.
+		// Every worker has failed this call, and none is left to be tried.
 		plan.Reason = scheduling.NoWorkerLeft
 	}
 	return s.untilPauseEnds(s.untilTurn(plan))
 }
 
-// readingRegion is the region whose engines read the prompt by a plan, empty where the
-// plan has none.
+// readingRegion is the region whose engine prefills the prompt under a plan, empty if the plan
+// has no engine.
 func readingRegion(plan scheduling.Plan) string {
 	if plan.Reader.ID != "" {
 		return plan.Reader.Region
@@ -166,8 +164,8 @@
 	return plan.Runner.Region
 }
 
-// runningRegion is the region whose engine runs the request by a plan, or would have run
-// it, empty where the plan has none.
+// runningRegion is the region whose engine runs the request under a plan, or would have run it,
+// empty if the plan has no engine.
 func runningRegion(plan scheduling.Plan) string {
 	if plan.Runner.ID != "" {
 		return plan.Runner.Region
@@ -175,9 +173,9 @@
 	return plan.Reader.Region
 }
 
-// hold waits until a held plan is to be made again, less a part by chance so that nodes don't
-// plan all at once; no part of a worker's pause. It ends with the cause where the caller leaves
-// before or its time is over.
+// hold waits until a held plan is to be made again. The wait is shortened at random so that
+// nodes do not all plan at once, unless it is for a worker's pause. It returns the cause if the
+// caller leaves or the deadline passes before that.
 func (s *session) hold(ctx context.Context, plan scheduling.Plan) error {
 	if plan.Reason == scheduling.Paused {
 		return s.pause(ctx, plan.RetryAfter)
@@ -185,7 +183,8 @@
 	return s.pause(ctx, plan.RetryAfter-rand.N(plan.RetryAfter/2))
 }
 
-// pause waits for a time, or until the caller leaves or its time is over, with the cause.
+// pause waits for a time. If the caller leaves or the deadline passes before that, it returns
+// the cause.
 func (s *session) pause(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -217,7 +216,7 @@
 	return s.spend(s.call.Service.Name)
 }
 
-// outcome of a finished try.
+// outcome returns the outcome of a finished try.
 func (s *session) outcome(end tryEnd) Outcome {
 	s.ranBefore = true
 	return s.end(Outcome{Code: end.code, Status: end.status, Detail: detail(end.err)})
@@ -231,7 +230,7 @@
 	return outcome
 }
 
-// refused is the outcome of a call that no worker is to be sent.
+// refused returns the outcome of a call whose plan is a refusal.
 func (s *session) refused(plan scheduling.Plan) Outcome {
 	if s.call.PromptTokens > 0 && s.attempts == 0 {
 		memory := s.call.PromptTokens + s.call.ExpectedOutput
@@ -250,10 +249,11 @@
 	return s.end(Outcome{Code: code, RetryAfter: plan.RetryAfter, Detail: string(plan.Reason)})
 }
 
-// retryAfterFailure is when a call that no worker has run should come back.
+// retryAfterFailure is the least time after which a call that no worker has run should be
+// retried.
 const retryAfterFailure = 100 * time.Millisecond
 
-// givenUp is the outcome of a call whose last try failed.
+// givenUp returns the outcome of a call whose last try failed.
 func (s *session) givenUp(end tryEnd) Outcome {
 	s.ranBefore = s.ranBefore || end.verdict == mayHaveRun
 	if s.ranBefore || gone(end.err) {
@@ -273,7 +273,7 @@
 	return err.Error()
 }
 
-// try carries out one plan.
+// try carries out a plan once.
 func (s *session) try(ctx context.Context, plan scheduling.Plan) tryEnd {
 	if plan.Mode == scheduling.Whole {
 		return s.run(ctx, plan.Runner, reading{unread: plan.Unread, fetch: plan.Fetch})
@@ -290,7 +290,8 @@
 	return s.run(ctx, runner.Runner, reading{from: from})
 }
 
-// read returns the call's prompt where it was read apart and kept, or has it read.
+// read returns the call's prompt if it was read apart and kept before, and has it prefilled
+// otherwise.
 func (s *session) read(ctx context.Context, plan scheduling.Plan) (*source, tryEnd) {
 	if from := s.kept; from != nil {
 		s.kept = nil
--- a/internal/dispatch/survey.go
+++ b/internal/dispatch/survey.go
@@ -10,30 +10,31 @@
 	"github.com/tinarch/tinarch/internal/scheduling"
 )
 
-// LoadReports are the accounts of the load that all nodes have placed on workers.
+// LoadReports tells the load that all nodes have placed on workers. Each worker's load is
+// tracked by some of the nodes, to which the others report theirs.
 type LoadReports interface {
-	// Kept reports for each worker whether this node itself keeps its account.
+	// Kept reports for each worker whether this node tracks its load.
 	Kept(workers []string) []bool
-	// Ask asks other nodes for the accounts of workers, for a request of a rank with a
-	// prompt of these parts, and for the workers that keep what the prompt shares. It
-	// returns what came in time.
+	// Ask asks other nodes for the load of workers, as a request of a rank with a prompt of
+	// these parts finds it, and for the workers that have cached what the prompt shares. It
+	// returns the answers that arrived in time.
 	Ask(ctx context.Context, workers []string, parts []prefixcache.Part, rank int) scheduling.Answers
-	// Keeping returns the engines whose accounts this node keeps, and false where all
-	// workers are to be looked at.
+	// Keeping returns the engines whose load this node tracks. It returns false if plans are to
+	// consider all workers.
 	Keeping() (engines map[string]bool, some bool)
-	// RoundTrip is the time of the way to a region and back, zero for the own region.
+	// RoundTrip is the round-trip time to a region, zero for the node's own.
 	RoundTrip(region string) time.Duration
 }
 
-// surveyed is what a survey of the workers took, for the log.
+// surveyed describes the questions to other nodes about one plan, for the log.
 type surveyed struct {
 	asked, answered int
-	// holders is the number of workers that are told to keep what the prompt shares.
+	// holders is the number of workers that are reported to have cached what the prompt shares.
 	holders int
 	took    time.Duration
 }
 
-// candidates describes the workers that may take the request.
+// candidates describes the workers that may get the call.
 func (s *session) candidates() []scheduling.Candidate {
 	candidates := s.inTurn(s.separated(s.described()))
 	if s.accounts == nil {
@@ -42,8 +43,8 @@
 	return s.withAccounts(candidates)
 }
 
-// described returns the workers that may take the request: those worth looking at in a fleet
-// of which this node keeps some accounts, or else all.
+// described returns the workers that may get the call: those on the shortlist if this node
+// tracks only some of the workers, or else all.
 func (s *session) described() []scheduling.Candidate {
 	now, service := time.Now(), s.call.Service.Name
 	if s.accounts != nil && s.call.PromptTokens > 0 {
@@ -55,13 +56,14 @@
 	return s.registry.Candidates(service, s.call.Prompt, s.call.rank(), now)
 }
 
-// describe describes some workers, each once.
+// describe describes the named workers, each once.
 func (s *session) describe(workers []string) []scheduling.Candidate {
 	slices.Sort(workers)
 	return s.registry.CandidatesAmong(s.call.Service.Name, slices.Compact(workers), s.call.Prompt, s.call.rank(), time.Now())
 }
 
-// withAccounts tells for each candidate whether this node keeps its account.
+// withAccounts marks the candidates whose load this node does not track, and adds the
+// round-trip times of other regions.
 func (s *session) withAccounts(candidates []scheduling.Candidate) []scheduling.Candidate {
 	ids := make([]string, 0, len(candidates))
 	for _, candidate := range candidates {
@@ -78,8 +80,8 @@
 	return candidates
 }
 
-// survey narrows candidates to those worth looking at, and adds what other nodes know of
-// them.
+// survey narrows candidates down (scheduling.Preselect) and adds what other nodes know of the
+// chosen ones.
 func (s *session) survey(ctx context.Context, request scheduling.Request, candidates []scheduling.Candidate, wide bool) []scheduling.Candidate {
 	if request.PromptTokens == 0 {
 		return candidates
@@ -103,8 +105,8 @@
 	return scheduling.WithHolders(s.informed(chosen), s.withHolders(candidates, answers.Holders), answers.Holders)
 }
 
-// withHolders adds those workers to the candidates that are told to keep the content and
-// weren't worth looking at by themselves.
+// withHolders adds the workers to the candidates that are reported to have the content cached
+// and were not on the shortlist.
 func (s *session) withHolders(candidates []scheduling.Candidate, holders []scheduling.Holder) []scheduling.Candidate {
 	var missing []string
 	for _, holder := range holders {
@@ -118,7 +120,7 @@
 	return append(slices.Clip(candidates), s.describe(missing)...)
 }
 
-// informed adds what other nodes have told of the candidates.
+// informed adds the load reports of other nodes to the chosen candidates.
 func (s *session) informed(chosen []scheduling.Candidate) []scheduling.Candidate {
 	informed := make([]scheduling.Candidate, 0, len(chosen))
 	for _, candidate := range chosen {
@@ -137,8 +139,8 @@
 	return scheduling.WithKnownLoad(informed)
 }
 
-// planOver plans the request in the regions that are looked at first, and in another one
-// where these can't serve it in time. Late work stays in the first ones.
+// planOver plans the request in the regions that are considered first, and in another one if
+// these cannot serve it in time. Late requests stay in the first ones.
 func (s *session) planOver(ctx context.Context, request scheduling.Request) scheduling.Plan {
 	var plan scheduling.Plan
 	for i, scope := range scheduling.Scopes(request, s.candidates()) {
@@ -153,9 +155,9 @@
 	return plan
 }
 
-// planWithin plans the request over the workers worth looking at, and over more of them
-// where none of these can serve it. Where they only can't in time it is refused: in
-// overload more questions would slow down all answers.
+// planWithin plans the request over preselected workers, and over more of them if none of these
+// can serve it at all. If they can serve it only too late it is refused, because more questions
+// to other nodes would slow down all answers in an overload.
 func (s *session) planWithin(ctx context.Context, request scheduling.Request, candidates []scheduling.Candidate) scheduling.Plan {
 	narrow := s.survey(ctx, request, candidates, false)
 	plan := s.scheduler.Plan(request, narrow)
@@ -165,8 +167,8 @@
 	return s.scheduler.Plan(request, s.survey(ctx, request, candidates, true))
 }
 
-// runnerOver chooses the decode engine for a prompt that was read apart: among those that
-// were asked for when the reading was planned, or else anew.
+// runnerOver chooses the decode engine for a prompt that was read apart: among those whose load
+// was asked for when the prefill was planned, or else with new questions.
 func (s *session) runnerOver(ctx context.Context, reader scheduling.Candidate) scheduling.Plan {
 	request := s.request()
 	var runners, asked []scheduling.Candidate
@@ -187,11 +189,11 @@
 	return s.scheduler.ChooseRunner(request, s.survey(ctx, request, runners, false), reader.Region)
 }
 
-// sound reports whether nothing speaks against a worker.
+// sound reports whether a worker is neither avoided nor leaving.
 func sound(c scheduling.Candidate) bool { return !c.Avoid && !c.Leaving }
 
-// wayTo is the time of the way to a worker of another region and back, which is no part of
-// what is learned of its engine.
+// wayTo is the round-trip time to a worker of another region. It is no part of what is learned
+// of the worker's engine.
 func wayTo(c scheduling.Candidate) time.Duration {
 	return time.Duration(c.RoundTrip * float64(time.Millisecond))
 }
--- a/internal/dispatch/suspicion.go
+++ b/internal/dispatch/suspicion.go
@@ -9,19 +9,20 @@
 	"github.com/tinarch/tinarch/internal/scheduling"
 )
 
-// Quarantine knows the requests under which workers ended, over all nodes.
+// Quarantine knows the requests that crash workers, over all nodes. A worker crashes when it
+// ends without having been drained.
 type Quarantine interface {
 	// Standing tells how a request is to be treated.
 	Standing(request quarantine.Fingerprint, now time.Time) quarantine.Status
-	// Crashed records that a worker ended that ran these requests.
+	// Crashed records that a worker has crashed while it ran these requests.
 	Crashed(crashes map[quarantine.Fingerprint]quarantine.Crash, now time.Time)
-	// Survived records that a worker ran a request to an end and lives.
+	// Survived records that a worker completed a request and has not crashed.
 	Survived(request quarantine.Fingerprint, now time.Time)
-	// Lives records that a worker answers that was taken for ended.
+	// Lives records that a worker which was taken for crashed still answers.
 	Lives(worker string, now time.Time)
 }
 
-// noQuarantine suspects nothing.
+// noQuarantine suspects no request.
 type noQuarantine struct{}
 
 func (noQuarantine) Standing(quarantine.Fingerprint, time.Time) quarantine.Status {
@@ -31,8 +32,8 @@
 func (noQuarantine) Survived(quarantine.Fingerprint, time.Time)                     {}
 func (noQuarantine) Lives(string, time.Time)                                        {}
 
-// mayRun looks up how the call is to be treated before a worker gets it. It reports false,
-// with the outcome, where none may: workers ended under it whenever they ran it.
+// mayRun looks up how the call is to be treated before a worker gets it. It returns false and
+// the outcome if none may get it, because workers crashed whenever they ran it.
 func (s *session) mayRun(ctx context.Context) (Outcome, bool) {
 	s.standing = s.quarantine.Standing(s.call.Fingerprint, time.Now())
 	for !s.standing.Quarantined && s.standing.Settling > 0 {
@@ -47,7 +48,7 @@
 	return Outcome{}, true
 }
 
-// quarantined is the outcome of a call that no worker gets any more.
+// quarantined returns the outcome of a call that no worker gets any more.
 func (s *session) quarantined() Outcome {
 	detail := "workers ended whenever they ran it; its fingerprint is " + s.call.Fingerprint.String()
 	if s.ranBefore {
@@ -56,20 +57,20 @@
 	return s.end(Outcome{Code: result.RequestQuarantined, RetryAfter: s.standing.Left, Detail: detail})
 }
 
-// survived records that a worker has run the call to an end.
+// survived records that a worker has completed the call.
 func (s *session) survived(load *work) {
 	now := time.Now()
 	s.endings.answered(load.runner.ID, load.begun, now)
 	s.quarantine.Survived(s.call.Fingerprint, now)
 }
 
-// suspected reports whether workers have ended under the call.
+// suspected reports whether workers have crashed while running the call.
 func (s *session) suspected() bool { return s.standing.Crashes > 0 }
 
-// separated leaves out, for a suspected call, the sound workers of a stage that run more
-// other suspected calls of this node than another one does. What ran beside each other when
-// a worker ended is sent on at the same moment, and would else all go to the one worker
-// that is best then: it ends too, and nothing tells which of them did it.
+// separated drops, for a suspected call, the sound workers that run more other suspected calls
+// of this node than the least loaded one of their stage. Calls that ran together when a worker
+// crashed are retried at the same moment, and would all go to the one worker that is best then.
+// If that crashed too, nothing would tell which call caused it.
 func (s *session) separated(candidates []scheduling.Candidate) []scheduling.Candidate {
 	if !s.suspected() {
 		return candidates
@@ -95,7 +96,7 @@
 	return kept
 }
 
-// isFit reports whether nothing speaks against a worker for the call.
+// isFit reports whether nothing counts against a worker for this call.
 func (s *session) isFit(c scheduling.Candidate) bool {
 	return sound(c) && !s.excluded[c.ID] && !s.failed[c.ID]
 }
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -7,7 +7,7 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// work is a call's load on the worker that runs it.
+// work is the load that a call places on the worker that runs it.
 type work struct {
 	session *session
 	runner  scheduling.Candidate
@@ -15,9 +15,9 @@
 	reading worker.Load
 	running worker.Load
 	begun   time.Time
-	// firstAt is when the first byte came, zero before.
+	// firstAt is when the first byte of the answer arrived, zero before.
 	firstAt time.Time
-	// run is what the worker runs of the call.
+	// run is the worker's entry for this call in the endings.
 	run *run
 }
 
@@ -35,7 +35,7 @@
 	return w
 }
 
-// firstByte records that the prompt was read.
+// firstByte records the first byte of the answer: the prompt has been prefilled.
 func (w *work) firstByte() {
 	if !w.firstAt.IsZero() {
 		return
