--- a/internal/latency/model.go
+++ b/internal/latency/model.go
@@ -123,7 +123,7 @@
 	if m.known {
 		base = m.fitted
 	}
-	base = base.Scaled(m.scaleFor(base))
+	base = base.Scaled(m.scale(base))
 	current := base
 	for range fitIterations {
 		current = m.reweightedFit(base, current)
@@ -135,18 +135,18 @@
 	m.throughput = m.throughputOf(current)
 }
 
-// scaleFor returns how much longer the readings take than terms predict, judged by the fastest
+// scale returns how much longer the readings take than terms predict, judged by the fastest
 // of them. It is 1 once there are enough readings to tell the coefficients apart.
-func (m *Model) scaleFor(coefficients Coefficients) float64 {
+func (m *Model) scale(coefficients Coefficients) float64 {
 	if m.samples > guessWeight*refitEvery {
 		return 1
 	}
-	ratio, throughput := math.Inf(1), m.throughputOf(coefficients)
+	scale, throughput := math.Inf(1), m.throughputOf(coefficients)
 	for _, reading := range m.readings {
 		_, most := m.bounds(reading, throughput)
-		ratio = min(ratio, most/coefficients.Milliseconds(reading.Tokens, reading.Context))
+		scale = min(scale, most/coefficients.Milliseconds(reading.Tokens, reading.Context))
 	}
-	return ratio
+	return scale
 }
 
 // throughputOf returns the mean throughput of the readings under given coefficients.
