--- a/internal/scheduling/late.go
+++ b/internal/scheduling/late.go
@@ -29,14 +29,14 @@
 	case request.Begun || request.NoApart:
 		return tooLate(request, inTurn)
 	}
-	spare := s.lateView(request, candidates)
-	if free := s.idleOnly(request, spare); free != nil {
-		if plan := s.planApart(request, free); s.worthwhile(request, plan) {
+	lateView := s.lateView(request, candidates)
+	if idleOnly := s.idleOnly(request, lateView); idleOnly != nil {
+		if plan := s.planApart(request, idleOnly); s.worthwhile(request, plan) {
 			plan.Late = true
 			return plan
 		}
 	}
-	plan := s.planApart(request, spare)
+	plan := s.planApart(request, lateView)
 	if !s.costs.Hold || !s.worthwhile(request, plan) {
 		return tooLate(request, inTurn)
 	}
@@ -56,16 +56,16 @@
 // others. Unsound workers and those without lateView room remain only as sources of cached
 // tokens.
 func (s *Scheduler) lateView(request Request, candidates []Candidate) []Candidate {
-	spare := make([]Candidate, 0, len(candidates))
+	lateView := make([]Candidate, 0, len(candidates))
 	for _, candidate := range candidates {
 		candidate.ReadTokens += candidate.LateTokens
 		candidate.ReadAhead = candidate.ReadTokens
 		if !candidate.sound() || request.Failed[candidate.ID] || !s.hasRoom(request, candidate) {
 			candidate.SourceOnly = true
 		}
-		spare = append(spare, candidate)
+		lateView = append(lateView, candidate)
 	}
-	return spare
+	return lateView
 }
 
 // idleOnly makes engines with a queue sources only, so that idle ones remain to prefill. Where
@@ -73,10 +73,10 @@
 // idleOnly: held requests would otherwise take each engine just before a request that can be in
 // time does.
 func (s *Scheduler) idleOnly(request Request, candidates []Candidate) []Candidate {
-	free := slices.Clone(candidates)
+	idleOnly := slices.Clone(candidates)
 	readers, busy := 0, 0
-	for i := range free {
-		candidate := &free[i]
+	for i := range idleOnly {
+		candidate := &idleOnly[i]
 		if !candidate.Prefill || candidate.SourceOnly {
 			continue
 		}
@@ -89,7 +89,7 @@
 	if s.costs.Hold && 2*busy > readers {
 		return nil
 	}
-	return free
+	return idleOnly
 }
 
 // queueTime is the time that an engine takes to prefill everything queued there, in
