--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -29,21 +29,22 @@
 	maxReadAnswer = 16 << 10
 	// releaseTimeout bounds the request that frees a handle.
 	releaseTimeout = 500 * time.Millisecond
-	// longestRelease bounds the wait for the end of the worker's pause before that request.
+	// maxReleaseDelay bounds the wait for the end of the worker's pause before that request.
 	// Handles expire anyway.
-	longestRelease = 10 * time.Second
+	maxReleaseDelay = 10 * time.Second
 )
 
-// source is a prompt that an engine has prefilled for this call and keeps for another one.
-type source struct {
+// prefilledPrompt is a prompt that an engine has prefilled for this call and keeps for another
+// one.
+type prefilledPrompt struct {
 	handle Handle
 	reader scheduling.Candidate
 }
 
-// reading is how the worker that runs a call gets its prompt.
-type reading struct {
+// promptOrigin is how the worker that runs a call gets its prompt.
+type promptOrigin struct {
 	// from is the prompt prefilled by another engine, nil if the worker itself prefills.
-	from *source
+	from *prefilledPrompt
 	// unread counts the tokens that the worker prefills.
 	unread int
 	// fetch is the address of a worker that has part of the prompt cached.
@@ -75,14 +76,14 @@
 
 // readApart has the planned reader prefill the prompt. If it fails, the handle is nil and the
 // call provably has not run.
-func (s *session) readApart(ctx context.Context, plan scheduling.Plan) (*Handle, tryEnd) {
+func (s *session) readApart(ctx context.Context, plan scheduling.Plan) (*Handle, tryResult) {
 	reader := plan.Reader
 	unread := plan.Unread
 	load := worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(s.rank(), unread), MemoryTokens: s.call.PromptTokens}
 	s.registry.Begin(reader.ID, load)
 	defer s.registry.End(reader.ID, load)
-	running := s.endings.begin(reader.ID, s.call.Fingerprint, s.suspected())
-	defer s.endings.end(reader.ID, running)
+	running := s.crashDetector.begin(reader.ID, s.call.Fingerprint, s.suspected())
+	defer s.crashDetector.end(reader.ID, running)
 	begun := time.Now()
 	answer, reply, err := s.send(ctx, reader, Forward{ReadApart: true, FetchFrom: plan.Fetch})
 	if err != nil {
@@ -101,11 +102,11 @@
 		return nil, s.readFailed(reader, err)
 	}
 	now := time.Now()
-	s.readTaken = true
+	s.wasReadApart = true
 	s.observeReading(reader, unread, plan.Fetch, now.Sub(begun))
 	s.registry.ObserveCached(reader.ID, s.call.Prompt, now)
 	s.registry.Succeeded(reader.ID, now)
-	return &handle, tryEnd{}
+	return &handle, tryResult{}
 }
 
 // observeReading records the time that a worker took to prefill what it lacked of the prompt.
@@ -115,7 +116,7 @@
 	if s.late {
 		return
 	}
-	elapsed -= wayTo(reader)
+	elapsed -= roundTrip(reader)
 	context := s.call.PromptTokens - unread
 	reading := latency.Reading{Tokens: unread, Context: context, Ahead: reader.ReadAhead, Elapsed: elapsed}
 	if fetch == "" {
@@ -129,24 +130,24 @@
 
 // readFailed ends a prefill that got no answer. The call has not run, but the worker may have
 // done the work.
-func (s *session) readFailed(reader scheduling.Candidate, err error) tryEnd {
+func (s *session) readFailed(reader scheduling.Candidate, err error) tryResult {
 	s.excludeUnlessWithheld(reader, err)
-	state := s.brokeOff(reader, err)
+	state := s.recordFailure(reader, err)
 	counted := !workerconn.Unsent(err)
-	return tryEnd{verdict: notRun, worker: reader.ID, err: err, counted: counted, workerState: state}
+	return tryResult{verdict: notRun, worker: reader.ID, err: err, counted: counted, workerState: state}
 }
 
-// brokeOff records that a worker failed a request. If the worker had received the request, it
-// returns whether the worker still accepts connections.
-func (s *session) brokeOff(failed scheduling.Candidate, err error) workerconn.Liveness {
-	if gone(err) || late(err) || workerconn.Withheld(err) {
+// recordFailure records that a worker failed a request. If the worker had received the request,
+// it returns whether the worker still accepts connections.
+func (s *session) recordFailure(failed scheduling.Candidate, err error) workerconn.Liveness {
+	if callerLeft(err) || deadlinePassed(err) || workerconn.Withheld(err) {
 		return ""
 	}
 	s.registry.Failed(failed.ID, time.Now())
 	if workerconn.Unsent(err) {
 		return ""
 	}
-	return s.endings.inspect(failed)
+	return s.crashDetector.inspect(failed)
 }
 
 // excludeUnlessPausing excludes a worker that rejected the call, unless the worker said when it
@@ -157,7 +158,7 @@
 	}
 }
 
-func (s *session) readRejected(reader scheduling.Candidate, reply Reply) tryEnd {
+func (s *session) readRejected(reader scheduling.Candidate, reply Reply) tryResult {
 	s.excludeUnlessPausing(reader)
 	s.attempts++
 	if !reply.NotExecuted || reply.Misdirected {
@@ -165,7 +166,7 @@
 	} else {
 		s.registry.Rejected(reader.ID, time.Now())
 	}
-	return tryEnd{verdict: notRun, worker: reader.ID, err: errNotExecuted, counted: true}
+	return tryResult{verdict: notRun, worker: reader.ID, err: errNotExecuted, counted: true}
 }
 
 // release frees a handle that no engine will fetch.
@@ -173,7 +174,7 @@
 	limit := s.connectionLimit(s.call)
 	s.turns.CountTurn(reader.ID) // sent despite the rate limit: memory kept for nobody weighs more
 	go func() {
-		time.Sleep(min(s.registry.NoticeState(reader.ID).BackoffRemaining(time.Now()), longestRelease))
+		time.Sleep(min(s.registry.NoticeState(reader.ID).BackoffRemaining(time.Now()), maxReleaseDelay))
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		answer, err := s.pool.Do(ctx, reader.ID, handle.Address, limit, s.wire.Release(handle))
@@ -185,7 +186,7 @@
 }
 
 // run sends the call to the worker that is to answer it, and passes the answer on.
-func (s *session) run(ctx context.Context, runner scheduling.Candidate, prompt reading) tryEnd {
+func (s *session) run(ctx context.Context, runner scheduling.Candidate, prompt promptOrigin) tryResult {
 	s.attempts++
 	from := prompt.from
 	forward := Forward{ResumeAfter: s.resumeAfter, FetchFrom: prompt.fetch}
@@ -198,12 +199,12 @@
 	answer, reply, err := s.send(ctx, runner, forward)
 	if err != nil {
 		if workerconn.Unsent(err) {
-			s.giveBack(again)
+			s.refund(again)
 		}
 		switch {
 		case from == nil:
 		case workerconn.Withheld(err):
-			s.kept = from
+			s.keptPrompt = from
 		default:
 			s.release(from.handle, from.reader)
 		}
@@ -214,7 +215,7 @@
 		s.registry.ObserveReportedLoad(runner.ID, reply.Running, reply.Waiting, time.Now())
 	}
 	if reply.NotExecuted || reply.Misdirected {
-		s.giveBack(again)
+		s.refund(again)
 		_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxReadAnswer))
 		return s.rejected(runner, reply, from)
 	}
@@ -230,15 +231,15 @@
 // chargeAgain charges for another run of a call that may have run already. It does so before
 // the worker gets the call, because the answer may take as long as the quota's window.
 func (s *session) chargeAgain() quota.Charge {
-	if !s.ranBefore || s.call.Charge.None() {
+	if !s.mayHaveRunBefore || s.call.Charge.None() {
 		return quota.Charge{}
 	}
 	s.repeated(s.call.Charge)
 	return s.call.Charge
 }
 
-// giveBack refunds the charge for a run that provably did not happen.
-func (s *session) giveBack(charge quota.Charge) {
+// refund refunds the charge for a run that provably did not happen.
+func (s *session) refund(charge quota.Charge) {
 	if !charge.None() {
 		s.returned(charge)
 	}
@@ -252,24 +253,24 @@
 	}
 }
 
-func (s *session) sendFailed(runner scheduling.Candidate, err error) tryEnd {
+func (s *session) sendFailed(runner scheduling.Candidate, err error) tryResult {
 	s.excludeUnlessWithheld(runner, err)
-	state := s.brokeOff(runner, err)
+	state := s.recordFailure(runner, err)
 	if workerconn.Unsent(err) {
 		s.attempts-- // no worker was sent anything
-		return tryEnd{verdict: notRun, worker: runner.ID, err: err, counted: false}
+		return tryResult{verdict: notRun, worker: runner.ID, err: err, counted: false}
 	}
-	s.ranBefore = true
-	if !s.call.Route.Streams() && !gone(err) && !late(err) {
+	s.mayHaveRunBefore = true
+	if !s.call.Route.Streams() && !callerLeft(err) && !deadlinePassed(err) {
 		// A worker that accepts a request and breaks off without an answer has usually run it:
 		// most of the time only the answer is lost.
 		s.countBegun(time.Now())
 	}
-	return tryEnd{verdict: mayHaveRun, worker: runner.ID, err: err, counted: true, workerState: state}
+	return tryResult{verdict: mayHaveRun, worker: runner.ID, err: err, counted: true, workerState: state}
 }
 
 // rejected ends a try that the worker provably did not run.
-func (s *session) rejected(runner scheduling.Candidate, reply Reply, from *source) tryEnd {
+func (s *session) rejected(runner scheduling.Candidate, reply Reply, from *prefilledPrompt) tryResult {
 	err := errNotExecuted
 	switch {
 	case reply.Misdirected:
@@ -277,7 +278,7 @@
 		s.excluded[runner.ID] = true
 		s.registry.Failed(runner.ID, time.Now())
 	case from != nil && s.registry.IsBackingOff(runner.ID):
-		s.kept = from // the engine has no room, whichever engine prefilled the prompt
+		s.keptPrompt = from // the engine has no room, whichever engine prefilled the prompt
 		s.registry.Rejected(runner.ID, time.Now())
 	case from != nil:
 		err = errNoHandle
@@ -286,10 +287,10 @@
 		s.excludeUnlessPausing(runner)
 		s.registry.Rejected(runner.ID, time.Now())
 	}
-	return tryEnd{verdict: notRun, worker: runner.ID, err: err, counted: true}
+	return tryResult{verdict: notRun, worker: runner.ID, err: err, counted: true}
 }
 
 // finishedWith is the end of a try whose complete answer was passed on.
-func finishedWith(runner scheduling.Candidate, status int) tryEnd {
-	return tryEnd{verdict: finished, code: result.OK, status: status, worker: runner.ID}
+func finishedWith(runner scheduling.Candidate, status int) tryResult {
+	return tryResult{verdict: finished, code: result.OK, status: status, worker: runner.ID}
 }
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -78,15 +78,15 @@
 // rank is the rank by which engines order the prompt as long as it can be in time.
 func (c *Call) rank() int { return min(c.Priority(), worker.LateRank-1) }
 
-// identified returns the fingerprint of what the request asks for.
-func (c *Call) identified() quarantine.Fingerprint {
+// fingerprint returns the fingerprint of what the request asks for.
+func (c *Call) fingerprint() quarantine.Fingerprint {
 	content := quarantine.Content{Method: c.Method, Host: c.Host, Target: c.Target, Tenant: c.Tenant.Name(), Body: c.Body}
 	return content.Fingerprint()
 }
 
-// shared returns the number of prompt tokens that other requests may share: all parts but the
-// last, which is specific to the request.
-func (c *Call) shared() int {
+// sharedTokens returns the number of prompt tokens that other requests may share: all parts but
+// the last, which is specific to the request.
+func (c *Call) sharedTokens() int {
 	if len(c.Prompt) == 0 {
 		return 0
 	}
--- a/internal/dispatch/charge_test.go
+++ b/internal/dispatch/charge_test.go
@@ -36,7 +36,7 @@
 func (c *charged) returned(charge quota.Charge) { c.cost.Add(-int64(charge.Cost)) }
 
 // runAgain runs a call that may have run already at the worker with an address.
-func (c *charged) runAgain(address string) tryEnd {
+func (c *charged) runAgain(address string) tryResult {
 	dispatcher := New(Options{
 		Registry: worker.NewRegistry(topology.Map{}), Pool: workerconn.NewPool(), Wire: refusingWire{},
 		Nodes: func() int { return 1 }, Repeated: c.repeated, Returned: c.returned,
@@ -46,14 +46,14 @@
 		Service: &routing.Service{Name: "s"}, Deadline: time.Now().Add(20 * time.Second),
 		Charge: quota.Charge{Account: "tokens a", Cost: 10},
 	}
-	s := &session{Dispatcher: dispatcher, call: call, caller: &collector{}, excluded: map[string]bool{}, failed: map[string]bool{}, ranBefore: true}
-	return s.run(context.Background(), scheduling.Candidate{ID: "w", Address: address}, reading{})
+	s := &session{Dispatcher: dispatcher, call: call, caller: &collector{}, excluded: map[string]bool{}, failed: map[string]bool{}, mayHaveRunBefore: true}
+	return s.run(context.Background(), scheduling.Candidate{ID: "w", Address: address}, promptOrigin{})
 }
 
-// TestRepeatIsChargedBeforeItRuns checks that a further run is charged before the worker gets
-// it, since a quota window must not contain a run that is charged only when its answer arrives,
-// and that a run that provably did not happen is refunded.
-func TestRepeatIsChargedBeforeItRuns(t *testing.T) {
+// TestFurtherRunIsChargedBeforeItRuns checks that a further run is charged before the worker
+// gets it, since a quota window must not contain a run that is charged only when its answer
+// arrives, and that a run that provably did not happen is refunded.
+func TestFurtherRunIsChargedBeforeItRuns(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -85,17 +85,17 @@
 	}
 }
 
-// TestCallerThatLeftBeforeARun checks that a call whose caller has left counts as not run if
+// TestCallerThatLeftBeforeAnyRun checks that a call whose caller has left counts as not run if
 // all workers that got it refused it.
-func TestCallerThatLeftBeforeARun(t *testing.T) {
+func TestCallerThatLeftBeforeAnyRun(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		end    tryEnd
+		end    tryResult
 		notRun bool
 	}{
-		{"before a worker had it", tryEnd{verdict: notRun, err: context.Canceled}, true},
-		{"while it may have run", tryEnd{verdict: mayHaveRun, err: context.Canceled}, false},
-		{"while its answer came", tryEnd{verdict: finished, code: result.CallerGone, err: errCallerWrite{context.Canceled}}, false},
+		{"before a worker had it", tryResult{verdict: notRun, err: context.Canceled}, true},
+		{"while it may have run", tryResult{verdict: mayHaveRun, err: context.Canceled}, false},
+		{"while its answer came", tryResult{verdict: finished, code: result.CallerGone, err: errCallerWrite{context.Canceled}}, false},
 	} {
 		s := &session{call: &Call{Route: &routing.Route{}}, attempts: 1} // a worker has refused it before
 		outcome := Outcome{}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -29,15 +29,15 @@
 	log       *logrus.Logger
 	metrics   *Metrics
 	// nodes returns the number of nodes among which limits are divided.
-	nodes    func() int
-	accounts LoadReports
-	terms    retry.Limits
-	endings  *endings
+	nodes         func() int
+	loadReports   LoadReports
+	retryLimits   retry.Limits
+	crashDetector *crashDetector
 	// quarantine knows the requests that crash workers.
 	quarantine Quarantine
 	turns      Turns
-	// knowledge returns the versions and ages of the data that decisions are based on.
-	knowledge func() Freshness
+	// freshness returns the versions and ages of the data that decisions are based on.
+	freshness func() Freshness
 	// began counts a tenant's request that a worker has begun to run.
 	began func(tenant string, at time.Time)
 	// repeated charges for another run of a call that may have run already.
@@ -49,9 +49,9 @@
 	budgets map[string]*retry.Budget
 	// outages estimates, by service, how long no worker will run calls.
 	outages map[string]*retry.Outage
-	// returning is the time, by service, up to which turns are promised to callers that were
-	// refused one.
-	returning map[string]time.Time
+	// promisedUntil is the time, by service, up to which turns are promised to callers that
+	// were refused one.
+	promisedUntil map[string]time.Time
 	// lateWaiters counts, by service, the calls that wait for the end of a pause although they
 	// will be late.
 	lateWaiters map[string]int
@@ -101,9 +101,9 @@
 
 // New returns a dispatcher.
 func New(options Options) *Dispatcher {
-	knowledge := options.Freshness
-	if knowledge == nil {
-		knowledge = func() Freshness { return Freshness{} }
+	freshness := options.Freshness
+	if freshness == nil {
+		freshness = func() Freshness { return Freshness{} }
 	}
 	began := options.Began
 	if began == nil {
@@ -126,39 +126,39 @@
 		turns = options.Turns
 	}
 	return &Dispatcher{
-		quarantine:  quarantined,
-		turns:       turns,
-		began:       began,
-		repeated:    repeated,
-		returned:    returned,
-		knowledge:   knowledge,
-		registry:    options.Registry,
-		scheduler:   options.Scheduler,
-		pool:        options.Pool,
-		wire:        options.Wire,
-		log:         options.Log,
-		metrics:     options.Metrics,
-		nodes:       options.Nodes,
-		accounts:    options.LoadReports,
-		terms:       options.Retries,
-		endings:     newEndings(options.Registry.IsDraining, quarantined, options.Log, options.Metrics),
-		budgets:     make(map[string]*retry.Budget),
-		outages:     make(map[string]*retry.Outage),
-		returning:   make(map[string]time.Time),
-		lateWaiters: make(map[string]int),
+		quarantine:    quarantined,
+		turns:         turns,
+		began:         began,
+		repeated:      repeated,
+		returned:      returned,
+		freshness:     freshness,
+		registry:      options.Registry,
+		scheduler:     options.Scheduler,
+		pool:          options.Pool,
+		wire:          options.Wire,
+		log:           options.Log,
+		metrics:       options.Metrics,
+		nodes:         options.Nodes,
+		loadReports:   options.LoadReports,
+		retryLimits:   options.Retries,
+		crashDetector: newCrashDetector(options.Registry.IsDraining, quarantined, options.Log, options.Metrics),
+		budgets:       make(map[string]*retry.Budget),
+		outages:       make(map[string]*retry.Outage),
+		promisedUntil: make(map[string]time.Time),
+		lateWaiters:   make(map[string]int),
 	}
 }
 
-// first records that a call is sent for the first time, which earns its service a fraction of a
-// retry.
-func (d *Dispatcher) first(service string) {
+// recordFirst records that a call is sent for the recordFirst time, which earns its service a
+// fraction of a retry.
+func (d *Dispatcher) recordFirst(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.budget(service).RecordRequest(d.nodes(), time.Now())
 }
 
-// spend takes a retry from the service's budget. It returns false if none is left.
-func (d *Dispatcher) spend(service string) bool {
+// spendRetry takes a retry from the service's budget. It returns false if none is left.
+func (d *Dispatcher) spendRetry(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.budget(service).Spend(d.nodes(), time.Now())
@@ -167,7 +167,7 @@
 func (d *Dispatcher) budget(service string) *retry.Budget {
 	budget, known := d.budgets[service]
 	if !known {
-		budget = retry.NewBudget(d.terms, d.nodes(), time.Now())
+		budget = retry.NewBudget(d.retryLimits, d.nodes(), time.Now())
 		d.budgets[service] = budget
 	}
 	return budget
@@ -192,17 +192,17 @@
 	}
 	defer s.freeKept()
 	defer s.endLateWait()
-	call.Fingerprint = call.identified()
-	d.first(call.Service.Name)
+	call.Fingerprint = call.fingerprint()
+	d.recordFirst(call.Service.Name)
 	for {
-		if outcome, may := s.mayRun(ctx); !may {
+		if outcome, may := s.checkQuarantine(ctx); !may {
 			return outcome
 		}
 		plan := s.plan(ctx)
 		s.logPlan(plan)
 		if plan.Mode == scheduling.Held {
 			if err := s.hold(ctx, plan); err != nil {
-				return s.givenUp(tryEnd{verdict: notRun, err: err})
+				return s.givenUp(tryResult{verdict: notRun, err: err})
 			}
 			continue
 		}
@@ -211,7 +211,7 @@
 		}
 		taken, err := s.takeTurns(ctx, plan)
 		if err != nil {
-			return s.givenUp(tryEnd{verdict: notRun, err: err})
+			return s.givenUp(tryResult{verdict: notRun, err: err})
 		}
 		if !taken {
 			continue
@@ -221,26 +221,26 @@
 		if end.verdict == finished {
 			return s.outcome(end)
 		}
-		again := s.again(end)
-		s.logFailure(end, again)
-		if !again {
+		mayTryAgain := s.mayTryAgain(end)
+		s.logFailure(end, mayTryAgain)
+		if !mayTryAgain {
 			return s.givenUp(end)
 		}
 	}
 }
 
-// gone reports whether an error means that the caller has left.
-func gone(err error) bool { return errors.Is(err, context.Canceled) }
+// callerLeft reports whether an error means that the caller has left.
+func callerLeft(err error) bool { return errors.Is(err, context.Canceled) }
 
-// late reports whether an error means that the call's deadline has passed.
-func late(err error) bool { return errors.Is(err, errDeadline) }
+// deadlinePassed reports whether an error means that the call's deadline has passed.
+func deadlinePassed(err error) bool { return errors.Is(err, errDeadline) }
 
 // codeOfLost returns the code of a call that was sent and whose answer is lost.
 func codeOfLost(err error, repeatable bool) result.Code {
 	switch {
-	case gone(err):
+	case callerLeft(err):
 		return result.CallerGone
-	case late(err):
+	case deadlinePassed(err):
 		return result.DeadlineExceeded
 	case repeatable:
 		return result.AnswerCut
--- a/internal/dispatch/endings.go
+++ b/internal/dispatch/endings.go
@@ -51,14 +51,14 @@
 
 func (l *look) isDead() bool { return l.isDone() && l.liveness == workerconn.Dead }
 
-// serves reports whether a look is still valid at a time. A worker that has ended does not come
-// back under the same ID.
-func (l *look) serves(now time.Time) bool {
+// isValid reports whether a look is still valid at a time. A worker that has ended does not
+// come back under the same ID.
+func (l *look) isValid(now time.Time) bool {
 	return !l.isDone() || l.isDead() || now.Sub(l.begun) < lookLife
 }
 
-// run is a request that a worker is running.
-type run struct {
+// runningRequest is a request that a worker is running.
+type runningRequest struct {
 	request quarantine.Fingerprint
 	// suspected tells that workers have crashed while running it before.
 	suspected bool
@@ -66,9 +66,9 @@
 	answering atomic.Bool
 }
 
-// endings knows the requests that this node runs at each worker, and finds out which workers
-// have ended when their answers break off. It is safe for concurrent use.
-type endings struct {
+// crashDetector knows the requests that this node runs at each worker, and finds out which
+// workers have ended when their answers break off. It is safe for concurrent use.
+type crashDetector struct {
 	probe func(ctx context.Context, address string) workerconn.Liveness
 	// drains reports whether a worker is known to end as planned.
 	drains     func(worker string) bool
@@ -77,30 +77,30 @@
 	metrics    *Metrics
 
 	mu      sync.Mutex
-	running map[string]map[*run]struct{}
+	running map[string]map[*runningRequest]struct{}
 	looks   map[string]*look
 }
 
-func newEndings(drains func(worker string) bool, quarantined Quarantine, log *logrus.Logger, metrics *Metrics) *endings {
-	return &endings{
+func newCrashDetector(drains func(worker string) bool, quarantined Quarantine, log *logrus.Logger, metrics *Metrics) *crashDetector {
+	return &crashDetector{
 		probe: workerconn.Probe, drains: drains, quarantine: quarantined, log: log, metrics: metrics,
-		running: make(map[string]map[*run]struct{}), looks: make(map[string]*look),
+		running: make(map[string]map[*runningRequest]struct{}), looks: make(map[string]*look),
 	}
 }
 
 // begin records that a worker is given a request, and end that it no longer has it.
-func (e *endings) begin(worker string, request quarantine.Fingerprint, suspected bool) *run {
-	begun := &run{request: request, suspected: suspected}
+func (e *crashDetector) begin(worker string, request quarantine.Fingerprint, suspected bool) *runningRequest {
+	begun := &runningRequest{request: request, suspected: suspected}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.running[worker] == nil {
-		e.running[worker] = make(map[*run]struct{})
+		e.running[worker] = make(map[*runningRequest]struct{})
 	}
 	e.running[worker][begun] = struct{}{}
 	return begun
 }
 
-func (e *endings) end(worker string, ended *run) {
+func (e *crashDetector) end(worker string, ended *runningRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.running[worker], ended)
@@ -110,7 +110,7 @@
 }
 
 // suspects counts the suspected requests that a worker is running for this node.
-func (e *endings) suspects(worker string) int {
+func (e *crashDetector) suspects(worker string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	count := 0
@@ -122,11 +122,11 @@
 	return count
 }
 
-// answered records that a worker completed a request that it was given at a time. If a look has
-// found the worker ended, that was a mistake, since an address may refuse a connection for
-// other reasons, and the quarantine is told. A worker whose ID names an incarnation may have
-// started again under its name: then only a request given before the look shows a mistake.
-func (e *endings) answered(id string, given, now time.Time) {
+// recordCompletion records that a worker completed a request that it was given at a time. If a
+// look has found the worker ended, that was a mistake, since an address may refuse a connection
+// for other reasons, and the quarantine is told. A worker whose ID names an incarnation may
+// have started again under its name: then only a request given before the look shows a mistake.
+func (e *crashDetector) recordCompletion(id string, given, now time.Time) {
 	e.mu.Lock()
 	known, exists := e.looks[id]
 	mistaken := exists && known.isDead() && (worker.BornOf(id) == 0 || given.Before(known.begun))
@@ -141,7 +141,7 @@
 
 // inspect reports whether a worker whose answer broke off has ended, as far as that is known
 // within lookPatience. All requests that the worker ran share one look.
-func (e *endings) inspect(worker scheduling.Candidate) workerconn.Liveness {
+func (e *crashDetector) inspect(worker scheduling.Candidate) workerconn.Liveness {
 	seen := e.look(worker)
 	timer := time.NewTimer(lookPatience)
 	defer timer.Stop()
@@ -154,23 +154,23 @@
 }
 
 // look returns a look that is still valid, or begins one.
-func (e *endings) look(worker scheduling.Candidate) *look {
+func (e *crashDetector) look(worker scheduling.Candidate) *look {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if known, exists := e.looks[worker.ID]; exists && known.serves(now) {
+	if known, exists := e.looks[worker.ID]; exists && known.isValid(now) {
 		return known
 	}
-	e.forget()
+	e.evictOldestLook()
 	begun := &look{begun: now, done: make(chan struct{})}
 	e.looks[worker.ID] = begun
 	ran := slices.Collect(maps.Keys(e.running[worker.ID]))
-	go e.carryOut(begun, worker, ran)
+	go e.runLook(begun, worker, ran)
 	return begun
 }
 
-// forget drops the oldest look if there is no room for another.
-func (e *endings) forget() {
+// evictOldestLook drops the oldest look if there is no room for another.
+func (e *crashDetector) evictOldestLook() {
 	if len(e.looks) < maxLooks {
 		return
 	}
@@ -183,8 +183,8 @@
 	delete(e.looks, oldest)
 }
 
-// carryOut probes a worker. If the worker has crashed it reports the requests that it ran.
-func (e *endings) carryOut(begun *look, worker scheduling.Candidate, ran []*run) {
+// runLook probes a worker. If the worker has crashed it reports the requests that it ran.
+func (e *crashDetector) runLook(begun *look, worker scheduling.Candidate, ran []*runningRequest) {
 	drains := e.drains(worker.ID)
 	begun.liveness = e.probe(context.Background(), worker.Address)
 	crashes := crashesOf(worker, ran)
@@ -195,13 +195,13 @@
 	e.metrics.Breaks.WithLabelValues(string(begun.liveness)).Inc()
 	e.log.WithFields(logrus.Fields{
 		"worker": worker.ID, "address": worker.Address, "worker_state": begun.liveness, "drains": drains,
-		"look_us": time.Since(begun.begun).Microseconds(), "running": len(ran), "fingerprints": rendered(crashes),
+		"look_us": time.Since(begun.begun).Microseconds(), "running": len(ran), "fingerprints": fingerprintTexts(crashes),
 	}).Warn("worker looked at: answers broke off")
 }
 
 // crashesOf returns one crash of the worker for each request that it ran. If it ran one several
 // times, it counts as answering that only if it was answering each of them.
-func crashesOf(worker scheduling.Candidate, ran []*run) map[quarantine.Fingerprint]quarantine.Crash {
+func crashesOf(worker scheduling.Candidate, ran []*runningRequest) map[quarantine.Fingerprint]quarantine.Crash {
 	crashes := make(map[quarantine.Fingerprint]quarantine.Crash, len(ran))
 	for _, running := range ran {
 		before, exists := crashes[running.request]
@@ -214,7 +214,7 @@
 // maxLogged bounds the fingerprints in one log line.
 const maxLogged = 32
 
-func rendered(crashes map[quarantine.Fingerprint]quarantine.Crash) []string {
+func fingerprintTexts(crashes map[quarantine.Fingerprint]quarantine.Crash) []string {
 	texts := make([]string, 0, min(len(crashes), maxLogged))
 	for request := range crashes {
 		if len(texts) == maxLogged {
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -27,19 +27,19 @@
 	return log
 }
 
-// newTestEndings returns endings whose looks find what probe returns.
-func newTestEndings(probe func(ctx context.Context, address string) workerconn.Liveness) *endings {
-	e := newEndings(func(string) bool { return false }, noQuarantine{}, quietLogger(), NewMetrics(prometheus.NewRegistry()))
+// newTestCrashDetector returns endings whose looks find what probe returns.
+func newTestCrashDetector(probe func(ctx context.Context, address string) workerconn.Liveness) *crashDetector {
+	e := newCrashDetector(func(string) bool { return false }, noQuarantine{}, quietLogger(), NewMetrics(prometheus.NewRegistry()))
 	e.probe = probe
 	return e
 }
 
-// TestEndedWorkerIsLookedAtOnce checks that a worker is probed once, however many of its
+// TestEndedWorkerIsProbedOnce checks that a worker is probed once, however many of its
 // answers broke off.
-func TestEndedWorkerIsLookedAtOnce(t *testing.T) {
+func TestEndedWorkerIsProbedOnce(t *testing.T) {
 	var mu sync.Mutex
 	looks := 0
-	e := newTestEndings(func(context.Context, string) workerconn.Liveness {
+	e := newTestCrashDetector(func(context.Context, string) workerconn.Liveness {
 		mu.Lock()
 		defer mu.Unlock()
 		looks++
@@ -61,11 +61,11 @@
 	}
 }
 
-// TestLookHoldsNoRequestUp checks that a request does not wait for a probe that gets no answer,
-// although the probe goes on.
-func TestLookHoldsNoRequestUp(t *testing.T) {
+// TestSlowLookDelaysNoRequest checks that a request does not wait for a probe that gets no
+// answer, although the probe goes on.
+func TestSlowLookDelaysNoRequest(t *testing.T) {
 	answered := make(chan struct{})
-	e := newTestEndings(func(context.Context, string) workerconn.Liveness {
+	e := newTestCrashDetector(func(context.Context, string) workerconn.Liveness {
 		<-answered
 		return workerconn.Alive
 	})
@@ -82,7 +82,7 @@
 }
 
 func TestLooksAreBounded(t *testing.T) {
-	e := newTestEndings(func(context.Context, string) workerconn.Liveness { return workerconn.Dead })
+	e := newTestCrashDetector(func(context.Context, string) workerconn.Liveness { return workerconn.Dead })
 	for number := range 2 * maxLooks {
 		e.inspect(scheduling.Candidate{ID: string(rune(number))})
 	}
@@ -91,29 +91,29 @@
 	}
 }
 
-// told records the workers that a quarantine is told are alive.
-type told struct {
+// aliveRecorder records the workers that a quarantine is aliveRecorder are alive.
+type aliveRecorder struct {
 	noQuarantine
-	lives []string
+	alive []string
 }
 
-func (q *told) Lives(worker string, _ time.Time) { q.lives = append(q.lives, worker) }
+func (q *aliveRecorder) Lives(worker string, _ time.Time) { q.alive = append(q.alive, worker) }
 
-// TestAnswerOfALaterStartDoesNotUndoAnEnd guards against taking the answers of a restarted
+// TestAnswerOfLaterIncarnationDoesNotUndoCrash guards against taking the answers of a restarted
 // worker for a sign that it never ended: they arrive before the worker list tells of the new
 // incarnation. Only a request given to it before the look shows that the look was mistaken.
-func TestAnswerOfALaterStartDoesNotUndoAnEnd(t *testing.T) {
+func TestAnswerOfLaterIncarnationDoesNotUndoCrash(t *testing.T) {
 	for id, want := range map[string]int{"w": 2, worker.IncarnationID("w", 7): 1} {
-		quarantined := &told{}
-		e := newTestEndings(func(context.Context, string) workerconn.Liveness { return workerconn.Dead })
+		quarantined := &aliveRecorder{}
+		e := newTestCrashDetector(func(context.Context, string) workerconn.Liveness { return workerconn.Dead })
 		e.quarantine = quarantined
 		before := time.Now()
 		for _, given := range []func() time.Time{func() time.Time { return before.Add(-time.Second) }, time.Now} {
 			e.inspect(scheduling.Candidate{ID: id, Address: "a"})
-			e.answered(id, given(), time.Now())
+			e.recordCompletion(id, given(), time.Now())
 		}
-		if len(quarantined.lives) != want {
-			t.Errorf("%s: the end is undone %d times, want %d", id, len(quarantined.lives), want)
+		if len(quarantined.alive) != want {
+			t.Errorf("%s: the end is undone %d times, want %d", id, len(quarantined.alive), want)
 		}
 	}
 }
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -53,9 +53,9 @@
 // lateEvents signals each plan that is made and each request that is sent to a worker.
 type lateEvents struct{ planned, sent chan struct{} }
 
-// lateSetting returns a dispatcher with a prefill and a decode engine, and a call that cannot
-// be in time at either.
-func lateSetting(t *testing.T) (*Dispatcher, *worker.Registry, *Call, lateEvents) {
+// newLateFixture returns a dispatcher with a prefill and a decode engine, and a call that
+// cannot be in time at either.
+func newLateFixture(t *testing.T) (*Dispatcher, *worker.Registry, *Call, lateEvents) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "id: 1\n\n")
@@ -91,9 +91,9 @@
 	return dispatcher, registry, call, events
 }
 
-// queueAt sets what others have placed on both engines. The queue is shorter at the prefill
+// placeQueues sets what others have placed on both engines. The queue is shorter at the prefill
 // engine, so that the prompt is read apart.
-func queueAt(registry *worker.Registry, change func(string, worker.Load)) {
+func placeQueues(registry *worker.Registry, change func(string, worker.Load)) {
 	change("read", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 20_000)})
 	change("write", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 400_000)})
 }
@@ -101,8 +101,8 @@
 // TestLateCallIsHeldUntilAnEngineIsFree checks that a late call waits for an engine and is not
 // refused.
 func TestLateCallIsHeldUntilAnEngineIsFree(t *testing.T) {
-	dispatcher, registry, call, events := lateSetting(t)
-	queueAt(registry, registry.Begin)
+	dispatcher, registry, call, events := newLateFixture(t)
+	placeQueues(registry, registry.Begin)
 	ended := make(chan Outcome)
 	go func() { ended <- dispatcher.Run(context.Background(), call, &sink{}) }()
 	for range 2 { // a call that is planned again without having been sent was held
@@ -123,8 +123,8 @@
 // TestHeldCallEndsWithItsCaller checks that a held call ends when its caller leaves and is not
 // sent.
 func TestHeldCallEndsWithItsCaller(t *testing.T) {
-	dispatcher, registry, call, events := lateSetting(t)
-	queueAt(registry, registry.Begin)
+	dispatcher, registry, call, events := newLateFixture(t)
+	placeQueues(registry, registry.Begin)
 	ctx, leave := context.WithCancel(context.Background())
 	ended := make(chan Outcome)
 	go func() { ended <- dispatcher.Run(ctx, call, &sink{}) }()
@@ -135,9 +135,9 @@
 	}
 }
 
-// TestLateCallsAreReadLast checks that late calls are prefilled after those of the least urgent
-// route.
-func TestLateCallsAreReadLast(t *testing.T) {
+// TestLateCallsArePrefilledLast checks that late calls are prefilled after those of the least
+// urgent route.
+func TestLateCallsArePrefilledLast(t *testing.T) {
 	for _, example := range []struct {
 		priority int
 		late     bool
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -37,18 +37,18 @@
 
 // Parameters of turns.
 const (
-	// turnShare is the fraction of the time left until an answer is late for which a call of
+	// waitShare is the fraction of the time left until an answer is late for which a call of
 	// the highest rank waits for its turn. Each lower rank waits half as long, so that the
 	// queue at a worker never keeps more urgent calls out. With a longer queue, all calls that
 	// are served would be late.
-	turnShare = 0.6
+	waitShare = 0.6
 	// turnMargin is added to the expected wait, since others may have taken turns meanwhile.
 	turnMargin = 50 * time.Millisecond
 	// maxTurns bounds the turns that are asked for on behalf of one call. Each one takes a
 	// question to another node.
 	maxTurns = 8
-	// longestReturn bounds the time after which a refused caller is told to retry.
-	longestReturn = 8 * time.Second
+	// maxRetryAfter bounds the time after which a refused caller is told to retry.
+	maxRetryAfter = 8 * time.Second
 )
 
 // turnWait is the expected wait for a turn at a worker.
@@ -56,45 +56,45 @@
 	return time.Duration(at.TurnWait * float64(time.Millisecond))
 }
 
-// turnEvery is the time between two turns at a worker.
-func turnEvery(at scheduling.Candidate) time.Duration {
+// turnInterval is the time between two turns at a worker.
+func turnInterval(at scheduling.Candidate) time.Duration {
 	return time.Duration(float64(time.Second) / max(at.PerSecond, worker.MinRate))
 }
 
-// longestTurn is how long the call may wait for its turn at a worker: until it would be late,
+// maxTurnWait is how long the call may wait for its turn at a worker: until it would be late,
 // but at least until the next turn there, and no longer than its caller stays.
-func (s *session) longestTurn(at scheduling.Candidate) time.Duration {
-	return min(max(s.longestWait(), turnEvery(at)), s.longestStay())
+func (s *session) maxTurnWait(at scheduling.Candidate) time.Duration {
+	return min(max(s.maxWait(), turnInterval(at)), s.maxStay())
 }
 
-// inTurn drops the workers whose turn comes too late for the call. Once the call has asked for
-// maxTurns turns it drops all workers that have a limit.
-func (s *session) inTurn(candidates []scheduling.Candidate) []scheduling.Candidate {
-	s.nextTurn, s.turnsASecond = 0, 0
+// withTurnInTime drops the workers whose turn comes too late for the call. Once the call has
+// asked for maxTurns turns it drops all workers that have a limit.
+func (s *session) withTurnInTime(candidates []scheduling.Candidate) []scheduling.Candidate {
+	s.nextTurn, s.leftOutRate = 0, 0
 	isLimited := func(c scheduling.Candidate) bool { return c.Limited }
 	if !slices.ContainsFunc(candidates, isLimited) {
 		return candidates
 	}
 	return slices.DeleteFunc(candidates, func(c scheduling.Candidate) bool {
 		wait := turnWait(c)
-		if !c.Limited || wait <= s.longestTurn(c) && s.turnsAsked < maxTurns {
+		if !c.Limited || wait <= s.maxTurnWait(c) && s.turnsAsked < maxTurns {
 			return false
 		}
 		if s.nextTurn == 0 || wait < s.nextTurn {
 			s.nextTurn = max(wait, turnMargin)
 		}
 		if !c.Prefill {
-			s.turnsASecond += c.PerSecond
+			s.leftOutRate += c.PerSecond
 		}
 		return true
 	})
 }
 
-// untilTurn adds to a refusal for lack of workers when the caller can have a turn at those that
-// inTurn has dropped.
-func (s *session) untilTurn(plan scheduling.Plan) scheduling.Plan {
+// withTurnRetryAfter adds to a refusal for lack of workers when the caller can have a turn at
+// those that inTurn has dropped.
+func (s *session) withTurnRetryAfter(plan scheduling.Plan) scheduling.Plan {
 	if plan.Mode == scheduling.Refused && plan.Reason != scheduling.TooLate && s.nextTurn > 0 {
-		plan.Reason, plan.RetryAfter = scheduling.Limited, s.promiseTurn(s.call.Service.Name, s.nextTurn, s.turnsASecond)
+		plan.Reason, plan.RetryAfter = scheduling.Limited, s.promiseTurn(s.call.Service.Name, s.nextTurn, s.leftOutRate)
 	}
 	return plan
 }
@@ -107,12 +107,12 @@
 	defer d.mu.Unlock()
 	now := time.Now()
 	at := now.Add(next)
-	if d.returning[service].After(at) {
-		at = d.returning[service]
+	if d.promisedUntil[service].After(at) {
+		at = d.promisedUntil[service]
 	}
 	every := time.Duration(float64(time.Second) * float64(max(d.nodes(), 1)) / max(perSecond, worker.MinRate))
-	d.returning[service] = earlier(at.Add(every), now.Add(longestReturn))
-	return min(at.Sub(now), longestReturn)
+	d.promisedUntil[service] = earlier(at.Add(every), now.Add(maxRetryAfter))
+	return min(at.Sub(now), maxRetryAfter)
 }
 
 func earlier(left, right time.Time) time.Time {
@@ -127,7 +127,7 @@
 // apart is taken first, so that no prompt is prefilled in vain and the wait for it overlaps
 // with the prefill.
 func (s *session) takeTurns(ctx context.Context, plan scheduling.Plan) (taken bool, err error) {
-	if plan.Mode == scheduling.Whole || s.kept != nil {
+	if plan.Mode == scheduling.Whole || s.keptPrompt != nil {
 		return s.takeTurn(ctx, plan.Runner)
 	}
 	if taken, err := s.askTurn(ctx, plan.Runner); !taken || err != nil {
@@ -158,7 +158,7 @@
 	s.turnsAsked++
 	patience := time.Duration(0)
 	if at.TurnWait > 0 {
-		patience = min(2*turnWait(at)+turnMargin, s.longestTurn(at))
+		patience = min(2*turnWait(at)+turnMargin, s.maxTurnWait(at))
 	}
 	verdict := s.turns.TakeTurn(ctx, at.ID, patience)
 	s.logTurn(at, patience, verdict)
@@ -218,7 +218,7 @@
 		}
 	}
 	for {
-		runner := s.runnerOver(ctx, plan.Reader)
+		runner := s.chooseRunner(ctx, plan.Reader)
 		if runner.Mode == scheduling.Refused {
 			return runner, errNoRunner
 		}
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -19,10 +19,10 @@
 func (noTurnAt) ReturnTurn(string) {}
 func (noTurnAt) CountTurn(string)  {}
 
-// TestPromptIsNotReadWithoutATurnToRun checks that no prompt is prefilled while the engine that
-// is to run it has no turn left.
-func TestPromptIsNotReadWithoutATurnToRun(t *testing.T) {
-	dispatcher, registry, call, events := lateSetting(t)
+// TestPromptIsNotPrefilledWithoutATurnToRun checks that no prompt is prefilled while the engine
+// that is to run it has no turn left.
+func TestPromptIsNotPrefilledWithoutATurnToRun(t *testing.T) {
+	dispatcher, registry, call, events := newLateFixture(t)
 	dispatcher.turns = noTurnAt{"write"}
 	call.Route.Objective = time.Minute
 	registry.Begin("write", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 400_000)}) // so that the prompt is read apart
@@ -34,11 +34,11 @@
 	}
 }
 
-// TestRefusedCallersComeBackOneAfterTheOther checks that refused callers are told different
+// TestRefusedCallersRetryOneAfterTheOther checks that refused callers are told different
 // times. Otherwise all but one of them would be refused again.
-func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
+func TestRefusedCallersRetryOneAfterTheOther(t *testing.T) {
 	const nodes, perSecond = 3, 6
-	d := &Dispatcher{nodes: func() int { return nodes }, returning: make(map[string]time.Time)}
+	d := &Dispatcher{nodes: func() int { return nodes }, promisedUntil: make(map[string]time.Time)}
 	before := time.Duration(0)
 	for count := range 5 {
 		wait := d.promiseTurn("s", 100*time.Millisecond, perSecond)
@@ -50,7 +50,7 @@
 	for range 100 {
 		before = d.promiseTurn("s", 100*time.Millisecond, perSecond)
 	}
-	if before > longestReturn {
+	if before > maxRetryAfter {
 		t.Errorf("a caller is told %v", before)
 	}
 	if wait := d.promiseTurn("other", 100*time.Millisecond, perSecond); wait > 200*time.Millisecond {
@@ -61,7 +61,7 @@
 // TestWorkersWhoseTurnIsLateAreLeftOut checks that more urgent calls wait longer for a turn,
 // and that each waits at least until the next one.
 func TestWorkersWhoseTurnIsLateAreLeftOut(t *testing.T) {
-	setting, _, call, _ := lateSetting(t)
+	setting, _, call, _ := newLateFixture(t)
 	call.Route.Objective, call.Deadline = 4*time.Second, time.Now().Add(8*time.Second)
 	call.Arrived = time.Now()
 	for _, test := range []struct {
@@ -74,7 +74,7 @@
 		call.Route.Priority = test.priority
 		s := &session{Dispatcher: setting, call: call}
 		limited := scheduling.Candidate{ID: "limited", Limited: true, PerSecond: 2, TurnWait: test.wait}
-		left := s.inTurn([]scheduling.Candidate{limited, {ID: "free"}})
+		left := s.withTurnInTime([]scheduling.Candidate{limited, {ID: "free"}})
 		if kept := len(left) == 2; kept != test.kept {
 			t.Errorf("priority %d, a turn in %v ms: kept %v", test.priority, test.wait, kept)
 		}
--- a/internal/dispatch/outages.go
+++ b/internal/dispatch/outages.go
@@ -8,9 +8,9 @@
 	"github.com/tinarch/tinarch/internal/retry"
 )
 
-// returnPart is the length of the interval, as a fraction of the time until a service is
+// retrySpreadShare is the length of the interval, as a fraction of the time until a service is
 // expected back, over which callers are told to retry after that time.
-const returnPart = 0.5
+const retrySpreadShare = 0.5
 
 // observeOutage records how a call ended. If no worker ran the call, it returns the time after
 // which the caller may find the service back, zero if the service does not seem to be
@@ -18,27 +18,27 @@
 func (s *session) observeOutage(code result.Code) time.Duration {
 	switch code {
 	case result.OK:
-		s.outageOf(func(outage *retry.Outage) { outage.Served(time.Now()) })
+		s.withOutage(func(outage *retry.Outage) { outage.Served(time.Now()) })
 	case result.NoEngine, result.RetriesExhausted:
-		return s.expectedBack()
+		return s.recordUnserved()
 	}
 	return 0
 }
 
-// expectedBack records that no worker ran the call, and returns the time after which the caller
-// may find the service back.
-func (s *session) expectedBack() time.Duration {
+// recordUnserved records that no worker ran the call, and returns the time after which the
+// caller may find the service back.
+func (s *session) recordUnserved() time.Duration {
 	var left time.Duration
-	s.outageOf(func(outage *retry.Outage) {
+	s.withOutage(func(outage *retry.Outage) {
 		now := time.Now()
 		outage.Failed(now)
 		left = outage.ExpectedRemaining(now)
 	})
-	return left + time.Duration(returnPart*rand.Float64()*float64(left))
+	return left + time.Duration(retrySpreadShare*rand.Float64()*float64(left))
 }
 
-// outageOf calls use with the outage estimate of the call's service.
-func (s *session) outageOf(use func(outage *retry.Outage)) {
+// withOutage calls use with the outage estimate of the call's service.
+func (s *session) withOutage(use func(outage *retry.Outage)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	service := s.call.Service.Name
--- a/internal/dispatch/outages_test.go
+++ b/internal/dispatch/outages_test.go
@@ -17,7 +17,7 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-func TestCallersOfAServiceThatIsAwayComeBackLaterAndLater(t *testing.T) {
+func TestRetryAfterGrowsWhileServiceIsUnavailable(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	dispatcher := New(Options{
--- a/internal/dispatch/pass.go
+++ b/internal/dispatch/pass.go
@@ -14,9 +14,9 @@
 const (
 	// pieceBytes is how much of an answer is read at once.
 	pieceBytes = 16 << 10
-	// heldBytes is the largest answer that is read completely before its head is passed on, so
-	// that the call can be sent elsewhere if the answer breaks off.
-	heldBytes = 64 << 10
+	// bufferedBytes is the largest answer that is read completely before its head is passed on,
+	// so that the call can be sent elsewhere if the answer breaks off.
+	bufferedBytes = 64 << 10
 )
 
 // errCallerWrite means that writing to the caller failed because it has left.
@@ -25,15 +25,15 @@
 func (e errCallerWrite) Error() string { return "the caller left: " + e.cause.Error() }
 
 // pass passes a worker's answer on to the caller.
-func (s *session) pass(runner scheduling.Candidate, answer *workerconn.Answer, load *work) tryEnd {
+func (s *session) pass(runner scheduling.Candidate, answer *workerconn.Answer, load *work) tryResult {
 	failed := answer.Status >= http.StatusInternalServerError
 	if failed {
 		s.registry.Errored(runner.ID, time.Now())
-		s.survived(load)
+		s.recordSurvival(load)
 		s.failed[runner.ID] = true
 		if s.headGiven || s.call.Route.Repeatable() && s.mayRepeat() {
-			s.ranBefore = true
-			return tryEnd{verdict: mayHaveRun, worker: runner.ID, err: errFailed, counted: true}
+			s.mayHaveRunBefore = true
+			return tryResult{verdict: mayHaveRun, worker: runner.ID, err: errFailed, counted: true}
 		}
 	}
 	var err error
@@ -50,34 +50,34 @@
 	return s.attempts < s.call.Route.MaxAttempts && s.remaining() > 0
 }
 
-func (s *session) passed(answer *workerconn.Answer, failed bool, load *work, err error) tryEnd {
+func (s *session) passed(answer *workerconn.Answer, failed bool, load *work, err error) tryResult {
 	runner := load.runner
 	var left errCallerWrite
 	switch {
 	case err == nil:
 		if !failed {
 			s.registry.Succeeded(runner.ID, time.Now())
-			s.survived(load)
+			s.recordSurvival(load)
 		}
 		return finishedWith(runner, answer.Status)
 	case errors.As(err, &left):
-		return tryEnd{verdict: finished, code: result.CallerGone, worker: runner.ID, err: err}
+		return tryResult{verdict: finished, code: result.CallerGone, worker: runner.ID, err: err}
 	}
-	s.ranBefore = true
+	s.mayHaveRunBefore = true
 	s.excluded[runner.ID] = true
-	state := s.brokeOff(runner, err)
-	return tryEnd{verdict: mayHaveRun, worker: runner.ID, err: err, counted: true, workerState: state}
+	state := s.recordFailure(runner, err)
+	return tryResult{verdict: mayHaveRun, worker: runner.ID, err: err, counted: true, workerState: state}
 }
 
 // passWhole reads a short answer completely before passing it on. It passes a long one on as it
 // arrives.
 func (s *session) passWhole(answer *workerconn.Answer, load *work) error {
-	held, err := io.ReadAll(io.LimitReader(answer.Body, heldBytes))
+	held, err := io.ReadAll(io.LimitReader(answer.Body, bufferedBytes))
 	if err != nil {
 		return err
 	}
 	load.firstByte()
-	if len(held) < heldBytes {
+	if len(held) < bufferedBytes {
 		s.giveHead(answer, int64(len(held)))
 		return s.give(held)
 	}
--- a/internal/dispatch/pauses.go
+++ b/internal/dispatch/pauses.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	// returnSpread is the time over which refused callers retry after the end of a pause.
-	returnSpread = 500 * time.Millisecond
+	// pauseRetrySpread is the time over which refused callers retry after the end of a pause.
+	pauseRetrySpread = 500 * time.Millisecond
 	// maxLateWaiters is how many calls of a service wait at a node for the end of a pause
 	// although they will be late. It is about the number that the workers accept in the first
 	// steps of their recovery after it; any more would wait in vain.
 	maxLateWaiters = 8
 )
 
-// longestWait is how long the call may wait for a worker: until it would be late, half as long
+// maxWait is how long the call may wait for a worker: until it would be late, half as long
 // for each rank below the first, and no longer than its caller stays.
-func (s *session) longestWait() time.Duration {
-	inTime := time.Duration(turnShare * float64(s.call.Route.Objective-time.Since(s.call.Arrived)))
-	return min(max(inTime, 0)>>min(max(s.call.Priority(), 0), worker.RankCount), s.longestStay())
+func (s *session) maxWait() time.Duration {
+	inTime := time.Duration(waitShare * float64(s.call.Route.Objective-time.Since(s.call.Arrived)))
+	return min(max(inTime, 0)>>min(max(s.call.Priority(), 0), worker.RankCount), s.maxStay())
 }
 
-// longestStay is the part of the time until the caller leaves for which the call may wait.
-func (s *session) longestStay() time.Duration {
-	return time.Duration(turnShare * float64(s.call.patience(time.Now(), s.last)))
+// maxStay is the part of the time until the caller leaves for which the call may wait.
+func (s *session) maxStay() time.Duration {
+	return time.Duration(waitShare * float64(s.call.patience(time.Now(), s.last)))
 }
 
-// untilPauseEnds turns a refusal for lack of workers into a wait for the first worker whose
+// holdUntilPauseEnds turns a refusal for lack of workers into a wait for the first worker whose
 // pause ends, if the call can be in time then or is one of the few that may wait although late.
 // Otherwise it tells the caller when the pause ends.
-func (s *session) untilPauseEnds(plan scheduling.Plan) scheduling.Plan {
+func (s *session) holdUntilPauseEnds(plan scheduling.Plan) scheduling.Plan {
 	if plan.Mode != scheduling.Refused || plan.Reason == scheduling.TooLate || plan.Reason == scheduling.Limited {
 		return plan
 	}
-	wait := s.untilUsable()
+	wait := s.timeUntilUsable()
 	if wait == 0 {
 		return plan
 	}
 	plan.Reason = scheduling.Paused
-	if wait <= s.longestWait() || wait <= s.longestStay() && s.waitsLate() {
+	if wait <= s.maxWait() || wait <= s.maxStay() && s.mayWaitLate() {
 		plan.Mode, plan.RetryAfter = scheduling.Held, wait
 		return plan
 	}
-	plan.RetryAfter = wait + rand.N(returnSpread)
+	plan.RetryAfter = wait + rand.N(pauseRetrySpread)
 	return plan
 }
 
-// waitsLate reports whether the call is one of the few that wait for a pause which ends too
+// mayWaitLate reports whether the call is one of the few that wait for a pause which ends too
 // late for them to be in time. A call that was charged to a quota is not, since it would run in
 // another window than it was charged in.
-func (s *session) waitsLate() bool {
+func (s *session) mayWaitLate() bool {
 	if s.lateWaiter || !s.call.Charge.None() {
 		return s.lateWaiter
 	}
@@ -86,10 +86,10 @@
 // engine whose pause ends. It returns false if there is no such prompt, or if no engine can run
 // it in time; then the prompt is freed.
 func (s *session) planKept(ctx context.Context) (scheduling.Plan, bool) {
-	if s.kept == nil {
+	if s.keptPrompt == nil {
 		return scheduling.Plan{}, false
 	}
-	plan := s.untilPauseEnds(s.runnerOver(ctx, s.kept.reader))
+	plan := s.holdUntilPauseEnds(s.chooseRunner(ctx, s.keptPrompt.reader))
 	switch plan.Mode {
 	case scheduling.Held:
 		return plan, true
@@ -97,20 +97,20 @@
 		s.freeKept()
 		return scheduling.Plan{}, false
 	}
-	plan.Mode, plan.Reader = scheduling.Apart, s.kept.reader
+	plan.Mode, plan.Reader = scheduling.Apart, s.keptPrompt.reader
 	return plan, true
 }
 
 // freeKept frees a prompt that was kept for another engine.
 func (s *session) freeKept() {
-	if s.kept != nil {
-		s.release(s.kept.handle, s.kept.reader)
-		s.kept = nil
+	if s.keptPrompt != nil {
+		s.release(s.keptPrompt.handle, s.keptPrompt.reader)
+		s.keptPrompt = nil
 	}
 }
 
-// untilUsable is the time until a worker that may get the call takes requests again. It is zero
-// if one does now or no such time is known.
-func (s *session) untilUsable() time.Duration {
+// timeUntilUsable is the time until a worker that may get the call takes requests again. It is
+// zero if one does now or no such time is known.
+func (s *session) timeUntilUsable() time.Duration {
 	return s.registry.UsableIn(s.call.Service.Name, s.excluded, time.Now())
 }
--- a/internal/dispatch/pauses_test.go
+++ b/internal/dispatch/pauses_test.go
@@ -132,9 +132,9 @@
 		outcome.Status, e.rejected.Load(), e.read.Load(), e.ran.Load(), e.tookOver.Load(), e.freed.Load())
 }
 
-// TestPromptIsNotReadTwiceForAPause checks that a prefilled prompt is kept when the engine that
-// was to run it asks for a pause.
-func TestPromptIsNotReadTwiceForAPause(t *testing.T) {
+// TestPromptIsNotPrefilledTwiceForAPause checks that a prefilled prompt is kept when the engine
+// that was to run it asks for a pause.
+func TestPromptIsNotPrefilledTwiceForAPause(t *testing.T) {
 	e := startEngines(t, 2, 1, time.Hour)
 	if got, want := e.run(), "status 200, 1 rejected, 1 read, 1 ran, 1 took the prompt over, 0 freed"; got != want {
 		t.Errorf("%s, want %s", got, want)
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestHandleIsFreedAfterThePauseOfItsEngine(t *testing.T) {
+func TestHandleIsReleasedAfterThePauseOfItsEngine(t *testing.T) {
 	freed := make(chan time.Time, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { freed <- time.Now() }))
 	defer server.Close()
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -26,8 +26,8 @@
 	mayHaveRun verdict = "may have run"
 )
 
-// tryEnd is how one try ended.
-type tryEnd struct {
+// tryResult is how one try ended.
+type tryResult struct {
 	verdict verdict
 	// code is the result code of a finished try.
 	code   result.Code
@@ -51,54 +51,55 @@
 	// attempts counts the workers that were sent the call to run it, or that refused to prefill
 	// its prompt for another engine.
 	attempts int
-	// ranBefore tells that an earlier try may have run.
-	ranBefore bool
-	// readTaken tells that the prompt was read apart. That is done at most once, since it costs
-	// neither an attempt nor a retry.
-	readTaken bool
-	// kept is a prompt that was read apart for the call and not yet fetched, because the engine
-	// that was to run it asked for a pause. It is nil if there is none.
-	kept *source
+	// mayHaveRunBefore tells that an earlier try may have run.
+	mayHaveRunBefore bool
+	// wasReadApart tells that the prompt was read apart. That is done at most once, since it
+	// costs neither an attempt nor a retry.
+	wasReadApart bool
+	// keptPrompt is a prompt that was read apart for the call and not yet fetched, because the
+	// engine that was to run it asked for a pause. It is nil if there is none.
+	keptPrompt *prefilledPrompt
 	// lateWaiter tells that the call is one of those that wait for the end of a pause although
 	// they will be late.
 	lateWaiter bool
 	// late tells that the call yields to all that can be in time.
 	late      bool
 	headGiven bool
-	// begun tells that the call was counted as one that a worker has begun to run.
-	begun bool
+	// countedAsBegun tells that the call was counted as one that a worker has countedAsBegun to
+	// run.
+	countedAsBegun bool
 	// resumeAfter is the ID of the last event that the caller has received.
 	resumeAfter string
 	// first, last and gap are as in Outcome.
 	first, last, gap time.Duration
 	pieces           int
-	// known are the load reports of other nodes that the last plan was based on.
-	known map[string]scheduling.LoadReport
+	// reports are the load reports of other nodes that the last plan was based on.
+	reports map[string]scheduling.LoadReport
 	// reach is why the region of the last plan was chosen.
 	reach scheduling.Reach
-	// surveyed describes the last questions to other nodes.
-	surveyed surveyed
+	// questionStats describes the last questions to other nodes.
+	questionStats questionStats
 	// turnsHeld are the workers at which the call has an unused turn, with the time of that
 	// turn. turnsAsked counts the turns that were asked for. nextTurn is the time until the
 	// first turn at a worker that was left out of the last plan, zero if none was.
 	turnsHeld  map[string]time.Time
 	turnsAsked int
 	nextTurn   time.Duration
-	// turnsASecond is the rate limit of the workers that were left out, added up without
+	// leftOutRate is the rate limit of the workers that were left out, added up without
 	// prefill engines.
-	turnsASecond float64
-	// standing is the quarantine's status of the call as of its last plan.
-	standing quarantine.Status
+	leftOutRate float64
+	// quarantineStatus is the quarantine's status of the call as of its last plan.
+	quarantineStatus quarantine.Status
 }
 
 // countBegun counts the call as one that a worker has begun to run, unless it was counted
 // before or has no tenant.
 func (s *session) countBegun(at time.Time) {
 	name := s.call.Tenant.Name()
-	if s.begun || name == "" {
+	if s.countedAsBegun || name == "" {
 		return
 	}
-	s.begun = true
+	s.countedAsBegun = true
 	s.began(name, at)
 }
 
@@ -116,7 +117,7 @@
 	return scheduling.Request{
 		Engine: s.engine(), RouteObjective: s.call.Route.Objective,
 		PromptTokens:  s.call.PromptTokens,
-		SharedTokens:  s.call.shared(),
+		SharedTokens:  s.call.sharedTokens(),
 		OutputTokens:  s.call.ExpectedOutput,
 		ObjectiveLeft: s.call.Route.Objective - time.Since(s.call.Arrived),
 		GapObjective:  s.call.Route.GapObjective,
@@ -125,7 +126,7 @@
 		Excluded:      s.excluded,
 		Failed:        s.failed,
 		Begun:         s.headGiven,
-		NoApart:       s.readTaken,
+		NoApart:       s.wasReadApart,
 		Content:       s.call.content(),
 	}
 }
@@ -143,7 +144,7 @@
 	if plan, found := s.planKept(ctx); found {
 		return plan
 	}
-	plan := s.planOver(ctx, s.request())
+	plan := s.planAcrossRegions(ctx, s.request())
 	s.late = plan.Late
 	if s.attempts == 0 && plan.Unread > 0 {
 		s.registry.ObserveDemand(s.call.Service.Name, readingRegion(plan), plan.Unread, time.Now())
@@ -152,7 +153,7 @@
 		// Every worker has failed this call, and none is left to be tried.
 		plan.Reason = scheduling.NoWorkerLeft
 	}
-	return s.untilPauseEnds(s.untilTurn(plan))
+	return s.holdUntilPauseEnds(s.withTurnRetryAfter(plan))
 }
 
 // readingRegion is the region whose engine prefills the prompt under a plan, empty if the plan
@@ -196,9 +197,9 @@
 	}
 }
 
-// again decides whether a failed try is followed by another.
-func (s *session) again(end tryEnd) bool {
-	if gone(end.err) || late(end.err) || s.remaining() <= 0 {
+// mayTryAgain decides whether a failed try is followed by another.
+func (s *session) mayTryAgain(end tryResult) bool {
+	if callerLeft(end.err) || deadlinePassed(end.err) || s.remaining() <= 0 {
 		return false
 	}
 	if end.verdict == mayHaveRun && !s.call.Route.Repeatable() {
@@ -213,19 +214,19 @@
 	if !end.counted {
 		return true
 	}
-	return s.spend(s.call.Service.Name)
+	return s.spendRetry(s.call.Service.Name)
 }
 
 // outcome returns the outcome of a finished try.
-func (s *session) outcome(end tryEnd) Outcome {
-	s.ranBefore = true
+func (s *session) outcome(end tryResult) Outcome {
+	s.mayHaveRunBefore = true
 	return s.end(Outcome{Code: end.code, Status: end.status, Detail: detail(end.err)})
 }
 
 func (s *session) end(outcome Outcome) Outcome {
 	outcome.RetryAfter = max(outcome.RetryAfter, s.observeOutage(outcome.Code))
 	outcome.HeadGiven = s.headGiven
-	outcome.Attempts, outcome.MayHaveRun = s.attempts, s.ranBefore
+	outcome.Attempts, outcome.MayHaveRun = s.attempts, s.mayHaveRunBefore
 	outcome.First, outcome.Last, outcome.Gap, outcome.Pieces = s.first, s.last, s.gap, s.pieces
 	return outcome
 }
@@ -236,7 +237,7 @@
 		memory := s.call.PromptTokens + s.call.ExpectedOutput
 		s.registry.ObserveRefused(s.call.Service.Name, runningRegion(plan), memory, s.call.ExpectedOutput, time.Now())
 	}
-	if s.ranBefore {
+	if s.mayHaveRunBefore {
 		return s.end(Outcome{Code: codeOfLost(nil, s.call.Route.Repeatable()), Detail: string(plan.Reason)})
 	}
 	code := result.NoEngine
@@ -254,16 +255,16 @@
 const retryAfterFailure = 100 * time.Millisecond
 
 // givenUp returns the outcome of a call whose last try failed.
-func (s *session) givenUp(end tryEnd) Outcome {
-	s.ranBefore = s.ranBefore || end.verdict == mayHaveRun
-	if s.ranBefore || gone(end.err) {
+func (s *session) givenUp(end tryResult) Outcome {
+	s.mayHaveRunBefore = s.mayHaveRunBefore || end.verdict == mayHaveRun
+	if s.mayHaveRunBefore || callerLeft(end.err) {
 		return s.end(Outcome{Code: codeOfLost(end.err, s.call.Route.Repeatable()), Detail: detail(end.err)})
 	}
 	code := result.RetriesExhausted
-	if late(end.err) {
+	if deadlinePassed(end.err) {
 		code = result.DeadlineUnreachable
 	}
-	return s.end(Outcome{Code: code, RetryAfter: max(retryAfterFailure, s.untilUsable()), Detail: detail(end.err)})
+	return s.end(Outcome{Code: code, RetryAfter: max(retryAfterFailure, s.timeUntilUsable()), Detail: detail(end.err)})
 }
 
 func detail(err error) string {
@@ -274,9 +275,9 @@
 }
 
 // try carries out a plan once.
-func (s *session) try(ctx context.Context, plan scheduling.Plan) tryEnd {
+func (s *session) try(ctx context.Context, plan scheduling.Plan) tryResult {
 	if plan.Mode == scheduling.Whole {
-		return s.run(ctx, plan.Runner, reading{unread: plan.Unread, fetch: plan.Fetch})
+		return s.run(ctx, plan.Runner, promptOrigin{unread: plan.Unread, fetch: plan.Fetch})
 	}
 	from, end := s.read(ctx, plan)
 	if from == nil {
@@ -285,46 +286,46 @@
 	runner, err := s.turnAtRunner(ctx, plan)
 	if err != nil {
 		s.release(from.handle, from.reader)
-		return tryEnd{verdict: notRun, worker: plan.Reader.ID, err: err}
+		return tryResult{verdict: notRun, worker: plan.Reader.ID, err: err}
 	}
-	return s.run(ctx, runner.Runner, reading{from: from})
+	return s.run(ctx, runner.Runner, promptOrigin{from: from})
 }
 
 // read returns the call's prompt if it was read apart and kept before, and has it prefilled
 // otherwise.
-func (s *session) read(ctx context.Context, plan scheduling.Plan) (*source, tryEnd) {
-	if from := s.kept; from != nil {
-		s.kept = nil
-		return from, tryEnd{}
+func (s *session) read(ctx context.Context, plan scheduling.Plan) (*prefilledPrompt, tryResult) {
+	if from := s.keptPrompt; from != nil {
+		s.keptPrompt = nil
+		return from, tryResult{}
 	}
 	handle, end := s.readApart(ctx, plan)
 	if handle == nil {
 		return nil, end
 	}
-	return &source{handle: *handle, reader: plan.Reader}, end
+	return &prefilledPrompt{handle: *handle, reader: plan.Reader}, end
 }
 
 func (s *session) logPlan(plan scheduling.Plan) {
 	s.metrics.plan(plan, s.reach)
-	known := s.knowledge()
+	ages := s.freshness()
 	s.log.WithFields(logrus.Fields{
 		"id": s.call.ID, "fingerprint": s.call.Fingerprint.String(), "route": s.call.Route.Name, "try": s.attempts + 1, "mode": plan.Mode,
 		"reader": plan.Reader.ID, "runner": plan.Runner.ID, "reason": plan.Reason,
-		"crashes": s.standing.Crashes, "late": plan.Late, "rank": s.rank(), "patience_ms": s.call.patience(time.Now(), s.last).Milliseconds(),
+		"crashes": s.quarantineStatus.Crashes, "late": plan.Late, "rank": s.rank(), "patience_ms": s.call.patience(time.Now(), s.last).Milliseconds(),
 		"reader_queue": plan.Reader.ReadAhead, "runner_queue": plan.Runner.ReadAhead,
 		"late_queue": max(plan.Reader.LateTokens, plan.Runner.LateTokens),
 		"cached":     max(plan.Reader.CachedTokens, plan.Runner.CachedTokens), "prompt": s.call.PromptTokens,
 		"unread": plan.Unread, "fetch": plan.Fetch, "reach": s.reach, "region": plan.Runner.Region, "round_trip_ms": int(plan.Runner.RoundTrip),
 		"predicted_ms": plan.First.Milliseconds(), "cost": int(min(plan.Cost, 1e9)),
 		"remaining_ms": s.remaining().Milliseconds(), "routes_version": s.call.RoutesVersion,
-		"workers_version": known.Workers, "workers_age_ms": known.WorkersAge.Milliseconds(),
-		"digest_age_ms":  known.DigestAge.Milliseconds(),
+		"workers_version": ages.Workers, "workers_age_ms": ages.WorkersAge.Milliseconds(),
+		"digest_age_ms":  ages.DigestAge.Milliseconds(),
 		"reader_turn_ms": int(plan.Reader.TurnWait), "runner_turn_ms": int(plan.Runner.TurnWait),
-		"asked": s.surveyed.asked, "answered": s.surveyed.answered, "holders": s.surveyed.holders, "ask_us": s.surveyed.took.Microseconds(),
+		"asked": s.questionStats.asked, "answered": s.questionStats.answered, "holders": s.questionStats.holders, "ask_us": s.questionStats.took.Microseconds(),
 	}).Info("planned")
 }
 
-func (s *session) logFailure(end tryEnd, again bool) {
+func (s *session) logFailure(end tryResult, again bool) {
 	s.metrics.Failures.WithLabelValues(string(end.verdict)).Inc()
 	s.log.WithFields(logrus.Fields{
 		"id": s.call.ID, "worker": end.worker, "verdict": end.verdict, "again": again,
--- a/internal/dispatch/survey.go
+++ b/internal/dispatch/survey.go
@@ -26,8 +26,8 @@
 	RoundTrip(region string) time.Duration
 }
 
-// surveyed describes the questions to other nodes about one plan, for the log.
-type surveyed struct {
+// questionStats describes the questions to other nodes about one plan, for the log.
+type questionStats struct {
 	asked, answered int
 	// holders is the number of workers that are reported to have cached what the prompt shares.
 	holders int
@@ -36,21 +36,21 @@
 
 // candidates describes the workers that may get the call.
 func (s *session) candidates() []scheduling.Candidate {
-	candidates := s.inTurn(s.separated(s.described()))
-	if s.accounts == nil {
+	candidates := s.withTurnInTime(s.withoutOtherSuspects(s.describeCandidates()))
+	if s.loadReports == nil {
 		return candidates
 	}
-	return s.withAccounts(candidates)
+	return s.withReportState(candidates)
 }
 
-// described returns the workers that may get the call: those on the shortlist if this node
-// tracks only some of the workers, or else all.
-func (s *session) described() []scheduling.Candidate {
+// describeCandidates returns the workers that may get the call: those on the shortlist if this
+// node tracks only some of the workers, or else all.
+func (s *session) describeCandidates() []scheduling.Candidate {
 	now, service := time.Now(), s.call.Service.Name
-	if s.accounts != nil && s.call.PromptTokens > 0 {
-		if kept, some := s.accounts.Keeping(); some {
+	if s.loadReports != nil && s.call.PromptTokens > 0 {
+		if kept, some := s.loadReports.Keeping(); some {
 			names := scheduling.Shortlist(s.request(), s.registry.Outlines(service, kept, now))
-			return s.describe(append(names, slices.Collect(maps.Keys(s.known))...))
+			return s.describe(append(names, slices.Collect(maps.Keys(s.reports))...))
 		}
 	}
 	return s.registry.Candidates(service, s.call.Prompt, s.call.rank(), now)
@@ -62,27 +62,27 @@
 	return s.registry.CandidatesAmong(s.call.Service.Name, slices.Compact(workers), s.call.Prompt, s.call.rank(), time.Now())
 }
 
-// withAccounts marks the candidates whose load this node does not track, and adds the
+// withReportState marks the candidates whose load this node does not track, and adds the
 // round-trip times of other regions.
-func (s *session) withAccounts(candidates []scheduling.Candidate) []scheduling.Candidate {
+func (s *session) withReportState(candidates []scheduling.Candidate) []scheduling.Candidate {
 	ids := make([]string, 0, len(candidates))
 	for _, candidate := range candidates {
 		ids = append(ids, candidate.ID)
 	}
-	for i, kept := range s.accounts.Kept(ids) {
+	for i, kept := range s.loadReports.Kept(ids) {
 		if !kept {
 			candidates[i].Report = scheduling.Unasked
 		}
 		if candidates[i].OtherRegion {
-			candidates[i].RoundTrip = float64(s.accounts.RoundTrip(candidates[i].Region)) / float64(time.Millisecond)
+			candidates[i].RoundTrip = float64(s.loadReports.RoundTrip(candidates[i].Region)) / float64(time.Millisecond)
 		}
 	}
 	return candidates
 }
 
-// survey narrows candidates down (scheduling.Preselect) and adds what other nodes know of the
-// chosen ones.
-func (s *session) survey(ctx context.Context, request scheduling.Request, candidates []scheduling.Candidate, wide bool) []scheduling.Candidate {
+// preselect narrows candidates down (scheduling.Preselect) and adds what other nodes know of
+// the chosen ones.
+func (s *session) preselect(ctx context.Context, request scheduling.Request, candidates []scheduling.Candidate, wide bool) []scheduling.Candidate {
 	if request.PromptTokens == 0 {
 		return candidates
 	}
@@ -97,12 +97,12 @@
 		return chosen
 	}
 	begun := time.Now()
-	answers := s.accounts.Ask(ctx, unasked, s.call.Prompt, s.call.rank())
-	s.known = answers.Reports
-	s.surveyed = surveyed{
-		asked: len(unasked), answered: len(s.known), holders: len(answers.Holders), took: time.Since(begun),
+	answers := s.loadReports.Ask(ctx, unasked, s.call.Prompt, s.call.rank())
+	s.reports = answers.Reports
+	s.questionStats = questionStats{
+		asked: len(unasked), answered: len(s.reports), holders: len(answers.Holders), took: time.Since(begun),
 	}
-	return scheduling.WithHolders(s.informed(chosen), s.withHolders(candidates, answers.Holders), answers.Holders)
+	return scheduling.WithHolders(s.withReports(chosen), s.withHolders(candidates, answers.Holders), answers.Holders)
 }
 
 // withHolders adds the workers to the candidates that are reported to have the content cached
@@ -120,11 +120,11 @@
 	return append(slices.Clip(candidates), s.describe(missing)...)
 }
 
-// informed adds the load reports of other nodes to the chosen candidates.
-func (s *session) informed(chosen []scheduling.Candidate) []scheduling.Candidate {
-	informed := make([]scheduling.Candidate, 0, len(chosen))
+// withReports adds the load reports of other nodes to the chosen candidates.
+func (s *session) withReports(chosen []scheduling.Candidate) []scheduling.Candidate {
+	withReports := make([]scheduling.Candidate, 0, len(chosen))
 	for _, candidate := range chosen {
-		account, answered := s.known[candidate.ID]
+		account, answered := s.reports[candidate.ID]
 		switch {
 		case candidate.Report != scheduling.Unasked:
 		case !answered:
@@ -134,17 +134,17 @@
 		default:
 			candidate = candidate.WithReport(account)
 		}
-		informed = append(informed, candidate)
+		withReports = append(withReports, candidate)
 	}
-	return scheduling.WithKnownLoad(informed)
+	return scheduling.WithKnownLoad(withReports)
 }
 
-// planOver plans the request in the regions that are considered first, and in another one if
-// these cannot serve it in time. Late requests stay in the first ones.
-func (s *session) planOver(ctx context.Context, request scheduling.Request) scheduling.Plan {
+// planAcrossRegions plans the request in the regions that are considered first, and in another
+// one if these cannot serve it in time. Late requests stay in the first ones.
+func (s *session) planAcrossRegions(ctx context.Context, request scheduling.Request) scheduling.Plan {
 	var plan scheduling.Plan
 	for i, scope := range scheduling.Scopes(request, s.candidates()) {
-		other := s.planWithin(ctx, request, scope.Candidates)
+		other := s.planInRegion(ctx, request, scope.Candidates)
 		if i == 0 || other.InTime() || plan.Mode == scheduling.Refused && other.Mode != scheduling.Refused {
 			plan, s.reach = other, scope.Reach
 		}
@@ -155,21 +155,21 @@
 	return plan
 }
 
-// planWithin plans the request over preselected workers, and over more of them if none of these
-// can serve it at all. If they can serve it only too late it is refused, because more questions
-// to other nodes would slow down all answers in an overload.
-func (s *session) planWithin(ctx context.Context, request scheduling.Request, candidates []scheduling.Candidate) scheduling.Plan {
-	narrow := s.survey(ctx, request, candidates, false)
+// planInRegion plans the request over preselected workers, and over more of them if none of
+// these can serve it at all. If they can serve it only too late it is refused, because more
+// questions to other nodes would slow down all answers in an overload.
+func (s *session) planInRegion(ctx context.Context, request scheduling.Request, candidates []scheduling.Candidate) scheduling.Plan {
+	narrow := s.preselect(ctx, request, candidates, false)
 	plan := s.scheduler.Plan(request, narrow)
 	if plan.Reason != scheduling.NoWorker || len(narrow) == len(candidates) {
 		return plan
 	}
-	return s.scheduler.Plan(request, s.survey(ctx, request, candidates, true))
+	return s.scheduler.Plan(request, s.preselect(ctx, request, candidates, true))
 }
 
-// runnerOver chooses the decode engine for a prompt that was read apart: among those whose load
-// was asked for when the prefill was planned, or else with new questions.
-func (s *session) runnerOver(ctx context.Context, reader scheduling.Candidate) scheduling.Plan {
+// chooseRunner chooses the decode engine for a prompt that was read apart: among those whose
+// load was asked for when the prefill was planned, or else with new questions.
+func (s *session) chooseRunner(ctx context.Context, reader scheduling.Candidate) scheduling.Plan {
 	request := s.request()
 	var runners, asked []scheduling.Candidate
 	for _, candidate := range s.candidates() {
@@ -179,21 +179,21 @@
 		if candidate.Region == reader.Region {
 			runners = append(runners, candidate)
 		}
-		if _, answered := s.known[candidate.ID]; answered || candidate.Report == scheduling.Tracked {
+		if _, answered := s.reports[candidate.ID]; answered || candidate.Report == scheduling.Tracked {
 			asked = append(asked, candidate)
 		}
 	}
-	if plan := s.scheduler.ChooseRunner(request, s.informed(asked), reader.Region); plan.Mode != scheduling.Refused && sound(plan.Runner) {
+	if plan := s.scheduler.ChooseRunner(request, s.withReports(asked), reader.Region); plan.Mode != scheduling.Refused && isSound(plan.Runner) {
 		return plan
 	}
-	return s.scheduler.ChooseRunner(request, s.survey(ctx, request, runners, false), reader.Region)
+	return s.scheduler.ChooseRunner(request, s.preselect(ctx, request, runners, false), reader.Region)
 }
 
-// sound reports whether a worker is neither avoided nor leaving.
-func sound(c scheduling.Candidate) bool { return !c.Avoid && !c.Leaving }
+// isSound reports whether a worker is neither avoided nor leaving.
+func isSound(c scheduling.Candidate) bool { return !c.Avoid && !c.Leaving }
 
-// wayTo is the round-trip time to a worker of another region. It is no part of what is learned
-// of the worker's engine.
-func wayTo(c scheduling.Candidate) time.Duration {
+// roundTrip is the round-trip time to a worker of another region. It is no part of what is
+// learned of the worker's engine.
+func roundTrip(c scheduling.Candidate) time.Duration {
 	return time.Duration(c.RoundTrip * float64(time.Millisecond))
 }
--- a/internal/dispatch/suspicion.go
+++ b/internal/dispatch/suspicion.go
@@ -32,17 +32,17 @@
 func (noQuarantine) Survived(quarantine.Fingerprint, time.Time)                     {}
 func (noQuarantine) Lives(string, time.Time)                                        {}
 
-// mayRun looks up how the call is to be treated before a worker gets it. It returns false and
-// the outcome if none may get it, because workers crashed whenever they ran it.
-func (s *session) mayRun(ctx context.Context) (Outcome, bool) {
-	s.standing = s.quarantine.Standing(s.call.Fingerprint, time.Now())
-	for !s.standing.Quarantined && s.standing.Settling > 0 {
-		if err := s.pause(ctx, s.standing.Settling); err != nil {
-			return s.givenUp(tryEnd{verdict: notRun, err: err}), false
+// checkQuarantine looks up how the call is to be treated before a worker gets it. It returns
+// false and the outcome if none may get it, because workers crashed whenever they ran it.
+func (s *session) checkQuarantine(ctx context.Context) (Outcome, bool) {
+	s.quarantineStatus = s.quarantine.Standing(s.call.Fingerprint, time.Now())
+	for !s.quarantineStatus.Quarantined && s.quarantineStatus.Settling > 0 {
+		if err := s.pause(ctx, s.quarantineStatus.Settling); err != nil {
+			return s.givenUp(tryResult{verdict: notRun, err: err}), false
 		}
-		s.standing = s.quarantine.Standing(s.call.Fingerprint, time.Now())
+		s.quarantineStatus = s.quarantine.Standing(s.call.Fingerprint, time.Now())
 	}
-	if s.standing.Quarantined {
+	if s.quarantineStatus.Quarantined {
 		return s.quarantined(), false
 	}
 	return Outcome{}, true
@@ -51,37 +51,37 @@
 // quarantined returns the outcome of a call that no worker gets any more.
 func (s *session) quarantined() Outcome {
 	detail := "workers ended whenever they ran it; its fingerprint is " + s.call.Fingerprint.String()
-	if s.ranBefore {
+	if s.mayHaveRunBefore {
 		return s.end(Outcome{Code: codeOfLost(nil, s.call.Route.Repeatable()), Detail: detail})
 	}
-	return s.end(Outcome{Code: result.RequestQuarantined, RetryAfter: s.standing.Left, Detail: detail})
+	return s.end(Outcome{Code: result.RequestQuarantined, RetryAfter: s.quarantineStatus.Left, Detail: detail})
 }
 
-// survived records that a worker has completed the call.
-func (s *session) survived(load *work) {
+// recordSurvival records that a worker has completed the call.
+func (s *session) recordSurvival(load *work) {
 	now := time.Now()
-	s.endings.answered(load.runner.ID, load.begun, now)
+	s.crashDetector.recordCompletion(load.runner.ID, load.begun, now)
 	s.quarantine.Survived(s.call.Fingerprint, now)
 }
 
 // suspected reports whether workers have crashed while running the call.
-func (s *session) suspected() bool { return s.standing.Crashes > 0 }
+func (s *session) suspected() bool { return s.quarantineStatus.Crashes > 0 }
 
-// separated drops, for a suspected call, the sound workers that run more other suspected calls
-// of this node than the least loaded one of their stage. Calls that ran together when a worker
-// crashed are retried at the same moment, and would all go to the one worker that is best then.
-// If that crashed too, nothing would tell which call caused it.
-func (s *session) separated(candidates []scheduling.Candidate) []scheduling.Candidate {
+// withoutOtherSuspects drops, for a suspected call, the sound workers that run more other
+// suspected calls of this node than the least loaded one of their stage. Calls that ran
+// together when a worker crashed are retried at the same moment, and would all go to the one
+// worker that is best then. If that crashed too, nothing would tell which call caused it.
+func (s *session) withoutOtherSuspects(candidates []scheduling.Candidate) []scheduling.Candidate {
 	if !s.suspected() {
 		return candidates
 	}
 	counts := make(map[string]int, len(candidates))
 	least := make(map[bool]int)
 	for _, candidate := range candidates {
-		if !s.isFit(candidate) {
+		if !s.isSoundFor(candidate) {
 			continue
 		}
-		counts[candidate.ID] = s.endings.suspects(candidate.ID)
+		counts[candidate.ID] = s.crashDetector.suspects(candidate.ID)
 		fewest, known := least[candidate.Prefill]
 		if !known || counts[candidate.ID] < fewest {
 			least[candidate.Prefill] = counts[candidate.ID]
@@ -96,7 +96,7 @@
 	return kept
 }
 
-// isFit reports whether nothing counts against a worker for this call.
-func (s *session) isFit(c scheduling.Candidate) bool {
-	return sound(c) && !s.excluded[c.ID] && !s.failed[c.ID]
+// isSoundFor reports whether nothing counts against a worker for this call.
+func (s *session) isSoundFor(c scheduling.Candidate) bool {
+	return isSound(c) && !s.excluded[c.ID] && !s.failed[c.ID]
 }
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -11,17 +11,17 @@
 type work struct {
 	session *session
 	runner  scheduling.Candidate
-	prompt  reading
+	prompt  promptOrigin
 	reading worker.Load
 	running worker.Load
 	begun   time.Time
 	// firstAt is when the first byte of the answer arrived, zero before.
 	firstAt time.Time
-	// run is the worker's entry for this call in the endings.
-	run *run
+	// runningRequest is the worker's entry for this call in the endings.
+	runningRequest *runningRequest
 }
 
-func newWork(session *session, runner scheduling.Candidate, prompt reading) *work {
+func newWork(session *session, runner scheduling.Candidate, prompt promptOrigin) *work {
 	call := session.call
 	w := &work{
 		session: session, runner: runner, prompt: prompt,
@@ -31,7 +31,7 @@
 	}
 	session.registry.Begin(runner.ID, w.reading)
 	session.registry.Begin(runner.ID, w.running)
-	w.run = session.endings.begin(runner.ID, call.Fingerprint, session.suspected())
+	w.runningRequest = session.crashDetector.begin(runner.ID, call.Fingerprint, session.suspected())
 	return w
 }
 
@@ -41,7 +41,7 @@
 		return
 	}
 	w.firstAt = time.Now()
-	w.run.answering.Store(true)
+	w.runningRequest.answering.Store(true)
 	w.session.countBegun(w.firstAt)
 	registry, call := w.session.registry, w.session.call
 	registry.End(w.runner.ID, w.reading)
@@ -50,7 +50,7 @@
 	}
 	elapsed := w.firstAt.Sub(w.begun)
 	if w.prompt.from != nil {
-		registry.ObserveHandover(w.runner.ID, elapsed-wayTo(w.runner))
+		registry.ObserveHandover(w.runner.ID, elapsed-roundTrip(w.runner))
 	} else if w.session.resumeAfter == "" {
 		w.session.observeReading(w.runner, w.prompt.unread, w.prompt.fetch, elapsed)
 	}
@@ -65,5 +65,5 @@
 		registry.ObserveRun(w.runner.ID, time.Since(w.firstAt), w.session.call.ExpectedOutput)
 	}
 	registry.End(w.runner.ID, w.running)
-	w.session.endings.end(w.runner.ID, w.run)
+	w.session.crashDetector.end(w.runner.ID, w.runningRequest)
 }
