--- a/internal/dispatch/charge_test.go
+++ b/internal/dispatch/charge_test.go
@@ -73,7 +73,7 @@
 		account.runAgain(strings.TrimPrefix(server.URL, "http://"))
 		server.Close()
 		if atWorker != 10 || account.cost.Load() != c.left {
-			t.Errorf("%s: %d charged when it came, %d in the end, want 10 and %d", c.name, atWorker, account.cost.Load(), c.left)
+			t.Errorf("%s: %d charged when the worker got it, %d in the end, want 10 and %d", c.name, atWorker, account.cost.Load(), c.left)
 		}
 	}
 	account := &charged{}
@@ -81,7 +81,7 @@
 	address := strings.TrimPrefix(server.URL, "http://")
 	server.Close()
 	if end := account.runAgain(address); end.verdict != notRun || account.cost.Load() != 0 {
-		t.Errorf("a worker that can't be reached: %q, %d charged", end.verdict, account.cost.Load())
+		t.Errorf("an unreachable worker: verdict %q, %d charged, want 0", end.verdict, account.cost.Load())
 	}
 }
 
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -51,13 +51,13 @@
 		requests.Go(func() {
 			defer e.end(ended.ID, e.begin(ended.ID, fingerprintOf(name), false))
 			if got := e.inspect(ended); got != workerconn.Dead {
-				t.Errorf("request %s found the worker %s", name, got)
+				t.Errorf("request %s found the worker %s, want it dead", name, got)
 			}
 		})
 	}
 	requests.Wait()
 	if looks != 1 || len(e.running) != 0 {
-		t.Errorf("%d looks, %d workers run something", looks, len(e.running))
+		t.Errorf("%d looks, %d workers with running requests, want 1 and 0", looks, len(e.running))
 	}
 }
 
@@ -71,13 +71,13 @@
 	})
 	dark := scheduling.Candidate{ID: "w", Address: "a"}
 	if got := e.inspect(dark); got != workerconn.Unheard {
-		t.Errorf("before the answer the worker is %s", got)
+		t.Errorf("before the probe is answered the worker is %s", got)
 	}
 	begun := e.look(dark)
 	close(answered)
 	<-begun.done
 	if begun.liveness != workerconn.Alive {
-		t.Errorf("after the answer the worker is %s", begun.liveness)
+		t.Errorf("after the probe is answered the worker is %s", begun.liveness)
 	}
 }
 
@@ -113,7 +113,7 @@
 			e.recordCompletion(id, given(), time.Now())
 		}
 		if len(quarantined.alive) != want {
-			t.Errorf("%s: the end is undone %d times, want %d", id, len(quarantined.alive), want)
+			t.Errorf("%s: reported alive %d times, want %d", id, len(quarantined.alive), want)
 		}
 	}
 }
--- a/internal/dispatch/events_test.go
+++ b/internal/dispatch/events_test.go
@@ -24,7 +24,7 @@
 		}
 		const rest = "id: 4\ndata: cut"
 		if given+rest != streamText || string(cutter.rest()) != rest || last != "3" {
-			t.Fatalf("given %q, rest %q, last id %s", given, cutter.rest(), last)
+			t.Fatalf("returned %q, rest %q, last ID %s", given, cutter.rest(), last)
 		}
 	})
 }
@@ -33,6 +33,6 @@
 	cutter := &eventCutter{}
 	cutter.add([]byte("data: a\n\n"))
 	if got := cutter.lastID("7"); got != "7" {
-		t.Errorf("%q", got)
+		t.Errorf("an event without an ID makes the last ID %q, want 7", got)
 	}
 }
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -108,15 +108,15 @@
 	for range 2 { // a call that is planned again without having been sent was held
 		select {
 		case outcome := <-ended:
-			t.Fatalf("ended at once: %+v", outcome)
+			t.Fatalf("not held: %+v", outcome)
 		case <-events.sent:
-			t.Fatal("given to an engine where others wait")
+			t.Fatal("sent to an engine where others wait")
 		case <-events.planned:
 		}
 	}
 	registry.End("read", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 20_000)})
 	if outcome := <-ended; outcome.Status != http.StatusOK {
-		t.Errorf("%+v", outcome)
+		t.Errorf("not served once an engine is free: %+v", outcome)
 	}
 }
 
@@ -131,7 +131,7 @@
 	<-events.planned
 	leave()
 	if outcome := <-ended; outcome.Attempts != 0 || len(events.sent) != 0 {
-		t.Errorf("%+v", outcome)
+		t.Errorf("sent or counted as an attempt: %+v", outcome)
 	}
 }
 
@@ -161,11 +161,11 @@
 		{4500 * time.Millisecond, 4 * time.Second, 500 * time.Millisecond},
 	} {
 		if got := call.patience(arrived.Add(example.age), example.lastPiece); got != example.want {
-			t.Errorf("after %v, the last piece after %v: %v", example.age, example.lastPiece, got)
+			t.Errorf("after %v, the last piece after %v: patience %v", example.age, example.lastPiece, got)
 		}
 	}
 	call.Route = &routing.Route{}
 	if got := call.patience(arrived.Add(time.Second), 0); got != 4*time.Second {
-		t.Errorf("without a bound of its own: %v", got)
+		t.Errorf("without a patience of the route: %v, want the time to the deadline", got)
 	}
 }
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -30,7 +30,7 @@
 	registry.ObserveLimit("write", "request", worker.LimitStatement{Named: true, Rate: 1, Sent: now, Heard: now})
 	outcome := dispatcher.Run(context.Background(), call, &sink{})
 	if outcome.Attempts != 0 || outcome.RetryAfter <= 0 || len(events.sent) > 0 {
-		t.Errorf("%+v, sent to %d engines", outcome, len(events.sent))
+		t.Errorf("not refused: %+v, sent to %d engines", outcome, len(events.sent))
 	}
 }
 
@@ -43,7 +43,7 @@
 	for count := range 5 {
 		wait := d.promiseTurn("s", 100*time.Millisecond, perSecond)
 		if wait <= 0 || count > 0 && (wait-before < 400*time.Millisecond || wait-before > 600*time.Millisecond) {
-			t.Errorf("caller %d is told %v, the one before %v; a node has two turns a second", count, wait, before)
+			t.Errorf("caller %d is told to retry after %v, the one before after %v; a node has two turns a second", count, wait, before)
 		}
 		before = wait
 	}
@@ -51,10 +51,10 @@
 		before = d.promiseTurn("s", 100*time.Millisecond, perSecond)
 	}
 	if before > maxRetryAfter {
-		t.Errorf("a caller is told %v", before)
+		t.Errorf("a caller is told to retry after %v, want at most maxRetryAfter", before)
 	}
 	if wait := d.promiseTurn("other", 100*time.Millisecond, perSecond); wait > 200*time.Millisecond {
-		t.Errorf("a caller of another service is told %v", wait)
+		t.Errorf("a caller of another service is told to retry after %v", wait)
 	}
 }
 
@@ -79,7 +79,7 @@
 			t.Errorf("priority %d, a turn in %v ms: kept %v", test.priority, test.wait, kept)
 		}
 		if told := s.nextTurn > 0; told == test.kept {
-			t.Errorf("priority %d: the next turn is in %v", test.priority, s.nextTurn)
+			t.Errorf("priority %d: the next turn of workers left out is in %v", test.priority, s.nextTurn)
 		}
 	}
 }
--- a/internal/dispatch/outages_test.go
+++ b/internal/dispatch/outages_test.go
@@ -34,10 +34,10 @@
 	}
 	const shortest = 100 * time.Millisecond
 	if after := refused(); after != shortest {
-		t.Errorf("the first caller is told to come back in %v, want %v", after, shortest)
+		t.Errorf("the first caller is told to retry after %v, want %v", after, shortest)
 	}
 	time.Sleep(6 * shortest)
 	if after := refused(); after < 3*shortest {
-		t.Errorf("after 0.6 s a caller is told to come back in %v, want half of that at least", after)
+		t.Errorf("after 0.6 s a caller is told to retry after %v, want at least half of that", after)
 	}
 }
--- a/internal/dispatch/pass_test.go
+++ b/internal/dispatch/pass_test.go
@@ -19,14 +19,14 @@
 func TestLongestPauseOfAnAnswer(t *testing.T) {
 	s := &session{call: &Call{Arrived: time.Now().Add(-time.Hour)}, caller: &collector{}}
 	if err := s.give([]byte("first")); err != nil || s.gap != 0 {
-		t.Errorf("%v, pause %v before the second piece", err, s.gap)
+		t.Errorf("error %v, pause %v before the second piece", err, s.gap)
 	}
 	s.last -= time.Minute
 	if err := s.give([]byte("second")); err != nil || s.gap < time.Minute {
-		t.Errorf("%v, pause %v, want a minute", err, s.gap)
+		t.Errorf("error %v, pause %v, want a minute", err, s.gap)
 	}
 	longest := s.gap
 	if err := s.give([]byte("third")); err != nil || s.gap != longest || s.pieces != 3 {
-		t.Errorf("%v, pause %v of %d pieces", err, s.gap, s.pieces)
+		t.Errorf("error %v, pause %v after %d pieces", err, s.gap, s.pieces)
 	}
 }
--- a/internal/dispatch/pauses_test.go
+++ b/internal/dispatch/pauses_test.go
@@ -141,7 +141,7 @@
 	}
 	for _, candidate := range e.registry.Candidates("llm", nil, 0, time.Now()) {
 		if candidate.HandleFailure {
-			t.Errorf("%s is held to account for a prompt that couldn't be fetched", candidate.ID)
+			t.Errorf("%s has a handle failure although it only asked for a pause", candidate.ID)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 	registry.ObserveNotice("read", worker.Notice{Backoff: pause}, asked)
 	s.release(Handle{Address: server.Listener.Addr().String(), ID: "h"}, scheduling.Candidate{ID: "read"})
 	if at := <-freed; at.Sub(asked) < pause {
-		t.Errorf("the handle was freed %v after the engine had asked for a pause of %v", at.Sub(asked), pause)
+		t.Errorf("the handle was released %v after the engine had asked for a pause of %v", at.Sub(asked), pause)
 	}
 }
 
@@ -204,7 +204,7 @@
 		if outcome.Status == http.StatusOK {
 			served++
 		} else if served > 0 || outcome.RetryAfter <= 0 {
-			t.Errorf("%+v: calls that can't wait are refused at once", outcome)
+			t.Errorf("refused after waiting or without RetryAfter: %+v", outcome)
 		}
 	}
 	if served != maxLateWaiters {
@@ -229,6 +229,6 @@
 		Arrived: now, Deadline: now.Add(time.Minute), Charge: quota.Charge{Account: "requests a", Cost: 1},
 	}, &sink{})
 	if held := time.Since(now); held > 500*time.Millisecond {
-		t.Errorf("the call was held for %v after it was charged; its tenant's use would be counted where it isn't", held)
+		t.Errorf("the call was held for %v after it was charged, so its usage would count in the wrong window", held)
 	}
 }
