--- a/internal/scheduling/late.go
+++ b/internal/scheduling/late.go
@@ -22,12 +22,12 @@
 // nothing waits. If there is none and late requests are held (Costs.Hold), it waits as long as
 // an engine may become free before its caller leaves; otherwise it is refused. A stream that
 // has begun is served without yielding to others, since the work done for it would be lost.
-func (s *Scheduler) planLate(request Request, candidates []Candidate, inTurn Plan) Plan {
+func (s *Scheduler) planLate(request Request, candidates []Candidate, regular Plan) Plan {
 	switch {
-	case request.Begun && s.worthwhile(request, inTurn):
-		return inTurn
+	case request.Begun && s.worthwhile(request, regular):
+		return regular
 	case request.Begun || request.NoApart:
-		return tooLate(request, inTurn)
+		return tooLate(request, regular)
 	}
 	lateView := s.lateView(request, candidates)
 	if idleOnly := s.idleOnly(request, lateView); idleOnly != nil {
@@ -38,7 +38,7 @@
 	}
 	plan := s.planApart(request, lateView)
 	if !s.costs.Hold || !s.worthwhile(request, plan) {
-		return tooLate(request, inTurn)
+		return tooLate(request, regular)
 	}
 	wait := milliseconds(queueTime(plan.Reader))
 	return Plan{Mode: Held, Late: true, Reason: TooLate, Reader: plan.Reader, First: plan.First, Cost: plan.Cost,
@@ -53,7 +53,7 @@
 }
 
 // lateView describes the candidates as a late request sees them, which is prefilled after all
-// others. Unsound workers and those without lateView room remain only as sources of cached
+// others. Unsound workers and those without room to spare remain only as sources of cached
 // tokens.
 func (s *Scheduler) lateView(request Request, candidates []Candidate) []Candidate {
 	lateView := make([]Candidate, 0, len(candidates))
@@ -69,9 +69,9 @@
 }
 
 // idleOnly makes engines with a queue sources only, so that idle ones remain to prefill. Where
-// late requests are held it returns nil while fewer than half of the prefill engines are
-// idleOnly: held requests would otherwise take each engine just before a request that can be in
-// time does.
+// late requests are held it returns nil while fewer than half of the prefill engines are idle:
+// held requests would otherwise take each engine just before a request that can be in time
+// does.
 func (s *Scheduler) idleOnly(request Request, candidates []Candidate) []Candidate {
 	idleOnly := slices.Clone(candidates)
 	readers, busy := 0, 0
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -89,7 +89,7 @@
 	return best
 }
 
-// opaqueCost is the cost of a worker's state for an opaqueCost request.
+// opaqueCost is the cost of a worker's state for an opaque request.
 func (s *Scheduler) opaqueCost(request Request, candidate Candidate) float64 {
 	costs := s.costs.Opaque
 	return stateCost(request, candidate, statePrices{costs.Failure, costs.Avoided, costs.OtherZone, costs.OtherRegion})
--- a/internal/scheduling/survey.go
+++ b/internal/scheduling/survey.go
@@ -15,7 +15,8 @@
 	// content.
 	contentChoices = 3
 	// nearReaders is the number of prefill engines that a node considers in addition, and
-	// readersWithout their number for a prompt that shares too little to be placed by content.
+	// readersWithoutContent their number for a prompt that shares too little to be placed by
+	// content.
 	nearReaders           = 1
 	readersWithoutContent = 3
 	// runnerChoices is the number of other workers that a node considers.
