--- a/internal/latency/mean.go
+++ b/internal/latency/mean.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// newSampleWeight is the newSampleWeight of a new measurement in a moving mean.
+// newSampleWeight is the weight of a new measurement in a moving mean.
 const newSampleWeight = 0.15
 
 // MovingMean is an exponentially weighted moving mean of durations. The zero value has no
