--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// recordFirst records that a call is sent for the recordFirst time, which earns its service a
+// recordFirst records that a call is sent for the first time, which earns its service a
 // fraction of a retry.
 func (d *Dispatcher) recordFirst(service string) {
 	d.mu.Lock()
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -27,7 +27,7 @@
 	return log
 }
 
-// newTestCrashDetector returns endings whose looks find what probe returns.
+// newTestCrashDetector returns a crash detector whose looks find what probe returns.
 func newTestCrashDetector(probe func(ctx context.Context, address string) workerconn.Liveness) *crashDetector {
 	e := newCrashDetector(func(string) bool { return false }, noQuarantine{}, quietLogger(), NewMetrics(prometheus.NewRegistry()))
 	e.probe = probe
@@ -91,7 +91,7 @@
 	}
 }
 
-// aliveRecorder records the workers that a quarantine is aliveRecorder are alive.
+// aliveRecorder records the workers of which the quarantine is told that they are alive.
 type aliveRecorder struct {
 	noQuarantine
 	alive []string
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// withTurnRetryAfter adds to a refusal for lack of workers when the caller can have a turn at
-// those that inTurn has dropped.
+// withTurnRetryAfter makes a refusal for lack of workers tell when the caller can have a turn
+// at the workers that withTurnInTime has dropped.
 func (s *session) withTurnRetryAfter(plan scheduling.Plan) scheduling.Plan {
 	if plan.Mode == scheduling.Refused && plan.Reason != scheduling.TooLate && s.nextTurn > 0 {
 		plan.Reason, plan.RetryAfter = scheduling.Limited, s.promiseTurn(s.call.Service.Name, s.nextTurn, s.leftOutRate)
--- a/internal/dispatch/outages.go
+++ b/internal/dispatch/outages.go
@@ -8,8 +8,8 @@
 	"github.com/tinarch/tinarch/internal/retry"
 )
 
-// retrySpreadShare is the length of the interval, as a fraction of the time until a service is
-// expected back, over which callers are told to retry after that time.
+// retrySpreadShare bounds a random delay that is added to the time until a service is expected
+// back, as a fraction of that time, so that callers do not all retry at once.
 const retrySpreadShare = 0.5
 
 // observeOutage records how a call ended. If no worker ran the call, it returns the time after
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -65,8 +65,7 @@
 	// late tells that the call yields to all that can be in time.
 	late      bool
 	headGiven bool
-	// countedAsBegun tells that the call was counted as one that a worker has countedAsBegun to
-	// run.
+	// countedAsBegun tells that the call was counted as one that a worker has begun to run.
 	countedAsBegun bool
 	// resumeAfter is the ID of the last event that the caller has received.
 	resumeAfter string
@@ -197,7 +196,8 @@
 	}
 }
 
-// mayTryAgain decides whether a failed try is followed by another.
+// mayTryAgain decides whether a failed try is followed by another. If the failed try counts, it
+// takes a retry from the budget.
 func (s *session) mayTryAgain(end tryResult) bool {
 	if callerLeft(end.err) || deadlinePassed(end.err) || s.remaining() <= 0 {
 		return false
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -17,7 +17,7 @@
 	begun   time.Time
 	// firstAt is when the first byte of the answer arrived, zero before.
 	firstAt time.Time
-	// runningRequest is the worker's entry for this call in the endings.
+	// runningRequest is the entry for this call in the crash detector.
 	runningRequest *runningRequest
 }
 
