--- a/internal/dispatch/charge_test.go
+++ b/internal/dispatch/charge_test.go
@@ -18,8 +18,7 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// refusingWire speaks to workers that need no header, and takes a 503 as proof that a request
-// didn't run.
+// refusingWire is a protocol without headers in which a 503 proves that a request did not run.
 type refusingWire struct{ Wire }
 
 func (refusingWire) IDHeader() string                            { return "X-Id" }
@@ -30,14 +29,14 @@
 	return Reply{NotExecuted: status == http.StatusServiceUnavailable}
 }
 
-// charged is what a tenant was charged for repeats.
+// charged adds up what a tenant was charged for further runs.
 type charged struct{ cost atomic.Int64 }
 
 func (c *charged) repeated(charge quota.Charge) { c.cost.Add(int64(charge.Cost)) }
 func (c *charged) returned(charge quota.Charge) { c.cost.Add(-int64(charge.Cost)) }
 
-// runAgain runs a call that may have run already at the worker of an address.
-func (c *charged) runAgain(address string) tryEnd {
+// runAgain runs a call that may have run already at the worker with an address.
+func (c *charged) runAgain(address string) tryResult {
 	dispatcher := New(Options{
 		Registry: worker.NewRegistry(topology.Map{}), Pool: workerconn.NewPool(), Wire: refusingWire{},
 		Nodes: func() int { return 1 }, Repeated: c.repeated, Returned: c.returned,
@@ -47,13 +46,14 @@
 		Service: &routing.Service{Name: "s"}, Deadline: time.Now().Add(20 * time.Second),
 		Charge: quota.Charge{Account: "tokens a", Cost: 10},
 	}
-	s := &session{Dispatcher: dispatcher, call: call, caller: &collector{}, excluded: map[string]bool{}, failed: map[string]bool{}, ranBefore: true}
-	return s.run(context.Background(), scheduling.Candidate{ID: "w", Address: address}, reading{})
+	s := &session{Dispatcher: dispatcher, call: call, caller: &collector{}, excluded: map[string]bool{}, failed: map[string]bool{}, mayHaveRunBefore: true}
+	return s.run(context.Background(), scheduling.Candidate{ID: "w", Address: address}, promptOrigin{})
 }
 
-// TestRepeatIsChargedBeforeItRuns, since a window may not hold a run that is charged only
-// when its answer comes; and one that proves not to have run is given back.
-func TestRepeatIsChargedBeforeItRuns(t *testing.T) {
+// TestFurtherRunIsChargedBeforeItRuns checks that a further run is charged before the worker
+// gets it, since a quota window must not contain a run that is charged only when its answer
+// arrives, and that a run that provably did not happen is refunded.
+func TestFurtherRunIsChargedBeforeItRuns(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -73,7 +73,7 @@
 		account.runAgain(strings.TrimPrefix(server.URL, "http://"))
 		server.Close()
 		if atWorker != 10 || account.cost.Load() != c.left {
-			t.Errorf("%s: %d charged when it came, %d in the end, want 10 and %d", c.name, atWorker, account.cost.Load(), c.left)
+			t.Errorf("%s: %d charged when the worker got it, %d in the end, want 10 and %d", c.name, atWorker, account.cost.Load(), c.left)
 		}
 	}
 	account := &charged{}
@@ -81,20 +81,21 @@
 	address := strings.TrimPrefix(server.URL, "http://")
 	server.Close()
 	if end := account.runAgain(address); end.verdict != notRun || account.cost.Load() != 0 {
-		t.Errorf("a worker that can't be reached: %q, %d charged", end.verdict, account.cost.Load())
+		t.Errorf("an unreachable worker: verdict %q, %d charged, want 0", end.verdict, account.cost.Load())
 	}
 }
 
-// TestCallerThatLeftBeforeARun: the call has not run, however many workers refused it.
-func TestCallerThatLeftBeforeARun(t *testing.T) {
+// TestCallerThatLeftBeforeAnyRun checks that a call whose caller has left counts as not run if
+// all workers that got it refused it.
+func TestCallerThatLeftBeforeAnyRun(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		end    tryEnd
+		end    tryResult
 		notRun bool
 	}{
-		{"before a worker had it", tryEnd{verdict: notRun, err: context.Canceled}, true},
-		{"while it may have run", tryEnd{verdict: mayHaveRun, err: context.Canceled}, false},
-		{"while its answer came", tryEnd{verdict: finished, code: result.CallerGone, err: errCallerWrite{context.Canceled}}, false},
+		{"before a worker had it", tryResult{verdict: notRun, err: context.Canceled}, true},
+		{"while it may have run", tryResult{verdict: mayHaveRun, err: context.Canceled}, false},
+		{"while its answer came", tryResult{verdict: finished, code: result.CallerGone, err: errCallerWrite{context.Canceled}}, false},
 	} {
 		s := &session{call: &Call{Route: &routing.Route{}}, attempts: 1} // a worker has refused it before
 		outcome := Outcome{}
--- a/internal/dispatch/endings.go
+++ b/internal/dispatch/endings.go
@@ -16,29 +16,30 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// The figures of looks at workers whose answers broke off.
+// A look is a probe of a worker whose answer broke off, to learn whether the worker has ended.
 const (
-	// lookPatience is for how long a request waits to learn whether its worker has ended
-	// before it goes on elsewhere: the way to another region and back is 24 ms, and the
-	// shortest objective of a first byte 300 ms.
+	// lookPatience is how long a request waits to learn whether its worker has ended before it
+	// is sent elsewhere. The round trip to another region is 24 ms, and the shortest objective
+	// for a first byte is 300 ms.
 	lookPatience = 30 * time.Millisecond
-	// lookLife is how long a look at a worker that hasn't ended serves others whose answers
-	// broke off there: all that a worker ran break off within some milliseconds.
+	// lookLife is how long the result of a look at a worker that has not ended is valid for
+	// other requests whose answers broke off there. When a worker ends, all its answers break
+	// off within some milliseconds.
 	lookLife = 100 * time.Millisecond
 	// maxLooks bounds the looks that are remembered.
 	maxLooks = 1000
 )
 
-// look is one look at a worker.
+// look is one probe of a worker, under way or done.
 type look struct {
 	begun time.Time
-	// done is closed once liveness is known.
+	// done is closed once liveness is set.
 	done     chan struct{}
 	liveness workerconn.Liveness
 }
 
-// isDone reports whether it is known what the look showed, and isDead whether that is an
-// end.
+// isDone reports whether the look has a result, and isDead whether the result is that the
+// worker has ended.
 func (l *look) isDone() bool {
 	select {
 	case <-l.done:
@@ -50,24 +51,24 @@
 
 func (l *look) isDead() bool { return l.isDone() && l.liveness == workerconn.Dead }
 
-// serves reports whether a look tells of a worker at a time: one that has ended does not
-// come back under the same id.
-func (l *look) serves(now time.Time) bool {
+// isValid reports whether a look is still valid at a time. A worker that has ended does not
+// come back under the same ID.
+func (l *look) isValid(now time.Time) bool {
 	return !l.isDone() || l.isDead() || now.Sub(l.begun) < lookLife
 }
 
-// run is a request that a worker was given.
-type run struct {
+// runningRequest is a request that a worker is running.
+type runningRequest struct {
 	request quarantine.Fingerprint
-	// suspected tells that workers had ended under it before.
+	// suspected tells that workers have crashed while running it before.
 	suspected bool
 	// answering tells that the worker has begun to answer.
 	answering atomic.Bool
 }
 
-// endings knows what this node runs at each worker, and finds out which of those whose
-// answers broke off have ended. It is safe for concurrent use.
-type endings struct {
+// crashDetector knows the requests that this node runs at each worker, and finds out which
+// workers have ended when their answers break off. It is safe for concurrent use.
+type crashDetector struct {
 	probe func(ctx context.Context, address string) workerconn.Liveness
 	// drains reports whether a worker is known to end as planned.
 	drains     func(worker string) bool
@@ -76,30 +77,30 @@
 	metrics    *Metrics
 
 	mu      sync.Mutex
-	running map[string]map[*run]struct{}
+	running map[string]map[*runningRequest]struct{}
 	looks   map[string]*look
 }
 
-func newEndings(drains func(worker string) bool, quarantined Quarantine, log *logrus.Logger, metrics *Metrics) *endings {
-	return &endings{
+func newCrashDetector(drains func(worker string) bool, quarantined Quarantine, log *logrus.Logger, metrics *Metrics) *crashDetector {
+	return &crashDetector{
 		probe: workerconn.Probe, drains: drains, quarantine: quarantined, log: log, metrics: metrics,
-		running: make(map[string]map[*run]struct{}), looks: make(map[string]*look),
+		running: make(map[string]map[*runningRequest]struct{}), looks: make(map[string]*look),
 	}
 }
 
-// begin records that a worker is given a request, and end that it isn't any more.
-func (e *endings) begin(worker string, request quarantine.Fingerprint, suspected bool) *run {
-	begun := &run{request: request, suspected: suspected}
+// begin records that a worker is given a request, and end that it no longer has it.
+func (e *crashDetector) begin(worker string, request quarantine.Fingerprint, suspected bool) *runningRequest {
+	begun := &runningRequest{request: request, suspected: suspected}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.running[worker] == nil {
-		e.running[worker] = make(map[*run]struct{})
+		e.running[worker] = make(map[*runningRequest]struct{})
 	}
 	e.running[worker][begun] = struct{}{}
 	return begun
 }
 
-func (e *endings) end(worker string, ended *run) {
+func (e *crashDetector) end(worker string, ended *runningRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.running[worker], ended)
@@ -108,8 +109,8 @@
 	}
 }
 
-// suspects counts the suspected requests that a worker runs for this node.
-func (e *endings) suspects(worker string) int {
+// suspects counts the suspected requests that a worker is running for this node.
+func (e *crashDetector) suspects(worker string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	count := 0
@@ -121,11 +122,11 @@
 	return count
 }
 
-// answered records that a worker has run a request to an end that it was given at a time. One
-// that was taken for ended lives: its address may refuse a connection for other reasons. A
-// worker that may start again under its name says nothing of before by a request that it was
-// given after that.
-func (e *endings) answered(id string, given, now time.Time) {
+// recordCompletion records that a worker completed a request that it was given at a time. If a
+// look has found the worker ended, that was a mistake, since an address may refuse a connection
+// for other reasons, and the quarantine is told. A worker whose ID names an incarnation may
+// have started again under its name: then only a request given before the look shows a mistake.
+func (e *crashDetector) recordCompletion(id string, given, now time.Time) {
 	e.mu.Lock()
 	known, exists := e.looks[id]
 	mistaken := exists && known.isDead() && (worker.BornOf(id) == 0 || given.Before(known.begun))
@@ -138,9 +139,9 @@
 	}
 }
 
-// inspect tells whether a worker has ended whose answer broke off, as far as that is known
-// within lookPatience. The worker is looked at once for all that it ran.
-func (e *endings) inspect(worker scheduling.Candidate) workerconn.Liveness {
+// inspect reports whether a worker whose answer broke off has ended, as far as that is known
+// within lookPatience. All requests that the worker ran share one look.
+func (e *crashDetector) inspect(worker scheduling.Candidate) workerconn.Liveness {
 	seen := e.look(worker)
 	timer := time.NewTimer(lookPatience)
 	defer timer.Stop()
@@ -152,24 +153,24 @@
 	}
 }
 
-// look returns the look that serves, or begins one.
-func (e *endings) look(worker scheduling.Candidate) *look {
+// look returns a look that is still valid, or begins one.
+func (e *crashDetector) look(worker scheduling.Candidate) *look {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if known, exists := e.looks[worker.ID]; exists && known.serves(now) {
+	if known, exists := e.looks[worker.ID]; exists && known.isValid(now) {
 		return known
 	}
-	e.forget()
+	e.evictOldestLook()
 	begun := &look{begun: now, done: make(chan struct{})}
 	e.looks[worker.ID] = begun
 	ran := slices.Collect(maps.Keys(e.running[worker.ID]))
-	go e.carryOut(begun, worker, ran)
+	go e.runLook(begun, worker, ran)
 	return begun
 }
 
-// forget makes room for a look: the oldest one goes.
-func (e *endings) forget() {
+// evictOldestLook drops the oldest look if there is no room for another.
+func (e *crashDetector) evictOldestLook() {
 	if len(e.looks) < maxLooks {
 		return
 	}
@@ -182,8 +183,8 @@
 	delete(e.looks, oldest)
 }
 
-// carryOut looks at a worker, and tells of its end and of what it ran.
-func (e *endings) carryOut(begun *look, worker scheduling.Candidate, ran []*run) {
+// runLook probes a worker. If the worker has crashed it reports the requests that it ran.
+func (e *crashDetector) runLook(begun *look, worker scheduling.Candidate, ran []*runningRequest) {
 	drains := e.drains(worker.ID)
 	begun.liveness = e.probe(context.Background(), worker.Address)
 	crashes := crashesOf(worker, ran)
@@ -194,13 +195,13 @@
 	e.metrics.Breaks.WithLabelValues(string(begun.liveness)).Inc()
 	e.log.WithFields(logrus.Fields{
 		"worker": worker.ID, "address": worker.Address, "worker_state": begun.liveness, "drains": drains,
-		"look_us": time.Since(begun.begun).Microseconds(), "running": len(ran), "fingerprints": rendered(crashes),
+		"look_us": time.Since(begun.begun).Microseconds(), "running": len(ran), "fingerprints": fingerprintTexts(crashes),
 	}).Warn("worker looked at: answers broke off")
 }
 
-// crashesOf tells of a worker's end for each request that it ran. It was answering one that
-// it ran several times if it answered each.
-func crashesOf(worker scheduling.Candidate, ran []*run) map[quarantine.Fingerprint]quarantine.Crash {
+// crashesOf returns one crash of the worker for each request that it ran. If it ran one several
+// times, it counts as answering that only if it was answering each of them.
+func crashesOf(worker scheduling.Candidate, ran []*runningRequest) map[quarantine.Fingerprint]quarantine.Crash {
 	crashes := make(map[quarantine.Fingerprint]quarantine.Crash, len(ran))
 	for _, running := range ran {
 		before, exists := crashes[running.request]
@@ -210,10 +211,10 @@
 	return crashes
 }
 
-// maxLogged bounds the fingerprints in one line of the log.
+// maxLogged bounds the fingerprints in one log line.
 const maxLogged = 32
 
-func rendered(crashes map[quarantine.Fingerprint]quarantine.Crash) []string {
+func fingerprintTexts(crashes map[quarantine.Fingerprint]quarantine.Crash) []string {
 	texts := make([]string, 0, min(len(crashes), maxLogged))
 	for request := range crashes {
 		if len(texts) == maxLogged {
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -16,7 +16,7 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// fingerprintOf makes a fingerprint up.
+// fingerprintOf returns a made-up fingerprint.
 func fingerprintOf(name string) quarantine.Fingerprint {
 	return quarantine.Content{Target: name}.Fingerprint()
 }
@@ -27,18 +27,19 @@
 	return log
 }
 
-// newTestEndings returns endings that find workers as probe says.
-func newTestEndings(probe func(ctx context.Context, address string) workerconn.Liveness) *endings {
-	e := newEndings(func(string) bool { return false }, noQuarantine{}, quietLogger(), NewMetrics(prometheus.NewRegistry()))
+// newTestCrashDetector returns a crash detector whose looks find what probe returns.
+func newTestCrashDetector(probe func(ctx context.Context, address string) workerconn.Liveness) *crashDetector {
+	e := newCrashDetector(func(string) bool { return false }, noQuarantine{}, quietLogger(), NewMetrics(prometheus.NewRegistry()))
 	e.probe = probe
 	return e
 }
 
-// TestEndedWorkerIsLookedAtOnce, however many of its answers broke off.
-func TestEndedWorkerIsLookedAtOnce(t *testing.T) {
+// TestEndedWorkerIsProbedOnce checks that a worker is probed once, however many of its
+// answers broke off.
+func TestEndedWorkerIsProbedOnce(t *testing.T) {
 	var mu sync.Mutex
 	looks := 0
-	e := newTestEndings(func(context.Context, string) workerconn.Liveness {
+	e := newTestCrashDetector(func(context.Context, string) workerconn.Liveness {
 		mu.Lock()
 		defer mu.Unlock()
 		looks++
@@ -50,38 +51,38 @@
 		requests.Go(func() {
 			defer e.end(ended.ID, e.begin(ended.ID, fingerprintOf(name), false))
 			if got := e.inspect(ended); got != workerconn.Dead {
-				t.Errorf("request %s found the worker %s", name, got)
+				t.Errorf("request %s found the worker %s, want it dead", name, got)
 			}
 		})
 	}
 	requests.Wait()
 	if looks != 1 || len(e.running) != 0 {
-		t.Errorf("%d looks, %d workers run something", looks, len(e.running))
+		t.Errorf("%d looks, %d workers with running requests, want 1 and 0", looks, len(e.running))
 	}
 }
 
-// TestLookHoldsNoRequestUp: a worker that gives no answer is left for what it is, though
-// the look goes on.
-func TestLookHoldsNoRequestUp(t *testing.T) {
+// TestSlowLookDelaysNoRequest checks that a request does not wait for a probe that gets no
+// answer, although the probe goes on.
+func TestSlowLookDelaysNoRequest(t *testing.T) {
 	answered := make(chan struct{})
-	e := newTestEndings(func(context.Context, string) workerconn.Liveness {
+	e := newTestCrashDetector(func(context.Context, string) workerconn.Liveness {
 		<-answered
 		return workerconn.Alive
 	})
 	dark := scheduling.Candidate{ID: "w", Address: "a"}
 	if got := e.inspect(dark); got != workerconn.Unheard {
-		t.Errorf("before the answer the worker is %s", got)
+		t.Errorf("before the probe is answered the worker is %s", got)
 	}
 	begun := e.look(dark)
 	close(answered)
 	<-begun.done
 	if begun.liveness != workerconn.Alive {
-		t.Errorf("after the answer the worker is %s", begun.liveness)
+		t.Errorf("after the probe is answered the worker is %s", begun.liveness)
 	}
 }
 
 func TestLooksAreBounded(t *testing.T) {
-	e := newTestEndings(func(context.Context, string) workerconn.Liveness { return workerconn.Dead })
+	e := newTestCrashDetector(func(context.Context, string) workerconn.Liveness { return workerconn.Dead })
 	for number := range 2 * maxLooks {
 		e.inspect(scheduling.Candidate{ID: string(rune(number))})
 	}
@@ -90,29 +91,29 @@
 	}
 }
 
-// told records for which workers a quarantine is told that they live.
-type told struct {
+// aliveRecorder records the workers of which the quarantine is told that they are alive.
+type aliveRecorder struct {
 	noQuarantine
-	lives []string
+	alive []string
 }
 
-func (q *told) Lives(worker string, _ time.Time) { q.lives = append(q.lives, worker) }
+func (q *aliveRecorder) Lives(worker string, _ time.Time) { q.alive = append(q.alive, worker) }
 
-// TestAnswerOfALaterStartDoesNotUndoAnEnd: a worker that ended is back under its name, and the
-// list that tells of it comes later than its answers. A run that was given to it before it
-// was taken for ended shows a mistake.
-func TestAnswerOfALaterStartDoesNotUndoAnEnd(t *testing.T) {
+// TestAnswerOfLaterIncarnationDoesNotUndoCrash guards against taking the answers of a restarted
+// worker for a sign that it never ended: they arrive before the worker list tells of the new
+// incarnation. Only a request given to it before the look shows that the look was mistaken.
+func TestAnswerOfLaterIncarnationDoesNotUndoCrash(t *testing.T) {
 	for id, want := range map[string]int{"w": 2, worker.IncarnationID("w", 7): 1} {
-		quarantined := &told{}
-		e := newTestEndings(func(context.Context, string) workerconn.Liveness { return workerconn.Dead })
+		quarantined := &aliveRecorder{}
+		e := newTestCrashDetector(func(context.Context, string) workerconn.Liveness { return workerconn.Dead })
 		e.quarantine = quarantined
 		before := time.Now()
 		for _, given := range []func() time.Time{func() time.Time { return before.Add(-time.Second) }, time.Now} {
 			e.inspect(scheduling.Candidate{ID: id, Address: "a"})
-			e.answered(id, given(), time.Now())
+			e.recordCompletion(id, given(), time.Now())
 		}
-		if len(quarantined.lives) != want {
-			t.Errorf("%s: the end is undone %d times, want %d", id, len(quarantined.lives), want)
+		if len(quarantined.alive) != want {
+			t.Errorf("%s: reported alive %d times, want %d", id, len(quarantined.alive), want)
 		}
 	}
 }
--- a/internal/dispatch/events_test.go
+++ b/internal/dispatch/events_test.go
@@ -8,8 +8,8 @@
 
 const streamText = "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n: note\n\nid:3\ndata: d\n\nid: 4\ndata: cut"
 
-// TestEventCutterGivesWholeEvents: however a stream is cut into pieces, what is
-// given out are whole events, and the last id is theirs.
+// TestEventCutterGivesWholeEvents checks that, however a stream is split into pieces, only
+// complete events are returned and the last ID is theirs.
 func TestEventCutterGivesWholeEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cutter, given, last := &eventCutter{}, "", "0"
@@ -24,7 +24,7 @@
 		}
 		const rest = "id: 4\ndata: cut"
 		if given+rest != streamText || string(cutter.rest()) != rest || last != "3" {
-			t.Fatalf("given %q, rest %q, last id %s", given, cutter.rest(), last)
+			t.Fatalf("returned %q, rest %q, last ID %s", given, cutter.rest(), last)
 		}
 	})
 }
@@ -33,6 +33,6 @@
 	cutter := &eventCutter{}
 	cutter.add([]byte("data: a\n\n"))
 	if got := cutter.lastID("7"); got != "7" {
-		t.Errorf("%q", got)
+		t.Errorf("an event without an ID makes the last ID %q, want 7", got)
 	}
 }
--- a/internal/dispatch/late_test.go
+++ b/internal/dispatch/late_test.go
@@ -21,7 +21,7 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// sendingWire speaks to workers without headers of its own.
+// sendingWire is a protocol without headers that signals each request that is sent.
 type sendingWire struct{ sent chan struct{} }
 
 func (sendingWire) IDHeader() string                            { return "" }
@@ -40,7 +40,7 @@
 	return http.Header{}
 }
 
-// sink takes answers.
+// sink collects answers.
 type sink struct{ strings.Builder }
 
 func (s *sink) Head(int, http.Header, int64) {}
@@ -50,12 +50,12 @@
 	return err
 }
 
-// lateEvents tell of each plan that is made and of each sending to a worker.
+// lateEvents signals each plan that is made and each request that is sent to a worker.
 type lateEvents struct{ planned, sent chan struct{} }
 
-// lateSetting is a dispatcher with one engine that reads and one that writes, and a call
-// that can't be in time at either.
-func lateSetting(t *testing.T) (*Dispatcher, *worker.Registry, *Call, lateEvents) {
+// newLateFixture returns a dispatcher with a prefill and a decode engine, and a call that
+// cannot be in time at either.
+func newLateFixture(t *testing.T) (*Dispatcher, *worker.Registry, *Call, lateEvents) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "id: 1\n\n")
@@ -91,50 +91,53 @@
 	return dispatcher, registry, call, events
 }
 
-// queueAt is what others have placed on both engines. It is less where prompts are read, so
-// that this is the way chosen.
-func queueAt(registry *worker.Registry, change func(string, worker.Load)) {
+// placeQueues sets what others have placed on both engines. The queue is shorter at the prefill
+// engine, so that the prompt is read apart.
+func placeQueues(registry *worker.Registry, change func(string, worker.Load)) {
 	change("read", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 20_000)})
 	change("write", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 400_000)})
 }
 
-// TestLateCallIsHeldUntilAnEngineIsFree, where it was refused.
+// TestLateCallIsHeldUntilAnEngineIsFree checks that a late call waits for an engine and is not
+// refused.
 func TestLateCallIsHeldUntilAnEngineIsFree(t *testing.T) {
-	dispatcher, registry, call, events := lateSetting(t)
-	queueAt(registry, registry.Begin)
+	dispatcher, registry, call, events := newLateFixture(t)
+	placeQueues(registry, registry.Begin)
 	ended := make(chan Outcome)
 	go func() { ended <- dispatcher.Run(context.Background(), call, &sink{}) }()
 	for range 2 { // a call that is planned again without having been sent was held
 		select {
 		case outcome := <-ended:
-			t.Fatalf("ended at once: %+v", outcome)
+			t.Fatalf("not held: %+v", outcome)
 		case <-events.sent:
-			t.Fatal("given to an engine where others wait")
+			t.Fatal("sent to an engine where others wait")
 		case <-events.planned:
 		}
 	}
 	registry.End("read", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 20_000)})
 	if outcome := <-ended; outcome.Status != http.StatusOK {
-		t.Errorf("%+v", outcome)
+		t.Errorf("not served once an engine is free: %+v", outcome)
 	}
 }
 
-// TestHeldCallEndsWithItsCaller.
+// TestHeldCallEndsWithItsCaller checks that a held call ends when its caller leaves and is not
+// sent.
 func TestHeldCallEndsWithItsCaller(t *testing.T) {
-	dispatcher, registry, call, events := lateSetting(t)
-	queueAt(registry, registry.Begin)
+	dispatcher, registry, call, events := newLateFixture(t)
+	placeQueues(registry, registry.Begin)
 	ctx, leave := context.WithCancel(context.Background())
 	ended := make(chan Outcome)
 	go func() { ended <- dispatcher.Run(ctx, call, &sink{}) }()
 	<-events.planned
 	leave()
 	if outcome := <-ended; outcome.Attempts != 0 || len(events.sent) != 0 {
-		t.Errorf("%+v", outcome)
+		t.Errorf("sent or counted as an attempt: %+v", outcome)
 	}
 }
 
-// TestLateCallsAreReadLast, behind the least urgent route.
-func TestLateCallsAreReadLast(t *testing.T) {
+// TestLateCallsArePrefilledLast checks that late calls are prefilled after those of the least
+// urgent route.
+func TestLateCallsArePrefilledLast(t *testing.T) {
 	for _, example := range []struct {
 		priority int
 		late     bool
@@ -147,7 +150,8 @@
 	}
 }
 
-// TestPatienceCountsFromTheLastPiece, and ends with the deadline.
+// TestPatienceCountsFromTheLastPiece checks that patience restarts with each piece of the
+// answer and ends with the deadline.
 func TestPatienceCountsFromTheLastPiece(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	call := &Call{Route: &routing.Route{Patience: 2 * time.Second}, Arrived: arrived, Deadline: arrived.Add(5 * time.Second)}
@@ -157,11 +161,11 @@
 		{4500 * time.Millisecond, 4 * time.Second, 500 * time.Millisecond},
 	} {
 		if got := call.patience(arrived.Add(example.age), example.lastPiece); got != example.want {
-			t.Errorf("after %v, the last piece after %v: %v", example.age, example.lastPiece, got)
+			t.Errorf("after %v, the last piece after %v: patience %v", example.age, example.lastPiece, got)
 		}
 	}
 	call.Route = &routing.Route{}
 	if got := call.patience(arrived.Add(time.Second), 0); got != 4*time.Second {
-		t.Errorf("without a bound of its own: %v", got)
+		t.Errorf("without a patience of the route: %v, want the time to the deadline", got)
 	}
 }
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -10,7 +10,7 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// noTurnAt are turns of which one worker has none.
+// noTurnAt grants turns at all workers but one.
 type noTurnAt struct{ worker string }
 
 func (n noTurnAt) TakeTurn(_ context.Context, worker string, _ time.Duration) quota.Outcome {
@@ -19,48 +19,49 @@
 func (noTurnAt) ReturnTurn(string) {}
 func (noTurnAt) CountTurn(string)  {}
 
-// TestPromptIsNotReadWithoutATurnToRun: the engine that is to run it takes no more.
-func TestPromptIsNotReadWithoutATurnToRun(t *testing.T) {
-	dispatcher, registry, call, events := lateSetting(t)
+// TestPromptIsNotPrefilledWithoutATurnToRun checks that no prompt is prefilled while the engine
+// that is to run it has no turn left.
+func TestPromptIsNotPrefilledWithoutATurnToRun(t *testing.T) {
+	dispatcher, registry, call, events := newLateFixture(t)
 	dispatcher.turns = noTurnAt{"write"}
 	call.Route.Objective = time.Minute
-	registry.Begin("write", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 400_000)}) // read apart, then
+	registry.Begin("write", worker.Load{Requests: 1, Unread: worker.UnreadTokensOf(0, 400_000)}) // so that the prompt is read apart
 	now := time.Now()
 	registry.ObserveLimit("write", "request", worker.LimitStatement{Named: true, Rate: 1, Sent: now, Heard: now})
 	outcome := dispatcher.Run(context.Background(), call, &sink{})
 	if outcome.Attempts != 0 || outcome.RetryAfter <= 0 || len(events.sent) > 0 {
-		t.Errorf("%+v, sent to %d engines", outcome, len(events.sent))
+		t.Errorf("not refused: %+v, sent to %d engines", outcome, len(events.sent))
 	}
 }
 
-// TestRefusedCallersComeBackOneAfterTheOther: told the same time, all but one of them would be
-// refused again.
-func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
+// TestRefusedCallersRetryOneAfterTheOther checks that refused callers are told different
+// times. Otherwise all but one of them would be refused again.
+func TestRefusedCallersRetryOneAfterTheOther(t *testing.T) {
 	const nodes, perSecond = 3, 6
-	d := &Dispatcher{nodes: func() int { return nodes }, returning: make(map[string]time.Time)}
+	d := &Dispatcher{nodes: func() int { return nodes }, promisedUntil: make(map[string]time.Time)}
 	before := time.Duration(0)
 	for count := range 5 {
 		wait := d.promiseTurn("s", 100*time.Millisecond, perSecond)
 		if wait <= 0 || count > 0 && (wait-before < 400*time.Millisecond || wait-before > 600*time.Millisecond) {
-			t.Errorf("caller %d is told %v, the one before %v; a node has two turns a second", count, wait, before)
+			t.Errorf("caller %d is told to retry after %v, the one before after %v; a node has two turns a second", count, wait, before)
 		}
 		before = wait
 	}
 	for range 100 {
 		before = d.promiseTurn("s", 100*time.Millisecond, perSecond)
 	}
-	if before > longestReturn {
-		t.Errorf("a caller is told %v", before)
+	if before > maxRetryAfter {
+		t.Errorf("a caller is told to retry after %v, want at most maxRetryAfter", before)
 	}
 	if wait := d.promiseTurn("other", 100*time.Millisecond, perSecond); wait > 200*time.Millisecond {
-		t.Errorf("a caller of another service is told %v", wait)
+		t.Errorf("a caller of another service is told to retry after %v", wait)
 	}
 }
 
-// TestWorkersWhoseTurnIsLateAreLeftOut, the more urgent calls waiting longer, and each at least
-// as long as to be the next.
+// TestWorkersWhoseTurnIsLateAreLeftOut checks that more urgent calls wait longer for a turn,
+// and that each waits at least until the next one.
 func TestWorkersWhoseTurnIsLateAreLeftOut(t *testing.T) {
-	setting, _, call, _ := lateSetting(t)
+	setting, _, call, _ := newLateFixture(t)
 	call.Route.Objective, call.Deadline = 4*time.Second, time.Now().Add(8*time.Second)
 	call.Arrived = time.Now()
 	for _, test := range []struct {
@@ -73,12 +74,12 @@
 		call.Route.Priority = test.priority
 		s := &session{Dispatcher: setting, call: call}
 		limited := scheduling.Candidate{ID: "limited", Limited: true, PerSecond: 2, TurnWait: test.wait}
-		left := s.inTurn([]scheduling.Candidate{limited, {ID: "free"}})
+		left := s.withTurnInTime([]scheduling.Candidate{limited, {ID: "free"}})
 		if kept := len(left) == 2; kept != test.kept {
 			t.Errorf("priority %d, a turn in %v ms: kept %v", test.priority, test.wait, kept)
 		}
 		if told := s.nextTurn > 0; told == test.kept {
-			t.Errorf("priority %d: the next turn is in %v", test.priority, s.nextTurn)
+			t.Errorf("priority %d: the next turn of workers left out is in %v", test.priority, s.nextTurn)
 		}
 	}
 }
--- a/internal/dispatch/outages.go
+++ b/internal/dispatch/outages.go
@@ -8,36 +8,37 @@
 	"github.com/tinarch/tinarch/internal/retry"
 )
 
-// returnPart is the part of the time until a service is expected back over which callers come
-// back after that.
-const returnPart = 0.5
+// retrySpreadShare bounds a random delay that is added to the time until a service is expected
+// back, as a fraction of that time, so that callers do not all retry at once.
+const retrySpreadShare = 0.5
 
-// observeOutage records how a call ended. Where no worker ran it, it returns when its caller may
-// find the service back, zero where it doesn't seem to be away.
+// observeOutage records how a call ended. If no worker ran the call, it returns the time after
+// which the caller may find the service back, zero if the service does not seem to be
+// unavailable.
 func (s *session) observeOutage(code result.Code) time.Duration {
 	switch code {
 	case result.OK:
-		s.outageOf(func(outage *retry.Outage) { outage.Served(time.Now()) })
+		s.withOutage(func(outage *retry.Outage) { outage.Served(time.Now()) })
 	case result.NoEngine, result.RetriesExhausted:
-		return s.expectedBack()
+		return s.recordUnserved()
 	}
 	return 0
 }
 
-// expectedBack records that no worker ran the call, and returns when its caller may find the
-// service back.
-func (s *session) expectedBack() time.Duration {
+// recordUnserved records that no worker ran the call, and returns the time after which the
+// caller may find the service back.
+func (s *session) recordUnserved() time.Duration {
 	var left time.Duration
-	s.outageOf(func(outage *retry.Outage) {
+	s.withOutage(func(outage *retry.Outage) {
 		now := time.Now()
 		outage.Failed(now)
 		left = outage.ExpectedRemaining(now)
 	})
-	return left + time.Duration(returnPart*rand.Float64()*float64(left))
+	return left + time.Duration(retrySpreadShare*rand.Float64()*float64(left))
 }
 
-// outageOf uses what is known of the outages of the call's service.
-func (s *session) outageOf(use func(outage *retry.Outage)) {
+// withOutage calls use with the outage estimate of the call's service.
+func (s *session) withOutage(use func(outage *retry.Outage)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	service := s.call.Service.Name
--- a/internal/dispatch/survey.go
+++ b/internal/dispatch/survey.go
@@ -10,77 +10,79 @@
 	"github.com/tinarch/tinarch/internal/scheduling"
 )
 
-// LoadReports are the accounts of the load that all nodes have placed on workers.
+// LoadReports tells the load that all nodes have placed on workers. Each worker's load is
+// tracked by some of the nodes, to which the others report theirs.
 type LoadReports interface {
-	// Kept reports for each worker whether this node itself keeps its account.
+	// Kept reports for each worker whether this node tracks its load.
 	Kept(workers []string) []bool
-	// Ask asks other nodes for the accounts of workers, for a request of a rank with a
-	// prompt of these parts, and for the workers that keep what the prompt shares. It
-	// returns what came in time.
+	// Ask asks other nodes for the load of workers, as a request of a rank with a prompt of
+	// these parts finds it, and for the workers that have cached what the prompt shares. It
+	// returns the answers that arrived in time.
 	Ask(ctx context.Context, workers []string, parts []prefixcache.Part, rank int) scheduling.Answers
-	// Keeping returns the engines whose accounts this node keeps, and false where all
-	// workers are to be looked at.
+	// Keeping returns the engines whose load this node tracks. It returns false if plans are to
+	// consider all workers.
 	Keeping() (engines map[string]bool, some bool)
-	// RoundTrip is the time of the way to a region and back, zero for the own region.
+	// RoundTrip is the round-trip time to a region, zero for the node's own.
 	RoundTrip(region string) time.Duration
 }
 
-// surveyed is what a survey of the workers took, for the log.
-type surveyed struct {
+// questionStats describes the questions to other nodes about one plan, for the log.
+type questionStats struct {
 	asked, answered int
-	// holders is the number of workers that are told to keep what the prompt shares.
+	// holders is the number of workers that are reported to have cached what the prompt shares.
 	holders int
 	took    time.Duration
 }
 
-// candidates describes the workers that may take the request.
+// candidates describes the workers that may get the call.
 func (s *session) candidates() []scheduling.Candidate {
-	candidates := s.inTurn(s.separated(s.described()))
-	if s.accounts == nil {
+	candidates := s.withTurnInTime(s.withoutOtherSuspects(s.describeCandidates()))
+	if s.loadReports == nil {
 		return candidates
 	}
-	return s.withAccounts(candidates)
+	return s.withReportState(candidates)
 }
 
-// described returns the workers that may take the request: those worth looking at in a fleet
-// of which this node keeps some accounts, or else all.
-func (s *session) described() []scheduling.Candidate {
+// describeCandidates returns the workers that may get the call: those on the shortlist if this
+// node tracks only some of the workers, or else all.
+func (s *session) describeCandidates() []scheduling.Candidate {
 	now, service := time.Now(), s.call.Service.Name
-	if s.accounts != nil && s.call.PromptTokens > 0 {
-		if kept, some := s.accounts.Keeping(); some {
+	if s.loadReports != nil && s.call.PromptTokens > 0 {
+		if kept, some := s.loadReports.Keeping(); some {
 			names := scheduling.Shortlist(s.request(), s.registry.Outlines(service, kept, now))
-			return s.describe(append(names, slices.Collect(maps.Keys(s.known))...))
+			return s.describe(append(names, slices.Collect(maps.Keys(s.reports))...))
 		}
 	}
 	return s.registry.Candidates(service, s.call.Prompt, s.call.rank(), now)
 }
 
-// describe describes some workers, each once.
+// describe describes the named workers, each once.
 func (s *session) describe(workers []string) []scheduling.Candidate {
 	slices.Sort(workers)
 	return s.registry.CandidatesAmong(s.call.Service.Name, slices.Compact(workers), s.call.Prompt, s.call.rank(), time.Now())
 }
 
-// withAccounts tells for each candidate whether this node keeps its account.
-func (s *session) withAccounts(candidates []scheduling.Candidate) []scheduling.Candidate {
+// withReportState marks the candidates whose load this node does not track, and adds the
+// round-trip times of other regions.
+func (s *session) withReportState(candidates []scheduling.Candidate) []scheduling.Candidate {
 	ids := make([]string, 0, len(candidates))
 	for _, candidate := range candidates {
 		ids = append(ids, candidate.ID)
 	}
-	for i, kept := range s.accounts.Kept(ids) {
+	for i, kept := range s.loadReports.Kept(ids) {
 		if !kept {
 			candidates[i].Report = scheduling.Unasked
 		}
 		if candidates[i].OtherRegion {
-			candidates[i].RoundTrip = float64(s.accounts.RoundTrip(candidates[i].Region)) / float64(time.Millisecond)
+			candidates[i].RoundTrip = float64(s.loadReports.RoundTrip(candidates[i].Region)) / float64(time.Millisecond)
 		}
 	}
 	return candidates
 }
 
-// survey narrows candidates to those worth looking at, and adds what other nodes know of
-// them.
-func (s *session) survey(ctx context.Context, request scheduling.Request, candidates []scheduling.Candidate, wide bool) []scheduling.Candidate {
+// preselect narrows candidates down (scheduling.Preselect) and adds what other nodes know of
+// the chosen ones.
+func (s *session) preselect(ctx context.Context, request scheduling.Request, candidates []scheduling.Candidate, wide bool) []scheduling.Candidate {
 	if request.PromptTokens == 0 {
 		return candidates
 	}
@@ -95,16 +97,16 @@
 		return chosen
 	}
 	begun := time.Now()
-	answers := s.accounts.Ask(ctx, unasked, s.call.Prompt, s.call.rank())
-	s.known = answers.Reports
-	s.surveyed = surveyed{
-		asked: len(unasked), answered: len(s.known), holders: len(answers.Holders), took: time.Since(begun),
+	answers := s.loadReports.Ask(ctx, unasked, s.call.Prompt, s.call.rank())
+	s.reports = answers.Reports
+	s.questionStats = questionStats{
+		asked: len(unasked), answered: len(s.reports), holders: len(answers.Holders), took: time.Since(begun),
 	}
-	return scheduling.WithHolders(s.informed(chosen), s.withHolders(candidates, answers.Holders), answers.Holders)
+	return scheduling.WithHolders(s.withReports(chosen), s.withHolders(candidates, answers.Holders), answers.Holders)
 }
 
-// withHolders adds those workers to the candidates that are told to keep the content and
-// weren't worth looking at by themselves.
+// withHolders adds the workers to the candidates that are reported to have the content cached
+// and were not on the shortlist.
 func (s *session) withHolders(candidates []scheduling.Candidate, holders []scheduling.Holder) []scheduling.Candidate {
 	var missing []string
 	for _, holder := range holders {
@@ -118,11 +120,11 @@
 	return append(slices.Clip(candidates), s.describe(missing)...)
 }
 
-// informed adds what other nodes have told of the candidates.
-func (s *session) informed(chosen []scheduling.Candidate) []scheduling.Candidate {
-	informed := make([]scheduling.Candidate, 0, len(chosen))
+// withReports adds the load reports of other nodes to the chosen candidates.
+func (s *session) withReports(chosen []scheduling.Candidate) []scheduling.Candidate {
+	withReports := make([]scheduling.Candidate, 0, len(chosen))
 	for _, candidate := range chosen {
-		account, answered := s.known[candidate.ID]
+		account, answered := s.reports[candidate.ID]
 		switch {
 		case candidate.Report != scheduling.Unasked:
 		case !answered:
@@ -132,17 +134,17 @@
 		default:
 			candidate = candidate.WithReport(account)
 		}
-		informed = append(informed, candidate)
+		withReports = append(withReports, candidate)
 	}
-	return scheduling.WithKnownLoad(informed)
+	return scheduling.WithKnownLoad(withReports)
 }
 
-// planOver plans the request in the regions that are looked at first, and in another one
-// where these can't serve it in time. Late work stays in the first ones.
-func (s *session) planOver(ctx context.Context, request scheduling.Request) scheduling.Plan {
+// planAcrossRegions plans the request in the regions that are considered first, and in another
+// one if these cannot serve it in time. Late requests stay in the first ones.
+func (s *session) planAcrossRegions(ctx context.Context, request scheduling.Request) scheduling.Plan {
 	var plan scheduling.Plan
 	for i, scope := range scheduling.Scopes(request, s.candidates()) {
-		other := s.planWithin(ctx, request, scope.Candidates)
+		other := s.planInRegion(ctx, request, scope.Candidates)
 		if i == 0 || other.InTime() || plan.Mode == scheduling.Refused && other.Mode != scheduling.Refused {
 			plan, s.reach = other, scope.Reach
 		}
@@ -153,21 +155,21 @@
 	return plan
 }
 
-// planWithin plans the request over the workers worth looking at, and over more of them
-// where none of these can serve it. Where they only can't in time it is refused: in
-// overload more questions would slow down all answers.
-func (s *session) planWithin(ctx context.Context, request scheduling.Request, candidates []scheduling.Candidate) scheduling.Plan {
-	narrow := s.survey(ctx, request, candidates, false)
+// planInRegion plans the request over preselected workers, and over more of them if none of
+// these can serve it at all. If they can serve it only too late it is refused, because more
+// questions to other nodes would slow down all answers in an overload.
+func (s *session) planInRegion(ctx context.Context, request scheduling.Request, candidates []scheduling.Candidate) scheduling.Plan {
+	narrow := s.preselect(ctx, request, candidates, false)
 	plan := s.scheduler.Plan(request, narrow)
 	if plan.Reason != scheduling.NoWorker || len(narrow) == len(candidates) {
 		return plan
 	}
-	return s.scheduler.Plan(request, s.survey(ctx, request, candidates, true))
+	return s.scheduler.Plan(request, s.preselect(ctx, request, candidates, true))
 }
 
-// runnerOver chooses the decode engine for a prompt that was read apart: among those that
-// were asked for when the reading was planned, or else anew.
-func (s *session) runnerOver(ctx context.Context, reader scheduling.Candidate) scheduling.Plan {
+// chooseRunner chooses the decode engine for a prompt that was read apart: among those whose
+// load was asked for when the prefill was planned, or else with new questions.
+func (s *session) chooseRunner(ctx context.Context, reader scheduling.Candidate) scheduling.Plan {
 	request := s.request()
 	var runners, asked []scheduling.Candidate
 	for _, candidate := range s.candidates() {
@@ -177,21 +179,21 @@
 		if candidate.Region == reader.Region {
 			runners = append(runners, candidate)
 		}
-		if _, answered := s.known[candidate.ID]; answered || candidate.Report == scheduling.Tracked {
+		if _, answered := s.reports[candidate.ID]; answered || candidate.Report == scheduling.Tracked {
 			asked = append(asked, candidate)
 		}
 	}
-	if plan := s.scheduler.ChooseRunner(request, s.informed(asked), reader.Region); plan.Mode != scheduling.Refused && sound(plan.Runner) {
+	if plan := s.scheduler.ChooseRunner(request, s.withReports(asked), reader.Region); plan.Mode != scheduling.Refused && isSound(plan.Runner) {
 		return plan
 	}
-	return s.scheduler.ChooseRunner(request, s.survey(ctx, request, runners, false), reader.Region)
+	return s.scheduler.ChooseRunner(request, s.preselect(ctx, request, runners, false), reader.Region)
 }
 
-// sound reports whether nothing speaks against a worker.
-func sound(c scheduling.Candidate) bool { return !c.Avoid && !c.Leaving }
+// isSound reports whether a worker is neither avoided nor leaving.
+func isSound(c scheduling.Candidate) bool { return !c.Avoid && !c.Leaving }
 
-// wayTo is the time of the way to a worker of another region and back, which is no part of
-// what is learned of its engine.
-func wayTo(c scheduling.Candidate) time.Duration {
+// roundTrip is the round-trip time to a worker of another region. It is no part of what is
+// learned of the worker's engine.
+func roundTrip(c scheduling.Candidate) time.Duration {
 	return time.Duration(c.RoundTrip * float64(time.Millisecond))
 }
--- a/internal/dispatch/work.go
+++ b/internal/dispatch/work.go
@@ -7,21 +7,21 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// work is a call's load on the worker that runs it.
+// work is the load that a call places on the worker that runs it.
 type work struct {
 	session *session
 	runner  scheduling.Candidate
-	prompt  reading
+	prompt  promptOrigin
 	reading worker.Load
 	running worker.Load
 	begun   time.Time
-	// firstAt is when the first byte came, zero before.
+	// firstAt is when the first byte of the answer arrived, zero before.
 	firstAt time.Time
-	// run is what the worker runs of the call.
-	run *run
+	// runningRequest is the entry for this call in the crash detector.
+	runningRequest *runningRequest
 }
 
-func newWork(session *session, runner scheduling.Candidate, prompt reading) *work {
+func newWork(session *session, runner scheduling.Candidate, prompt promptOrigin) *work {
 	call := session.call
 	w := &work{
 		session: session, runner: runner, prompt: prompt,
@@ -31,17 +31,17 @@
 	}
 	session.registry.Begin(runner.ID, w.reading)
 	session.registry.Begin(runner.ID, w.running)
-	w.run = session.endings.begin(runner.ID, call.Fingerprint, session.suspected())
+	w.runningRequest = session.crashDetector.begin(runner.ID, call.Fingerprint, session.suspected())
 	return w
 }
 
-// firstByte records that the prompt was read.
+// firstByte records the first byte of the answer: the prompt has been prefilled.
 func (w *work) firstByte() {
 	if !w.firstAt.IsZero() {
 		return
 	}
 	w.firstAt = time.Now()
-	w.run.answering.Store(true)
+	w.runningRequest.answering.Store(true)
 	w.session.countBegun(w.firstAt)
 	registry, call := w.session.registry, w.session.call
 	registry.End(w.runner.ID, w.reading)
@@ -50,7 +50,7 @@
 	}
 	elapsed := w.firstAt.Sub(w.begun)
 	if w.prompt.from != nil {
-		registry.ObserveHandover(w.runner.ID, elapsed-wayTo(w.runner))
+		registry.ObserveHandover(w.runner.ID, elapsed-roundTrip(w.runner))
 	} else if w.session.resumeAfter == "" {
 		w.session.observeReading(w.runner, w.prompt.unread, w.prompt.fetch, elapsed)
 	}
@@ -65,5 +65,5 @@
 		registry.ObserveRun(w.runner.ID, time.Since(w.firstAt), w.session.call.ExpectedOutput)
 	}
 	registry.End(w.runner.ID, w.running)
-	w.session.endings.end(w.runner.ID, w.run)
+	w.session.crashDetector.end(w.runner.ID, w.runningRequest)
 }
--- a/internal/retry/outage.go
+++ b/internal/retry/outage.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Outage tells callers of a service that no worker runs when to come back: when the service is
-// expected to be back, by how long it was away before. The zero value has seen no outage. It is
-// pure: time is an argument.
+// Outage predicts when a service that no worker serves will be available again, from how long
+// it was unavailable before. Callers are told to retry then. The zero value has seen no outage.
+// It is pure: time is an argument.
 type Outage struct {
-	// begun and last are when the first and the last call failed since a worker ran one, zero
-	// where none has.
+	// begun and last are when the first and the last call failed since one succeeded, zero if
+	// none has failed since.
 	begun, last time.Time
-	// usual is how long the service was away lately, zero where it never was.
-	usual time.Duration
+	// usualDuration is a moving mean of the durations of past outages, zero if there was none.
+	usualDuration time.Duration
 }
 
 const (
-	// usualShare is the share of the newest outage in what is usual.
-	usualShare = 0.5
-	// longerShare is the share of the time since an outage began for which it is expected to
-	// last longer, once it has lasted as long as usual.
-	longerShare = 0.5
-	// shortestOutage is from when on failures without a success between them are an outage.
+	// newestWeight is the weight of the newest outage in usual.
+	newestWeight = 0.5
+	// overdueShare is the expected rest of an outage that has lasted longer than usual, as a
+	// fraction of the time since it began.
+	overdueShare = 0.5
+	// shortestOutage is how long calls must keep failing, without a success between them, to
+	// count as an outage.
 	shortestOutage = 300 * time.Millisecond
-	// outageGap is the time without a call after which a failure begins another outage.
+	// outageGap is the time without a call after which a failure begins a new outage.
 	outageGap = 5 * time.Second
-	// longestExpected bounds what callers are told.
-	longestExpected = 8 * time.Second
+	// maxExpected bounds the time that callers are told.
+	maxExpected = 8 * time.Second
 )
 
 // Failed records a call that no worker ran.
@@ -43,15 +44,16 @@
 	lasted := now.Sub(o.begun)
 	switch {
 	case now.Sub(o.last) > outageGap || lasted < shortestOutage:
-	case o.usual == 0:
-		o.usual = lasted
+	case o.usualDuration == 0:
+		o.usualDuration = lasted
 	default:
-		o.usual += time.Duration(usualShare * float64(lasted-o.usual))
+		o.usualDuration += time.Duration(newestWeight * float64(lasted-o.usualDuration))
 	}
 	o.begun, o.last = time.Time{}, time.Time{}
 }
 
-// ExpectedRemaining is for how much longer the service is expected to be away, zero where it isn't.
+// ExpectedRemaining is how much longer the service is expected to be unavailable, zero if no
+// outage is under way.
 func (o *Outage) ExpectedRemaining(now time.Time) time.Duration {
 	if o.begun.IsZero() {
 		return 0
@@ -60,6 +62,6 @@
 	if elapsed < shortestOutage {
 		return 0
 	}
-	left := max(o.usual-elapsed, time.Duration(longerShare*float64(elapsed)))
-	return min(left, longestExpected)
+	left := max(o.usualDuration-elapsed, time.Duration(overdueShare*float64(elapsed)))
+	return min(left, maxExpected)
 }
--- a/internal/scheduling/reading.go
+++ b/internal/scheduling/reading.go
@@ -1,27 +1,29 @@
 package scheduling
 
-// reading is what it takes one worker to have a prompt in memory, in milliseconds.
+// reading is what it takes a worker to get a prompt into its KV cache. Times and prices are in
+// milliseconds.
 type reading struct {
-	// time is the wait for the tokens ahead and for those of the request, own the part
-	// of it for which the request holds up others.
+	// time is the wait for the tokens queued ahead plus the request's own prefill, and own the
+	// part of it for which the request delays others.
 	time, own float64
-	// held is time with the tokens of all ranks in place of those ahead: what is
-	// compared, since a request that passes others holds them up.
+	// held is time with the queued tokens of all ranks in place of those ahead. Plans are
+	// compared by it, since a request that overtakes others delays them.
 	held float64
-	// price is that of shared tokens read again, and of moves.
+	// price is that of prefilling shared tokens again and of transfers between engines.
 	price float64
-	// fetch is where a part of the prompt is taken from.
+	// fetch is the address of the worker from which part of the prompt is fetched, empty if
+	// nothing is fetched.
 	fetch string
-	// unread counts the tokens that are read anew.
+	// unread counts the tokens that have to be prefilled.
 	unread int
 }
 
-// reading compares reading all that the worker lacks with fetching what another
-// worker keeps.
-func (s *Scheduler) reading(request Request, candidate Candidate, sources []Candidate) reading {
+// cheapestReading compares prefilling everything that the worker lacks with fetching what
+// another worker has cached.
+func (s *Scheduler) cheapestReading(request Request, candidate Candidate, sources []Candidate) reading {
 	kept := min(candidate.CachedTokens, request.PromptTokens)
-	best := s.read(request, candidate, kept)
-	source := longest(sources, candidate)
+	best := s.readingWith(request, candidate, kept)
+	source := bestSource(sources, candidate)
 	if source == nil {
 		return best
 	}
@@ -29,7 +31,7 @@
 	if float64(moved) < s.costs.MinFetchShare*float64(request.PromptTokens) {
 		return best
 	}
-	fetched := s.read(request, candidate, kept+moved)
+	fetched := s.readingWith(request, candidate, kept+moved)
 	wait := request.Engine.Fetch + request.Engine.MovePerToken*float64(moved)
 	fetched.time += wait
 	fetched.held += wait
@@ -41,10 +43,11 @@
 	return best
 }
 
-// read is the reading of all but the tokens at hand.
-func (s *Scheduler) read(request Request, candidate Candidate, atHand int) reading {
+// readingWith returns the reading in which all tokens are prefilled except the atHand leading
+// ones, which are cached or fetched.
+func (s *Scheduler) readingWith(request Request, candidate Candidate, atHand int) reading {
 	unread := request.PromptTokens - atHand
-	pace := max(candidate.Throughput, lowestPace)
+	pace := max(candidate.Throughput, minThroughput)
 	alone := candidate.Reading.Milliseconds(unread, atHand)
 	again := float64(max(request.SharedTokens-atHand, 0)) / float64(request.PromptTokens)
 	if candidate.NotHome {
@@ -54,22 +57,24 @@
 		time:   request.Engine.Queue*float64(candidate.ReadAhead)/pace + alone,
 		own:    candidate.Reading.VariableMilliseconds(unread, atHand),
 		held:   float64(candidate.ReadTokens)/pace + alone,
-		price:  s.costs.Reread * again * request.aim(),
+		price:  s.costs.Reread * again * request.objectiveMilliseconds(),
 		unread: unread,
 	}
 }
 
-// movePrice is the price of moving tokens of a request's prompt.
+// movePrice is the price of transferring tokens of a request's prompt between engines.
 func (s *Scheduler) movePrice(request Request, tokens int) float64 {
-	return s.costs.Move * float64(tokens) / float64(request.PromptTokens) * request.aim()
+	return s.costs.Move * float64(tokens) / float64(request.PromptTokens) * request.objectiveMilliseconds()
 }
 
-// lowestPace keeps predictions finite, in tokens a millisecond.
-const lowestPace = 0.1
+// minThroughput is the least throughput assumed, in tokens per millisecond. It keeps
+// predictions finite.
+const minThroughput = 0.1
 
-// longest returns the sound worker of a worker's region, other than itself, that keeps most
-// of the prompt: between regions memory moves too slowly to be fetched.
-func longest(candidates []Candidate, to Candidate) *Candidate {
+// bestSource returns the other worker in the same region that has the most of the prompt
+// cached, nil if there is none. It passes over workers that are avoided or rate-limited.
+// Between regions KV cache transfers too slowly to be fetched.
+func bestSource(candidates []Candidate, to Candidate) *Candidate {
 	var found *Candidate
 	for i := range candidates {
 		other := &candidates[i]
