--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -17,9 +17,9 @@
 )
 
 var (
-	errNoRunner    = eris.New("no engine can run the prefilled prompt")
+	errNoRunner    = eris.New("no worker can run the prompt that was read")
 	errNotExecuted = eris.New("the worker did not run the request")
-	errMisdirected = eris.New("another worker has this address now")
+	errMisdirected = eris.New("another worker has the address")
 	errNoHandle    = eris.New("the prompt that was read could not be fetched")
 	errFailed      = eris.New("the worker answered with a failure of its own")
 )
--- a/internal/dispatch/suspicion.go
+++ b/internal/dispatch/suspicion.go
@@ -50,7 +50,7 @@
 
 // quarantined returns the outcome of a call that no worker gets any more.
 func (s *session) quarantined() Outcome {
-	detail := "workers crashed whenever they ran this request; its fingerprint is " + s.call.Fingerprint.String()
+	detail := "workers ended whenever they ran it; its fingerprint is " + s.call.Fingerprint.String()
 	if s.mayHaveRunBefore {
 		return s.end(Outcome{Code: codeOfLost(nil, s.call.Route.Repeatable()), Detail: detail})
 	}
