--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -57,12 +57,12 @@
 	}
 }
 
-func (r *Registry) outline(known *state, kept bool, now time.Time) scheduling.Outline {
+func (r *Registry) outline(known *workerState, kept bool, now time.Time) scheduling.Outline {
 	return scheduling.Outline{
 		ID: known.worker.ID, Prefill: known.worker.Stage == Prefill,
 		SameZone: r.places.DistanceTo(known.worker.Zone) == topology.SameZone,
 		Rank:     known.rank, Hash: known.hash, Tracked: kept,
-		Sound: r.stays(known, now) && !known.breaker.Open(now) && !known.handles.Open(now) && known.turnWait(now) == 0,
+		Sound: r.isStaying(known, now) && !known.breaker.Open(now) && !known.handleBreaker.Open(now) && known.turnWait(now) == 0,
 	}
 }
 
@@ -87,10 +87,10 @@
 }
 
 // isChanging reports whether an order may be under way.
-func (s *state) isChanging(now time.Time) bool { return now.Before(s.changing) }
+func (s *workerState) isChanging(now time.Time) bool { return now.Before(s.changingUntil) }
 
-// stageToBe is the stage of a worker, or that to which it was ordered.
-func (s *state) stageToBe(now time.Time) Stage {
+// targetStage is the stage of a worker, or that to which it was ordered.
+func (s *workerState) targetStage(now time.Time) Stage {
 	if s.isChanging(now) {
 		return s.changingStage
 	}
@@ -106,16 +106,16 @@
 		if known.worker.Service != service || known.worker.Stage == Opaque || !known.listed() {
 			continue
 		}
-		load := known.total(now, "")
-		_, queuePace := r.readingOf(known)
+		load := known.totalLoad(now, "")
+		_, queuePace := r.prefillModel(known)
 		engines = append(engines, stageplan.Worker{
 			ID: known.worker.ID, Region: r.RegionOfZone(known.worker.Zone),
-			Prefill: known.stageToBe(now) == Prefill, Slots: known.worker.Slots,
-			Usable:   r.stays(known, now) && !known.breaker.Open(now) && !r.advisories[known.worker.ID].BackingOff(now),
+			Prefill: known.targetStage(now) == Prefill, Slots: known.worker.Slots,
+			Usable:   r.isStaying(known, now) && !known.breaker.Open(now) && !r.noticeStates[known.worker.ID].BackingOff(now),
 			Limited:  known.limit.Named,
 			Changing: known.isChanging(now),
 			Requests: load.Requests, ReadTokens: load.Unread.Total(), MemoryTokens: load.MemoryTokens,
-			Capacity: r.memory[service], Pace: queuePace,
+			Capacity: r.cacheCapacity[service], Pace: queuePace,
 		})
 	}
 	return engines
@@ -123,30 +123,30 @@
 
 // usable reports whether a worker may get requests: it is listed and stays, or has
 // vanished or announced its end a moment ago.
-func (r *Registry) usable(known *state, now time.Time) bool {
-	if known.worker.Draining || known.isDoubted(now) || known.isChanging(now) || r.admits(known.worker.ID, now) != nil || !known.recovery.admits(known.load.Requests) {
+func (r *Registry) usable(known *workerState, now time.Time) bool {
+	if known.worker.Draining || known.isDoubted(now) || known.isChanging(now) || r.admit(known.worker.ID, now) != nil || !known.recovery.admits(known.load.Requests) {
 		return false
 	}
-	return known.listed() || now.Sub(known.goneAt) < lingerFor
+	return known.listed() || now.Sub(known.goneAt) < lastResortFor
 }
 
-// drains reports whether a worker is about to end, by its entry or its own word. The entry may
+// isDraining reports whether a worker is about to end, by its entry or its own word. The entry may
 // lag behind by as long as the store is away.
-func (r *Registry) drains(known *state, now time.Time) bool {
-	return known.worker.Draining || r.advisories[known.worker.ID].Draining(now)
+func (r *Registry) isDraining(known *workerState, now time.Time) bool {
+	return known.worker.Draining || r.noticeStates[known.worker.ID].Draining(now)
 }
 
-// stays reports whether a worker is listed and not about to end.
-func (r *Registry) stays(known *state, now time.Time) bool {
-	return known.listed() && !known.isDoubted(now) && !r.drains(known, now)
+// isStaying reports whether a worker is listed and not about to end.
+func (r *Registry) isStaying(known *workerState, now time.Time) bool {
+	return known.listed() && !known.isDoubted(now) && !r.isDraining(known, now)
 }
 
 // isDoubted reports whether a listed worker counts as gone.
-func (s *state) isDoubted(now time.Time) bool { return now.Before(s.doubtedUntil) }
+func (s *workerState) isDoubted(now time.Time) bool { return now.Before(s.doubtedUntil) }
 
-func (r *Registry) candidate(known *state, parts []prefixcache.Part, rank int, now time.Time) scheduling.Candidate {
-	load := known.total(now, "")
-	terms, queuePace := r.readingOf(known)
+func (r *Registry) candidate(known *workerState, parts []prefixcache.Part, rank int, now time.Time) scheduling.Candidate {
+	load := known.totalLoad(now, "")
+	terms, queuePace := r.prefillModel(known)
 	distance := r.places.DistanceTo(known.worker.Zone)
 	return scheduling.Candidate{
 		ID:            known.worker.ID,
@@ -162,7 +162,7 @@
 		LateTokens:    load.Unread.Late(),
 		ReadAhead:     load.Unread.Ahead(rank),
 		MemoryTokens:  load.MemoryTokens,
-		Capacity:      r.memory[known.worker.Service],
+		Capacity:      r.cacheCapacity[known.worker.Service],
 		CachedTokens:  known.cache.Match(parts),
 		Reading:       terms,
 		Throughput:    queuePace,
@@ -170,8 +170,8 @@
 		Hash:          known.hash,
 		Avoid:         known.breaker.Open(now),
 		FailureRate:   known.breaker.FailureRate(now),
-		HandleFailure: known.handles.Open(now),
-		Leaving:       !r.stays(known, now),
+		HandleFailure: known.handleBreaker.Open(now),
+		Leaving:       !r.isStaying(known, now),
 		Limited:       known.limit.Named,
 		PerSecond:     known.limit.Rate,
 		TurnWait:      float64(known.turnWait(now)) / float64(time.Millisecond),
@@ -189,66 +189,66 @@
 		if !exists {
 			continue
 		}
-		load := known.total(now, asking)
+		load := known.totalLoad(now, asking)
 		accounts[id] = scheduling.LoadReport{
 			Requests: load.Requests, ReadTokens: load.Unread.InTime(), ReadAhead: load.Unread.Ahead(rank),
 			LateTokens: load.Unread.Late(), MemoryTokens: load.MemoryTokens, CachedTokens: known.cache.Match(parts),
-			Changing: known.isChanging(now), Leaving: r.drains(known, now), Avoid: known.breaker.Open(now),
-			HandleFailure: known.handles.Open(now), FailureRate: known.breaker.FailureRate(now),
+			Changing: known.isChanging(now), Leaving: r.isDraining(known, now), Avoid: known.breaker.Open(now),
+			HandleFailure: known.handleBreaker.Open(now), FailureRate: known.breaker.FailureRate(now),
 		}
 	}
 	return accounts
 }
 
-// total is the load of all nodes but one, or what the worker itself told just now where
+// totalLoad is the load of all nodes but one, or what the worker itself told just now where
 // that is more.
-func (s *state) total(now time.Time, except string) Load {
-	total := s.load
+func (s *workerState) totalLoad(now time.Time, except string) Load {
+	load := s.load
 	for node, remote := range s.remote {
 		if node == except {
 			continue
 		}
-		if now.Sub(remote.at) > remoteLife {
+		if now.Sub(remote.at) > remoteLoadTTL {
 			delete(s.remote, node)
 			continue
 		}
-		total = total.plus(remote.load)
+		load = load.plus(remote.load)
 	}
-	if now.Sub(s.reported.at) < reportLife {
-		total.Requests = max(total.Requests, s.reported.running+s.reported.waiting)
+	if now.Sub(s.reported.at) < reportedLoadTTL {
+		load.Requests = max(load.Requests, s.reported.running+s.reported.waiting)
 	}
-	return total
+	return load
 }
 
-// readingOf returns the terms of a worker's reading, and the pace of its queue in
+// prefillModel returns the terms of a worker's reading, and the pace of its queue in
 // tokens a millisecond.
-func (r *Registry) readingOf(known *state) (latency.Coefficients, float64) {
-	group, slower := r.group(known.worker), known.slower.Value()
+func (r *Registry) prefillModel(known *workerState) (latency.Coefficients, float64) {
+	group, slower := r.groupModel(known.worker), known.slowdown.Value()
 	return group.Coefficients().Scaled(slower), group.Throughput() / slower
 }
 
-// decodeSlower is by how much decode engines are assumed to read more slowly than
+// assumedDecodeSlowdown is by how much decode engines are assumed to read more slowly than
 // prefill engines until they were measured: they read between the tokens of others.
-const decodeSlower = 2
+const assumedDecodeSlowdown = 2
 
-func (r *Registry) group(worker Worker) *latency.Model {
+func (r *Registry) groupModel(worker Worker) *latency.Model {
 	key := groupKey{worker.Service, worker.Stage}
 	group, known := r.groups[key]
 	if !known {
 		group = &latency.Model{}
 		if worker.Stage == Decode {
-			group.AssumeSlower(decodeSlower)
+			group.AssumeSlower(assumedDecodeSlowdown)
 		}
 		r.groups[key] = group
 	}
 	return group
 }
 
-func (r *Registry) stepsOf(service string) *steps {
-	learned, known := r.steps[service]
+func (r *Registry) timingsOf(service string) *engineTimings {
+	learned, known := r.timings[service]
 	if !known {
-		learned = &steps{}
-		r.steps[service] = learned
+		learned = &engineTimings{}
+		r.timings[service] = learned
 	}
 	return learned
 }
@@ -263,7 +263,7 @@
 func (r *Registry) LearnedTimings(service string) scheduling.EngineTimes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	learned := r.stepsOf(service)
+	learned := r.timingsOf(service)
 	return scheduling.EngineTimes{
 		Handover: learned.handover.Milliseconds(assumedHandover),
 		Fetch:    learned.fetch.Milliseconds(assumedFetch),
--- a/internal/worker/demand.go
+++ b/internal/worker/demand.go
@@ -7,8 +7,8 @@
 
 // The figures of demand.
 const (
-	// demandOver is the time over which demand is averaged.
-	demandOver = time.Second
+	// demandWindow is the time over which demand is averaged.
+	demandWindow = time.Second
 )
 
 // Demand is what the callers of a service want of its engines, whether it can be done
@@ -37,10 +37,10 @@
 
 // demand is what callers want of a service in a region, at this node and at others.
 type demand struct {
-	read rate
+	read movingRate
 	// refused and refusedMemory are the requests, and their tokens of memory, that would
 	// run at a time had they not been refused.
-	refused, refusedMemory rate
+	refused, refusedMemory movingRate
 	remote                 map[string]remoteDemand
 }
 
@@ -50,21 +50,21 @@
 	until  time.Time
 }
 
-// rate is a moving mean of events in a second.
-type rate struct {
+// movingRate is a moving mean of events in a second.
+type movingRate struct {
 	perSecond float64
 	updated   time.Time
 }
 
-func (r *rate) value(now time.Time) float64 {
+func (r *movingRate) value(now time.Time) float64 {
 	if r.updated.IsZero() {
 		return 0
 	}
-	return r.perSecond * math.Exp(-float64(now.Sub(r.updated))/float64(demandOver))
+	return r.perSecond * math.Exp(-float64(now.Sub(r.updated))/float64(demandWindow))
 }
 
-func (r *rate) add(now time.Time, count float64) {
-	r.perSecond = r.value(now) + count/demandOver.Seconds()
+func (r *movingRate) add(now time.Time, count float64) {
+	r.perSecond = r.value(now) + count/demandWindow.Seconds()
 	r.updated = now
 }
 
@@ -83,7 +83,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// By Little's law as many run at a time as come in the time that one runs.
-	seconds := r.stepsOf(service).writing.Value() * float64(outputTokens) / millisecondsPerSecond
+	seconds := r.timingsOf(service).writing.Value() * float64(outputTokens) / millisecondsPerSecond
 	known := r.demandOf(r.demandKey(service, region))
 	known.refused.add(now, seconds)
 	known.refusedMemory.add(now, seconds*float64(memoryTokens))
@@ -97,21 +97,21 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	demands := make(map[string]Demand)
-	for key, here := range r.demandsHere(now) {
+	for key, here := range r.localDemands(now) {
 		if key.service == service {
 			demands[key.region] = here
 		}
 	}
 	for key, known := range r.demands {
 		if key.service == service {
-			demands[key.region] = demands[key.region].plus(known.elsewhere(now))
+			demands[key.region] = demands[key.region].plus(known.remoteTotal(now))
 		}
 	}
 	return demands
 }
 
-// elsewhere sums up what other nodes told lately.
-func (d *demand) elsewhere(now time.Time) Demand {
+// remoteTotal sums up what other nodes told lately.
+func (d *demand) remoteTotal(now time.Time) Demand {
 	var sum Demand
 	for node, remote := range d.remote {
 		if now.After(remote.until) {
@@ -150,8 +150,8 @@
 	return known
 }
 
-// demandsHere returns what this node's callers want.
-func (r *Registry) demandsHere(now time.Time) map[demandKey]Demand {
+// localDemands returns what this node's callers want.
+func (r *Registry) localDemands(now time.Time) map[demandKey]Demand {
 	here := make(map[demandKey]Demand, len(r.demands))
 	for key, known := range r.demands {
 		here[key] = Demand{
@@ -169,11 +169,11 @@
 	return here
 }
 
-// ownDemand returns the demand at this node by service, or in a deployment in several
+// localDemandByService returns the demand at this node by service, or in a deployment in several
 // regions by region and service.
-func (r *Registry) ownDemand(now time.Time) (own map[string]Demand, regional map[string]map[string]Demand) {
+func (r *Registry) localDemandByService(now time.Time) (own map[string]Demand, regional map[string]map[string]Demand) {
 	byRegion := make(map[string]map[string]Demand)
-	for key, here := range r.demandsHere(now) {
+	for key, here := range r.localDemands(now) {
 		if here.Zero() {
 			continue
 		}
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -8,9 +8,9 @@
 	"github.com/tinarch/tinarch/internal/prefixcache"
 )
 
-// listedParts is how many parts make a read a list of what a worker keeps, rather
+// minListedParts is how many parts make a read a list of what a worker keeps, rather
 // than one prompt.
-const listedParts = 8
+const minListedParts = 8
 
 // Snapshot is what one node tells the others: its own load by worker, and what
 // happened since the last snapshot.
@@ -91,17 +91,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	snapshot := Snapshot{
-		Loads: make(map[string]Load), Limits: make(map[string]LimitStatement), CacheUpdates: r.reads, Failures: r.failures,
+		Loads: make(map[string]Load), Limits: make(map[string]LimitStatement), CacheUpdates: r.cacheUpdates, Failures: r.failures,
 	}
 	now := time.Now()
-	snapshot.Demand, snapshot.RegionDemand = r.ownDemand(now)
-	r.tellLimits(&snapshot, now)
-	r.tellDraining(&snapshot, now)
+	snapshot.Demand, snapshot.RegionDemand = r.localDemandByService(now)
+	r.addLimits(&snapshot, now)
+	r.addDraining(&snapshot, now)
 	for id, known := range r.busy {
 		snapshot.Loads[id] = known.load
 	}
 	for id, known := range r.changing {
-		left := time.Until(known.changing)
+		left := time.Until(known.changingUntil)
 		if left <= 0 {
 			delete(r.changing, id)
 			continue
@@ -111,7 +111,7 @@
 	for id := range r.touched {
 		snapshot.Touched = append(snapshot.Touched, id)
 	}
-	r.reads, r.failures = nil, nil
+	r.cacheUpdates, r.failures = nil, nil
 	clear(r.touched)
 	select {
 	case <-r.changed:
@@ -120,15 +120,15 @@
 	return snapshot
 }
 
-// mergeChanging takes over an order that another node gave, unless the entry shows
+// mergeStageChange takes over an order that another node gave, unless the entry shows
 // that it is done.
-func (r *Registry) mergeChanging(changing StageChange, now time.Time) {
+func (r *Registry) mergeStageChange(change StageChange, now time.Time) {
 	stage := Decode
-	if changing.Prefill {
+	if change.Prefill {
 		stage = Prefill
 	}
-	if known, exists := r.workers[changing.Worker]; exists && known.worker.Stage != stage {
-		r.setChanging(known, now.Add(changing.Left), stage)
+	if known, exists := r.workers[change.Worker]; exists && known.worker.Stage != stage {
+		r.setChanging(known, now.Add(change.Left), stage)
 	}
 }
 
@@ -149,7 +149,7 @@
 
 // LearnedState returns what this node has learned of workers, of those whose caches it knows,
 // and the names of these.
-func (r *Registry) LearnedState(workers []string) (memory LearnedState, known []string) {
+func (r *Registry) LearnedState(workers []string) (learned LearnedState, known []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range workers {
@@ -159,15 +159,15 @@
 		}
 		known = append(known, id)
 		if parts := asked.cache.Parts(); len(parts) > 0 {
-			memory.CacheUpdates = append(memory.CacheUpdates, CacheUpdate{Worker: id, Parts: parts})
+			learned.CacheUpdates = append(learned.CacheUpdates, CacheUpdate{Worker: id, Parts: parts})
 		}
 	}
 	for key, group := range r.groups {
 		if group.Samples() > 0 {
-			memory.Paces = append(memory.Paces, Pace{key.service, key.stage, group.Coefficients(), group.Throughput()})
+			learned.Paces = append(learned.Paces, Pace{key.service, key.stage, group.Coefficients(), group.Throughput()})
 		}
 	}
-	return memory, known
+	return learned, known
 }
 
 // MarkCachesKnown records that all that workers keep is known now.
@@ -183,16 +183,16 @@
 
 // MergeLearnedState takes over what another node has learned. Parts that this node knows
 // of already keep their place.
-func (r *Registry) MergeLearnedState(memory LearnedState, now time.Time) {
+func (r *Registry) MergeLearnedState(learned LearnedState, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, read := range memory.CacheUpdates {
+	for _, read := range learned.CacheUpdates {
 		if known, exists := r.workers[read.Worker]; exists {
 			known.cache.Use(read.Parts, now)
 		}
 	}
-	for _, learned := range memory.Paces {
-		r.group(Worker{Service: learned.Service, Stage: learned.Stage}).Assume(learned.Terms, learned.TokensPerMillisecond)
+	for _, learned := range learned.Paces {
+		r.groupModel(Worker{Service: learned.Service, Stage: learned.Stage}).Assume(learned.Terms, learned.TokensPerMillisecond)
 	}
 }
 
@@ -204,7 +204,7 @@
 	if known, exists := r.workers[id]; exists {
 		known.cache.Use(parts, now)
 		known.cacheKnown = true
-		r.reads = append(r.reads, CacheUpdate{Worker: id, Parts: parts})
+		r.cacheUpdates = append(r.cacheUpdates, CacheUpdate{Worker: id, Parts: parts})
 		r.touch(id)
 	}
 }
@@ -216,7 +216,7 @@
 	var unlisted []Worker
 	now := time.Now()
 	for _, known := range r.workers {
-		if r.isUnlisted(known, now) {
+		if r.isCacheUnknown(known, now) {
 			unlisted = append(unlisted, known.worker)
 		}
 	}
@@ -230,15 +230,15 @@
 	var unlisted []Worker
 	now := time.Now()
 	for id := range engines {
-		if known, exists := r.workers[id]; exists && r.isUnlisted(known, now) {
+		if known, exists := r.workers[id]; exists && r.isCacheUnknown(known, now) {
 			unlisted = append(unlisted, known.worker)
 		}
 	}
 	return unlisted
 }
 
-func (r *Registry) isUnlisted(known *state, now time.Time) bool {
-	return known.worker.Stage != Opaque && r.stays(known, now) && !known.cacheKnown
+func (r *Registry) isCacheUnknown(known *workerState, now time.Time) bool {
+	return known.worker.Stage != Opaque && r.isStaying(known, now) && !known.cacheKnown
 }
 
 // Merge takes over what another node told.
@@ -250,11 +250,11 @@
 	for _, read := range snapshot.CacheUpdates {
 		if known, exists := r.workers[read.Worker]; exists {
 			known.cache.Use(read.Parts, now)
-			known.cacheKnown = known.cacheKnown || len(read.Parts) >= listedParts
+			known.cacheKnown = known.cacheKnown || len(read.Parts) >= minListedParts
 		}
 	}
 	for _, changing := range snapshot.Changing {
-		r.mergeChanging(changing, now)
+		r.mergeStageChange(changing, now)
 	}
 	for _, id := range snapshot.Failures {
 		if known, exists := r.workers[id]; exists {
@@ -266,16 +266,16 @@
 // mergeLoads takes over what another node has placed: nothing on the workers of which it
 // told before and doesn't any more.
 func (r *Registry) mergeLoads(node string, loads map[string]Load, now time.Time) {
-	for _, id := range r.placed[node] {
+	for _, id := range r.loadedByNode[node] {
 		if known, exists := r.workers[id]; exists {
 			delete(known.remote, node)
 		}
 	}
-	delete(r.placed, node)
+	delete(r.loadedByNode, node)
 	for id, load := range loads {
 		if known, exists := r.workers[id]; exists {
 			known.remote[node] = remoteLoad{load: load, at: now}
-			r.placed[node] = append(r.placed[node], id)
+			r.loadedByNode[node] = append(r.loadedByNode[node], id)
 		}
 	}
 }
--- a/internal/worker/limit.go
+++ b/internal/worker/limit.go
@@ -30,11 +30,11 @@
 	return math.Inf(1)
 }
 
-// after returns what holds once a further statement is known. Answers overtake each other, so
+// mergedWith returns what holds once a further statement is known. Answers overtake each other, so
 // they are ordered by when the worker can have said it: a statement that came in answer to a
-// request sent after the other was heard is newer. Of two whose order isn't known the lower
+// request sent mergedWith the other was heard is newer. Of two whose order isn't known the lower
 // holds: a worker in need gets too little for one more answer, rather than too much.
-func (s LimitStatement) after(known LimitStatement) LimitStatement {
+func (s LimitStatement) mergedWith(known LimitStatement) LimitStatement {
 	switch {
 	case known.Heard.IsZero():
 		if s.Named {
@@ -90,9 +90,9 @@
 		return
 	}
 	before := known.limit
-	known.limit = said.after(before)
+	known.limit = said.mergedWith(before)
 	if own && known.limit != before {
-		r.limitNews[id] = time.Now().Add(limitTold)
+		r.limitUpdates[id] = time.Now().Add(limitBroadcastTime)
 		r.touch(id)
 	}
 	if known.limit.Named == before.Named && known.limit.Rate == before.Rate {
@@ -114,9 +114,9 @@
 	return len(r.limited)
 }
 
-// limitTold is for how long what a worker said to this node is told on, so that it is told
+// limitBroadcastTime is for how long what a worker said to this node is told on, so that it is told
 // twice at rest.
-const limitTold = 1200 * time.Millisecond
+const limitBroadcastTime = 1200 * time.Millisecond
 
 // Limit returns what a worker has said of the requests that it takes, and a number that rises
 // whenever that changes here. It reports false for a worker that isn't known.
@@ -161,7 +161,7 @@
 // SetTurn records when a worker that has named a limit takes a further request, as far as is
 // known here.
 func (r *Registry) SetTurn(id string, at time.Time) {
-	r.update(id, func(known *state) { known.turnAt = at })
+	r.update(id, func(known *workerState) { known.turnAt = at })
 }
 
 // IsUsable reports whether a worker may still get a request that waited for its turn there.
@@ -173,19 +173,19 @@
 }
 
 // turnWait is the time until the worker takes a further request, as far as is known here.
-func (s *state) turnWait(now time.Time) time.Duration {
+func (s *workerState) turnWait(now time.Time) time.Duration {
 	if !s.limit.Named {
 		return 0
 	}
 	return max(s.turnAt.Sub(now), 0)
 }
 
-// tellLimits adds to a snapshot what workers said to this node lately.
-func (r *Registry) tellLimits(snapshot *Snapshot, now time.Time) {
-	for id, until := range r.limitNews {
+// addLimits adds to a snapshot what workers said to this node lately.
+func (r *Registry) addLimits(snapshot *Snapshot, now time.Time) {
+	for id, until := range r.limitUpdates {
 		known, exists := r.workers[id]
 		if !exists || now.After(until) {
-			delete(r.limitNews, id)
+			delete(r.limitUpdates, id)
 			continue
 		}
 		snapshot.Limits[id] = known.limit
--- a/internal/worker/limit_test.go
+++ b/internal/worker/limit_test.go
@@ -46,7 +46,7 @@
 		"an end at the same time":            {said(2, 0, 30), said(noLimit, 10, 40), 2},
 		"nothing at all is as low as it can": {said(2, 0, 10), said(0, 20, 30), 0},
 	} {
-		got := test.next.after(test.known)
+		got := test.next.mergedWith(test.known)
 		if got.Named != (test.want >= 0) || got.Named && got.Rate != test.want {
 			t.Errorf("%s: %+v, want %v", name, got, test.want)
 		}
@@ -58,12 +58,12 @@
 func TestEndIsBelievedThoughOlderAnswersGoOnComing(t *testing.T) {
 	holds := said(2, 0, 100)
 	for sent := 10; sent < 100; sent += 10 {
-		holds = said(noLimit, sent, sent+200).after(holds)
+		holds = said(noLimit, sent, sent+200).mergedWith(holds)
 	}
 	if !holds.Named {
 		t.Fatal("an answer to a request that was sent before ended the limit")
 	}
-	if holds = said(noLimit, 101, 300).after(holds); holds.Named {
+	if holds = said(noLimit, 101, 300).mergedWith(holds); holds.Named {
 		t.Error("a request sent after the last word on the limit doesn't end it")
 	}
 }
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -12,7 +12,7 @@
 func (r *Registry) SetCacheCapacity(service string, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.memory[service] = tokens
+	r.cacheCapacity[service] = tokens
 }
 
 // Replace sets the whole list. It returns the workers that are new and those gone.
@@ -37,7 +37,7 @@
 			gone = append(gone, id)
 		}
 	}
-	r.read = r.read || len(workers) > 0
+	r.listRead = r.listRead || len(workers) > 0
 	return added, gone
 }
 
@@ -46,7 +46,7 @@
 // lives keeps it longer than that, one that has left may still be listed by the copy. Where
 // most would be doubted the store had lost their entries, not they.
 func (r *Registry) ReplaceRestored(workers []Worker, doubt time.Duration, now time.Time) (added, gone, doubted []string) {
-	doubted = r.unlistedOf(workers)
+	doubted = r.knownUnlisted(workers)
 	added, gone = r.ReplaceAt(workers, now)
 	if 2*len(doubted) > len(workers) {
 		return added, gone, nil
@@ -61,8 +61,8 @@
 	return added, gone, doubted
 }
 
-// unlistedOf returns those of some workers that are known and not listed.
-func (r *Registry) unlistedOf(workers []Worker) []string {
+// knownUnlisted returns those of some workers that are known and not listed.
+func (r *Registry) knownUnlisted(workers []Worker) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var unlisted []string
@@ -84,7 +84,7 @@
 	defer r.mu.Unlock()
 	switch {
 	case change.Unreadable:
-		return r.end(r.names[change.Name])
+		return r.endIncarnation(r.newestByName[change.Name])
 	case change.Worker != nil:
 		return r.put(*change.Worker, now)
 	}
@@ -101,8 +101,8 @@
 	return ended
 }
 
-// end forgets a start of a worker at once: it has ended, whatever others still tell of it.
-func (r *Registry) end(id string) bool {
+// endIncarnation forgets a start of a worker at once: it has ended, whatever others still tell of it.
+func (r *Registry) endIncarnation(id string) bool {
 	if _, exists := r.workers[id]; !exists {
 		return false
 	}
@@ -112,7 +112,7 @@
 }
 
 // listed reports whether the platform lists the worker.
-func (s *state) listed() bool { return s.goneAt.IsZero() }
+func (s *workerState) listed() bool { return s.goneAt.IsZero() }
 
 // remove takes a worker off the list, and reports whether it was on it. What is
 // known of it is kept for a while: entries may vanish while the store is away,
@@ -123,7 +123,7 @@
 			r.forget(other)
 		}
 	}
-	known, exists := r.workers[r.names[name]]
+	known, exists := r.workers[r.newestByName[name]]
 	if !exists || !known.listed() {
 		return false
 	}
@@ -136,14 +136,14 @@
 func (r *Registry) forget(id string) {
 	r.generation++
 	delete(r.workers, id)
-	if r.names[NameOf(id)] == id {
-		delete(r.names, NameOf(id))
+	if r.newestByName[NameOf(id)] == id {
+		delete(r.newestByName, NameOf(id))
 	}
 	delete(r.busy, id)
 	delete(r.changing, id)
 	delete(r.gone, id)
 	delete(r.limited, id)
-	delete(r.limitNews, id)
+	delete(r.limitUpdates, id)
 }
 
 // put records an entry, and reports whether that changed anything. The entry of an earlier
@@ -151,12 +151,12 @@
 // that doesn't tell its birth, of a worker that did, is another writer's: it ends the worker.
 func (r *Registry) put(worker Worker, now time.Time) bool {
 	name := NameOf(worker.ID)
-	if newest, known := r.names[name]; known && newest != worker.ID {
+	if newest, known := r.newestByName[name]; known && newest != worker.ID {
 		born := BornOf(worker.ID)
 		if born > 0 && born < BornOf(newest) {
 			return false
 		}
-		r.end(newest)
+		r.endIncarnation(newest)
 		if born == 0 {
 			return true
 		}
@@ -165,30 +165,30 @@
 	if exists && (known.listed() || now.Sub(known.goneAt) < forgetAfter) {
 		changed := known.worker != worker || !known.listed() || !known.doubtedUntil.IsZero()
 		if known.worker.Address != worker.Address {
-			delete(r.advisories, worker.ID) // another start of a worker that doesn't tell its birth
+			delete(r.noticeStates, worker.ID) // another start of a worker that doesn't tell its birth
 		}
 		known.worker = worker
 		known.goneAt, known.doubtedUntil = time.Time{}, time.Time{}
 		delete(r.gone, worker.ID)
 		if worker.Stage == known.changingStage {
-			known.changing = time.Time{}
+			known.changingUntil = time.Time{}
 		}
 		return changed
 	}
-	capacity := r.memory[worker.Service]
+	capacity := r.cacheCapacity[worker.Service]
 	if capacity == 0 {
-		capacity = unknownMemoryTokens
+		capacity = defaultCacheTokens
 	}
 	r.forget(worker.ID)
-	r.names[name] = worker.ID
-	r.workers[worker.ID] = &state{
+	r.newestByName[name] = worker.ID
+	r.workers[worker.ID] = &workerState{
 		worker: worker,
 		rank:   maphash.String(r.seed, worker.ID),
 		hash:   rendezvous.Hash(worker.ID),
 		remote: make(map[string]remoteLoad),
 		cache:  prefixcache.New(capacity),
 		// A worker that comes after the list was read has just started.
-		cacheKnown: r.read,
+		cacheKnown: r.listRead,
 	}
 	return true
 }
@@ -209,7 +209,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, exists := r.workers[id]
-	return exists && r.drains(known, time.Now())
+	return exists && r.isDraining(known, time.Now())
 }
 
 // Region is that of a worker, empty where it isn't known.
@@ -242,7 +242,7 @@
 	defer r.mu.Unlock()
 	count, now := 0, time.Now()
 	for _, known := range r.workers {
-		if known.listed() && r.drains(known, now) {
+		if known.listed() && r.isDraining(known, now) {
 			count++
 		}
 	}
--- a/internal/worker/load.go
+++ b/internal/worker/load.go
@@ -13,11 +13,11 @@
 // UnreadTokensOf returns the tokens of one request. Ranks past the last count as the last.
 func UnreadTokensOf(rank, tokens int) UnreadTokens {
 	var reads UnreadTokens
-	reads[bounded(rank)] = tokens
+	reads[clampRank(rank)] = tokens
 	return reads
 }
 
-func bounded(rank int) int { return min(max(rank, 0), RankCount-1) }
+func clampRank(rank int) int { return min(max(rank, 0), RankCount-1) }
 
 // InTime returns the tokens of all requests but the late ones.
 func (r UnreadTokens) InTime() int { return r.Ahead(LateRank - 1) }
@@ -31,7 +31,7 @@
 // Ahead returns the tokens that are read before those of a new request of a rank.
 func (r UnreadTokens) Ahead(rank int) int {
 	sum := 0
-	for _, tokens := range r[:bounded(rank)+1] {
+	for _, tokens := range r[:clampRank(rank)+1] {
 		sum += tokens
 	}
 	return sum
--- a/internal/worker/notice.go
+++ b/internal/worker/notice.go
@@ -29,7 +29,7 @@
 
 // Draining reports whether the worker is about to end.
 func (a NoticeState) Draining(now time.Time) bool {
-	return !a.DrainingSince.IsZero() && now.Sub(a.DrainingSince) < drainingLife
+	return !a.DrainingSince.IsZero() && now.Sub(a.DrainingSince) < drainingTTL
 }
 
 // BackingOff reports whether the worker wants nothing from this node.
@@ -40,9 +40,9 @@
 	return max(a.BackoffUntil.Sub(now), 0)
 }
 
-// drainingLife is how long a worker counts as about to end. One that is listed for longer has
+// drainingTTL is how long a worker counts as about to end. One that is listed for longer has
 // changed its mind, and says so again if it hasn't.
-const drainingLife = 10 * time.Minute
+const drainingTTL = 10 * time.Minute
 
 // with adds a notice. Answers overtake each other, and one that doesn't mention the end or a
 // pause may have been made before another that does: so nothing takes a notice back, and of
@@ -75,18 +75,18 @@
 // ObserveNotice takes in what a worker said in answer to this node, and reports whether that
 // changed anything.
 func (r *Registry) ObserveNotice(id string, said Notice, now time.Time) (NoticeChange, bool) {
-	said.Backoff = spread(said.Backoff)
+	said.Backoff = addJitter(said.Backoff)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.advisories[id]
+	before := r.noticeStates[id]
 	after := before.with(said, now)
 	if after == before {
 		return NoticeChange{}, false
 	}
-	r.dropAdvisories(now)
-	r.advisories[id] = after
+	r.dropExpiredNotices(now)
+	r.noticeStates[id] = after
 	if after.DrainingSince != before.DrainingSince {
-		r.drainingNews[id] = now.Add(drainingTold)
+		r.drainingUpdates[id] = now.Add(drainingBroadcastTime)
 		r.touch(id)
 	}
 	change := NoticeChange{Worker: Worker{ID: id}, Before: before, After: after}
@@ -99,15 +99,15 @@
 	return change, true
 }
 
-// drainingTold is for how long it is told on that a worker has announced its end, so that it is
+// drainingBroadcastTime is for how long it is told on that a worker has announced its end, so that it is
 // told twice at rest.
-const drainingTold = 1200 * time.Millisecond
+const drainingBroadcastTime = 1200 * time.Millisecond
 
-// tellDraining adds to a snapshot the workers that told this node of their end lately.
-func (r *Registry) tellDraining(snapshot *Snapshot, now time.Time) {
-	for id, until := range r.drainingNews {
+// addDraining adds to a snapshot the workers that told this node of their end lately.
+func (r *Registry) addDraining(snapshot *Snapshot, now time.Time) {
+	for id, until := range r.drainingUpdates {
 		if now.After(until) {
-			delete(r.drainingNews, id)
+			delete(r.drainingUpdates, id)
 			continue
 		}
 		snapshot.Draining = append(snapshot.Draining, id)
@@ -120,10 +120,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range ids {
-		before := r.advisories[id]
+		before := r.noticeStates[id]
 		after := before.with(Notice{Draining: true}, now)
 		if after != before {
-			r.advisories[id] = after
+			r.noticeStates[id] = after
 			unknown = append(unknown, id)
 		}
 	}
@@ -136,7 +136,7 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	var draining []string
-	for id, advisory := range r.advisories {
+	for id, advisory := range r.noticeStates {
 		if advisory.Draining(now) {
 			draining = append(draining, id)
 		}
@@ -144,12 +144,12 @@
 	return draining
 }
 
-// dropAdvisories forgets what is over. Advisories outlive the entries of their workers, which
+// dropExpiredNotices forgets what is over. Advisories outlive the entries of their workers, which
 // may vanish and come back while the store is away.
-func (r *Registry) dropAdvisories(now time.Time) {
-	for id, advisory := range r.advisories {
+func (r *Registry) dropExpiredNotices(now time.Time) {
+	for id, advisory := range r.noticeStates {
 		if advisory.Expired(now) {
-			delete(r.advisories, id)
+			delete(r.noticeStates, id)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 func (r *Registry) Admit(id string, now time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.admits(id, now)
+	return r.admit(id, now)
 }
 
 // AdmitCall is Admits for a request of a caller, which a worker must not get either once its
@@ -178,16 +178,16 @@
 		switch {
 		case known.worker.Draining:
 			return ErrDraining
-		case known.isDoubted(now), !known.listed() && now.Sub(known.goneAt) >= lingerFor:
+		case known.isDoubted(now), !known.listed() && now.Sub(known.goneAt) >= lastResortFor:
 			return ErrUnlisted
 		}
 	}
-	return r.admits(id, now)
+	return r.admit(id, now)
 }
 
-func (r *Registry) admits(id string, now time.Time) error {
-	advisory := r.advisories[id]
-	if advisory.Draining(now) && now.Sub(advisory.DrainingSince) >= lingerFor {
+func (r *Registry) admit(id string, now time.Time) error {
+	advisory := r.noticeStates[id]
+	if advisory.Draining(now) && now.Sub(advisory.DrainingSince) >= lastResortFor {
 		return ErrDraining
 	}
 	if advisory.BackingOff(now) {
@@ -205,17 +205,17 @@
 func (r *Registry) UsableIn(service string, except map[string]bool, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.advisories) == 0 {
+	if len(r.noticeStates) == 0 {
 		return 0 // not worth a look at each worker of a large fleet
 	}
 	first, found := time.Duration(0), false
 	for id, known := range r.workers {
-		if known.worker.Service != service || known.worker.Stage == Prefill || except[id] || !r.stays(known, now) || known.isChanging(now) {
+		if known.worker.Service != service || known.worker.Stage == Prefill || except[id] || !r.isStaying(known, now) || known.isChanging(now) {
 			continue
 		}
-		wait := r.advisories[id].BackoffRemaining(now)
+		wait := r.noticeStates[id].BackoffRemaining(now)
 		if wait == 0 && !known.recovery.admits(known.load.Requests) {
-			wait = recoveryWait
+			wait = recoveryRetryAfter
 		}
 		if !found || wait < first {
 			first, found = wait, true
@@ -228,7 +228,7 @@
 func (r *Registry) NoticeState(id string) NoticeState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.advisories[id]
+	return r.noticeStates[id]
 }
 
 // CountNoticeStates returns how many workers are about to end, and how many want nothing from this
@@ -236,7 +236,7 @@
 func (r *Registry) CountNoticeStates(now time.Time) (draining, backingOff int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, advisory := range r.advisories {
+	for _, advisory := range r.noticeStates {
 		if advisory.Draining(now) {
 			draining++
 		}
--- a/internal/worker/notice_test.go
+++ b/internal/worker/notice_test.go
@@ -23,7 +23,7 @@
 func TestNothingTakesAnEndBack(t *testing.T) {
 	now := time.Now()
 	held := NoticeState{}.with(Notice{Draining: true}, now).with(Notice{}, now.Add(time.Second))
-	if !held.Draining(now.Add(time.Minute)) || held.Draining(now.Add(drainingLife)) {
+	if !held.Draining(now.Add(time.Minute)) || held.Draining(now.Add(drainingTTL)) {
 		t.Error("a worker that says it is about to end must count as such for drainingLife")
 	}
 }
@@ -60,8 +60,8 @@
 		r.ObserveNotice(id, Notice{Backoff: time.Second}, now)
 	}
 	r.ObserveNotice("d", Notice{Backoff: time.Second}, now.Add(2*time.Second))
-	if len(r.advisories) != 1 {
-		t.Errorf("%d advisories are kept, want 1", len(r.advisories))
+	if len(r.noticeStates) != 1 {
+		t.Errorf("%d advisories are kept, want 1", len(r.noticeStates))
 	}
 }
 
@@ -76,7 +76,7 @@
 	if !r.IsDraining("w") || len(r.Standing("s")) != 0 {
 		t.Error("a worker that announces its end counts as one that stays")
 	}
-	after := now.Add(lingerFor)
+	after := now.Add(lastResortFor)
 	if len(r.Candidates("s", nil, 0, after)) != 0 || r.Admit("w", after) == nil {
 		t.Error("a worker that announced its end a while ago still gets requests")
 	}
@@ -113,7 +113,7 @@
 		t.Error("nothing can be freed at a worker whose entry says that it drains")
 	}
 	r.ApplyAt(Change{Name: "gone"}, now)
-	if r.AdmitCall("gone", now.Add(lingerFor-1)) != nil || r.AdmitCall("gone", now.Add(lingerFor)) == nil {
+	if r.AdmitCall("gone", now.Add(lastResortFor-1)) != nil || r.AdmitCall("gone", now.Add(lastResortFor)) == nil {
 		t.Error("a worker whose entry has vanished isn't the last resort for a moment")
 	}
 }
--- a/internal/worker/observe.go
+++ b/internal/worker/observe.go
@@ -11,7 +11,7 @@
 // SetChanging keeps requests away from a worker that was ordered to a stage, until a
 // time or until its entry shows the stage.
 func (r *Registry) SetChanging(id string, prefill bool, until time.Time) {
-	r.update(id, func(known *state) {
+	r.update(id, func(known *workerState) {
 		stage := Decode
 		if prefill {
 			stage = Prefill
@@ -21,20 +21,20 @@
 	})
 }
 
-func (r *Registry) setChanging(known *state, until time.Time, stage Stage) {
-	known.changing, known.changingStage = until, stage
+func (r *Registry) setChanging(known *workerState, until time.Time, stage Stage) {
+	known.changingUntil, known.changingStage = until, stage
 	r.changing[known.worker.ID] = known
 }
 
 // Begin records work given to a worker.
-func (r *Registry) Begin(id string, load Load) { r.change(id, load) }
+func (r *Registry) Begin(id string, load Load) { r.addLoad(id, load) }
 
 // End records that work given by Begin is over.
-func (r *Registry) End(id string, load Load) { r.change(id, Load{}.minus(load)) }
+func (r *Registry) End(id string, load Load) { r.addLoad(id, Load{}.minus(load)) }
 
-// change adds a load, which may be negative.
-func (r *Registry) change(id string, load Load) {
-	r.update(id, func(known *state) {
+// addLoad adds a load, which may be negative.
+func (r *Registry) addLoad(id string, load Load) {
+	r.update(id, func(known *workerState) {
 		known.load = known.load.plus(load)
 		if known.load.Zero() {
 			delete(r.busy, id)
@@ -51,14 +51,14 @@
 	if reading.Elapsed <= 0 {
 		return
 	}
-	r.update(id, func(known *state) {
-		group := r.group(known.worker)
+	r.update(id, func(known *workerState) {
+		group := r.groupModel(known.worker)
 		if reading.Ahead > 0 {
-			terms, queuePace := r.readingOf(known)
+			terms, queuePace := r.prefillModel(known)
 			waited := reading.Elapsed - time.Duration(terms.Milliseconds(reading.Tokens, reading.Context)*float64(time.Millisecond))
-			r.stepsOf(known.worker.Service).queue.Observe(float64(waited)/float64(time.Millisecond), float64(reading.Ahead)/queuePace)
+			r.timingsOf(known.worker.Service).queue.Observe(float64(waited)/float64(time.Millisecond), float64(reading.Ahead)/queuePace)
 		}
-		known.slower.Observe(reading, group)
+		known.slowdown.Observe(reading, group)
 		group.Observe(reading)
 	})
 }
@@ -66,11 +66,11 @@
 // ObserveFetch records a reading that began with a fetch, the link taking part of the
 // time.
 func (r *Registry) ObserveFetch(id string, reading latency.Reading, link time.Duration) {
-	r.update(id, func(known *state) {
-		terms, _ := r.readingOf(known)
+	r.update(id, func(known *workerState) {
+		terms, _ := r.prefillModel(known)
 		rest := reading.Elapsed - link - time.Duration(terms.Milliseconds(reading.Tokens, reading.Context)*float64(time.Millisecond))
 		if reading.Ahead == 0 {
-			r.stepsOf(known.worker.Service).fetch.Observe(max(rest, 0))
+			r.timingsOf(known.worker.Service).fetch.Observe(max(rest, 0))
 		}
 	})
 }
@@ -81,14 +81,14 @@
 	if elapsed <= 0 {
 		return
 	}
-	r.update(id, func(known *state) { r.stepsOf(known.worker.Service).handover.Observe(elapsed) })
+	r.update(id, func(known *workerState) { r.timingsOf(known.worker.Service).handover.Observe(elapsed) })
 }
 
 // ObserveRun records the time from the first byte of an answer, of which the caller
 // expected so many tokens, to its end.
 func (r *Registry) ObserveRun(id string, elapsed time.Duration, expectedTokens int) {
-	r.update(id, func(known *state) {
-		learned := r.stepsOf(known.worker.Service)
+	r.update(id, func(known *workerState) {
+		learned := r.timingsOf(known.worker.Service)
 		learned.run.Observe(elapsed)
 		learned.writing.Observe(float64(elapsed)/float64(time.Millisecond), float64(expectedTokens))
 	})
@@ -97,18 +97,18 @@
 // ObserveCached records that a worker keeps the parts of a prompt now, and queues that
 // for the other nodes.
 func (r *Registry) ObserveCached(id string, parts []prefixcache.Part, now time.Time) {
-	r.update(id, func(known *state) {
+	r.update(id, func(known *workerState) {
 		known.cache.Use(parts, now)
-		r.reads = append(r.reads, CacheUpdate{Worker: id, Parts: parts})
+		r.cacheUpdates = append(r.cacheUpdates, CacheUpdate{Worker: id, Parts: parts})
 		r.touch(id)
 	})
 }
 
 // Succeeded records a good answer.
 func (r *Registry) Succeeded(id string, now time.Time) {
-	r.update(id, func(known *state) {
+	r.update(id, func(known *workerState) {
 		known.breaker.Succeeded(now)
-		if !r.advisories[id].BackingOff(now) {
+		if !r.noticeStates[id].BackingOff(now) {
 			known.recovery.served()
 		}
 	})
@@ -116,7 +116,7 @@
 
 // Failed records a failure, and queues it for the other nodes.
 func (r *Registry) Failed(id string, now time.Time) {
-	r.update(id, func(known *state) {
+	r.update(id, func(known *workerState) {
 		known.breaker.Failed(now)
 		r.failures = append(r.failures, id)
 		r.touch(id)
@@ -125,14 +125,14 @@
 
 // Errored records an answer that tells of a failure of the worker's own.
 func (r *Registry) Errored(id string, now time.Time) {
-	r.update(id, func(known *state) {
+	r.update(id, func(known *workerState) {
 		known.breaker.Errored(now)
 	})
 }
 
 // Rejected records a request that the worker proved not to have run.
 func (r *Registry) Rejected(id string, now time.Time) {
-	r.update(id, func(known *state) {
+	r.update(id, func(known *workerState) {
 		known.breaker.Rejected(now)
 	})
 }
@@ -143,7 +143,7 @@
 func (r *Registry) HandleFailed(reader, runner string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	from, to := r.handlesOf(reader), r.handlesOf(runner)
+	from, to := r.handleBreakerOf(reader), r.handleBreakerOf(runner)
 	fromRow, toRow := from.ConsecutiveFailures(), to.ConsecutiveFailures()
 	if fromRow >= toRow {
 		from.Failed(now)
@@ -157,28 +157,28 @@
 func (r *Registry) HandleFetched(reader, runner string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.handlesOf(reader).Succeeded(now)
-	r.handlesOf(runner).Succeeded(now)
+	r.handleBreakerOf(reader).Succeeded(now)
+	r.handleBreakerOf(runner).Succeeded(now)
 }
 
-// handlesOf returns the breaker of a worker's handles, and one that nobody asks where it
+// handleBreakerOf returns the breaker of a worker's handles, and one that nobody asks where it
 // isn't known.
-func (r *Registry) handlesOf(id string) *breaker.Breaker {
+func (r *Registry) handleBreakerOf(id string) *breaker.Breaker {
 	if known, exists := r.workers[id]; exists {
-		return &known.handles
+		return &known.handleBreaker
 	}
 	return &breaker.Breaker{}
 }
 
 // ObserveReportedLoad records the load that a worker's answer told.
 func (r *Registry) ObserveReportedLoad(id string, running, waiting int, now time.Time) {
-	r.update(id, func(known *state) {
+	r.update(id, func(known *workerState) {
 		known.reported = reportedLoad{running: running, waiting: waiting, at: now}
 	})
 }
 
 // update changes what is known of a worker, unless it is not known at all.
-func (r *Registry) update(id string, change func(known *state)) {
+func (r *Registry) update(id string, change func(known *workerState)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known, exists := r.workers[id]; exists {
--- a/internal/worker/recovery.go
+++ b/internal/worker/recovery.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// recoveredWindow is how many requests a node may have at a worker until it counts as
+	// maxRecoveryWindow is how many requests a node may have at a worker until it counts as
 	// recovered.
-	recoveredWindow = 16
-	// recoveryWait is when a request is worth another try that a recovering worker doesn't take.
-	recoveryWait = 50 * time.Millisecond
+	maxRecoveryWindow = 16
+	// recoveryRetryAfter is when a request is worth another try that a recovering worker doesn't take.
+	recoveryRetryAfter = 50 * time.Millisecond
 )
 
 // recovery has the load of a worker that has asked for a pause come back step by step: one
@@ -27,16 +27,16 @@
 // served records a request that was served.
 func (r *recovery) served() {
 	r.window *= 2
-	if r.window > recoveredWindow {
+	if r.window > maxRecoveryWindow {
 		r.window = 0
 	}
 }
 
-// spreadPart is the part of a pause by which a node extends it at most, by chance: nodes that
+// backoffJitter is the part of a pause by which a node extends it at most, by chance: nodes that
 // were told at one moment don't come back at one moment.
-const spreadPart = 0.1
+const backoffJitter = 0.1
 
-// spread extends a pause.
-func spread(pause time.Duration) time.Duration {
-	return pause + time.Duration(spreadPart*rand.Float64()*float64(pause))
+// addJitter extends a pause.
+func addJitter(pause time.Duration) time.Duration {
+	return pause + time.Duration(backoffJitter*rand.Float64()*float64(pause))
 }
--- a/internal/worker/recovery_test.go
+++ b/internal/worker/recovery_test.go
@@ -30,8 +30,8 @@
 		if len(r.Candidates("s", nil, 0, after)) != 0 {
 			t.Fatalf("the worker gets more than %d requests", window)
 		}
-		if wait := r.UsableIn("s", nil, after); wait != recoveryWait {
-			t.Errorf("a recovering worker takes a further request in %v, want %v", wait, recoveryWait)
+		if wait := r.UsableIn("s", nil, after); wait != recoveryRetryAfter {
+			t.Errorf("a recovering worker takes a further request in %v, want %v", wait, recoveryRetryAfter)
 		}
 		r.End("w", Load{Requests: window})
 		r.Succeeded("w", after)
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -11,8 +11,8 @@
 	"github.com/tinarch/tinarch/internal/topology"
 )
 
-// state is what is known of one worker.
-type state struct {
+// workerState is what is known of one worker.
+type workerState struct {
 	worker Worker
 	// goneAt is when its entry vanished, zero while it is listed.
 	goneAt time.Time
@@ -20,24 +20,24 @@
 	// doubtedUntil is until when the worker counts as gone although it is listed: its entry
 	// was gone, and came back with the store from a copy.
 	doubtedUntil time.Time
-	// changing is until when an order keeps requests away, unless its entry shows the
+	// changingUntil is until when an order keeps requests away, unless its entry shows the
 	// stage before.
-	changing      time.Time
+	changingUntil time.Time
 	changingStage Stage
 	// remote is the load that other nodes have placed, by node.
 	remote map[string]remoteLoad
 	cache  *prefixcache.Cache
 	// cacheKnown tells that what the worker kept before this node started is known.
 	cacheKnown bool
-	// slower is by how much the engine reads more slowly than its group.
-	slower latency.Slowdown
+	// slowdown is by how much the engine reads more slowly than its group.
+	slowdown latency.Slowdown
 	// rank orders the workers for this node alone, hash for all nodes alike.
 	rank, hash uint64
 	breaker    breaker.Breaker
-	// handles judges the prompts read apart: those that others fetch from the worker, or
+	// handleBreaker judges the prompts read apart: those that others fetch from the worker, or
 	// where it writes those that it fetches.
-	handles  breaker.Breaker
-	reported reportedLoad
+	handleBreaker breaker.Breaker
+	reported      reportedLoad
 	// recovery bounds the requests at a worker that has asked for a pause.
 	recovery recovery
 	// limit is what the worker has said of the requests that it takes, limitVersion counts the
@@ -59,17 +59,17 @@
 }
 
 const (
-	// remoteLife is how long a silent node's load counts.
-	remoteLife = time.Second
-	// lingerFor is how long a worker whose entry has vanished, or that has announced its end,
+	// remoteLoadTTL is how long a silent node's load counts.
+	remoteLoadTTL = time.Second
+	// lastResortFor is how long a worker whose entry has vanished, or that has announced its end,
 	// is the last resort. A worker that leaves must get nothing soon after.
-	lingerFor = 1200 * time.Millisecond
+	lastResortFor = 1200 * time.Millisecond
 	// forgetAfter is how long what is known of it is kept.
 	forgetAfter = 10 * time.Second
-	// reportLife is how long a worker's own word on its load counts.
-	reportLife = 300 * time.Millisecond
-	// unknownMemoryTokens is the cache of an engine whose size isn't configured.
-	unknownMemoryTokens = 200_000
+	// reportedLoadTTL is how long a worker's own word on its load counts.
+	reportedLoadTTL = 300 * time.Millisecond
+	// defaultCacheTokens is the cache of an engine whose size isn't configured.
+	defaultCacheTokens = 200_000
 )
 
 // Registry is safe for concurrent use.
@@ -81,46 +81,46 @@
 	regional bool
 	// seed makes the ranks of this process's own.
 	seed    maphash.Seed
-	workers map[string]*state
-	// names holds the identity of the newest start by a worker's name, and ended those that
+	workers map[string]*workerState
+	// newestByName holds the identity of the newest start by a worker's name, and ended those that
 	// were replaced by a newer one or whose entry can't be read, until TakeEnded.
-	names map[string]string
-	ended []string
+	newestByName map[string]string
+	ended        []string
 	// busy, changing and gone are the few workers that have load of this node, were ordered
 	// to a stage, or have vanished; placed are those on which another node has load, by node.
 	// Nothing that is done for each message goes through all workers: of 10,000 that took
 	// 0.9 ms for a message of another node, and takes 1 µs with these (BenchmarkMerge).
-	busy, changing, gone map[string]*state
-	placed               map[string][]string
+	busy, changing, gone map[string]*workerState
+	loadedByNode         map[string][]string
 	// limited are the workers that have named a limit, and limitChanged is told of changes.
-	limited      map[string]*state
+	limited      map[string]*workerState
 	limitChanged func(LimitChange)
-	// advisories hold, by worker, what it has said of whether it takes further requests.
-	advisories map[string]NoticeState
-	// drainingNews are the workers whose end is told to others, each until a time.
-	drainingNews map[string]time.Time
-	// limitNews are the workers whose limits are told to others, each until a time.
-	limitNews map[string]time.Time
+	// noticeStates hold, by worker, what it has said of whether it takes further requests.
+	noticeStates map[string]NoticeState
+	// drainingUpdates are the workers whose end is told to others, each until a time.
+	drainingUpdates map[string]time.Time
+	// limitUpdates are the workers whose limits are told to others, each until a time.
+	limitUpdates map[string]time.Time
 	// generation rises whenever a worker is added or forgotten.
 	generation uint64
 	// groups hold the learned reading of all workers of a service and stage.
 	groups map[groupKey]*latency.Model
-	// steps hold what else was learned of a service's engines.
-	steps map[string]*steps
-	// memory is the KV cache of one engine by service, in tokens.
-	memory map[string]int
+	// timings hold what else was learned of a service's engines.
+	timings map[string]*engineTimings
+	// cacheCapacity is the KV cache of one engine by service, in tokens.
+	cacheCapacity map[string]int
 	// demands are what callers want.
 	demands map[demandKey]*demand
-	// reads are the parts newly read since the last digest.
-	reads []CacheUpdate
+	// cacheUpdates are the parts newly read since the last digest.
+	cacheUpdates []CacheUpdate
 	// failures are the workers that failed since the last digest.
 	failures []string
 	// touched are the workers of which there is something to tell since then.
 	touched map[string]bool
 	// changed holds a token while there is something to tell.
 	changed chan struct{}
-	// read tells that the list of workers was read once.
-	read bool
+	// listRead tells that the list of workers was listRead once.
+	listRead bool
 }
 
 // Changed gives a token when there is something to tell the other nodes.
@@ -135,8 +135,8 @@
 	}
 }
 
-// steps are the learned times of a service's engines besides reading.
-type steps struct {
+// engineTimings are the learned times of a service's engines besides reading.
+type engineTimings struct {
 	// queue is the part of the reading ahead of a prompt that it waits for: engines read
 	// several prompts by turns.
 	queue latency.NeededShare
@@ -166,26 +166,26 @@
 // NewRegistry returns an empty registry of a node that sees these zones and regions.
 func NewRegistry(places topology.Map) *Registry {
 	return &Registry{
-		places:   places,
-		regional: places.MultiRegion(),
-		seed:     maphash.MakeSeed(),
-		workers:  make(map[string]*state),
-		names:    make(map[string]string),
-		busy:     make(map[string]*state),
-		changing: make(map[string]*state),
-		gone:     make(map[string]*state),
-		placed:   make(map[string][]string),
-		limited:  make(map[string]*state),
+		places:       places,
+		regional:     places.MultiRegion(),
+		seed:         maphash.MakeSeed(),
+		workers:      make(map[string]*workerState),
+		newestByName: make(map[string]string),
+		busy:         make(map[string]*workerState),
+		changing:     make(map[string]*workerState),
+		gone:         make(map[string]*workerState),
+		loadedByNode: make(map[string][]string),
+		limited:      make(map[string]*workerState),
 
-		advisories:   make(map[string]NoticeState),
-		drainingNews: make(map[string]time.Time),
-		limitNews:    make(map[string]time.Time),
-		groups:       make(map[groupKey]*latency.Model),
-		steps:        make(map[string]*steps),
-		demands:      make(map[demandKey]*demand),
-		memory:       make(map[string]int),
-		touched:      make(map[string]bool),
-		changed:      make(chan struct{}, 1),
+		noticeStates:    make(map[string]NoticeState),
+		drainingUpdates: make(map[string]time.Time),
+		limitUpdates:    make(map[string]time.Time),
+		groups:          make(map[groupKey]*latency.Model),
+		timings:         make(map[string]*engineTimings),
+		demands:         make(map[demandKey]*demand),
+		cacheCapacity:   make(map[string]int),
+		touched:         make(map[string]bool),
+		changed:         make(chan struct{}, 1),
 
 		limitChanged: func(LimitChange) {},
 	}
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -86,7 +86,7 @@
 		t.Errorf("a finished load of another node counts: %+v", got)
 	}
 	r.Merge("other", Snapshot{Loads: map[string]Load{"p": {Requests: 2}}}, origin)
-	if got := find(t, r, "p", nil, origin.Add(remoteLife+1)); got.Requests != 1 {
+	if got := find(t, r, "p", nil, origin.Add(remoteLoadTTL+1)); got.Requests != 1 {
 		t.Errorf("a silent node's load counts: %+v", got)
 	}
 	r.End("p", Load{Requests: 1, Unread: UnreadTokensOf(0, 100), MemoryTokens: 10})
@@ -103,7 +103,7 @@
 	if got := find(t, r, "board", nil, origin); got.Requests != 6 {
 		t.Errorf("%d requests", got.Requests)
 	}
-	if got := find(t, r, "board", nil, origin.Add(reportLife)); got.Requests != 0 {
+	if got := find(t, r, "board", nil, origin.Add(reportedLoadTTL)); got.Requests != 0 {
 		t.Errorf("%d requests later", got.Requests)
 	}
 }
@@ -216,19 +216,19 @@
 	entry, _ := r.Get("p")
 	r.ObserveCached("p", parts, origin)
 	r.ApplyAt(Change{Name: "p"}, origin)
-	if got := find(t, r, "p", parts, origin.Add(lingerFor-1)); !got.Leaving {
+	if got := find(t, r, "p", parts, origin.Add(lastResortFor-1)); !got.Leaving {
 		t.Errorf("%+v", got)
 	}
 	if r.Count() != 3 {
 		t.Errorf("%d workers are counted", r.Count())
 	}
-	for _, candidate := range r.Candidates("llm", parts, 0, origin.Add(lingerFor)) {
+	for _, candidate := range r.Candidates("llm", parts, 0, origin.Add(lastResortFor)) {
 		if candidate.ID == "p" {
 			t.Error("a vanished worker is used for ever")
 		}
 	}
-	r.ApplyAt(Change{Name: "p", Worker: &entry}, origin.Add(lingerFor))
-	if got := find(t, r, "p", parts, origin.Add(lingerFor)); got.Leaving || got.CachedTokens != 100 {
+	r.ApplyAt(Change{Name: "p", Worker: &entry}, origin.Add(lastResortFor))
+	if got := find(t, r, "p", parts, origin.Add(lastResortFor)); got.Leaving || got.CachedTokens != 100 {
 		t.Errorf("%+v", got)
 	}
 	r.ApplyAt(Change{Name: "p"}, origin)
@@ -344,7 +344,7 @@
 			t.Errorf("%s has %d requests, want %d", id, got, want)
 		}
 	}
-	if got := len(r.placed["a"]); got != 1 {
+	if got := len(r.loadedByNode["a"]); got != 1 {
 		t.Errorf("%d workers are remembered for a node that told of one", got)
 	}
 }
--- a/internal/worker/restore_test.go
+++ b/internal/worker/restore_test.go
@@ -30,7 +30,7 @@
 	now := time.Now()
 	r.ReplaceAt(listOf("left", "b", "c"), now)
 	r.ApplyAt(Change{Name: "left"}, now)
-	now = now.Add(2 * lingerFor)
+	now = now.Add(2 * lastResortFor)
 	r.ReplaceRestored(listOf("left", "b", "c"), doubt, now)
 	if usableAt(r, "left", now) || r.AdmitCall("left", now) == nil {
 		t.Error("a worker that had left gets calls again")
--- a/internal/worker/standing.go
+++ b/internal/worker/standing.go
@@ -13,7 +13,7 @@
 	standing := make(fleetsize.Counts)
 	now := time.Now()
 	for _, known := range r.workers {
-		if known.worker.Service == service && r.stays(known, now) {
+		if known.worker.Service == service && r.isStaying(known, now) {
 			standing[fleetsize.Kind{Zone: known.worker.Zone, Spot: known.worker.Spot}]++
 		}
 	}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -51,8 +51,8 @@
 
 // The form of an identity: the name, and the time of birth in a short form.
 const (
-	birthMark = "@"
-	birthBase = 36
+	birthSeparator = "@"
+	birthBase      = 36
 )
 
 // IncarnationID names one start of a worker, born at a Unix time in milliseconds, zero where the
@@ -62,19 +62,19 @@
 	if born == 0 {
 		return name
 	}
-	return name + birthMark + strconv.FormatInt(born, birthBase)
+	return name + birthSeparator + strconv.FormatInt(born, birthBase)
 }
 
 // NameOf is the name under which the platform knows a worker.
 func NameOf(id string) string {
-	name, _, _ := strings.Cut(id, birthMark)
+	name, _, _ := strings.Cut(id, birthSeparator)
 	return name
 }
 
 // BornOf is the Unix time in milliseconds at which a worker was born, zero where it didn't
 // tell.
 func BornOf(id string) int64 {
-	_, birth, _ := strings.Cut(id, birthMark)
+	_, birth, _ := strings.Cut(id, birthSeparator)
 	born, err := strconv.ParseInt(birth, birthBase, 64)
 	if err != nil {
 		return 0
