--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -19,9 +19,9 @@
 // a newer one: a node that reaches another one has it in less.
 const outdatedAfter = time.Second
 
-// stalePause is when a caller should come back who was turned away by a node whose
+// staleRetryAfter is when a caller should come back who was turned away by a node whose
 // configuration may be old. Another node is likely to take the next try.
-const stalePause = 300 * time.Millisecond
+const staleRetryAfter = 300 * time.Millisecond
 
 // admission is what a version of the configuration says of a request.
 type admission struct {
@@ -70,7 +70,7 @@
 	}
 	behind := f.configurationBehind()
 	return result.New(result.ConfigurationStale, "this node has version %d, and heard %d ms ago of a newer configuration that it can't get", table.Version, behind.Milliseconds()).
-		WithRetryAfter(stalePause)
+		WithRetryAfter(staleRetryAfter)
 }
 
 // Outdated reports whether requests are refused since the configuration is known to be old.
@@ -83,10 +83,10 @@
 	switch {
 	case behind > 0:
 		return result.New(result.ConfigurationStale, "%s; there has been a newer configuration for %d ms", failure.Message, behind.Milliseconds()).
-			WithRetryAfter(stalePause)
+			WithRetryAfter(staleRetryAfter)
 	case age > staleAfter:
 		return result.New(result.ConfigurationStale, "%s; it was confirmed %d ms ago and may be old", failure.Message, age.Milliseconds()).
-			WithRetryAfter(stalePause)
+			WithRetryAfter(staleRetryAfter)
 	}
 	return failure
 }
--- a/internal/ingress/caller.go
+++ b/internal/ingress/caller.go
@@ -9,13 +9,13 @@
 type httpCaller struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
-	// lastAnswer asks the caller to use another connection next.
-	lastAnswer bool
-	buffered   bool
+	// closeConnection asks the caller to use another connection next.
+	closeConnection bool
+	buffered        bool
 }
 
-func newHTTPCaller(writer http.ResponseWriter, lastAnswer bool) *httpCaller {
-	return &httpCaller{writer: writer, controller: http.NewResponseController(writer), lastAnswer: lastAnswer}
+func newHTTPCaller(writer http.ResponseWriter, closeConnection bool) *httpCaller {
+	return &httpCaller{writer: writer, controller: http.NewResponseController(writer), closeConnection: closeConnection}
 }
 
 // answerEarly lets the answer go out before the request's body has come: net/http would
@@ -38,7 +38,7 @@
 	} else {
 		own.Del("Content-Length")
 	}
-	if c.lastAnswer {
+	if c.closeConnection {
 		own.Set("Connection", "close")
 	}
 	c.writer.WriteHeader(status)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -79,15 +79,15 @@
 		splitter: routing.NewSplitter(rand.IntN),
 	}
 	if f.configurationAge == nil {
-		f.configurationAge = never
+		f.configurationAge = zeroAge
 	}
 	if f.configurationBehind == nil {
-		f.configurationBehind = never
+		f.configurationBehind = zeroAge
 	}
 	return f
 }
 
-func never() time.Duration { return 0 }
+func zeroAge() time.Duration { return 0 }
 
 // Stop asks callers to use other connections from now on.
 func (f *Handler) Stop() { f.stopping.Store(true) }
@@ -110,9 +110,9 @@
 	return path
 }
 
-// notConfiguredPause is when a caller should come back to a node that has no
+// notConfiguredRetryAfter is when a caller should come back to a node that has no
 // configuration yet.
-const notConfiguredPause = 300 * time.Millisecond
+const notConfiguredRetryAfter = 300 * time.Millisecond
 
 // SetTable puts a version of the routes in force.
 func (f *Handler) SetTable(table *routing.Table) { f.table.Store(table) }
@@ -128,13 +128,13 @@
 	answer := newHTTPCaller(writer, f.stopping.Load())
 	call, failure := f.accept(writer, request, arrived)
 	if failure != nil {
-		f.giveBack(call)
+		f.refund(call)
 		f.refuse(answer, request, call, failure, arrived)
 		return
 	}
 	outcome := f.runner.Run(request.Context(), call, answer)
 	if outcome.NotRun() {
-		f.giveBack(call)
+		f.refund(call)
 	}
 	f.finish(answer, request, call, outcome)
 }
@@ -143,7 +143,7 @@
 func (f *Handler) accept(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*dispatch.Call, *result.Error) {
 	table := f.table.Load()
 	if table == nil {
-		return nil, result.New(result.NotConfigured, "this node has read no configuration yet").WithRetryAfter(notConfiguredPause)
+		return nil, result.New(result.NotConfigured, "this node has read no configuration yet").WithRetryAfter(notConfiguredRetryAfter)
 	}
 	if failure := f.refuseOutdated(table); failure != nil {
 		return nil, failure
@@ -185,7 +185,7 @@
 	service := f.splitter.Choose(call.Route)
 	call.Service = table.Service(service)
 	if call.Service == nil {
-		return call, result.New(result.NoEngine, "route %s has no service with a weight", call.Route.Name).WithRetryAfter(notConfiguredPause)
+		return call, result.New(result.NoEngine, "route %s has no service with a weight", call.Route.Name).WithRetryAfter(notConfiguredRetryAfter)
 	}
 	return call, nil
 }
@@ -247,7 +247,7 @@
 			f.log.WithField("id", call.ID).WithError(err).Debug("a refusal waits for the request's body")
 		}
 	}
-	giveFailure(answer, failure)
+	writeError(answer, failure)
 }
 
 // finish answers a call that the dispatcher has given back.
@@ -266,11 +266,11 @@
 	if outcome.RetryAfter > 0 {
 		failure = failure.WithRetryAfter(outcome.RetryAfter)
 	}
-	giveFailure(answer, failure)
+	writeError(answer, failure)
 }
 
-// giveFailure writes a numbered error.
-func giveFailure(answer *httpCaller, failure *result.Error) {
+// writeError writes a numbered error.
+func writeError(answer *httpCaller, failure *result.Error) {
 	body := []byte(failure.Error() + "\n")
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	if failure.RetryAfterMillis > 0 {
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -11,9 +11,9 @@
 
 // Metrics count requests and measure their times.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	first    *prometheus.HistogramVec
-	whole    *prometheus.HistogramVec
+	requests  *prometheus.CounterVec
+	firstByte *prometheus.HistogramVec
+	total     *prometheus.HistogramVec
 }
 
 // NewMetrics returns metrics registered with a registry.
@@ -23,14 +23,14 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "tinarch_requests_total", Help: "Requests by result code.",
 		}, []string{"code"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "tinarch_first_byte_seconds", Help: "Time to the first byte of an answer.", Buckets: buckets,
 		}, []string{"kind"}),
-		whole: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		total: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "tinarch_request_seconds", Help: "Time to the end of a request.", Buckets: buckets,
 		}, []string{"kind"}),
 	}
-	registry.MustRegister(metrics.requests, metrics.first, metrics.whole)
+	registry.MustRegister(metrics.requests, metrics.firstByte, metrics.total)
 	return metrics
 }
 
@@ -41,7 +41,7 @@
 	}
 	m.requests.WithLabelValues(strconv.Itoa(int(outcome.Code))).Inc()
 	if outcome.HeadGiven {
-		m.first.WithLabelValues(kind).Observe(outcome.First.Seconds())
+		m.firstByte.WithLabelValues(kind).Observe(outcome.First.Seconds())
 	}
-	m.whole.WithLabelValues(kind).Observe(took.Seconds())
+	m.total.WithLabelValues(kind).Observe(took.Seconds())
 }
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -52,8 +52,8 @@
 	}).Warn("over quota")
 }
 
-// giveBack returns what was charged for a call that has not run.
-func (f *Handler) giveBack(call *dispatch.Call) {
+// refund returns what was charged for a call that has not run.
+func (f *Handler) refund(call *dispatch.Call) {
 	if call == nil || call.Charge.None() {
 		return
 	}
