--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -37,11 +37,11 @@
 
 // Monitor implements workerconn.Monitor. It is safe for concurrent use.
 type Monitor struct {
-	options   Options
-	changes   *prometheus.CounterVec
-	malformed prometheus.Counter
-	despite   *prometheus.CounterVec
-	withheld  prometheus.Counter
+	options           Options
+	changes           *prometheus.CounterVec
+	malformed         prometheus.Counter
+	sentDespiteNotice *prometheus.CounterVec
+	withheld          prometheus.Counter
 
 	mu sync.Mutex
 	// logged is when a line was written on a worker.
@@ -58,14 +58,14 @@
 		malformed: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "tinarch_worker_notices_malformed_total", Help: "Notices of workers that can't be read.",
 		}),
-		despite: prometheus.NewCounterVec(prometheus.CounterOpts{
+		sentDespiteNotice: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "tinarch_worker_requests_despite_notice_total", Help: "Requests of any kind sent to a worker that had said it takes none.",
 		}, []string{"notice"}),
 	}
 	m.withheld = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "tinarch_worker_requests_withheld_total", Help: "Requests of any kind kept from a worker that takes none, after they were meant for it.",
 	})
-	options.Metrics.MustRegister(m.changes, m.malformed, m.despite, m.withheld,
+	options.Metrics.MustRegister(m.changes, m.malformed, m.sentDespiteNotice, m.withheld,
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "tinarch_workers_announced_draining", Help: "Workers that have said in answers that they are about to end.",
 		}, func() float64 {
@@ -105,10 +105,10 @@
 		return
 	}
 	if advisory.Draining(now) {
-		m.despite.WithLabelValues(labelDraining).Inc()
+		m.sentDespiteNotice.WithLabelValues(labelDraining).Inc()
 	}
 	if advisory.BackingOff(now) {
-		m.despite.WithLabelValues(labelBackoff).Inc()
+		m.sentDespiteNotice.WithLabelValues(labelBackoff).Inc()
 	}
 	m.logRequest(key, request, now).Warn("sent to a worker that had said it takes no requests")
 }
@@ -136,7 +136,7 @@
 	now := time.Now()
 	if said.Malformed != "" {
 		m.malformed.Inc()
-		if m.due(key, now) {
+		if m.shouldLog(key, now) {
 			m.options.Log.WithFields(logrus.Fields{"id": request.ID, "worker": key, "status": status, "notice": said.Malformed}).
 				Warn("a notice of a worker can't be read; what it said before holds")
 		}
@@ -145,13 +145,13 @@
 		return
 	}
 	if change, changed := m.options.Registry.ObserveNotice(key, said, now); changed {
-		m.changed(change, request, status, now)
+		m.recordChange(change, request, status, now)
 	}
 }
 
-// changed counts and logs a change. A worker that asks for a longer pause while one holds is
+// recordChange counts and logs a change. A worker that asks for a longer pause while one holds is
 // logged now and then.
-func (m *Monitor) changed(change worker.NoticeChange, request *workerconn.Request, status int, now time.Time) {
+func (m *Monitor) recordChange(change worker.NoticeChange, request *workerconn.Request, status int, now time.Time) {
 	drains := change.After.DrainingSince != change.Before.DrainingSince
 	if drains {
 		m.changes.WithLabelValues(labelDraining).Inc()
@@ -159,7 +159,7 @@
 	if change.After.BackoffUntil != change.Before.BackoffUntil {
 		m.changes.WithLabelValues(labelBackoff).Inc()
 	}
-	if !m.due(change.Worker.ID, now) && !drains {
+	if !m.shouldLog(change.Worker.ID, now) && !drains {
 		return
 	}
 	m.options.Log.WithFields(logrus.Fields{
@@ -170,8 +170,8 @@
 	}).Info("worker notice")
 }
 
-// due reports whether a line on a worker may be written.
-func (m *Monitor) due(id string, now time.Time) bool {
+// shouldLog reports whether a line on a worker may be written.
+func (m *Monitor) shouldLog(id string, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for other, at := range m.logged {
