--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -52,8 +52,8 @@
 			return candidate.owner, true
 		}
 	}
-	var nobody T
-	return nobody, false
+	var zero T
+	return zero, false
 }
 
 // Len returns the number of keys.
@@ -61,10 +61,10 @@
 
 // Tenant is an organisation whose callers send requests.
 type Tenant struct {
-	name     string
-	priority int
-	ranked   bool
-	limit    quota.Limit
+	name        string
+	priority    int
+	hasPriority bool
+	limit       quota.Limit
 }
 
 // New returns a tenant whose requests have the priority of their route.
@@ -72,7 +72,7 @@
 
 // WithPriority returns the tenant with a priority of its own, zero being the most urgent.
 func (t Tenant) WithPriority(priority int) Tenant {
-	t.priority, t.ranked = priority, true
+	t.priority, t.hasPriority = priority, true
 	return t
 }
 
@@ -90,7 +90,7 @@
 
 // Priority returns the rank of the tenant's requests on a route of a rank.
 func (t Tenant) Priority(route int) int {
-	if t.ranked {
+	if t.hasPriority {
 		return t.priority
 	}
 	return route
