--- a/internal/usage/records.go
+++ b/internal/usage/records.go
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// recordAgain writes down the windows that are known to have been recorded and that a restored
+// recordLostWindows writes down the windows that are known to have been recorded and that a restored
 // store lacks: they may have been reported with these counts.
-func (r *Reporter) recordAgain(ctx context.Context, recorded map[Window]Counts, due Window) error {
+func (r *Reporter) recordLostWindows(ctx context.Context, recorded map[Window]Counts, due Window) error {
 	r.options.Collector.MergeRecorded(recorded)
 	known := r.options.Collector.Recorded(due - keptRows)
 	for _, window := range slices.Sorted(maps.Keys(known)) {
@@ -120,11 +120,11 @@
 	written := map[Window]Counts{window: counts}
 	r.options.Collector.MergeRecorded(written)
 	r.options.Fleet.TellRecorded(written)
-	r.options.Log.WithFields(logrus.Fields{"window": window, "requests": counts.sum(), "tenants": len(counts), "again": again}).Info("usage recorded")
+	r.options.Log.WithFields(logrus.Fields{"window": window, "requests": counts.total(), "tenants": len(counts), "again": again}).Info("usage recorded")
 	return nil
 }
 
-func (c Counts) sum() int {
+func (c Counts) total() int {
 	sum := 0
 	for _, count := range c {
 		sum += count
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -18,22 +18,22 @@
 
 // The figures of a reporter.
 const (
-	// stepEvery is the time between two looks for a window that is due.
-	stepEvery = 200 * time.Millisecond
-	// settle is left after a window's end for nodes to tell their last counts: they do so
+	// stepInterval is the time between two looks for a window that is due.
+	stepInterval = 200 * time.Millisecond
+	// settleTime is left after a window's end for nodes to tell their last counts: they do so
 	// each half a second (digest.restEvery).
-	settle = 600 * time.Millisecond
-	// patience is how long after a window's end nodes are waited for that live and have
+	settleTime = 600 * time.Millisecond
+	// maxNodeWait is how long after a window's end nodes are waited for that live and have
 	// not told all of it.
-	patience = 3 * time.Second
-	// silence is how long a node says nothing before it isn't waited for any more.
-	silence = 2500 * time.Millisecond
+	maxNodeWait = 3 * time.Second
+	// silentAfter is how long a node says nothing before it isn't waited for any more.
+	silentAfter = 2500 * time.Millisecond
 	// callTimeout bounds a call to the store or the platform's API.
 	callTimeout = 2 * time.Second
-	// retryEvery is the time between two tries of what failed.
-	retryEvery = 500 * time.Millisecond
-	// gatherTime is how long the answers of other supervisors are waited for.
-	gatherTime = 150 * time.Millisecond
+	// retryInterval is the time between two tries of what failed.
+	retryInterval = 500 * time.Millisecond
+	// gatherTimeout is how long the answers of other supervisors are waited for.
+	gatherTimeout = 150 * time.Millisecond
 	// keptRows is how many windows stay recorded in the store: more than are ever due at
 	// once.
 	keptRows = 24
@@ -93,8 +93,8 @@
 // under the condition that nothing lay there, so that a second report of a window, by
 // whomever and however late, has the same counts.
 type Reporter struct {
-	options Options
-	span    WindowLength
+	options      Options
+	windowLength WindowLength
 	// first is the window in which this process started.
 	first Window
 	// done is the newest window up to which all are sent.
@@ -111,14 +111,14 @@
 func NewReporter(options Options) *Reporter {
 	span := options.Tally.WindowLength()
 	return &Reporter{
-		options: options, span: span, sent: make(map[Window]bool),
+		options: options, windowLength: span, sent: make(map[Window]bool),
 		first: span.WindowAt(options.Tally.Now(time.Now())),
 	}
 }
 
 // Run works until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
-	ticker := time.NewTicker(stepEvery)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -139,27 +139,27 @@
 	own := r.options.Tally.Since(0, moment)
 	r.options.Collector.MergeEntries(r.options.Incarnation, own.Entries)
 	now := r.options.Tally.Now(moment)
-	due := r.span.WindowAt(now.Add(-settle)) - 1
+	due := r.windowLength.WindowAt(now.Add(-settleTime)) - 1
 	if era := r.options.Store.Era(); era != r.era {
 		r.era, r.done = era, 0 // what is recorded may be lost
 	}
-	if due <= r.done || moment.Before(r.retryAt) || !r.told(due, now) {
+	if due <= r.done || moment.Before(r.retryAt) || !r.isComplete(due, now) {
 		return
 	}
 	if err := r.report(ctx, due, now); err != nil {
-		r.retryAt = moment.Add(retryEvery)
+		r.retryAt = moment.Add(retryInterval)
 		r.options.Log.WithFields(logrus.Fields{"window": due, "cause": err.Error()}).Warn("usage not reported yet")
 	}
 }
 
-// told reports whether all that can be known of a window was told, or was waited for long
+// isComplete reports whether all that can be known of a window was isComplete, or was waited for long
 // enough.
-func (r *Reporter) told(window Window, now time.Time) bool {
-	if now.Sub(r.span.End(window)) >= patience {
+func (r *Reporter) isComplete(window Window, now time.Time) bool {
+	if now.Sub(r.windowLength.End(window)) >= maxNodeWait {
 		return true
 	}
 	for _, member := range r.options.Fleet.Members() {
-		if member.Silent < silence && !r.options.Collector.Closed(member.Node, window) {
+		if member.Silent < silentAfter && !r.options.Collector.Closed(member.Node, window) {
 			return false
 		}
 	}
@@ -170,7 +170,7 @@
 func (r *Reporter) report(ctx context.Context, due Window, now time.Time) error {
 	if !r.gathered {
 		r.options.Fleet.GatherUsage(due - keptWindows)
-		time.Sleep(gatherTime)
+		time.Sleep(gatherTimeout)
 		r.gathered = true
 	}
 	if hold := r.options.Authority.Acquire(ctx); hold != authority.Held {
@@ -180,10 +180,10 @@
 	if err != nil {
 		return err
 	}
-	if err := r.recordAgain(ctx, recorded, due); err != nil {
+	if err := r.recordLostWindows(ctx, recorded, due); err != nil {
 		return err
 	}
-	for window := r.next(recorded, due); window <= due; window++ {
+	for window := r.firstUnrecorded(recorded, due); window <= due; window++ {
 		counts := r.options.Collector.Total(window)
 		if err := r.record(ctx, window, counts); err != nil {
 			return err
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// next is the first window that isn't recorded.
-func (r *Reporter) next(recorded map[Window]Counts, due Window) Window {
+// firstUnrecorded is the first window that isn't recorded.
+func (r *Reporter) firstUnrecorded(recorded map[Window]Counts, due Window) Window {
 	next := r.first
 	for window := range recorded {
 		next = max(next, window+1)
@@ -214,7 +214,7 @@
 // hasn't sent.
 func (r *Reporter) sendAll(ctx context.Context, recorded map[Window]Counts, now time.Time) error {
 	for _, window := range slices.Sorted(maps.Keys(recorded)) {
-		if r.sent[window] || now.Sub(r.span.End(window)) > 2*r.options.Late {
+		if r.sent[window] || now.Sub(r.windowLength.End(window)) > 2*r.options.Late {
 			continue
 		}
 		if err := r.send(ctx, window, recorded[window]); err != nil {
@@ -236,7 +236,7 @@
 	defer act.End()
 	verdict, err := r.options.API.ReportUsage(act.Context, duty.LeaseToken{Holder: r.options.Node, Fence: act.Fence}, window, counts)
 	r.options.Log.WithFields(logrus.Fields{
-		"window": window, "requests": counts.sum(), "fence": act.Fence, "verdict": verdict, "cause": fmt.Sprint(err),
+		"window": window, "requests": counts.total(), "fence": act.Fence, "verdict": verdict, "cause": fmt.Sprint(err),
 	}).Info("usage reported")
 	r.options.Metrics.observe(verdict)
 	switch verdict {
--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -197,7 +197,7 @@
 		if lives {
 			first.Step(context.Background(), at(6.2))
 		}
-		for moment := 8.0; len(s.api.reports[WindowLength(span).WindowAt(at(0))]) < 2; moment += retryEvery.Seconds() {
+		for moment := 8.0; len(s.api.reports[WindowLength(span).WindowAt(at(0))]) < 2; moment += retryInterval.Seconds() {
 			if moment > 25 {
 				t.Fatal("the next holder reports nothing")
 			}
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -37,27 +37,27 @@
 
 // Tally counts the requests that began at one node. It is safe for concurrent use.
 type Tally struct {
-	span WindowLength
+	windowLength WindowLength
 
 	mu      sync.Mutex
 	clock   Clock
 	changes uint64
-	windows map[Window]map[string]*tallied
+	windows map[Window]map[string]*tenantCount
 }
 
-// tallied is a count, and the change that made it.
-type tallied struct {
+// tenantCount is a count, and the change that made it.
+type tenantCount struct {
 	count   int
 	changed uint64
 }
 
 // NewTally returns an empty tally of windows of a length.
 func NewTally(span time.Duration) *Tally {
-	return &Tally{span: WindowLength(span), windows: make(map[Window]map[string]*tallied)}
+	return &Tally{windowLength: WindowLength(span), windows: make(map[Window]map[string]*tenantCount)}
 }
 
 // WindowLength returns the length of the windows.
-func (t *Tally) WindowLength() WindowLength { return t.span }
+func (t *Tally) WindowLength() WindowLength { return t.windowLength }
 
 // Now returns the time of day by which the tally counts.
 func (t *Tally) Now(moment time.Time) time.Time {
@@ -70,16 +70,16 @@
 func (t *Tally) CountStarted(tenant string, moment time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	window := t.span.WindowAt(t.clock.Now(moment))
+	window := t.windowLength.WindowAt(t.clock.Now(moment))
 	counts, known := t.windows[window]
 	if !known {
-		counts = make(map[string]*tallied)
+		counts = make(map[string]*tenantCount)
 		t.windows[window] = counts
 		t.forget(window)
 	}
 	count, known := counts[tenant]
 	if !known {
-		count = &tallied{}
+		count = &tenantCount{}
 		counts[tenant] = count
 	}
 	t.changes++
@@ -88,7 +88,7 @@
 }
 
 func (t *Tally) forget(newest Window) {
-	maps.DeleteFunc(t.windows, func(window Window, _ map[string]*tallied) bool { return window <= newest-keptWindows })
+	maps.DeleteFunc(t.windows, func(window Window, _ map[string]*tenantCount) bool { return window <= newest-keptWindows })
 }
 
 // Since returns what changed after a change.
@@ -108,7 +108,7 @@
 		}
 	}
 	slices.SortFunc(found, func(a, b change) int { return cmp.Compare(a.at, b.at) })
-	delta := Delta{After: after, Through: t.changes, Closed: t.span.WindowAt(t.clock.Now(moment)) - 1}
+	delta := Delta{After: after, Through: t.changes, Closed: t.windowLength.WindowAt(t.clock.Now(moment)) - 1}
 	if len(found) > maxEntries {
 		found = found[:maxEntries]
 		delta.Through = found[maxEntries-1].at
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -47,7 +47,7 @@
 // testClock is a Clock whose two readings are given apart.
 type testClock struct{ Clock }
 
-func (c *testClock) now(steady, wall time.Time) time.Time { return c.reading(steady, wall) }
+func (c *testClock) now(steady, wall time.Time) time.Time { return c.timeOfDay(steady, wall) }
 
 func TestTallyTellsWhatChanged(t *testing.T) {
 	tally := NewTally(span)
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -25,46 +25,46 @@
 
 // The figures of a clock.
 const (
-	// jump is the change of the time of day, against the steady clock, that counts as a
-	// jump: far above what adjustments change between two looks.
-	jump = 150 * time.Millisecond
-	// settled is for how long the time of day must stay where it jumped to before it is
+	// jumpThreshold is the change of the time of day, against the steady clock, that counts as a
+	// jumpThreshold: far above what adjustments change between two looks.
+	jumpThreshold = 150 * time.Millisecond
+	// trustAfter is for how long the time of day must stay where it jumped to before it is
 	// taken for true: clocks that jump return as a rule.
-	settled = 30 * time.Second
+	trustAfter = 30 * time.Second
 )
 
 // Clock tells the time of day from the steady clock, so that the time of day may jump and
 // return without moving requests into other windows. It is pure.
 type Clock struct {
 	started bool
-	// base is a moment of the steady clock, and trueBase the time of day then.
-	base, trueBase time.Time
-	// jumped is since when the time of day differs, zero while it doesn't.
-	jumped time.Time
+	// base is a moment of the steady clock, and wallBase the time of day then.
+	base, wallBase time.Time
+	// jumpedAt is since when the time of day differs, zero while it doesn't.
+	jumpedAt time.Time
 }
 
 // Now returns the time of day. The argument has both readings of one moment, as
 // time.Now returns it.
-func (c *Clock) Now(moment time.Time) time.Time { return c.reading(moment, moment.Round(0)) }
+func (c *Clock) Now(moment time.Time) time.Time { return c.timeOfDay(moment, moment.Round(0)) }
 
-// reading takes the two readings apart.
-func (c *Clock) reading(steady, wall time.Time) time.Time {
+// timeOfDay takes the two readings apart.
+func (c *Clock) timeOfDay(steady, wall time.Time) time.Time {
 	if !c.started {
-		c.started, c.base, c.trueBase = true, steady, wall
+		c.started, c.base, c.wallBase = true, steady, wall
 		return wall
 	}
-	kept := c.trueBase.Add(steady.Sub(c.base))
-	if off := wall.Sub(kept); off.Abs() < jump {
-		c.jumped = time.Time{}
-		c.base, c.trueBase = steady, wall
+	kept := c.wallBase.Add(steady.Sub(c.base))
+	if off := wall.Sub(kept); off.Abs() < jumpThreshold {
+		c.jumpedAt = time.Time{}
+		c.base, c.wallBase = steady, wall
 		return wall
 	}
-	if c.jumped.IsZero() {
-		c.jumped = steady
+	if c.jumpedAt.IsZero() {
+		c.jumpedAt = steady
 	}
-	if steady.Sub(c.jumped) >= settled {
-		c.jumped = time.Time{}
-		c.base, c.trueBase = steady, wall
+	if steady.Sub(c.jumpedAt) >= trustAfter {
+		c.jumpedAt = time.Time{}
+		c.base, c.wallBase = steady, wall
 		return wall
 	}
 	return kept
