--- a/internal/workerconn/dial.go
+++ b/internal/workerconn/dial.go
@@ -26,11 +26,13 @@
 // DropUnsent has a connection drop what its peer hasn't acknowledged when it is closed, or
 // when that takes longer than a timeout, which the kernel watches also while this process
 // is paused. Otherwise the kernel goes on sending it.
-func DropUnsent(c net.Conn, timeout time.Duration) error { return setDropping(c, 0, timeout) }
+func DropUnsent(c net.Conn, timeout time.Duration) error {
+	return setLingerAndUserTimeout(c, 0, timeout)
+}
 
-// setDropping sets for how many seconds a closed connection goes on sending, and how long
+// setLingerAndUserTimeout sets for how many seconds a closed connection goes on sending, and how long
 // its peer may acknowledge nothing.
-func setDropping(c net.Conn, linger int, timeout time.Duration) error {
+func setLingerAndUserTimeout(c net.Conn, linger int, timeout time.Duration) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return eris.Errorf("%T is no TCP connection", c)
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -75,10 +75,10 @@
 // read. key names the worker's incarnation: connections aren't shared between
 // workers that had the same address. limit bounds the connections to it.
 func (p *Pool) Do(ctx context.Context, key, address string, limit int, request *Request) (*Answer, error) {
-	if err := p.withheld(key, request); err != nil {
+	if err := p.checkAdmitted(key, request); err != nil {
 		return nil, err
 	}
-	c, err := p.take(ctx, key, address, limit)
+	c, err := p.getConn(ctx, key, address, limit)
 	if err != nil {
 		return nil, &SendError{Unsent: true, Cause: err}
 	}
@@ -86,8 +86,8 @@
 		p.discard(key, c)
 		return nil, &SendError{Unsent: true, Cause: err}
 	}
-	if err := p.withheld(key, request); err != nil {
-		p.putBack(key, c)
+	if err := p.checkAdmitted(key, request); err != nil {
+		p.addIdle(key, c)
 		return nil, err
 	}
 	if p.monitor != nil {
@@ -114,8 +114,8 @@
 	}, nil
 }
 
-// withheld asks the monitor whether a request may be sent.
-func (p *Pool) withheld(key string, request *Request) error {
+// checkAdmitted asks the monitor whether a request may be sent.
+func (p *Pool) checkAdmitted(key string, request *Request) error {
 	if p.monitor == nil {
 		return nil
 	}
@@ -132,7 +132,7 @@
 	if request.DropAfter == 0 {
 		return nil
 	}
-	if err := setDropping(c.Conn, 0, request.DropAfter); err != nil {
+	if err := setLingerAndUserTimeout(c.Conn, 0, request.DropAfter); err != nil {
 		return err
 	}
 	c.dropsUnsent = true
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (p *Pool) take(ctx context.Context, key, address string, limit int) (*conn, error) {
+func (p *Pool) getConn(ctx context.Context, key, address string, limit int) (*conn, error) {
 	now := time.Now()
 	for {
 		c, err := p.takeIdle(key, limit)
@@ -159,7 +159,7 @@
 	}
 	inner, err := dial(ctx, address)
 	if err != nil {
-		p.release(key)
+		p.releaseSlot(key)
 		return nil, err
 	}
 	c := newConn(inner)
@@ -198,10 +198,10 @@
 
 func (p *Pool) discard(key string, c *conn) {
 	_ = c.Close()
-	p.release(key)
+	p.releaseSlot(key)
 }
 
-func (p *Pool) release(key string) {
+func (p *Pool) releaseSlot(key string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open[key]--
@@ -210,9 +210,9 @@
 	}
 }
 
-func (p *Pool) put(key string, c *conn, limit time.Duration) {
+func (p *Pool) recycle(key string, c *conn, limit time.Duration) {
 	if c.dropsUnsent {
-		if err := setDropping(c.Conn, lingerDefault, userTimeout); err != nil {
+		if err := setLingerAndUserTimeout(c.Conn, lingerDefault, userTimeout); err != nil {
 			p.discard(key, c)
 			return
 		}
@@ -221,11 +221,11 @@
 	c.idleSince = time.Now()
 	c.idleLimit = limit - idleMargin
 	_ = c.SetDeadline(time.Time{})
-	p.putBack(key, c)
+	p.addIdle(key, c)
 }
 
-// putBack keeps a connection over which nothing was sent since it was taken.
-func (p *Pool) putBack(key string, c *conn) {
+// addIdle keeps a connection over which nothing was sent since it was taken.
+func (p *Pool) addIdle(key string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[key] = append(p.idle[key], c)
@@ -265,7 +265,7 @@
 	written  <-chan error
 	ctx      context.Context
 	stop     func() bool
-	whole    bool
+	complete bool
 	closed   bool
 }
 
@@ -273,7 +273,7 @@
 func (b *body) Read(buffer []byte) (int, error) {
 	count, err := b.response.Body.Read(buffer)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	} else if err != nil {
 		err = cause(b.ctx, err)
 	}
@@ -288,7 +288,7 @@
 	b.closed = true
 	stopped := b.stop()
 	if stopped && b.reusable() {
-		b.pool.put(b.key, b.conn, keepAlive(b.response.Header))
+		b.pool.recycle(b.key, b.conn, keepAlive(b.response.Header))
 		return nil
 	}
 	b.pool.discard(b.key, b.conn)
@@ -296,17 +296,17 @@
 }
 
 func (b *body) reusable() bool {
-	if !b.whole || b.response.Close || b.response.ContentLength < 0 && len(b.response.TransferEncoding) == 0 {
+	if !b.complete || b.response.Close || b.response.ContentLength < 0 && len(b.response.TransferEncoding) == 0 {
 		return false
 	}
-	if !b.sent() {
+	if !b.requestSent() {
 		return false
 	}
 	return b.conn.reader.Buffered() == 0
 }
 
-// sent reports whether the request's body was sent whole.
-func (b *body) sent() bool {
+// requestSent reports whether the request's body was requestSent whole.
+func (b *body) requestSent() bool {
 	select {
 	case err := <-b.written:
 		return err == nil
