--- a/internal/httpheader/httpheader.go
+++ b/internal/httpheader/httpheader.go
@@ -1,4 +1,4 @@
-// Package httphead handles the headers of requests and answers that are passed on.
+// Package httpheader processes the headers of requests and answers that are forwarded.
 package httpheader
 
 import (
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// connectionHeaders pertain to one connection (RFC 9110, section 7.6.1). The length
-// is that of the body that is sent anew.
+// connectionHeaders are the hop-by-hop headers (RFC 9110, section 7.6.1) and Content-Length,
+// which is set anew for the body that is sent.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// WithoutHopByHop returns a copy without the headers of one connection, those
-// that Connection names included.
+// WithoutHopByHop returns a copy of a header without hop-by-hop fields, including those that
+// the Connection field names, and without Content-Length.
 func WithoutHopByHop(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, listed := range header.Values("Connection") {
--- a/internal/httpheader/retryafter.go
+++ b/internal/httpheader/retryafter.go
@@ -13,18 +13,19 @@
 const (
 	headerRetryAfter = "Retry-After"
 	headerDate       = "Date"
-	// maxPause bounds the pause that one answer can ask for.
+	// maxPause is the longest pause that one answer can ask for.
 	maxPause = time.Hour
 )
 
-// RetryAfterApplies reports whether Retry-After in an answer of a status asks the one that was
-// answered to send nothing for a time (RFC 9110, section 15.6.4, and RFC 6585, section 4).
+// RetryAfterApplies reports whether Retry-After in an answer with this status asks the client
+// to send nothing for a time (RFC 9110, section 15.6.4, and RFC 6585, section 4).
 func RetryAfterApplies(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// RetryAfter returns the pause that the head of an answer asks for, the longest of several, zero
-// where it asks for none, and a quote of what can't be read.
+// RetryAfter returns the pause that the header of an answer asks for, zero if it asks for none.
+// If it has several Retry-After fields, the longest pause counts. malformed quotes a field that
+// can't be parsed.
 func RetryAfter(header http.Header) (pause time.Duration, malformed string) {
 	for _, text := range header.Values(headerRetryAfter) {
 		one, err := parsePause(strings.TrimSpace(text), header.Get(headerDate))
@@ -36,8 +37,9 @@
 	return pause, malformed
 }
 
-// parsePause reads a pause: a decimal number of seconds, or the date of its end (RFC 9110,
-// section 10.2.3), which counts from the date of the answer, since clocks differ.
+// parsePause parses a pause: a decimal number of seconds or the date of its end (RFC 9110,
+// section 10.2.3). A date is compared with the date of the answer, because the clocks of client
+// and server may differ.
 func parsePause(text, answered string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
