--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -9,21 +9,20 @@
 	"github.com/tinarch/tinarch/internal/tenant"
 )
 
-// staleAfter is the age of the configuration's last confirmation from which a route or
-// key that it doesn't hold may be one of a newer version: a quarter more than the age
-// that a node's configuration has at most while it reaches the store or another node
-// (tablerelay.Freshness and one call).
+// staleAfter is the age of the last confirmation of the configuration from which a missing
+// route or key may belong to a newer version. It is a quarter more than the maximum age while
+// the node reaches the store or another node: tablerelay.Freshness plus the time of one call.
 const staleAfter = 2 * time.Second
 
-// outdatedAfter is how long a node goes on by a configuration of which it knows that there is
-// a newer one: a node that reaches another one has it in less.
+// outdatedAfter is how long a node serves with a configuration that it knows to be superseded.
+// A node that reaches another one gets the newer configuration in less time.
 const outdatedAfter = time.Second
 
-// staleRetryAfter is when a caller should come back who was turned away by a node whose
-// configuration may be old. Another node is likely to take the next try.
+// staleRetryAfter is the Retry-After of requests that are refused because the configuration may
+// be old. The next try is likely to go to another node.
 const staleRetryAfter = 300 * time.Millisecond
 
-// admission is what a version of the configuration says of a request.
+// admission is the route and tenant of a request by one version of the configuration.
 type admission struct {
 	route  *routing.Route
 	tenant tenant.Tenant
@@ -40,8 +39,8 @@
 	return admission{route: route, tenant: owner}, failure
 }
 
-// authenticate returns the tenant of the request's API key. A route that is public needs
-// none, but a key that is given must be known there too.
+// authenticate returns the tenant of the request's API key. A public route needs no key, but a
+// key in a request to it must be known too.
 func (f *Handler) authenticate(table *routing.Table, route *routing.Route, header http.Header) (tenant.Tenant, *result.Error) {
 	if table.Tenants == nil {
 		return tenant.Tenant{}, nil
@@ -62,8 +61,8 @@
 	return owner, nil
 }
 
-// refuseOutdated refuses requests where this node has known for a while of a newer
-// configuration and can't get it: routes may have gone to other services.
+// refuseOutdated refuses all requests if this node has known of a newer configuration for
+// longer than outdatedAfter and can't get it: routes may point to other services now.
 func (f *Handler) refuseOutdated(table *routing.Table) *result.Error {
 	if !f.Outdated() {
 		return nil
@@ -73,11 +72,12 @@
 		WithRetryAfter(staleRetryAfter)
 }
 
-// Outdated reports whether requests are refused since the configuration is known to be old.
+// Outdated reports whether requests are refused because this node lacks a newer configuration
+// that it has known of for longer than outdatedAfter.
 func (f *Handler) Outdated() bool { return f.configurationBehind() > outdatedAfter }
 
-// refuseUnknown turns a refusal of what the configuration doesn't hold into one that lets the
-// caller come back, where a newer version that holds it may be in force elsewhere.
+// refuseUnknown returns the error for a route or key that the configuration doesn't have. If a
+// newer version may have it, the error asks the caller to retry.
 func (f *Handler) refuseUnknown(failure *result.Error) *result.Error {
 	age, behind := f.configurationAge(), f.configurationBehind()
 	switch {
--- a/internal/ingress/caller.go
+++ b/internal/ingress/caller.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// httpCaller writes an answer to a caller as it comes.
+// httpCaller writes an answer to a caller as it arrives from the worker.
 type httpCaller struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
-	// closeConnection asks the caller to use another connection next.
+	// closeConnection is set if the answer closes the caller's connection.
 	closeConnection bool
 	buffered        bool
 }
@@ -18,8 +18,8 @@
 	return &httpCaller{writer: writer, controller: http.NewResponseController(writer), closeConnection: closeConnection}
 }
 
-// answerEarly lets the answer go out before the request's body has come: net/http would
-// else read a small one first. What comes of it later is dropped.
+// answerEarly lets the answer be sent before the request body has been received. By default
+// net/http reads the rest of a small body first. The rest of the body is dropped.
 func (c *httpCaller) answerEarly() error { return c.controller.EnableFullDuplex() }
 
 // Head implements dispatch.Caller.
@@ -30,7 +30,7 @@
 	}
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, given := own[name]; !given {
-			own[name] = nil // net/http would add one of its own
+			own[name] = nil // keeps net/http from adding its own
 		}
 	}
 	if length >= 0 {
@@ -45,8 +45,8 @@
 	c.buffered = length >= 0
 }
 
-// Write implements dispatch.Caller. An answer of known length is sent by net/http
-// when it is whole; anything else is sent at once.
+// Write implements dispatch.Caller. net/http buffers an answer of known length; any other
+// answer is flushed after each piece.
 func (c *httpCaller) Write(piece []byte) error {
 	if _, err := c.writer.Write(piece); err != nil {
 		return err
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,5 +1,5 @@
-// Package front takes callers' HTTP requests for routes: it reads them whole, finds
-// their route, has them served, and answers what was refused.
+// Package ingress is the HTTP entry point for callers. It reads each request completely, finds
+// its route and tenant, passes it to the dispatcher and answers requests that are refused.
 package ingress
 
 import (
@@ -20,33 +20,34 @@
 	"github.com/tinarch/tinarch/internal/routing"
 )
 
-// Parser reads what a caller's request says in the platform's names.
+// Parser reads request headers in the names of one platform.
 type Parser interface {
-	// Parse fills the fields of a call that headers tell. The error is the
-	// caller's mistake.
+	// Parse sets the fields of a call that come from headers. An error means that the caller
+	// sent an invalid header.
 	Parse(call *dispatch.Call) error
-	// APIKeys returns the API keys that a request's header holds.
+	// APIKeys returns the API keys in a request's header.
 	APIKeys(header http.Header) []string
 }
 
-// Runner serves calls.
+// Runner sends calls to workers.
 type Runner interface {
 	Run(ctx context.Context, call *dispatch.Call, caller dispatch.Caller) dispatch.Outcome
 }
 
-// Handler takes callers' requests. It implements http.Handler.
+// Handler serves callers' requests. It implements http.Handler.
 type Handler struct {
 	parser   Parser
 	runner   Runner
 	splitter *routing.Splitter
 	log      *logrus.Logger
 	metrics  *Metrics
-	// quotas is nil where no tenant has a limit.
+	// quotas is nil if no tenant has a limit.
 	quotas Quotas
-	// configurationAge is the time since the configuration in force was confirmed.
+	// configurationAge returns the time since the configuration was last confirmed to be
+	// current.
 	configurationAge func() time.Duration
-	// configurationBehind is the time since this node heard of a newer configuration that it
-	// doesn't hold, zero where it lacks none.
+	// configurationBehind returns the time since this node heard of a newer configuration that
+	// it doesn't have, zero if there is none.
 	configurationBehind func() time.Duration
 
 	table    atomic.Pointer[routing.Table]
@@ -54,23 +55,23 @@
 	active   atomic.Int64
 }
 
-// Options are what a front works with.
+// Options configures a Handler.
 type Options struct {
 	Parser  Parser
 	Runner  Runner
 	Log     *logrus.Logger
 	Metrics *Metrics
-	// Quotas charges tenants that have a limit. It may be nil where none has.
+	// Quotas charges tenants that have a limit. It may be nil if none has.
 	Quotas Quotas
-	// ConfigurationAge is the time since the configuration in force was confirmed. It may
-	// be nil where that is never long ago.
+	// ConfigurationAge returns the time since the configuration was last confirmed to be
+	// current. If it is nil, the configuration counts as always current.
 	ConfigurationAge func() time.Duration
-	// ConfigurationBehind is the time since this node heard of a newer configuration that it
-	// doesn't hold, zero where it lacks none. It may be nil where it never lacks one.
+	// ConfigurationBehind returns the time since this node heard of a newer configuration that
+	// it doesn't have, zero if there is none. If it is nil, there never is one.
 	ConfigurationBehind func() time.Duration
 }
 
-// New returns a front without routes.
+// New returns a handler without routes.
 func New(options Options) *Handler {
 	f := &Handler{
 		configurationAge: options.ConfigurationAge, configurationBehind: options.ConfigurationBehind,
@@ -89,13 +90,13 @@
 
 func zeroAge() time.Duration { return 0 }
 
-// Stop asks callers to use other connections from now on.
+// Stop makes every further answer close its connection, so that callers connect to other nodes.
 func (f *Handler) Stop() { f.stopping.Store(true) }
 
 // Stopping reports whether Stop was called.
 func (f *Handler) Stopping() bool { return f.stopping.Load() }
 
-// Active returns the number of requests under way.
+// Active returns the number of requests in progress.
 func (f *Handler) Active() int64 { return f.active.Load() }
 
 // HasRoute reports whether a request has a route.
@@ -104,20 +105,20 @@
 	return table != nil && table.Match(request.Host, pathOf(request)) != nil
 }
 
-// pathOf returns the path as it was sent, without the query.
+// pathOf returns the path as it was sent, that is, still escaped.
 func pathOf(request *http.Request) string {
 	path, _, _ := strings.Cut(request.RequestURI, "?")
 	return path
 }
 
-// notConfiguredRetryAfter is when a caller should come back to a node that has no
-// configuration yet.
+// notConfiguredRetryAfter is the Retry-After of answers while the node has no configuration, or
+// no service for a route.
 const notConfiguredRetryAfter = 300 * time.Millisecond
 
-// SetTable puts a version of the routes in force.
+// SetTable replaces the routes.
 func (f *Handler) SetTable(table *routing.Table) { f.table.Store(table) }
 
-// Table returns the routes in force, nil before any are known.
+// Table returns the current routes, nil before the first SetTable.
 func (f *Handler) Table() *routing.Table { return f.table.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -139,7 +140,7 @@
 	f.finish(answer, request, call, outcome)
 }
 
-// accept reads a request whole and finds its route.
+// accept finds the route and tenant of a request, charges the tenant and reads the body.
 func (f *Handler) accept(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*dispatch.Call, *result.Error) {
 	table := f.table.Load()
 	if table == nil {
@@ -173,7 +174,7 @@
 	if parseErr != nil {
 		return call, result.New(result.InvalidRequest, "%v", parseErr)
 	}
-	// The configuration may have changed while the body came.
+	// The configuration may have changed while the body was received.
 	if newest := f.table.Load(); newest != table {
 		table = newest
 		if admitted, failure = f.admit(table, request); failure != nil {
@@ -190,7 +191,7 @@
 	return call, nil
 }
 
-// headerBytes is the size of a request's header as it was sent, about.
+// headerBytes returns the approximate size of a request's header.
 func headerBytes(request *http.Request) int {
 	const separators = 4
 	size := len(request.Method) + len(request.RequestURI) + len(request.Host)
@@ -231,7 +232,7 @@
 	return nil, result.New(result.CallerGone, "the body could not be read: %v", err)
 }
 
-// refuse answers a request that goes to no worker.
+// refuse answers a request that isn't sent to a worker.
 func (f *Handler) refuse(answer *httpCaller, request *http.Request, call *dispatch.Call, failure *result.Error, arrived time.Time) {
 	if call == nil {
 		call = &dispatch.Call{Method: request.Method, Target: request.RequestURI, Header: request.Header, Arrived: arrived}
@@ -250,14 +251,15 @@
 	writeError(answer, failure)
 }
 
-// finish answers a call that the dispatcher has given back.
+// finish answers a call that the dispatcher has processed, unless its answer has been sent
+// already.
 func (f *Handler) finish(answer *httpCaller, request *http.Request, call *dispatch.Call, outcome dispatch.Outcome) {
 	f.logOutcome(call, outcome)
 	switch {
 	case outcome.Code == result.OK:
 		return
 	case outcome.HeadGiven:
-		// A cut answer must not look whole.
+		// Closing the connection keeps a truncated answer from looking complete.
 		panic(http.ErrAbortHandler)
 	case request.Context().Err() != nil:
 		panic(http.ErrAbortHandler)
@@ -269,7 +271,7 @@
 	writeError(answer, failure)
 }
 
-// writeError writes a numbered error.
+// writeError sends an error with its code.
 func writeError(answer *httpCaller, failure *result.Error) {
 	body := []byte(failure.Error() + "\n")
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/tinarch/tinarch/internal/dispatch"
 )
 
-// Metrics count requests and measure their times.
+// Metrics counts requests and measures their duration.
 type Metrics struct {
 	requests  *prometheus.CounterVec
 	firstByte *prometheus.HistogramVec
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -10,16 +10,16 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Quotas charges tenants for requests, over all nodes together.
+// Quotas charges tenants for requests. A quota applies to all nodes together.
 type Quotas interface {
 	// Charge decides whether a request is within its tenant's quota.
 	Charge(ctx context.Context, claim quota.ChargeRequest) quota.Outcome
-	// Return gives back what was charged for a request that has not run.
+	// Return refunds the charge of a request that hasn't run.
 	Return(charge quota.Charge)
 }
 
-// charge has a call's tenant charged by what its header declares, before its body is read
-// or a worker looked for. Tenants without a limit cost nothing.
+// charge charges a call's tenant by the sizes that the header declares, before the body is read
+// or a worker is chosen. It does nothing for tenants without a limit.
 func (f *Handler) charge(ctx context.Context, call *dispatch.Call) *result.Error {
 	limit := call.Tenant.Limit()
 	if f.quotas == nil || !limit.Limited() {
@@ -52,7 +52,7 @@
 	}).Warn("over quota")
 }
 
-// refund returns what was charged for a call that has not run.
+// refund refunds the charge of a call that hasn't run.
 func (f *Handler) refund(call *dispatch.Call) {
 	if call == nil || call.Charge.None() {
 		return
