--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -1,5 +1,5 @@
-// Package notices takes in what workers say, in answers to whatever they were sent, of whether
-// they take further requests, and withholds what they don't take.
+// Package notices records what workers announce in the headers of their answers about whether
+// they accept further requests (notices), and keeps requests from workers that accept none.
 package notices
 
 import (
@@ -14,22 +14,22 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// logEvery is the least time between two lines on notices of one worker: a worker that
-// is full may ask for another pause in each of its answers.
+// logEvery is the minimum time between two log lines about notices of one worker. An overloaded
+// worker may ask for a new pause in each of its answers.
 const logEvery = time.Second
 
-// The labels of notices.
+// These are the values of the metric label notice.
 const (
 	labelDraining = "draining"
 	labelBackoff  = "backoff"
 )
 
-// Options are what a monitor works with.
+// Options configures a Monitor.
 type Options struct {
 	Registry *worker.Registry
-	// Read reads the head of an answer.
+	// Read returns the notice in the status and header of an answer.
 	Read func(status int, header http.Header) worker.Notice
-	// ListAge is how old the list of workers is, for the log.
+	// ListAge returns the age of this node's copy of the worker list, which is logged.
 	ListAge func() time.Duration
 	Log     *logrus.Logger
 	Metrics prometheus.Registerer
@@ -44,7 +44,7 @@
 	withheld          prometheus.Counter
 
 	mu sync.Mutex
-	// logged is when a line was written on a worker.
+	// logged is when the last line about a worker was logged.
 	logged map[string]time.Time
 }
 
@@ -85,7 +85,7 @@
 func (m *Monitor) Admit(key string, request *workerconn.Request) error {
 	now := time.Now()
 	admits := m.options.Registry.Admit
-	if request.ID != "" { // a caller's
+	if request.ID != "" { // a caller's request
 		admits = m.options.Registry.AdmitCall
 	}
 	err := admits(key, now)
@@ -113,7 +113,8 @@
 	m.logRequest(key, request, now).Warn("sent to a worker that had said it takes no requests")
 }
 
-// logRequest is the log with a request and the notices of its worker.
+// logRequest returns a log entry with the fields of a request and the notice state of its
+// worker.
 func (m *Monitor) logRequest(key string, request *workerconn.Request, now time.Time) *logrus.Entry {
 	advisory := m.options.Registry.NoticeState(key)
 	return m.options.Log.WithFields(logrus.Fields{
@@ -122,7 +123,7 @@
 	})
 }
 
-// sinceMillis is the time since a moment in milliseconds, zero where it never was.
+// sinceMillis returns the milliseconds since a moment, zero if the moment is zero.
 func sinceMillis(moment, now time.Time) int64 {
 	if moment.IsZero() {
 		return 0
@@ -149,8 +150,8 @@
 	}
 }
 
-// recordChange counts and logs a change. A worker that asks for a longer pause while one holds is
-// logged now and then.
+// recordChange counts and logs a change. An announcement that the worker drains is always
+// logged; changes of its pause are limited to one line per logEvery.
 func (m *Monitor) recordChange(change worker.NoticeChange, request *workerconn.Request, status int, now time.Time) {
 	drains := change.After.DrainingSince != change.Before.DrainingSince
 	if drains {
@@ -170,7 +171,7 @@
 	}).Info("worker notice")
 }
 
-// shouldLog reports whether a line on a worker may be written.
+// shouldLog reports whether a line about a worker may be logged now.
 func (m *Monitor) shouldLog(id string, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
