--- a/internal/plainhttp/plainhttp.go
+++ b/internal/plainhttp/plainhttp.go
@@ -1,6 +1,6 @@
-// Package plainwire speaks to workers that are ordinary HTTP servers: tinarch's own
-// names for what a request carries beside the caller's headers. A worker need know
-// none of them; one that does can tell that it did not run a request.
+// Package plainhttp implements the protocol to plain workers, which are ordinary HTTP servers.
+// It adds headers of tinarch's own to forwarded requests. Workers may ignore them; one that
+// knows them can prove that it didn't run a request.
 package plainhttp
 
 import (
@@ -17,25 +17,25 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// Headers beside those of HTTP.
+// These are tinarch's own headers, and Last-Event-Id of server-sent events.
 const (
-	// HeaderAttempt carries the request's id to the worker, which may echo it.
+	// HeaderAttempt carries the request's id to the worker, which may repeat it in its answer.
 	HeaderAttempt = "Tinarch-Attempt"
-	// HeaderDeadline is how long the caller waits, in milliseconds; the worker gets
-	// what is left of it.
+	// HeaderDeadline is how long the caller waits, in milliseconds. The worker gets the time
+	// that is left.
 	HeaderDeadline = "Tinarch-Deadline-Ms"
-	// HeaderWorker names the worker that a request is for.
+	// HeaderWorker is the id of the worker that a request is sent to.
 	HeaderWorker = "Tinarch-Worker"
-	// HeaderNotRun in a worker's answer proves that it did not run the request.
+	// HeaderNotRun in an answer proves that the worker didn't run the request.
 	HeaderNotRun = "Tinarch-Not-Run"
-	// HeaderLastEvent is where a stream goes on.
+	// HeaderLastEvent is the id of the event after which a stream continues.
 	HeaderLastEvent = "Last-Event-Id"
 )
 
-// Protocol implements dispatch.Protocol and front.Parser.
+// Protocol implements dispatch.Wire and ingress.Parser for plain workers.
 type Protocol struct{}
 
-// Parse implements front.Parser. The id is this node's own.
+// Parse implements ingress.Parser. The id of the call is created by this node.
 func (Protocol) Parse(call *dispatch.Call) error {
 	call.ID = string(engine.NewIdentifier())
 	call.LastEventID = call.Header.Get(HeaderLastEvent)
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// APIKeys implements front.Parser: routes to plain workers need no key.
+// APIKeys implements ingress.Parser. Routes to plain workers need no API key.
 func (Protocol) APIKeys(http.Header) []string { return nil }
 
 // IDHeader implements dispatch.Wire.
@@ -87,8 +87,8 @@
 	}
 }
 
-// Notice reads what the head of an answer says of whether its worker takes further requests: the
-// pause that it asks for.
+// Notice returns the pause that an answer asks for with Retry-After. Plain workers have no
+// other notice.
 func (Protocol) Notice(status int, header http.Header) worker.Notice {
 	if !httpheader.RetryAfterApplies(status) {
 		return worker.Notice{}
@@ -97,7 +97,8 @@
 	return worker.Notice{Backoff: pause, Malformed: malformed}
 }
 
-// Handle implements dispatch.Wire: plain workers read no prompts apart.
+// Handle implements dispatch.Wire. It always fails: plain workers have no disaggregated
+// prefill.
 func (Protocol) Handle(string, []byte) (dispatch.Handle, error) {
 	return dispatch.Handle{}, eris.New("plain workers read no prompts apart")
 }
