--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,5 +1,5 @@
-// Package tenant tells whose an API key is. It holds digests of keys, never keys, and
-// is pure. Both the routes of a platform and the product's own catalog use it.
+// Package tenant finds the owner of an API key. It stores digests of keys, never the keys, and
+// does no I/O. Platform routes and the catalog both use it.
 package tenant
 
 import (
@@ -15,13 +15,14 @@
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// prefixBytes of a digest find the keys with which a caller's is compared: the whole
-// digest is only ever compared in constant time.
+// prefixBytes is the length of the digest prefix that indexes keys. The whole digest is
+// compared in constant time only.
 const prefixBytes = 4
 
 type digestPrefix [prefixBytes]byte
 
-// Keyring finds the owner of an API key. It is safe for concurrent use once it is filled.
+// Keyring finds the owner of an API key. It is safe for concurrent use once all keys have been
+// added.
 type Keyring[T any] struct {
 	entries map[digestPrefix][]entry[T]
 	count   int
@@ -32,19 +33,19 @@
 	owner  T
 }
 
-// NewKeyring returns a keyring without keys.
+// NewKeyring returns an empty keyring.
 func NewKeyring[T any]() *Keyring[T] {
 	return &Keyring[T]{entries: make(map[digestPrefix][]entry[T])}
 }
 
-// Add gives a key to an owner. Of two owners of one key the first has it.
+// Add adds a key by its digest. If two owners have the same key, the first one counts.
 func (k *Keyring[T]) Add(digest Digest, owner T) {
 	prefix := digestPrefix(digest[:prefixBytes])
 	k.entries[prefix] = append(k.entries[prefix], entry[T]{digest: digest, owner: owner})
 	k.count++
 }
 
-// Owner returns the owner of a key, false where nobody has it.
+// Owner returns the owner of a key, and false if the key is unknown.
 func (k *Keyring[T]) Owner(key string) (T, bool) {
 	digest := DigestOf(key)
 	for _, candidate := range k.entries[digestPrefix(digest[:prefixBytes])] {
@@ -70,25 +71,26 @@
 // New returns a tenant whose requests have the priority of their route.
 func New(name string) Tenant { return Tenant{name: name} }
 
-// WithPriority returns the tenant with a priority of its own, zero being the most urgent.
+// WithPriority returns the tenant with a priority of its own. Zero is the most urgent.
 func (t Tenant) WithPriority(priority int) Tenant {
 	t.priority, t.hasPriority = priority, true
 	return t
 }
 
-// WithLimit returns the tenant with a limit to what it may use.
+// WithLimit returns the tenant with a quota.
 func (t Tenant) WithLimit(limit quota.Limit) Tenant {
 	t.limit = limit
 	return t
 }
 
-// Limit returns what the tenant may use, over all nodes together.
+// Limit returns the tenant's quota, which applies to all nodes together.
 func (t Tenant) Limit() quota.Limit { return t.limit }
 
-// Name returns the tenant's name, empty for callers that belong to no tenant.
+// Name returns the tenant's name, empty for callers without a tenant.
 func (t Tenant) Name() string { return t.name }
 
-// Priority returns the rank of the tenant's requests on a route of a rank.
+// Priority returns the priority of the tenant's requests: its own or, if it has none, that of
+// the route.
 func (t Tenant) Priority(route int) int {
 	if t.hasPriority {
 		return t.priority
