--- a/internal/usage/collector.go
+++ b/internal/usage/collector.go
@@ -6,30 +6,32 @@
 	"sync"
 )
 
-// Collector gathers the tallies of all nodes. Each node is known by its incarnation, so
-// that the counts of a process that was killed stay beside those of the next. Counts only
-// rise, so the larger of two that were told is the newer. It is safe for concurrent use.
+// Collector collects the tallies of all nodes. Tallies are kept by node incarnation, so that
+// the counts of a process that was killed add to those of the process after it. Counts only
+// increase, so the larger of two received counts is the newer. It is safe for concurrent use.
 type Collector struct {
 	mu      sync.Mutex
 	senders map[string]*sender
-	// recorded are the windows that lie in the store, or did before it came back from a copy.
+	// recorded holds the windows that were recorded in the store, including those that the
+	// store has lost because it was restored from a backup.
 	recorded map[Window]Counts
 }
 
-// sender is what is known of the tally of one node incarnation.
+// sender is what has been received of the tally of one node incarnation.
 type sender struct {
-	// through is the change up to which all was told, and closed as in Delta.
+	// through is the number of the last change up to which everything was received. closed is
+	// as in Reply.
 	through uint64
 	closed  Window
 	windows map[Window]Counts
 }
 
-// Reply tells a node what arrived of its tally.
+// Reply tells a node how much of its tally was received.
 type Reply struct {
-	// Through is the change up to which all has arrived: the next Delta is to go on from
-	// there.
+	// Through is the number of the change up to which everything was received. The next Delta
+	// must continue from there.
 	Through uint64
-	// Closed is the newest closed window of which all has arrived.
+	// Closed is the newest closed window that was received completely.
 	Closed Window
 }
 
@@ -38,8 +40,8 @@
 	return &Collector{senders: make(map[string]*sender), recorded: make(map[Window]Counts)}
 }
 
-// MergeRecorded takes in windows as they were recorded, and forgets those that the store doesn't
-// keep any more either.
+// MergeRecorded adds recorded windows, and drops those that are so old that the store no longer
+// keeps them either.
 func (c *Collector) MergeRecorded(recorded map[Window]Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +57,7 @@
 	maps.DeleteFunc(c.recorded, func(window Window, _ Counts) bool { return window <= newest-keptRows })
 }
 
-// Recorded returns the recorded windows after one, as far as they are known.
+// Recorded returns the known recorded windows after the given one.
 func (c *Collector) Recorded(after Window) map[Window]Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,8 +75,8 @@
 	return known
 }
 
-// MergeDelta takes in what a node tells of its tally. It reports whether the node is to get the
-// reply: where something is missing, and once for each window.
+// MergeDelta merges a Delta of a node. It reports whether to send the reply: if changes are
+// missing, and once for each closed window.
 func (c *Collector) MergeDelta(node string, delta Delta) (reply Reply, wanted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +94,7 @@
 	return Reply{Through: known.through, Closed: known.closed}, true
 }
 
-// MergeEntries takes in counts of a node that another one has gathered.
+// MergeEntries merges counts of a node that another supervisor has collected.
 func (c *Collector) MergeEntries(node string, entries []Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +116,7 @@
 	maps.DeleteFunc(s.windows, func(window Window, _ Counts) bool { return window <= s.closed-keptWindows })
 }
 
-// Closed reports whether a node has told all of a window.
+// Closed reports whether a window of a node was received completely.
 func (c *Collector) Closed(node string, window Window) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +124,7 @@
 	return exists && known.closed >= window
 }
 
-// Total returns the counts of a window over all nodes.
+// Total returns the sum of the counts of a window over all nodes.
 func (c *Collector) Total(window Window) Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +137,7 @@
 	return total
 }
 
-// EntriesAfter returns the counts of the windows after one, by node.
+// EntriesAfter returns the counts of the windows after the given one, by node.
 func (c *Collector) EntriesAfter(after Window) map[string][]Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,7 +155,8 @@
 	return gathered
 }
 
-// Forget drops the nodes of which nothing is known after a window.
+// Forget drops windows that are keptWindows or more older than the given one, and nodes of which
+// no newer windows are known.
 func (c *Collector) Forget(window Window) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/usage/metrics.go
+++ b/internal/usage/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/tinarch/tinarch/internal/duty"
 )
 
-// Metrics count the reports of this node.
+// Metrics counts the reports that this node has sent.
 type Metrics struct{ reports *prometheus.CounterVec }
 
 // NewMetrics registers the metrics.
--- a/internal/usage/records.go
+++ b/internal/usage/records.go
@@ -15,8 +15,8 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// Keys of rows: recorded windows, and what nodes write themselves that reach no
-// supervisor.
+// Table is the store table of usage. It has a row for each recorded window, and a row for each
+// node that reaches no supervisor, written by the node itself.
 const (
 	Table        = "usage"
 	windowPrefix = "window/"
@@ -25,16 +25,17 @@
 
 func windowKey(window Window) string { return windowPrefix + strconv.FormatInt(int64(window), 10) }
 
-// NodeKey is the key of a node's own row.
+// NodeKey returns the key of a node's own row.
 func NodeKey(node string) string { return nodePrefix + node }
 
-// NodeRow is what a node writes of its tally.
+// NodeRow is the content of a node's own row: the entries of its tally.
 type NodeRow struct {
 	Incarnation string  `json:"incarnation"`
 	Entries     []Entry `json:"entries"`
 }
 
-// recorded returns the windows that lie in the store, and takes in the rows of nodes.
+// recorded returns the windows recorded in the store, and merges the rows that nodes have
+// written.
 func (r *Reporter) recorded(ctx context.Context) (map[Window]Counts, error) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// recordLostWindows writes down the windows that are known to have been recorded and that a restored
-// store lacks: they may have been reported with these counts.
+// recordLostWindows records windows again that are known to have been recorded and that the
+// store has lost in a restore. They may have been reported with these counts already.
 func (r *Reporter) recordLostWindows(ctx context.Context, recorded map[Window]Counts, due Window) error {
 	r.options.Collector.MergeRecorded(recorded)
 	known := r.options.Collector.Recorded(due - keptRows)
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// record writes down what will be reported of a window, if nobody has: only as long as
-// this node has the authority.
+// record records the counts of a window in the store, on the condition that no node has
+// recorded it and that this node still has the authority.
 func (r *Reporter) record(ctx context.Context, window Window, counts Counts) error {
 	content, err := json.Marshal(counts)
 	if err != nil {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -16,65 +16,66 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// The figures of a reporter.
 const (
-	// stepInterval is the time between two looks for a window that is due.
+	// stepInterval is the interval at which the reporter looks for windows to report.
 	stepInterval = 200 * time.Millisecond
-	// settleTime is left after a window's end for nodes to tell their last counts: they do so
-	// each half a second (digest.restEvery).
+	// settleTime is the time after the end of a window in which nodes send their last counts.
+	// They do so every half second (nodeexchange.restEvery).
 	settleTime = 600 * time.Millisecond
-	// maxNodeWait is how long after a window's end nodes are waited for that live and have
-	// not told all of it.
+	// maxNodeWait is how long after the end of a window the reporter waits for nodes that are
+	// alive and haven't sent all of it.
 	maxNodeWait = 3 * time.Second
-	// silentAfter is how long a node says nothing before it isn't waited for any more.
+	// silentAfter is how long a node must have been silent so that the reporter no longer waits
+	// for it.
 	silentAfter = 2500 * time.Millisecond
-	// callTimeout bounds a call to the store or the platform's API.
+	// callTimeout is the timeout of a call to the store or the platform's API.
 	callTimeout = 2 * time.Second
-	// retryInterval is the time between two tries of what failed.
+	// retryInterval is the time until a failed report is tried again.
 	retryInterval = 500 * time.Millisecond
-	// gatherTimeout is how long the answers of other supervisors are waited for.
+	// gatherTimeout is how long the reporter waits for the counts that other supervisors have
+	// collected.
 	gatherTimeout = 150 * time.Millisecond
-	// keptRows is how many windows stay recorded in the store: more than are ever due at
-	// once.
+	// keptRows is the number of recorded windows that stay in the store: more than can be due
+	// at once.
 	keptRows = 24
 )
 
-// Store is what the reporter needs of the platform's store.
+// Store is the interface to the platform's store.
 type Store interface {
 	rowstore.Store
-	// Read returns all rows of a table as of one version.
+	// Read returns all rows of a table, in one consistent version.
 	Read(ctx context.Context, table string) ([]tablefeed.Row, tablefeed.Version, error)
 }
 
-// API is the platform's API for usage.
+// API is the platform's API for usage reports.
 type API interface {
-	// ReportUsage reports the counts of a window. The error tells why a verdict is
-	// duty.Unknown.
+	// ReportUsage reports the counts of a window. If the verdict is duty.Unknown, the error
+	// tells why.
 	ReportUsage(ctx context.Context, act duty.LeaseToken, window Window, counts Counts) (duty.Verdict, error)
 }
 
 // Member is another node.
 type Member struct {
-	// Node is its incarnation, and Silent the time since it was heard.
+	// Node is the node's incarnation, and Silent the time since its last message.
 	Node   string
 	Silent time.Duration
 }
 
-// Fleet is the other nodes.
+// Fleet is the interface to the other nodes.
 type Fleet interface {
 	Members() []Member
-	// GatherUsage asks the other supervisors for what they have gathered of the windows
-	// after one.
+	// GatherUsage asks the other supervisors for the counts that they have collected of the
+	// windows after the given one.
 	GatherUsage(after Window)
-	// TellRecorded tells the other supervisors what was recorded of windows.
+	// TellRecorded sends recorded windows to the other supervisors.
 	TellRecorded(recorded map[Window]Counts)
 }
 
-// Options are what a reporter works with.
+// Options configures a Reporter.
 type Options struct {
-	// Node names this node to the platform, and Incarnation to other nodes.
+	// Node is this node's name for the platform, and Incarnation its id for other nodes.
 	Node, Incarnation string
-	// Late is how long after its end a window is still taken.
+	// Late is how long after the end of a window the platform accepts its report.
 	Late      time.Duration
 	Tally     *Tally
 	Collector *Collector
@@ -82,27 +83,28 @@
 	Store     Store
 	API       API
 	Fleet     Fleet
-	// Designated reports whether this node is the one that the others expect to report.
-	// Two nodes may both think so; the authority and the store decide.
+	// Designated reports whether this node is the supervisor that should report. Two nodes may
+	// both believe so; then the authority (the lease) and the store decide.
 	Designated func() bool
 	Log        *logrus.Logger
 	Metrics    *Metrics
 }
 
-// Reporter reports each window once. What it reports lies in the store before it is sent,
-// under the condition that nothing lay there, so that a second report of a window, by
-// whomever and however late, has the same counts.
+// Reporter reports each window once. The counts of a window are recorded in the store before
+// they are sent, and only if none were recorded before. So if a window is reported again, by
+// any node and at any time, the counts are the same.
 type Reporter struct {
 	options      Options
 	windowLength WindowLength
 	// first is the window in which this process started.
 	first Window
-	// done is the newest window up to which all are sent.
+	// done is the newest window such that it and all before it have been sent.
 	done Window
 	sent map[Window]bool
-	// era is that of the store's history in which the recorded windows lie.
+	// era is the era of the store in which the windows were recorded. It changes when the store
+	// is restored from a backup.
 	era uint64
-	// gathered tells that the other supervisors were asked since this node was designated.
+	// gathered is set if the other supervisors have been asked since this node was designated.
 	gathered bool
 	retryAt  time.Time
 }
@@ -116,7 +118,7 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run reports windows until ctx is done.
 func (r *Reporter) Run(ctx context.Context) {
 	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
@@ -141,7 +143,7 @@
 	now := r.options.Tally.Now(moment)
 	due := r.windowLength.WindowAt(now.Add(-settleTime)) - 1
 	if era := r.options.Store.Era(); era != r.era {
-		r.era, r.done = era, 0 // what is recorded may be lost
+		r.era, r.done = era, 0 // recorded windows may be lost
 	}
 	if due <= r.done || moment.Before(r.retryAt) || !r.isComplete(due, now) {
 		return
@@ -152,8 +154,8 @@
 	}
 }
 
-// isComplete reports whether all that can be known of a window was isComplete, or was waited for long
-// enough.
+// isComplete reports whether all nodes that are alive have sent all of a window, or maxNodeWait
+// is over.
 func (r *Reporter) isComplete(window Window, now time.Time) bool {
 	if now.Sub(r.windowLength.End(window)) >= maxNodeWait {
 		return true
@@ -166,7 +168,7 @@
 	return true
 }
 
-// report records and sends all windows up to one.
+// report records and sends all windows up to the given one.
 func (r *Reporter) report(ctx context.Context, due Window, now time.Time) error {
 	if !r.gathered {
 		r.options.Fleet.GatherUsage(due - keptWindows)
@@ -198,7 +200,8 @@
 	return nil
 }
 
-// firstUnrecorded is the first window that isn't recorded.
+// firstUnrecorded returns the first window that is still to be recorded, at most keptWindows
+// back.
 func (r *Reporter) firstUnrecorded(recorded map[Window]Counts, due Window) Window {
 	next := r.first
 	for window := range recorded {
@@ -210,8 +213,8 @@
 	return max(next, due-keptWindows+1)
 }
 
-// sendAll sends the recorded windows that the platform still takes and that this process
-// hasn't sent.
+// sendAll sends the recorded windows that this process hasn't sent and that the platform may
+// still accept: up to twice Options.Late after their end.
 func (r *Reporter) sendAll(ctx context.Context, recorded map[Window]Counts, now time.Time) error {
 	for _, window := range slices.Sorted(maps.Keys(recorded)) {
 		if r.sent[window] || now.Sub(r.windowLength.End(window)) > 2*r.options.Late {
@@ -226,8 +229,8 @@
 	return nil
 }
 
-// send reports a window. The authority is looked at just before, and the call doesn't
-// outlast it.
+// send reports one window. It checks the authority just before. If the platform doesn't compare
+// fencing tokens, the call ends at the latest when the authority does.
 func (r *Reporter) send(ctx context.Context, window Window, counts Counts) error {
 	act, held := r.options.Authority.Begin(ctx, callTimeout)
 	if !held {
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// keptWindows is for how many windows a node and the supervisors know counts: more
-	// than the platform waits for a report, and the longest trouble that is to be outlived.
+	// keptWindows is the number of windows for which nodes and supervisors keep counts. It
+	// covers the time for which the platform accepts a report, and the longest outage that
+	// counts must survive.
 	keptWindows = 12
-	// maxEntries bounds the entries of one Delta, so that it fits a datagram.
+	// maxEntries limits the entries of one Delta, so that it fits into a datagram.
 	maxEntries = 300
 )
 
-// Counts are the requests of a window that began running, by tenant.
+// Counts holds the number of requests that started in a window, by tenant.
 type Counts map[string]int
 
-// Entry is the count of a tenant in a window.
+// Entry is the count of one tenant in one window.
 type Entry struct {
 	Window Window
 	Tenant string
 	Count  int
 }
 
-// Delta is what a node tells of its tally: the entries that changed after one change and
-// up to another. Counts are totals, so telling one twice does no harm.
+// Delta is a message about a node's tally: the entries that changed after one change number and
+// up to another. Counts are totals, so receiving a Delta twice does no harm.
 type Delta struct {
 	After, Through uint64
-	// Closed is the newest window in which nothing more can begin at the node.
+	// Closed is the newest window in which no more requests can start at the node.
 	Closed  Window
 	Entries []Entry
 }
 
-// Tally counts the requests that began at one node. It is safe for concurrent use.
+// Tally counts the requests that started at one node. It is safe for concurrent use.
 type Tally struct {
 	windowLength WindowLength
 
@@ -45,13 +46,13 @@
 	windows map[Window]map[string]*tenantCount
 }
 
-// tenantCount is a count, and the change that made it.
+// tenantCount is a count and the number of the last change to it.
 type tenantCount struct {
 	count   int
 	changed uint64
 }
 
-// NewTally returns an empty tally of windows of a length.
+// NewTally returns an empty tally with windows of the given length.
 func NewTally(span time.Duration) *Tally {
 	return &Tally{windowLength: WindowLength(span), windows: make(map[Window]map[string]*tenantCount)}
 }
@@ -59,14 +60,14 @@
 // WindowLength returns the length of the windows.
 func (t *Tally) WindowLength() WindowLength { return t.windowLength }
 
-// Now returns the time of day by which the tally counts.
+// Now returns the time of day that decides to which window a request counts.
 func (t *Tally) Now(moment time.Time) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.clock.Now(moment)
 }
 
-// CountStarted counts a request of a tenant that began running at a moment.
+// CountStarted counts a request of a tenant that started at a moment.
 func (t *Tally) CountStarted(tenant string, moment time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +92,8 @@
 	maps.DeleteFunc(t.windows, func(window Window, _ map[string]*tenantCount) bool { return window <= newest-keptWindows })
 }
 
-// Since returns what changed after a change.
+// Since returns the entries that changed after a change number. If there are too many, it
+// returns the oldest changes.
 func (t *Tally) Since(after uint64, moment time.Time) Delta {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,7 +114,7 @@
 	if len(found) > maxEntries {
 		found = found[:maxEntries]
 		delta.Through = found[maxEntries-1].at
-		delta.Closed -= keptWindows // what is left out may be of any window
+		delta.Closed -= keptWindows // the changes left out may be in any window
 	}
 	for _, changed := range found {
 		delta.Entries = append(delta.Entries, changed.Entry)
@@ -120,7 +122,7 @@
 	return delta
 }
 
-// Entries returns the counts of the windows after one, up to another.
+// Entries returns the counts of the windows after one and up to another, inclusive.
 func (t *Tally) Entries(after, through Window) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
