--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -11,8 +11,8 @@
 	"github.com/tinarch/tinarch/internal/topology"
 )
 
-// Candidates describes the workers of a service that may take a request of a rank
-// with a prompt of these parts.
+// Candidates returns the workers of a service that may take a request with this rank and these
+// prompt parts, each with the state that placement needs.
 func (r *Registry) Candidates(service string, parts []prefixcache.Part, rank int, now time.Time) []scheduling.Candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -26,7 +26,7 @@
 	return candidates
 }
 
-// CandidatesAmong is Candidates of some workers only.
+// CandidatesAmong is Candidates restricted to the given workers.
 func (r *Registry) CandidatesAmong(service string, workers []string, parts []prefixcache.Part, rank int, now time.Time) []scheduling.Candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,8 +40,9 @@
 	return candidates
 }
 
-// Outlines goes through the workers of a service that may take a request, for a shortlist.
-// kept are those whose account this node keeps. The registry is locked meanwhile.
+// Outlines iterates over the workers of a service that may take a request, with the little
+// state that is needed to shortlist them. kept holds the workers whose load this node tracks.
+// The registry stays locked during the iteration.
 func (r *Registry) Outlines(service string, kept map[string]bool, now time.Time) iter.Seq[scheduling.Outline] {
 	return func(yield func(scheduling.Outline) bool) {
 		r.mu.Lock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// EngineIDs names all engines that are known.
+// EngineIDs returns the ids of all known engines.
 func (r *Registry) EngineIDs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,17 +80,17 @@
 	return ids
 }
 
-// Generation rises whenever a worker is added or forgotten.
+// Generation returns a number that increases whenever a worker is added or forgotten.
 func (r *Registry) Generation() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.generation
 }
 
-// isChanging reports whether an order may be under way.
+// isChanging reports whether the worker may be changing its stage.
 func (s *workerState) isChanging(now time.Time) bool { return now.Before(s.changingUntil) }
 
-// targetStage is the stage of a worker, or that to which it was ordered.
+// targetStage returns the stage that the worker was ordered to change to, or else its stage.
 func (s *workerState) targetStage(now time.Time) Stage {
 	if s.isChanging(now) {
 		return s.changingStage
@@ -97,7 +98,7 @@
 	return s.worker.Stage
 }
 
-// Engines describes the engines of a service for planning their stages.
+// Engines returns the engines of a service, as the planning of their stages needs them.
 func (r *Registry) Engines(service string, now time.Time) []stageplan.Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,8 +122,8 @@
 	return engines
 }
 
-// usable reports whether a worker may get requests: it is listed and stays, or has
-// vanished or announced its end a moment ago.
+// usable reports whether a worker may get requests. One whose entry disappeared or that
+// announced its end may still get them for lastResortFor.
 func (r *Registry) usable(known *workerState, now time.Time) bool {
 	if known.worker.Draining || known.isDoubted(now) || known.isChanging(now) || r.admit(known.worker.ID, now) != nil || !known.recovery.admits(known.load.Requests) {
 		return false
@@ -130,18 +131,18 @@
 	return known.listed() || now.Sub(known.goneAt) < lastResortFor
 }
 
-// isDraining reports whether a worker is about to end, by its entry or its own word. The entry may
-// lag behind by as long as the store is away.
+// isDraining reports whether a worker is about to end, by its entry or its own announcement.
+// The entry lags behind while the store is unavailable.
 func (r *Registry) isDraining(known *workerState, now time.Time) bool {
 	return known.worker.Draining || r.noticeStates[known.worker.ID].Draining(now)
 }
 
-// isStaying reports whether a worker is listed and not about to end.
+// isStaying reports whether a worker is listed, not doubted and not draining.
 func (r *Registry) isStaying(known *workerState, now time.Time) bool {
 	return known.listed() && !known.isDoubted(now) && !r.isDraining(known, now)
 }
 
-// isDoubted reports whether a listed worker counts as gone.
+// isDoubted reports whether the worker counts as gone although it is listed.
 func (s *workerState) isDoubted(now time.Time) bool { return now.Before(s.doubtedUntil) }
 
 func (r *Registry) candidate(known *workerState, parts []prefixcache.Part, rank int, now time.Time) scheduling.Candidate {
@@ -178,8 +179,8 @@
 	}
 }
 
-// Accounts returns what this node knows of workers, for another node that asks with a
-// request of a rank and a prompt of these parts. The asking node's own load isn't counted.
+// Accounts returns what this node knows of workers, for another node that asks with a request
+// of this rank and these prompt parts. The load of the asking node itself is left out.
 func (r *Registry) Accounts(workers []string, parts []prefixcache.Part, rank int, asking string, now time.Time) map[string]scheduling.LoadReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,8 +201,8 @@
 	return accounts
 }
 
-// totalLoad is the load of all nodes but one, or what the worker itself told just now where
-// that is more.
+// totalLoad returns the load of all nodes except one. If the worker has just reported more
+// requests than that, the reported number counts.
 func (s *workerState) totalLoad(now time.Time, except string) Load {
 	load := s.load
 	for node, remote := range s.remote {
@@ -220,15 +221,16 @@
 	return load
 }
 
-// prefillModel returns the terms of a worker's reading, and the pace of its queue in
-// tokens a millisecond.
+// prefillModel returns the coefficients of a worker's prefill time, and the throughput of its
+// queue in tokens per millisecond.
 func (r *Registry) prefillModel(known *workerState) (latency.Coefficients, float64) {
 	group, slower := r.groupModel(known.worker), known.slowdown.Value()
 	return group.Coefficients().Scaled(slower), group.Throughput() / slower
 }
 
-// assumedDecodeSlowdown is by how much decode engines are assumed to read more slowly than
-// prefill engines until they were measured: they read between the tokens of others.
+// assumedDecodeSlowdown is the factor by which decode engines are assumed to read prompts more
+// slowly than prefill engines until it has been measured: they read between decoding steps of
+// other requests.
 const assumedDecodeSlowdown = 2
 
 func (r *Registry) groupModel(worker Worker) *latency.Model {
@@ -253,13 +255,14 @@
 	return learned
 }
 
-// Assumed until measured, in milliseconds.
+// These times, in milliseconds, are assumed until they have been measured.
 const (
 	assumedHandover = 15
 	assumedFetch    = 5
 )
 
-// LearnedTimings returns what was learned of a service's engines besides their reading.
+// LearnedTimings returns the learned times of a service's engines, except for the time to read
+// prompts.
 func (r *Registry) LearnedTimings(service string) scheduling.EngineTimes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/worker/demand.go
+++ b/internal/worker/demand.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// The figures of demand.
 const (
-	// demandWindow is the time over which demand is averaged.
+	// demandWindow is the time constant of the moving average of demand.
 	demandWindow = time.Second
 )
 
-// Demand is what the callers of a service want of its engines, whether it can be done
-// or not.
+// Demand is the load that callers offer to the engines of a service, whether it is served or
+// refused.
 type Demand struct {
-	// ReadTokens are the tokens of prompts to be read in a second.
+	// ReadTokens is the number of prompt tokens to be read per second.
 	ReadTokens float64
-	// Requests and MemoryTokens are those that run at decode engines, and those that
-	// would run there had they not been refused.
+	// Requests and MemoryTokens are the requests that run at decode engines, and their KV
+	// cache, including those that were refused and would run there otherwise.
 	Requests, MemoryTokens float64
 }
 
@@ -28,29 +27,29 @@
 	return d
 }
 
-// Zero reports whether nothing is wanted.
+// Zero reports whether there is no demand.
 func (d Demand) Zero() bool { return d == Demand{} }
 
-// demandKey names the engines that demand is for. The region is empty in a deployment that
-// lies in one.
+// demandKey names the engines that demand is for. The region is empty if the deployment has
+// only one.
 type demandKey struct{ service, region string }
 
-// demand is what callers want of a service in a region, at this node and at others.
+// demand is the demand for a service in a region, at this node and at others.
 type demand struct {
 	read movingRate
-	// refused and refusedMemory are the requests, and their tokens of memory, that would
-	// run at a time had they not been refused.
+	// refused and refusedMemory are the average number of requests, and of their KV cache
+	// tokens, that would be running if they hadn't been refused.
 	refused, refusedMemory movingRate
 	remote                 map[string]remoteDemand
 }
 
-// remoteDemand is what another node told, and until when it counts.
+// remoteDemand is the demand at another node, and until when it counts.
 type remoteDemand struct {
 	demand Demand
 	until  time.Time
 }
 
-// movingRate is a moving mean of events in a second.
+// movingRate is an exponentially weighted moving average of events per second.
 type movingRate struct {
 	perSecond float64
 	updated   time.Time
@@ -68,21 +67,22 @@
 	r.updated = now
 }
 
-// ObserveDemand records tokens of a prompt that a caller of a service wants to be
-// read in a region, whether that can be done or not. An empty region is the node's own.
+// ObserveDemand records prompt tokens that a caller of a service needs to have read in a
+// region, whether or not they can be. An empty region is the node's own.
 func (r *Registry) ObserveDemand(service, region string, tokens int, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.demandOf(r.demandKey(service, region)).read.add(now, float64(tokens))
 }
 
-// ObserveRefused records a request that was refused where a region would have run it, by
-// the tokens of memory that it would have held and the tokens of output that its caller
-// expects. An empty region is the node's own.
+// ObserveRefused records a refused request that would have run in a region, with the KV cache
+// tokens that it would have needed and the output tokens that its caller expects. An empty
+// region is the node's own.
 func (r *Registry) ObserveRefused(service, region string, memoryTokens, outputTokens int, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// By Little's law as many run at a time as come in the time that one runs.
+	// By Little's law, the number of running requests is their arrival rate times the time that
+	// one runs.
 	seconds := r.timingsOf(service).writing.Value() * float64(outputTokens) / millisecondsPerSecond
 	known := r.demandOf(r.demandKey(service, region))
 	known.refused.add(now, seconds)
@@ -91,8 +91,7 @@
 
 const millisecondsPerSecond = 1000
 
-// Demands returns what callers of a service want, at all nodes, by the region whose
-// engines are wanted.
+// Demands returns the demand for a service at all nodes, by the region of the engines.
 func (r *Registry) Demands(service string, now time.Time) map[string]Demand {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +109,7 @@
 	return demands
 }
 
-// remoteTotal sums up what other nodes told lately.
+// remoteTotal returns the sum of the demand that other nodes told lately.
 func (d *demand) remoteTotal(now time.Time) Demand {
 	var sum Demand
 	for node, remote := range d.remote {
@@ -123,7 +122,7 @@
 	return sum
 }
 
-// RegionOfZone is the region of a zone, empty in a deployment that lies in one.
+// RegionOfZone returns the region of a zone, empty if the deployment has only one region.
 func (r *Registry) RegionOfZone(zone string) string {
 	if !r.regional {
 		return ""
@@ -150,7 +149,7 @@
 	return known
 }
 
-// localDemands returns what this node's callers want.
+// localDemands returns the demand at this node.
 func (r *Registry) localDemands(now time.Time) map[demandKey]Demand {
 	here := make(map[demandKey]Demand, len(r.demands))
 	for key, known := range r.demands {
@@ -169,8 +168,8 @@
 	return here
 }
 
-// localDemandByService returns the demand at this node by service, or in a deployment in several
-// regions by region and service.
+// localDemandByService returns the demand at this node by service or, if the deployment has
+// several regions, by region and service.
 func (r *Registry) localDemandByService(now time.Time) (own map[string]Demand, regional map[string]map[string]Demand) {
 	byRegion := make(map[string]map[string]Demand)
 	for key, here := range r.localDemands(now) {
@@ -188,7 +187,7 @@
 	return byRegion[""], nil
 }
 
-// mergeDemand takes over what another node told of its demand.
+// mergeDemand records the demand at another node.
 func (r *Registry) mergeDemand(node string, told Snapshot, now time.Time) {
 	until := now.Add(told.DemandLife)
 	for service, demand := range told.Demand {
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -8,41 +8,41 @@
 	"github.com/tinarch/tinarch/internal/prefixcache"
 )
 
-// minListedParts is how many parts make a read a list of what a worker keeps, rather
-// than one prompt.
+// minListedParts is the number of parts from which a CacheUpdate counts as a list of all that a
+// worker has cached, rather than one prompt.
 const minListedParts = 8
 
-// Snapshot is what one node tells the others: its own load by worker, and what
-// happened since the last snapshot.
+// Snapshot is what one node tells the others: its own load by worker, and what happened since
+// its last snapshot.
 type Snapshot struct {
 	Loads        map[string]Load
 	CacheUpdates []CacheUpdate
 	Failures     []string
-	// Changing are the workers that were ordered to a stage.
+	// Changing holds the workers that were ordered to change their stage.
 	Changing []StageChange
-	// Demand holds, by service, what its callers want in a deployment in one region, and
-	// RegionDemand, by region and service, what they want of each region's engines.
+	// Demand holds the demand by service if the deployment has one region; otherwise
+	// RegionDemand holds it by region of the engines and service.
 	Demand       map[string]Demand
 	RegionDemand map[string]map[string]Demand
-	// DemandLife is how long a demand that another node told counts: it is told less often
-	// in a large fleet.
+	// DemandLife is how long the demand of another node counts. It is told less often in a
+	// large fleet.
 	DemandLife time.Duration
-	// Limits are what workers said to this node lately of the requests that they take.
+	// Limits holds the request rates that workers stated to this node lately.
 	Limits map[string]LimitStatement
-	// Draining are the workers that told this node of their end lately.
+	// Draining holds the workers that announced to this node lately that they are draining.
 	Draining []string
-	// Touched are the workers of which anything changed since the last snapshot.
+	// Touched holds the workers whose state changed since the last snapshot.
 	Touched []string
 }
 
-// Concerns reports whether anything of a worker changed since the last snapshot, or is
-// told once more.
+// Concerns reports whether the snapshot contains a change of a worker's state, including one
+// that was told before and is repeated.
 func (s Snapshot) Concerns(id string) bool {
 	return slices.Contains(s.Touched, id) || slices.Contains(s.Failures, id) ||
 		slices.ContainsFunc(s.CacheUpdates, func(read CacheUpdate) bool { return read.Worker == id })
 }
 
-// ForWorkers returns the part of a snapshot that is about some workers.
+// ForWorkers returns the part of a snapshot that is about the given workers.
 func (s Snapshot) ForWorkers(workers []string) Snapshot {
 	part := Snapshot{
 		Loads: make(map[string]Load), Limits: make(map[string]LimitStatement), Demand: s.Demand, RegionDemand: s.RegionDemand,
@@ -78,15 +78,16 @@
 	return part
 }
 
-// StageChange tells that an order to a worker may be under way.
+// StageChange says that a worker was ordered to change its stage and may not have done so yet.
 type StageChange struct {
 	Worker  string
 	Prefill bool
-	// Left is for how long, unless its entry shows the stage before.
+	// Left is for how long the worker gets no requests, unless its entry shows the new stage
+	// before.
 	Left time.Duration
 }
 
-// Snapshot returns what is to be told.
+// Snapshot returns what is to be told to other nodes, and starts the next snapshot.
 func (r *Registry) Snapshot() Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,8 +121,8 @@
 	return snapshot
 }
 
-// mergeStageChange takes over an order that another node gave, unless the entry shows
-// that it is done.
+// mergeStageChange records an order that another node gave, unless the entry already shows the
+// new stage.
 func (r *Registry) mergeStageChange(change StageChange, now time.Time) {
 	stage := Decode
 	if change.Prefill {
@@ -132,23 +133,23 @@
 	}
 }
 
-// Pace is the learned reading of a service's workers of a stage.
+// Pace is the learned prefill time of the workers of a service and stage.
 type Pace struct {
 	Service string
 	Stage   Stage
 	Terms   latency.Coefficients
-	// TokensPerMillisecond is the pace of a queue.
+	// TokensPerMillisecond is the throughput of a queue of prompts.
 	TokensPerMillisecond float64
 }
 
-// LearnedState is what a node has learned over time, for one that has just started.
+// LearnedState is what a node has learned over time and sends to a node that has just started.
 type LearnedState struct {
 	CacheUpdates []CacheUpdate
 	Paces        []Pace
 }
 
-// LearnedState returns what this node has learned of workers, of those whose caches it knows,
-// and the names of these.
+// LearnedState returns what this node has learned of those of the given workers whose caches it
+// knows, and the ids of these.
 func (r *Registry) LearnedState(workers []string) (learned LearnedState, known []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,7 +171,7 @@
 	return learned, known
 }
 
-// MarkCachesKnown records that all that workers keep is known now.
+// MarkCachesKnown records that the cache contents of workers are completely known now.
 func (r *Registry) MarkCachesKnown(workers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,8 +182,8 @@
 	}
 }
 
-// MergeLearnedState takes over what another node has learned. Parts that this node knows
-// of already keep their place.
+// MergeLearnedState merges what another node has learned. Parts that this node knows already
+// keep their position in the order of use.
 func (r *Registry) MergeLearnedState(learned LearnedState, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,8 +197,8 @@
 	}
 }
 
-// ObserveCacheList records what a worker itself says that it keeps, and queues that for the
-// other nodes.
+// ObserveCacheList records the cache contents that a worker has reported itself, and queues
+// them for the other nodes.
 func (r *Registry) ObserveCacheList(id string, parts []prefixcache.Part, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,7 +210,7 @@
 	}
 }
 
-// UnknownCaches returns the engines of whose caches nothing is known.
+// UnknownCaches returns the engines whose cache contents aren't known.
 func (r *Registry) UnknownCaches() []Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,7 +224,8 @@
 	return unlisted
 }
 
-// UnknownCachesAmong is Unlisted of some engines: in a large fleet a node keeps account of few.
+// UnknownCachesAmong is UnknownCaches restricted to the given engines: in a large fleet a node
+// tracks the load of few.
 func (r *Registry) UnknownCachesAmong(engines map[string]bool) []Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -241,7 +243,7 @@
 	return known.worker.Stage != Opaque && r.isStaying(known, now) && !known.cacheKnown
 }
 
-// Merge takes over what another node told.
+// Merge merges the snapshot of another node.
 func (r *Registry) Merge(node string, snapshot Snapshot, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -263,8 +265,8 @@
 	}
 }
 
-// mergeLoads takes over what another node has placed: nothing on the workers of which it
-// told before and doesn't any more.
+// mergeLoads replaces the load that another node has placed. Workers that it no longer mentions
+// have no load of it.
 func (r *Registry) mergeLoads(node string, loads map[string]Load, now time.Time) {
 	for _, id := range r.loadedByNode[node] {
 		if known, exists := r.workers[id]; exists {
@@ -280,7 +282,7 @@
 	}
 }
 
-// CachedTokens returns how much of prompts a worker is believed to keep.
+// CachedTokens returns how many prompt tokens a worker is predicted to have cached.
 func (r *Registry) CachedTokens(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/worker/limit.go
+++ b/internal/worker/limit.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// LimitStatement is what a worker has said of the requests that it takes in a second from all
-// nodes together. The zero value is that of a worker that has said nothing.
+// LimitStatement is what a worker has stated about the request rate that it accepts from all
+// nodes together. The zero value means that it hasn't stated anything.
 type LimitStatement struct {
-	// Named tells that the worker named a limit, and Rate are the requests a second.
+	// Named is set if the worker states a limit, and Rate is the limit in requests per second.
 	Named bool
 	Rate  float64
-	// Sent is when the request was sent whose answer said so, and Heard when the head of that
-	// answer came: the worker said it in between.
+	// Sent is when the request was sent, and Heard when the header of its answer arrived. The
+	// worker made the statement between the two.
 	Sent, Heard time.Time
 }
 
-// MinRate are the requests a second that a worker gets which takes fewer, or none: its answer to
-// one tells that it takes more again.
+// MinRate is the rate in requests per second at which a worker gets requests if it states a
+// lower limit, even zero: only its answer to a request can tell that it accepts more again.
 const MinRate = 0.1
 
-// rate is the statement's limit, infinite where it names none.
+// rate returns the stated limit, infinite if there is none.
 func (s LimitStatement) rate() float64 {
 	if s.Named {
 		return s.Rate
@@ -30,10 +30,11 @@
 	return math.Inf(1)
 }
 
-// mergedWith returns what holds once a further statement is known. Answers overtake each other, so
-// they are ordered by when the worker can have said it: a statement that came in answer to a
-// request sent mergedWith the other was heard is newer. Of two whose order isn't known the lower
-// holds: a worker in need gets too little for one more answer, rather than too much.
+// mergedWith returns the statement that holds once s is known in addition to a known one.
+// Answers can overtake each other, so statements are ordered by the time in which the worker
+// can have made them: s is newer if its request was sent after the known answer arrived. If the
+// order can't be told, the lower limit holds: an overloaded worker then gets too few requests
+// until the next answer, rather than too many.
 func (s LimitStatement) mergedWith(known LimitStatement) LimitStatement {
 	switch {
 	case known.Heard.IsZero():
@@ -59,25 +60,25 @@
 	return right
 }
 
-// LimitChange is a change of what holds for a worker.
+// LimitChange is a change of the limit that holds for a worker.
 type LimitChange struct {
 	Worker, Service string
-	// Before and After are what held and what holds.
+	// Before and After are the statements that held and that hold now.
 	Before, After LimitStatement
-	// Source is whose word changed it: a request's id, or another node.
+	// Source is the id of the request, or the node, that the new statement came from.
 	Source string
 }
 
-// OnLimitChange has each change of a worker's limit told. It is called before any is known,
-// and changed must not call the registry.
+// OnLimitChange sets the function that is called for each change of a worker's limit. It must
+// be set before any limit is known, and changed must not call the registry.
 func (r *Registry) OnLimitChange(changed func(LimitChange)) { r.limitChanged = changed }
 
-// ObserveLimit takes in what a worker said in answer to a request of this node.
+// ObserveLimit records what a worker stated in the answer to a request of this node.
 func (r *Registry) ObserveLimit(id, request string, said LimitStatement) {
 	r.observeLimit(id, request, said, true)
 }
 
-// MergeLimit takes in what another node was told by a worker.
+// MergeLimit records what a worker stated in the answer to a request of another node.
 func (r *Registry) MergeLimit(id, node string, said LimitStatement) {
 	r.observeLimit(id, node, said, false)
 }
@@ -107,19 +108,19 @@
 	r.limitChanged(LimitChange{Worker: id, Service: known.worker.Service, Before: before, After: known.limit, Source: source})
 }
 
-// CountLimited returns the number of workers that have named a limit.
+// CountLimited returns the number of workers that state a limit.
 func (r *Registry) CountLimited() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.limited)
 }
 
-// limitBroadcastTime is for how long what a worker said to this node is told on, so that it is told
-// twice at rest.
+// limitBroadcastTime is how long a statement made to this node is included in snapshots: long
+// enough for two of the periodic messages that a small fleet sends each half a second.
 const limitBroadcastTime = 1200 * time.Millisecond
 
-// Limit returns what a worker has said of the requests that it takes, and a number that rises
-// whenever that changes here. It reports false for a worker that isn't known.
+// Limit returns what a worker has stated about its request rate, and a version that increases
+// whenever the limit changes at this node. It reports false if the worker isn't known.
 func (r *Registry) Limit(id string) (said LimitStatement, version uint64, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +131,7 @@
 	return asked.limit, asked.limitVersion, true
 }
 
-// Limits returns what those of some workers have said that ever named a limit.
+// Limits returns the statements of those of the given workers that have ever stated a limit.
 func (r *Registry) Limits(workers []string) map[string]LimitStatement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,14 +144,14 @@
 	return limits
 }
 
-// LimitedWorkers names the workers that have named a limit.
+// LimitedWorkers returns the ids of the workers that state a limit.
 func (r *Registry) LimitedWorkers() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Keys(r.limited))
 }
 
-// HasLimit reports whether a worker takes no more than so many requests a second now.
+// HasLimit reports whether a worker currently states a limit.
 func (r *Registry) HasLimit(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,13 +159,13 @@
 	return limited
 }
 
-// SetTurn records when a worker that has named a limit takes a further request, as far as is
-// known here.
+// SetTurn records when a worker with a limit accepts its next request, as far as this node
+// knows.
 func (r *Registry) SetTurn(id string, at time.Time) {
 	r.update(id, func(known *workerState) { known.turnAt = at })
 }
 
-// IsUsable reports whether a worker may still get a request that waited for its turn there.
+// IsUsable reports whether a worker may still get a request that has waited for its turn.
 func (r *Registry) IsUsable(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,7 +173,8 @@
 	return exists && r.usable(known, time.Now())
 }
 
-// turnWait is the time until the worker takes a further request, as far as is known here.
+// turnWait returns the time until the worker accepts its next request, as far as this node
+// knows.
 func (s *workerState) turnWait(now time.Time) time.Duration {
 	if !s.limit.Named {
 		return 0
@@ -180,7 +182,7 @@
 	return max(s.turnAt.Sub(now), 0)
 }
 
-// addLimits adds to a snapshot what workers said to this node lately.
+// addLimits adds the limits that workers stated to this node lately to a snapshot.
 func (r *Registry) addLimits(snapshot *Snapshot, now time.Time) {
 	for id, until := range r.limitUpdates {
 		known, exists := r.workers[id]
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -8,14 +8,15 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// SetCacheCapacity sets the KV cache of a service's engines, in tokens.
+// SetCacheCapacity sets the KV cache size of a service's engines, in tokens.
 func (r *Registry) SetCacheCapacity(service string, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cacheCapacity[service] = tokens
 }
 
-// Replace sets the whole list. It returns the workers that are new and those gone.
+// Replace replaces the whole worker list. It returns the ids of workers that were added and of
+// those that are no longer listed.
 func (r *Registry) Replace(workers []Worker) (added, gone []string) {
 	return r.ReplaceAt(workers, time.Now())
 }
@@ -41,10 +42,12 @@
 	return added, gone
 }
 
-// ReplaceRestored is ReplaceAt of the list of a store that has come back from a copy. A worker
-// that was gone before counts as gone for a time, unless its entry is written again: one that
-// lives keeps it longer than that, one that has left may still be listed by the copy. Where
-// most would be doubted the store had lost their entries, not they.
+// ReplaceRestored is ReplaceAt for the list of a store that was restored from a backup. The
+// backup may list workers that have left since. So a worker that was already gone before the
+// restore counts as gone for the time given by doubt, or until its entry is written again: the
+// entry of a worker that is alive stays listed for longer than that, that of one that has left
+// goes when its heartbeats are missed. If this applies to more than half of the workers, it is
+// more likely that the store had lost their entries than that they left, and none is doubted.
 func (r *Registry) ReplaceRestored(workers []Worker, doubt time.Duration, now time.Time) (added, gone, doubted []string) {
 	doubted = r.knownUnlisted(workers)
 	added, gone = r.ReplaceAt(workers, now)
@@ -61,7 +64,7 @@
 	return added, gone, doubted
 }
 
-// knownUnlisted returns those of some workers that are known and not listed.
+// knownUnlisted returns the ids of those of the given workers that are known but not listed.
 func (r *Registry) knownUnlisted(workers []Worker) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,8 +77,8 @@
 	return unlisted
 }
 
-// Apply records one change of the list. It reports whether anything that matters
-// for placement changed.
+// Apply applies one change of the worker list. It reports whether anything changed that matters
+// for placement.
 func (r *Registry) Apply(change Change) bool { return r.ApplyAt(change, time.Now()) }
 
 // ApplyAt is Apply at a given time.
@@ -91,8 +94,8 @@
 	return r.remove(change.Name, now)
 }
 
-// TakeEnded returns the identities of workers that have ended since it was called last:
-// another start has their name, or their entry can't be read any more.
+// TakeEnded returns the ids of the incarnations that have ended since the last call: a newer
+// one has their name, or their entry became unreadable.
 func (r *Registry) TakeEnded() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +104,7 @@
 	return ended
 }
 
-// endIncarnation forgets a start of a worker at once: it has ended, whatever others still tell of it.
+// endIncarnation forgets an incarnation at once. What other nodes still tell of it is ignored.
 func (r *Registry) endIncarnation(id string) bool {
 	if _, exists := r.workers[id]; !exists {
 		return false
@@ -111,12 +114,12 @@
 	return true
 }
 
-// listed reports whether the platform lists the worker.
+// listed reports whether the worker is in the platform's list.
 func (s *workerState) listed() bool { return s.goneAt.IsZero() }
 
-// remove takes a worker off the list, and reports whether it was on it. What is
-// known of it is kept for a while: entries may vanish while the store is away,
-// although their workers live.
+// remove marks a worker as no longer listed, and reports whether it was listed. Its state is
+// kept until forgetAfter, because entries may disappear while the store is unavailable although
+// their workers are alive.
 func (r *Registry) remove(name string, now time.Time) bool {
 	for other, known := range r.gone {
 		if now.Sub(known.goneAt) >= forgetAfter {
@@ -132,7 +135,7 @@
 	return true
 }
 
-// forget drops all that is known of a worker.
+// forget drops the state of a worker.
 func (r *Registry) forget(id string) {
 	r.generation++
 	delete(r.workers, id)
@@ -146,9 +149,10 @@
 	delete(r.limitUpdates, id)
 }
 
-// put records an entry, and reports whether that changed anything. The entry of an earlier
-// start, which may come late, changes nothing, and that of a later one ends the earlier. One
-// that doesn't tell its birth, of a worker that did, is another writer's: it ends the worker.
+// put adds or updates an entry, and reports whether that changed anything. The entry of an
+// earlier incarnation, which may arrive late, is ignored; that of a later one ends the earlier.
+// An entry without a start time, if the known incarnation has one, was written by another
+// program: it ends the known incarnation and adds nothing.
 func (r *Registry) put(worker Worker, now time.Time) bool {
 	name := NameOf(worker.ID)
 	if newest, known := r.newestByName[name]; known && newest != worker.ID {
@@ -165,7 +169,7 @@
 	if exists && (known.listed() || now.Sub(known.goneAt) < forgetAfter) {
 		changed := known.worker != worker || !known.listed() || !known.doubtedUntil.IsZero()
 		if known.worker.Address != worker.Address {
-			delete(r.noticeStates, worker.ID) // another start of a worker that doesn't tell its birth
+			delete(r.noticeStates, worker.ID) // the address tells a restart if the worker doesn't tell its start time
 		}
 		known.worker = worker
 		known.goneAt, known.doubtedUntil = time.Time{}, time.Time{}
@@ -187,13 +191,13 @@
 		hash:   rendezvous.Hash(worker.ID),
 		remote: make(map[string]remoteLoad),
 		cache:  prefixcache.New(capacity),
-		// A worker that comes after the list was read has just started.
+		// A worker that is added after the first list has just started with an empty cache.
 		cacheKnown: r.listRead,
 	}
 	return true
 }
 
-// Get returns a worker of the list.
+// Get returns a listed worker.
 func (r *Registry) Get(id string) (Worker, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,7 +208,7 @@
 	return known.worker, true
 }
 
-// IsDraining reports whether a worker is known to end as planned.
+// IsDraining reports whether a worker is about to end as planned.
 func (r *Registry) IsDraining(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -212,7 +216,7 @@
 	return exists && r.isDraining(known, time.Now())
 }
 
-// Region is that of a worker, empty where it isn't known.
+// Region returns the region of a worker, empty if it isn't known.
 func (r *Registry) Region(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,7 +227,7 @@
 	return r.places.Region(known.worker.Zone)
 }
 
-// Count returns the number of workers listed.
+// Count returns the number of listed workers.
 func (r *Registry) Count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,7 +240,7 @@
 	return count
 }
 
-// CountDraining returns the number of listed workers that get no new requests.
+// CountDraining returns the number of listed workers that are draining.
 func (r *Registry) CountDraining() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/worker/load.go
+++ b/internal/worker/load.go
@@ -1,16 +1,18 @@
 package worker
 
-// RankCount is the number of ranks of requests that loads tell apart.
+// RankCount is the number of request ranks by which load is counted.
 const RankCount = 4
 
-// LateRank is that of requests that can't be in time: engines read all others first.
+// LateRank is the rank of requests that can't meet their deadline: engines read all other
+// prompts first.
 const LateRank = RankCount - 1
 
-// UnreadTokens counts prompt tokens that are still to be read, by the rank of their
-// requests; rank 0 is the most urgent. Engines read the more urgent first.
+// UnreadTokens counts the prompt tokens that are still to be read, by the rank of their
+// requests. Rank 0 is the most urgent, and engines read prompts of more urgent requests first.
 type UnreadTokens [RankCount]int
 
-// UnreadTokensOf returns the tokens of one request. Ranks past the last count as the last.
+// UnreadTokensOf returns the tokens of one request. Ranks above the last are counted as the
+// last.
 func UnreadTokensOf(rank, tokens int) UnreadTokens {
 	var reads UnreadTokens
 	reads[clampRank(rank)] = tokens
@@ -19,7 +21,7 @@
 
 func clampRank(rank int) int { return min(max(rank, 0), RankCount-1) }
 
-// InTime returns the tokens of all requests but the late ones.
+// InTime returns the tokens of all requests except late ones.
 func (r UnreadTokens) InTime() int { return r.Ahead(LateRank - 1) }
 
 // Late returns the tokens of late requests.
@@ -28,7 +30,7 @@
 // Total returns the tokens of all ranks.
 func (r UnreadTokens) Total() int { return r.Ahead(RankCount - 1) }
 
-// Ahead returns the tokens that are read before those of a new request of a rank.
+// Ahead returns the tokens that are read before the prompt of a new request of a rank.
 func (r UnreadTokens) Ahead(rank int) int {
 	sum := 0
 	for _, tokens := range r[:clampRank(rank)+1] {
@@ -37,13 +39,13 @@
 	return sum
 }
 
-// Load is work placed and not finished.
+// Load is the work of requests that were sent to a worker and haven't finished.
 type Load struct {
-	// Requests counts requests that run or wait.
+	// Requests is the number of requests that run or wait.
 	Requests int
-	// Unread counts prompt tokens that are still to be read.
+	// Unread is the number of prompt tokens that are still to be read.
 	Unread UnreadTokens
-	// MemoryTokens counts the KV cache that the requests need.
+	// MemoryTokens is the size of the KV cache that the requests need.
 	MemoryTokens int
 }
 
--- a/internal/worker/notice.go
+++ b/internal/worker/notice.go
@@ -6,24 +6,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Notice is what the head of an answer says of whether its worker takes further requests.
+// Notice is what the header of an answer announces about whether the worker accepts further
+// requests.
 type Notice struct {
-	// Draining tells that the worker is about to end.
+	// Draining is set if the worker is about to end.
 	Draining bool
-	// Backoff is for how long the worker wants nothing from the node that it answered, zero
-	// where it doesn't say.
+	// Backoff is for how long the worker wants no requests from the node that it answered, zero
+	// if it doesn't ask for that.
 	Backoff time.Duration
-	// Malformed quotes what can't be read, empty where nothing of that kind was said.
+	// Malformed quotes a notice that can't be parsed, empty if there is none.
 	Malformed string
 }
 
-// NoticeState is what holds of one start of a worker by its own notices.
+// NoticeState is what holds for one incarnation of a worker by its notices.
 type NoticeState struct {
-	// DrainingSince is when this node first heard that the worker is about to end, zero where
-	// it hasn't.
+	// DrainingSince is when this node first heard that the worker is about to end, zero if it
+	// hasn't.
 	DrainingSince time.Time
-	// BackoffSince and BackoffUntil bound the time for which the worker wants nothing from
-	// this node, zero where it never asked for any.
+	// BackoffSince and BackoffUntil are the start and end of the pause for which the worker
+	// wants no requests from this node, zero if it never asked for one.
 	BackoffSince, BackoffUntil time.Time
 }
 
@@ -32,21 +33,21 @@
 	return !a.DrainingSince.IsZero() && now.Sub(a.DrainingSince) < drainingTTL
 }
 
-// BackingOff reports whether the worker wants nothing from this node.
+// BackingOff reports whether the worker wants no requests from this node.
 func (a NoticeState) BackingOff(now time.Time) bool { return now.Before(a.BackoffUntil) }
 
-// BackoffRemaining is for how much longer the worker wants nothing from this node.
+// BackoffRemaining returns for how much longer the worker wants no requests from this node.
 func (a NoticeState) BackoffRemaining(now time.Time) time.Duration {
 	return max(a.BackoffUntil.Sub(now), 0)
 }
 
-// drainingTTL is how long a worker counts as about to end. One that is listed for longer has
-// changed its mind, and says so again if it hasn't.
+// drainingTTL is how long an announcement to end counts. A worker that is listed for longer
+// hasn't ended after all, or announces it again.
 const drainingTTL = 10 * time.Minute
 
-// with adds a notice. Answers overtake each other, and one that doesn't mention the end or a
-// pause may have been made before another that does: so nothing takes a notice back, and of
-// several pauses the one that ends last holds.
+// with returns the state after a further notice. Answers can overtake each other, so one
+// without a notice may be older than one with it. So no notice is ever revoked by a later
+// answer, and of several pauses the one that ends last holds.
 func (a NoticeState) with(said Notice, now time.Time) NoticeState {
 	if said.Draining && !a.Draining(now) {
 		a.DrainingSince = now
@@ -60,20 +61,21 @@
 	return a
 }
 
-// Expired reports whether nothing holds any more.
+// Expired reports whether the state has no effect any more.
 func (a NoticeState) Expired(now time.Time) bool { return !a.Draining(now) && !a.BackingOff(now) }
 
-// NoticeChange is a change of what holds for a worker by its notices.
+// NoticeChange is a change of a worker's NoticeState.
 type NoticeChange struct {
 	Worker Worker
-	// Before and After are what held and what holds.
+	// Before and After are the states before and after the change.
 	Before, After NoticeState
-	// Listed tells that the worker has an entry, and EntryDraining that it says so too.
+	// Listed is set if the worker is listed, and EntryDraining if its entry says that it is
+	// draining.
 	Listed, EntryDraining bool
 }
 
-// ObserveNotice takes in what a worker said in answer to this node, and reports whether that
-// changed anything.
+// ObserveNotice records the notice in an answer to a request of this node, and reports whether
+// it changed anything.
 func (r *Registry) ObserveNotice(id string, said Notice, now time.Time) (NoticeChange, bool) {
 	said.Backoff = addJitter(said.Backoff)
 	r.mu.Lock()
@@ -99,11 +101,11 @@
 	return change, true
 }
 
-// drainingBroadcastTime is for how long it is told on that a worker has announced its end, so that it is
-// told twice at rest.
+// drainingBroadcastTime is how long a worker's announcement to end is included in snapshots:
+// long enough for two of the periodic messages that a small fleet sends each half a second.
 const drainingBroadcastTime = 1200 * time.Millisecond
 
-// addDraining adds to a snapshot the workers that told this node of their end lately.
+// addDraining adds the workers that announced their end to this node lately to a snapshot.
 func (r *Registry) addDraining(snapshot *Snapshot, now time.Time) {
 	for id, until := range r.drainingUpdates {
 		if now.After(until) {
@@ -114,8 +116,9 @@
 	}
 }
 
-// MergeDraining takes in which workers told another node of their end, and returns those that
-// this node didn't know of. It may not have read the list of workers yet.
+// MergeDraining records which workers announced their end to another node, and returns those
+// that this node didn't know to be draining. They need not be listed here: this node may not
+// have read the worker list yet.
 func (r *Registry) MergeDraining(ids []string, now time.Time) (unknown []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +133,7 @@
 	return unknown
 }
 
-// AnnouncedDraining names the workers that have announced their end.
+// AnnouncedDraining returns the ids of the workers that have announced their end.
 func (r *Registry) AnnouncedDraining() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,8 +147,8 @@
 	return draining
 }
 
-// dropExpiredNotices forgets what is over. Advisories outlive the entries of their workers, which
-// may vanish and come back while the store is away.
+// dropExpiredNotices deletes states without effect. Notice states outlive the entries of their
+// workers, which may disappear and come back while the store is unavailable.
 func (r *Registry) dropExpiredNotices(now time.Time) {
 	for id, advisory := range r.noticeStates {
 		if advisory.Expired(now) {
@@ -154,23 +157,23 @@
 	}
 }
 
-// The reasons why a worker gets nothing from this node.
+// These are the reasons why a worker gets no requests from this node.
 var (
 	ErrDraining = eris.New("the worker has announced its end")
 	ErrBackoff  = eris.New("the worker has asked to be left alone for a time")
 	ErrUnlisted = eris.New("the worker's entry is gone")
 )
 
-// Admit returns why a worker must get nothing at all from this node now, and nil where it may.
-// Only its own notices count.
+// Admit returns the reason why a worker must not get any request from this node now, nil if it
+// may. Only the worker's own notices count.
 func (r *Registry) Admit(id string, now time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.admit(id, now)
 }
 
-// AdmitCall is Admits for a request of a caller, which a worker must not get either once its
-// entry says that it is about to end, or is gone.
+// AdmitCall is Admit for a caller's request, which a worker must not get either if its entry is
+// gone or says that it is draining.
 func (r *Registry) AdmitCall(id string, now time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,17 +199,17 @@
 	return nil
 }
 
-// IsBackingOff reports whether a worker wants nothing from this node now.
+// IsBackingOff reports whether a worker wants no requests from this node now.
 func (r *Registry) IsBackingOff(id string) bool { return r.NoticeState(id).BackingOff(time.Now()) }
 
-// UsableIn returns the time until one of the workers that can answer requests of a service takes
-// a further one from this node, zero where one does now or none is known to. Those excepted
-// don't count.
+// UsableIn returns the time until the first of the workers that can answer requests of a
+// service accepts another one from this node. It is zero if one does now, or if there is no
+// such worker. Workers in except don't count.
 func (r *Registry) UsableIn(service string, except map[string]bool, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.noticeStates) == 0 {
-		return 0 // not worth a look at each worker of a large fleet
+		return 0 // saves looking at each worker of a large fleet
 	}
 	first, found := time.Duration(0), false
 	for id, known := range r.workers {
@@ -224,15 +227,15 @@
 	return first
 }
 
-// NoticeState returns what holds of a worker by its notices.
+// NoticeState returns what holds for a worker by its notices.
 func (r *Registry) NoticeState(id string) NoticeState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.noticeStates[id]
 }
 
-// CountNoticeStates returns how many workers are about to end, and how many want nothing from this
-// node now, by their notices.
+// CountNoticeStates returns how many workers have announced their end, and how many want no
+// requests from this node now.
 func (r *Registry) CountNoticeStates(now time.Time) (draining, backingOff int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/worker/observe.go
+++ b/internal/worker/observe.go
@@ -8,8 +8,8 @@
 	"github.com/tinarch/tinarch/internal/prefixcache"
 )
 
-// SetChanging keeps requests away from a worker that was ordered to a stage, until a
-// time or until its entry shows the stage.
+// SetChanging keeps requests away from a worker that was ordered to change its stage, until the
+// given time or until its entry shows the new stage.
 func (r *Registry) SetChanging(id string, prefill bool, until time.Time) {
 	r.update(id, func(known *workerState) {
 		stage := Decode
@@ -26,13 +26,13 @@
 	r.changing[known.worker.ID] = known
 }
 
-// Begin records work given to a worker.
+// Begin adds the load of a request that is sent to a worker.
 func (r *Registry) Begin(id string, load Load) { r.addLoad(id, load) }
 
-// End records that work given by Begin is over.
+// End removes the load that Begin added.
 func (r *Registry) End(id string, load Load) { r.addLoad(id, Load{}.minus(load)) }
 
-// addLoad adds a load, which may be negative.
+// addLoad adds a load, which may be negative, to that of this node at a worker.
 func (r *Registry) addLoad(id string, load Load) {
 	r.update(id, func(known *workerState) {
 		known.load = known.load.plus(load)
@@ -45,8 +45,8 @@
 	})
 }
 
-// ObserveReading records how long a worker took to read a prompt. A time that isn't positive
-// tells nothing: more was taken off for the way to the worker than it took.
+// ObserveReading records how long a worker took to read a prompt. The network time to the
+// worker has been subtracted; if that leaves no positive time, the measurement is ignored.
 func (r *Registry) ObserveReading(id string, reading latency.Reading) {
 	if reading.Elapsed <= 0 {
 		return
@@ -63,8 +63,8 @@
 	})
 }
 
-// ObserveFetch records a reading that began with a fetch, the link taking part of the
-// time.
+// ObserveFetch records the time to read a prompt of which cached parts were fetched from
+// another engine first. link is the network transfer time of the fetch.
 func (r *Registry) ObserveFetch(id string, reading latency.Reading, link time.Duration) {
 	r.update(id, func(known *workerState) {
 		terms, _ := r.prefillModel(known)
@@ -75,8 +75,9 @@
 	})
 }
 
-// ObserveHandover records the time from sending a request with a prompt that was read
-// apart to the first byte of its answer, as ObserveReading does.
+// ObserveHandover records the time from sending a request whose prompt was read by another
+// engine to the first byte of its answer. As in ObserveReading, the network time has been
+// subtracted.
 func (r *Registry) ObserveHandover(id string, elapsed time.Duration) {
 	if elapsed <= 0 {
 		return
@@ -84,8 +85,8 @@
 	r.update(id, func(known *workerState) { r.timingsOf(known.worker.Service).handover.Observe(elapsed) })
 }
 
-// ObserveRun records the time from the first byte of an answer, of which the caller
-// expected so many tokens, to its end.
+// ObserveRun records the time from the first byte of an answer to its end, and how many output
+// tokens the caller expected.
 func (r *Registry) ObserveRun(id string, elapsed time.Duration, expectedTokens int) {
 	r.update(id, func(known *workerState) {
 		learned := r.timingsOf(known.worker.Service)
@@ -94,8 +95,8 @@
 	})
 }
 
-// ObserveCached records that a worker keeps the parts of a prompt now, and queues that
-// for the other nodes.
+// ObserveCached records that a worker has cached the parts of a prompt, and queues that for the
+// other nodes.
 func (r *Registry) ObserveCached(id string, parts []prefixcache.Part, now time.Time) {
 	r.update(id, func(known *workerState) {
 		known.cache.Use(parts, now)
@@ -104,7 +105,7 @@
 	})
 }
 
-// Succeeded records a good answer.
+// Succeeded records a successful request.
 func (r *Registry) Succeeded(id string, now time.Time) {
 	r.update(id, func(known *workerState) {
 		known.breaker.Succeeded(now)
@@ -114,7 +115,7 @@
 	})
 }
 
-// Failed records a failure, and queues it for the other nodes.
+// Failed records a failed request, and queues that for the other nodes.
 func (r *Registry) Failed(id string, now time.Time) {
 	r.update(id, func(known *workerState) {
 		known.breaker.Failed(now)
@@ -123,23 +124,24 @@
 	})
 }
 
-// Errored records an answer that tells of a failure of the worker's own.
+// Errored records an answer in which the worker reports a failure of its own.
 func (r *Registry) Errored(id string, now time.Time) {
 	r.update(id, func(known *workerState) {
 		known.breaker.Errored(now)
 	})
 }
 
-// Rejected records a request that the worker proved not to have run.
+// Rejected records a request that the worker has proved not to have run.
 func (r *Registry) Rejected(id string, now time.Time) {
 	r.update(id, func(known *workerState) {
 		known.breaker.Rejected(now)
 	})
 }
 
-// HandleFailed records that a prompt read apart at one worker could not be fetched by
-// another. The one with more such failures in a row is to blame, both where that is even:
-// an engine that can fetch from none must not make all that it fetches from look unsound.
+// HandleFailed records that the runner, the engine that generates the output, could not fetch
+// the KV cache of a prompt from the reader, the engine that read it. The failure is counted for
+// the one with more consecutive failures, for both if they are equal: otherwise an engine that
+// can't fetch from anyone would make all readers look faulty.
 func (r *Registry) HandleFailed(reader, runner string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +155,7 @@
 	}
 }
 
-// HandleFetched records that a prompt read apart at one worker was fetched by another.
+// HandleFetched records that the runner has fetched the KV cache of a prompt from the reader.
 func (r *Registry) HandleFetched(reader, runner string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,8 +163,8 @@
 	r.handleBreakerOf(runner).Succeeded(now)
 }
 
-// handleBreakerOf returns the breaker of a worker's handles, and one that nobody asks where it
-// isn't known.
+// handleBreakerOf returns the breaker of a worker's KV cache transfers, or an unused one if the
+// worker isn't known.
 func (r *Registry) handleBreakerOf(id string) *breaker.Breaker {
 	if known, exists := r.workers[id]; exists {
 		return &known.handleBreaker
@@ -170,14 +172,14 @@
 	return &breaker.Breaker{}
 }
 
-// ObserveReportedLoad records the load that a worker's answer told.
+// ObserveReportedLoad records the load that a worker reported in an answer.
 func (r *Registry) ObserveReportedLoad(id string, running, waiting int, now time.Time) {
 	r.update(id, func(known *workerState) {
 		known.reported = reportedLoad{running: running, waiting: waiting, at: now}
 	})
 }
 
-// update changes what is known of a worker, unless it is not known at all.
+// update calls change with the state of a worker, if it is known.
 func (r *Registry) update(id string, change func(known *workerState)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/worker/recovery.go
+++ b/internal/worker/recovery.go
@@ -6,25 +6,27 @@
 )
 
 const (
-	// maxRecoveryWindow is how many requests a node may have at a worker until it counts as
+	// maxRecoveryWindow is the largest limit; a worker that serves a request at this limit has
 	// recovered.
 	maxRecoveryWindow = 16
-	// recoveryRetryAfter is when a request is worth another try that a recovering worker doesn't take.
+	// recoveryRetryAfter is when a request that a recovering worker doesn't accept should be
+	// tried again.
 	recoveryRetryAfter = 50 * time.Millisecond
 )
 
-// recovery has the load of a worker that has asked for a pause come back step by step: one
-// request, then twice as many with each that it served. The zero value is a worker that has
-// recovered.
+// recovery limits the requests under way at a worker after a pause that it asked for, like slow
+// start: one request at first, and twice as many after each that it served. The zero value is a
+// worker that has recovered.
 type recovery struct {
-	// window is how many requests this node may have there, zero for any number.
+	// window is the number of requests that this node may have under way there, zero for no
+	// limit.
 	window int
 }
 
-// admits reports whether a worker may get a further request, with so many there.
+// admits reports whether a worker with so many requests under way may get another.
 func (r recovery) admits(requests int) bool { return r.window == 0 || requests < r.window }
 
-// served records a request that was served.
+// served records a successful request.
 func (r *recovery) served() {
 	r.window *= 2
 	if r.window > maxRecoveryWindow {
@@ -32,11 +34,11 @@
 	}
 }
 
-// backoffJitter is the part of a pause by which a node extends it at most, by chance: nodes that
-// were told at one moment don't come back at one moment.
+// backoffJitter is the largest random extension of a pause, as a fraction of it, so that nodes
+// that were told to pause at the same time don't resume at the same time.
 const backoffJitter = 0.1
 
-// addJitter extends a pause.
+// addJitter extends a pause by a random part.
 func addJitter(pause time.Duration) time.Duration {
 	return pause + time.Duration(backoffJitter*rand.Float64()*float64(pause))
 }
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -11,37 +11,39 @@
 	"github.com/tinarch/tinarch/internal/topology"
 )
 
-// workerState is what is known of one worker.
+// workerState is everything known about one incarnation of a worker.
 type workerState struct {
 	worker Worker
-	// goneAt is when its entry vanished, zero while it is listed.
+	// goneAt is when the worker's entry disappeared from the list, zero while it is listed.
 	goneAt time.Time
 	load   Load
-	// doubtedUntil is until when the worker counts as gone although it is listed: its entry
-	// was gone, and came back with the store from a copy.
+	// doubtedUntil is set if the entry had disappeared and was listed again when the store was
+	// restored from a backup. Until then the worker counts as gone although it is listed.
 	doubtedUntil time.Time
-	// changingUntil is until when an order keeps requests away, unless its entry shows the
-	// stage before.
+	// changingUntil is until when the worker gets no requests because it was ordered to change
+	// to changingStage. It ends earlier once the entry shows that stage.
 	changingUntil time.Time
 	changingStage Stage
-	// remote is the load that other nodes have placed, by node.
+	// remote is the load that other nodes have placed on the worker, by node.
 	remote map[string]remoteLoad
 	cache  *prefixcache.Cache
-	// cacheKnown tells that what the worker kept before this node started is known.
+	// cacheKnown is set if the cache also holds what the worker had cached before this node
+	// started.
 	cacheKnown bool
-	// slowdown is by how much the engine reads more slowly than its group.
+	// slowdown is the factor by which the engine reads prompts more slowly than its group.
 	slowdown latency.Slowdown
-	// rank orders the workers for this node alone, hash for all nodes alike.
+	// rank orders the workers differently at each node, hash alike at all nodes.
 	rank, hash uint64
 	breaker    breaker.Breaker
-	// handleBreaker judges the prompts read apart: those that others fetch from the worker, or
-	// where it writes those that it fetches.
+	// handleBreaker counts failed transfers of KV caches of prompts that were read apart
+	// (disaggregated prefill): from this worker if it read the prompt, to this worker if it
+	// generates the output.
 	handleBreaker breaker.Breaker
 	reported      reportedLoad
-	// recovery bounds the requests at a worker that has asked for a pause.
+	// recovery limits the requests under way at a worker after a pause that it asked for.
 	recovery recovery
-	// limit is what the worker has said of the requests that it takes, limitVersion counts the
-	// changes of that, and turnAt is when it takes a further one.
+	// limit is the request rate that the worker last stated, limitVersion counts changes of it,
+	// and turnAt is when the worker accepts its next request under that limit.
 	limit        LimitStatement
 	limitVersion uint64
 	turnAt       time.Time
@@ -52,81 +54,86 @@
 	at   time.Time
 }
 
-// reportedLoad is what a worker's last answer told.
+// reportedLoad is the load that a worker reported in its last answer.
 type reportedLoad struct {
 	running, waiting int
 	at               time.Time
 }
 
 const (
-	// remoteLoadTTL is how long a silent node's load counts.
+	// remoteLoadTTL is how long the load of a node counts after its last message.
 	remoteLoadTTL = time.Second
-	// lastResortFor is how long a worker whose entry has vanished, or that has announced its end,
-	// is the last resort. A worker that leaves must get nothing soon after.
+	// lastResortFor is how long a worker may still get requests, if no other can take them,
+	// after its entry disappeared or it announced that it drains. A worker that leaves must get
+	// nothing soon after.
 	lastResortFor = 1200 * time.Millisecond
-	// forgetAfter is how long what is known of it is kept.
+	// forgetAfter is how long the state of a worker is kept after its entry disappeared.
 	forgetAfter = 10 * time.Second
-	// reportedLoadTTL is how long a worker's own word on its load counts.
+	// reportedLoadTTL is how long the load counts that a worker has reported itself.
 	reportedLoadTTL = 300 * time.Millisecond
-	// defaultCacheTokens is the cache of an engine whose size isn't configured.
+	// defaultCacheTokens is the assumed KV cache size of an engine for which none is
+	// configured.
 	defaultCacheTokens = 200_000
 )
 
-// Registry is safe for concurrent use.
+// Registry holds the state of all workers that a node knows. It is safe for concurrent use.
 type Registry struct {
 	mu sync.Mutex
-	// places are the zones and regions, seen from this node.
+	// places maps zones to regions and tells their distance from this node.
 	places topology.Map
-	// regional tells that the deployment lies in several regions.
+	// regional is set if the deployment spans several regions.
 	regional bool
-	// seed makes the ranks of this process's own.
+	// seed makes the ranks of workers differ between processes.
 	seed    maphash.Seed
 	workers map[string]*workerState
-	// newestByName holds the identity of the newest start by a worker's name, and ended those that
-	// were replaced by a newer one or whose entry can't be read, until TakeEnded.
+	// newestByName holds the id of each worker's newest incarnation, by the worker's name.
+	// ended holds the ids of incarnations that were replaced by a newer one or whose entry
+	// became unreadable, until TakeEnded returns them.
 	newestByName map[string]string
 	ended        []string
-	// busy, changing and gone are the few workers that have load of this node, were ordered
-	// to a stage, or have vanished; placed are those on which another node has load, by node.
-	// Nothing that is done for each message goes through all workers: of 10,000 that took
-	// 0.9 ms for a message of another node, and takes 1 µs with these (BenchmarkMerge).
+	// busy holds the workers with load of this node, changing those that were ordered to change
+	// their stage, gone those whose entry disappeared, and loadedByNode the ids of those with
+	// load of another node, by node. These indexes are small, so that handling a message
+	// doesn't go through all workers: merging a message of another node took 0.9 ms in a fleet
+	// of 10,000 workers without them and takes 1 µs with them (BenchmarkMerge).
 	busy, changing, gone map[string]*workerState
 	loadedByNode         map[string][]string
-	// limited are the workers that have named a limit, and limitChanged is told of changes.
+	// limited holds the workers that state a rate limit; limitChanged is called for each
+	// change.
 	limited      map[string]*workerState
 	limitChanged func(LimitChange)
-	// noticeStates hold, by worker, what it has said of whether it takes further requests.
+	// noticeStates holds what workers have announced in answers, by incarnation id.
 	noticeStates map[string]NoticeState
-	// drainingUpdates are the workers whose end is told to others, each until a time.
+	// drainingUpdates holds the workers whose draining is told to other nodes, and until when.
 	drainingUpdates map[string]time.Time
-	// limitUpdates are the workers whose limits are told to others, each until a time.
+	// limitUpdates holds the workers whose limit is told to other nodes, and until when.
 	limitUpdates map[string]time.Time
-	// generation rises whenever a worker is added or forgotten.
+	// generation increases whenever a worker is added or forgotten.
 	generation uint64
-	// groups hold the learned reading of all workers of a service and stage.
+	// groups holds the learned prefill time of the engines of each service and stage.
 	groups map[groupKey]*latency.Model
-	// timings hold what else was learned of a service's engines.
+	// timings holds the other learned times of the engines, by service.
 	timings map[string]*engineTimings
-	// cacheCapacity is the KV cache of one engine by service, in tokens.
+	// cacheCapacity is the KV cache size of one engine in tokens, by service.
 	cacheCapacity map[string]int
-	// demands are what callers want.
+	// demands holds the load that callers offer, whether it is served or not.
 	demands map[demandKey]*demand
-	// cacheUpdates are the parts newly read since the last digest.
+	// cacheUpdates holds the prompt parts that workers cached since the last snapshot.
 	cacheUpdates []CacheUpdate
-	// failures are the workers that failed since the last digest.
+	// failures holds the workers that failed since the last snapshot.
 	failures []string
-	// touched are the workers of which there is something to tell since then.
+	// touched holds the workers whose state changed since the last snapshot.
 	touched map[string]bool
-	// changed holds a token while there is something to tell.
+	// changed holds a token while there are changes to tell other nodes.
 	changed chan struct{}
-	// listRead tells that the list of workers was listRead once.
+	// listRead is set once a list of workers that isn't empty has been read.
 	listRead bool
 }
 
-// Changed gives a token when there is something to tell the other nodes.
+// Changed returns a channel that receives a token when there are changes to tell other nodes.
 func (r *Registry) Changed() <-chan struct{} { return r.changed }
 
-// touch records that there is something to tell of a worker.
+// touch records that there is a change of a worker to tell other nodes.
 func (r *Registry) touch(id string) {
 	r.touched[id] = true
 	select {
@@ -135,20 +142,22 @@
 	}
 }
 
-// engineTimings are the learned times of a service's engines besides reading.
+// engineTimings holds what was learned of the times of a service's engines, except for the time
+// to read prompts.
 type engineTimings struct {
-	// queue is the part of the reading ahead of a prompt that it waits for: engines read
-	// several prompts by turns.
+	// queue is the share of the prefill time queued ahead of a prompt that the prompt really
+	// waits for. It can be below 1 because engines interleave the prefill of several prompts.
 	queue latency.NeededShare
-	// handover is from sending a request to run with a prompt that was read apart to
-	// its first byte.
+	// handover is the time from sending a request whose prompt was read by another engine to
+	// the first byte of the answer.
 	handover latency.MovingMean
-	// fetch is what a fetch of kept parts takes besides the link.
+	// fetch is the time to fetch cached parts from another engine, without the network
+	// transfer.
 	fetch latency.MovingMean
-	// run is from the first byte of an answer to its end.
+	// run is the time from the first byte of an answer to its end.
 	run latency.MovingMean
-	// writing is the time of a run for each token that its caller expected, in
-	// milliseconds.
+	// writing is the time of run divided by the number of output tokens that the caller
+	// expected, in milliseconds.
 	writing latency.MovingRatio
 }
 
@@ -157,13 +166,13 @@
 	stage   Stage
 }
 
-// CacheUpdate tells that a worker has read a prompt, so that it keeps its parts.
+// CacheUpdate says that a worker has read a prompt and so holds its parts in the KV cache.
 type CacheUpdate struct {
 	Worker string
 	Parts  []prefixcache.Part
 }
 
-// NewRegistry returns an empty registry of a node that sees these zones and regions.
+// NewRegistry returns an empty registry of a node with the given view of zones and regions.
 func NewRegistry(places topology.Map) *Registry {
 	return &Registry{
 		places:       places,
--- a/internal/worker/standing.go
+++ b/internal/worker/standing.go
@@ -6,7 +6,8 @@
 	"github.com/tinarch/tinarch/internal/fleetsize"
 )
 
-// Standing counts the workers of a service that are listed and stay.
+// Standing returns the number of workers of a service that are listed and not draining, by zone
+// and by whether they are spot workers.
 func (r *Registry) Standing(service string) fleetsize.Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -20,8 +21,7 @@
 	return standing
 }
 
-// Idle reports whether no request of a service is known to have come lately, at this node
-// or another.
+// Idle reports whether no node has received requests for a service lately.
 func (r *Registry) Idle(service string, now time.Time) bool {
 	for _, wanted := range r.Demands(service, now) {
 		if !wanted.Zero() {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker keeps what a node knows of the workers behind it: the platform's
-// list, the work that all nodes have placed on them, how fast they read, what
-// their caches should hold, and how they answered lately.
+// Package worker keeps the registry of a node's workers: the worker list of the platform's
+// store, the load that all nodes have placed on each worker, how fast engines read prompts
+// (prefill), what their KV caches are predicted to hold, and how requests to them ended lately.
 package worker
 
 import (
@@ -8,23 +8,24 @@
 	"strings"
 )
 
-// Stage is what a model engine does.
+// Stage is the part of inference that a model engine runs.
 type Stage string
 
 // The stages of workers.
 const (
 	// Opaque workers aren't model engines.
 	Opaque Stage = ""
-	// Prefill engines read prompts.
+	// Prefill engines read prompts, that is, compute their KV cache.
 	Prefill Stage = "prefill"
-	// Decode engines write output, and read prompts at a lower pace.
+	// Decode engines generate output. They can read prompts too, but more slowly.
 	Decode Stage = "decode"
 )
 
-// Worker is one entry of the platform's list.
+// Worker is one entry of the platform's worker list.
 type Worker struct {
-	// ID is that of one start of the worker: its name, and when it was born where it tells
-	// (Identity). A worker that starts again under its name knows nothing of before.
+	// ID names one incarnation of the worker: its name and, where the worker tells it, its
+	// start time (see IncarnationID). A worker that restarts under its name keeps no state of
+	// the incarnation before.
 	ID      string
 	Service string
 	// Address is IP:PORT.
@@ -33,31 +34,32 @@
 	Slots   int
 	// Draining workers get no new requests.
 	Draining bool
-	// Spot workers may be taken away, all of a zone at once.
+	// Spot workers may be preempted, all of a zone at once.
 	Spot  bool
 	Stage Stage
 }
 
-// Change is one changed entry of the platform's list.
+// Change is one changed entry of the platform's worker list.
 type Change struct {
-	// Name is that of the worker, under which its entry stands.
+	// Name is the worker's name, which is the key of its entry.
 	Name string
 	// Worker is nil where the entry is gone.
 	Worker *Worker
-	// Unreadable tells that the entry names no worker to use: another writer may have
-	// written it.
+	// Unreadable is set if the entry describes no usable worker, for example because another
+	// program has overwritten it.
 	Unreadable bool
 }
 
-// The form of an identity: the name, and the time of birth in a short form.
+// An incarnation id is the worker's name, the separator and the start time in base 36.
 const (
 	birthSeparator = "@"
 	birthBase      = 36
 )
 
-// IncarnationID names one start of a worker, born at a Unix time in milliseconds, zero where the
-// worker doesn't tell. All that is known of a worker hangs on it, at this node and in what
-// nodes tell each other, so that nothing of an earlier start is taken for the later one's.
+// IncarnationID returns the id of the incarnation of a worker that started at a Unix time in
+// milliseconds, zero if the worker doesn't tell. Everything known about a worker is stored
+// under this id, in the registry and in messages between nodes, so that state of an earlier
+// incarnation is never taken for that of a later one.
 func IncarnationID(name string, born int64) string {
 	if born == 0 {
 		return name
@@ -65,14 +67,14 @@
 	return name + birthSeparator + strconv.FormatInt(born, birthBase)
 }
 
-// NameOf is the name under which the platform knows a worker.
+// NameOf returns the name under which the platform knows a worker, given its incarnation id.
 func NameOf(id string) string {
 	name, _, _ := strings.Cut(id, birthSeparator)
 	return name
 }
 
-// BornOf is the Unix time in milliseconds at which a worker was born, zero where it didn't
-// tell.
+// BornOf returns the Unix time in milliseconds at which an incarnation started, zero if the
+// worker didn't tell it.
 func BornOf(id string) int64 {
 	_, birth, _ := strings.Cut(id, birthSeparator)
 	born, err := strconv.ParseInt(birth, birthBase, 64)
