--- a/internal/workerconn/conn.go
+++ b/internal/workerconn/conn.go
@@ -1,7 +1,6 @@
-// Package workerconn keeps connections to workers and carries one request at a
-// time over each. Unlike net/http's transport it never sends a request again by
-// itself, tells whether a byte of a request left, and drops answers that belong
-// to another request.
+// Package workerconn keeps a pool of HTTP connections to workers and carries one request at a
+// time over each. Unlike net/http's transport it never resends a request by itself, it reports
+// whether any byte of a request was sent, and it drops answers that belong to another request.
 package workerconn
 
 import (
@@ -19,40 +18,40 @@
 	"github.com/rotisserie/eris"
 )
 
-// Request is one request to a worker.
+// Request is one HTTP request to a worker.
 type Request struct {
 	Method string
-	// Target is the path and query, exactly as they are sent.
+	// Target is the path and query, sent unchanged.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// IDHeader names the header that answers echo; an answer with another value
-	// belongs to an earlier request and is dropped. Where it is empty, or the answer
-	// echoes nothing, any answer is accepted.
+	// IDHeader names the header in which an answer repeats ID. An answer with another value
+	// belongs to an earlier request and is dropped. If IDHeader is empty, or the answer has no
+	// such header, any answer is accepted.
 	IDHeader string
 	ID       string
-	// DropAfter, where it is set, has the connection drop the request, instead of sending
-	// it on, once it is given up or that time has passed without an acknowledgement.
+	// DropAfter, if it isn't zero, resets the connection when the request is cancelled, or when
+	// the worker hasn't acknowledged its bytes for this long. Otherwise the kernel would go on
+	// sending what is left of the request.
 	DropAfter time.Duration
 }
 
-// Answer is the head of a worker's answer, with the body to be read.
+// Answer is the status and header of a worker's answer, with the body still to be read.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, -1 where it isn't told.
+	// Length is the length of the body, -1 if the header doesn't tell it.
 	Length int64
-	// Body must be closed. Only a body that was read to its end without an error
-	// is whole.
+	// Body must be closed. It is complete only if it was read to io.EOF without another error.
 	Body io.ReadCloser
 }
 
-// SendError is a failure before any answer.
+// SendError is a failure before the header of the answer was received.
 type SendError struct {
-	// Unsent tells that no byte left, so that the worker can't have run it.
+	// Unsent is set if no byte was sent, so that the worker can't have run the request.
 	Unsent bool
-	// Withheld tells that the pool's monitor kept it from the worker.
+	// Withheld is set if the pool's monitor rejected the request.
 	Withheld bool
 	Cause    error
 }
@@ -63,14 +62,14 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Cause }
 
-// Unsent reports whether an error proves that no byte of the request left.
+// Unsent reports whether an error proves that no byte of the request was sent.
 func Unsent(err error) bool {
 	var failure *SendError
 	return errors.As(err, &failure) && failure.Unsent
 }
 
-// Withheld reports whether a request was kept from its worker, which says nothing of the
-// worker's soundness.
+// Withheld reports whether the pool's monitor rejected a request. That is no failure of the
+// worker.
 func Withheld(err error) bool {
 	var failure *SendError
 	return errors.As(err, &failure) && failure.Withheld
@@ -78,11 +77,13 @@
 
 const (
 	bufferBytes = 4096
-	// inlineBytes is the largest body that is written before the answer is read.
+	// inlineBytes is the largest body that is written in one call with the header, before the
+	// answer is read.
 	inlineBytes = 2048
-	// maxStrayAnswers bounds the answers of other requests that are dropped.
+	// maxStrayAnswers is the number of answers of other requests that are dropped while waiting
+	// for the right one.
 	maxStrayAnswers = 2
-	// maxStrayBytes bounds the body of such an answer.
+	// maxStrayBytes is the number of bytes read of the body of such an answer.
 	maxStrayBytes = 1 << 20
 )
 
@@ -91,10 +92,11 @@
 	net.Conn
 	reader *bufio.Reader
 	raw    syscall.RawConn
-	// idleSince and idleLimit tell when the worker may close it.
+	// idleSince is when the connection became idle, and idleLimit for how long it may be used
+	// again before the worker may close it.
 	idleSince time.Time
 	idleLimit time.Duration
-	// dropsUnsent tells that it carries a request with DropAfter.
+	// dropsUnsent is set if the socket options for Request.DropAfter are in force.
 	dropsUnsent bool
 }
 
@@ -106,8 +108,8 @@
 	return c
 }
 
-// quiet reports whether nothing has arrived on an idle connection: neither bytes
-// that belong to no request, nor its end.
+// quiet reports whether an idle connection has received nothing: neither unexpected bytes nor
+// its end.
 func (c *conn) quiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -125,7 +127,7 @@
 	return err == nil && quiet
 }
 
-// head renders the request line and headers.
+// head returns the request line and header as they are sent.
 func (r *Request) head() []byte {
 	var out strings.Builder
 	out.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -137,7 +139,8 @@
 	return []byte(out.String())
 }
 
-// roundTrip sends a request and reads the head of its answer.
+// roundTrip sends a request and reads the header of its answer. The channel receives the result
+// of sending the body.
 func (c *conn) roundTrip(ctx context.Context, request *Request) (*http.Response, <-chan error, error) {
 	written, err := c.send(request)
 	if err != nil {
@@ -159,7 +162,8 @@
 	return nil, nil, &SendError{Cause: eris.New("only answers of other requests came")}
 }
 
-// cause prefers the reason why the context ended to the broken read it led to.
+// cause returns the reason why the context ended, if it did, rather than the read error that
+// followed from it.
 func cause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -178,7 +182,8 @@
 		written <- nil
 		return written, nil
 	}
-	// The worker may answer before it reads a long body.
+	// Large bodies are sent in the background, because the worker may answer before it has read
+	// them.
 	go func() {
 		buffers := net.Buffers{head, request.Body}
 		_, err := buffers.WriteTo(c.Conn)
@@ -199,8 +204,8 @@
 	}
 }
 
-// keepAlive returns how long the worker keeps an idle connection, defaultIdle
-// where it doesn't say.
+// keepAlive returns how long the worker keeps an idle connection open, defaultIdle if it
+// doesn't tell.
 func keepAlive(header http.Header) time.Duration {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/workerconn/dial.go
+++ b/internal/workerconn/dial.go
@@ -10,28 +10,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// storeKeepAlive finds a dead path under a call that waits for long.
+// storeKeepAlive detects a broken network path while a call waits for its answer.
 var storeKeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// DialStore opens a connection for calls that may wait for long: a path that goes
-// silent ends them within a few seconds.
+// DialStore opens a connection for long-polling calls to the store. If the network path breaks,
+// they fail within a few seconds.
 func DialStore(ctx context.Context, _, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: DialTimeout * 2, KeepAliveConfig: storeKeepAlive, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-// lingerDefault has the kernel send on what was written to a connection that is closed.
+// lingerDefault, as a value of SetLinger, lets the kernel send what was written to a connection
+// after it is closed.
 const lingerDefault = -1
 
-// DropUnsent has a connection drop what its peer hasn't acknowledged when it is closed, or
-// when that takes longer than a timeout, which the kernel watches also while this process
-// is paused. Otherwise the kernel goes on sending it.
+// DropUnsent makes the kernel discard unacknowledged data when the connection is closed, and
+// close it when the peer has acknowledged nothing for the given timeout. The kernel enforces
+// this also while the process is paused. Without it the kernel would go on sending.
 func DropUnsent(c net.Conn, timeout time.Duration) error {
 	return setLingerAndUserTimeout(c, 0, timeout)
 }
 
-// setLingerAndUserTimeout sets for how many seconds a closed connection goes on sending, and how long
-// its peer may acknowledge nothing.
+// setLingerAndUserTimeout sets SO_LINGER in seconds and TCP_USER_TIMEOUT.
 func setLingerAndUserTimeout(c net.Conn, linger int, timeout time.Duration) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -15,39 +15,40 @@
 	"github.com/tinarch/tinarch/internal/clock"
 )
 
-// ErrFull tells that a worker has as many connections as it may have from here.
+// ErrFull is returned if the limit of connections from this node to a worker is reached.
 var ErrFull = eris.New("all connections to the worker are in use")
 
-// The figures of the pool.
 const (
-	// DialTimeout bounds how long a new connection may take.
+	// DialTimeout limits how long opening a connection may take.
 	DialTimeout = 400 * time.Millisecond
-	// userTimeout ends a connection whose peer acknowledges nothing.
+	// userTimeout closes a connection whose peer has acknowledged nothing for this long
+	// (TCP_USER_TIMEOUT).
 	userTimeout = 1500 * time.Millisecond
-	// defaultIdle is how long a connection is kept where the worker doesn't say that
-	// it closes idle ones.
+	// defaultIdle is how long an idle connection is kept if the worker doesn't tell when it
+	// closes it.
 	defaultIdle = 60 * time.Second
-	// idleMargin is left before the worker itself would close the connection.
+	// idleMargin is subtracted from the time after which the worker closes an idle connection,
+	// so that no request is sent while it does.
 	idleMargin = 400 * time.Millisecond
-	// bodyWait is how long a whole answer waits for the rest of the request's body
-	// to be sent, before the connection is given up.
+	// bodyWait is how long a connection whose answer is complete waits for the rest of the
+	// request body to be sent. After that it isn't used again.
 	bodyWait = 50 * time.Millisecond
 )
 
-// Monitor sees all that is sent to workers, whoever sends it.
+// Monitor is notified of all requests sent to workers, and can reject them.
 type Monitor interface {
-	// Admit is asked before a connection is opened for a request, and again just before its
-	// first byte leaves. An error keeps it from the worker.
+	// Admit is called before a connection is opened for a request, and again just before its
+	// first byte is sent. If it returns an error, the request isn't sent.
 	Admit(key string, request *Request) error
-	// Sending is told of a request whose first byte is about to leave.
+	// Sending is called just before the first byte of a request is sent.
 	Sending(key string, request *Request)
-	// Answered is told of the head of each answer.
+	// Answered is called with the status and header of each answer.
 	Answered(key string, request *Request, status int, header http.Header)
 }
 
-// Pool keeps connections by worker. It is safe for concurrent use.
+// Pool keeps the connections to all workers. It is safe for concurrent use.
 type Pool struct {
-	// monitor is nil where nobody watches.
+	// monitor is nil if there is none.
 	monitor Monitor
 
 	mu     sync.Mutex
@@ -61,19 +62,20 @@
 	return &Pool{idle: make(map[string][]*conn), open: make(map[string]int)}
 }
 
-// SetMonitor has a monitor see all that is sent. It is called before anything is.
+// SetMonitor sets the monitor. It must be called before any request is sent.
 func (p *Pool) SetMonitor(monitor Monitor) { p.monitor = monitor }
 
-// Opened returns the number of connections opened so far.
+// Opened returns the number of connections that have been opened.
 func (p *Pool) Opened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Do sends a request to a worker, and returns its answer with the body to be
-// read. key names the worker's incarnation: connections aren't shared between
-// workers that had the same address. limit bounds the connections to it.
+// Do sends a request to a worker and returns its answer, whose body is still to be read. key is
+// the id of the worker's incarnation: a connection isn't used for another worker that later has
+// the same address. limit is the number of connections that may be open to the worker, zero for
+// no limit.
 func (p *Pool) Do(ctx context.Context, key, address string, limit int, request *Request) (*Answer, error) {
 	if err := p.checkAdmitted(key, request); err != nil {
 		return nil, err
@@ -114,7 +116,7 @@
 	}, nil
 }
 
-// checkAdmitted asks the monitor whether a request may be sent.
+// checkAdmitted returns a SendError if the monitor rejects the request.
 func (p *Pool) checkAdmitted(key string, request *Request) error {
 	if p.monitor == nil {
 		return nil
@@ -125,8 +127,8 @@
 	return nil
 }
 
-// prepare readies a connection for a request that must not arrive late, and looks at the
-// clock once more: this process may have been paused, or its machine suspended, or it has
+// prepare sets the socket options of a request with DropAfter, and checks its deadline again:
+// time may have passed while the process was paused, the machine was suspended or the request
 // waited for the connection.
 func prepare(ctx context.Context, c *conn, request *Request) error {
 	if request.DropAfter == 0 {
@@ -167,8 +169,8 @@
 	return c, nil
 }
 
-// takeIdle returns the connection used last, or nil after it has reserved room
-// for a new one.
+// takeIdle returns the idle connection that was used last. If there is none it returns nil, and
+// a new connection is already counted in open.
 func (p *Pool) takeIdle(key string, limit int) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,14 +226,14 @@
 	p.addIdle(key, c)
 }
 
-// addIdle keeps a connection over which nothing was sent since it was taken.
+// addIdle makes a connection available for other requests.
 func (p *Pool) addIdle(key string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[key] = append(p.idle[key], c)
 }
 
-// CloseIdle closes the idle connections to a worker that is gone.
+// CloseIdle closes the idle connections to a worker, for example when it is gone.
 func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
 	kept := p.idle[key]
@@ -255,8 +257,8 @@
 	}
 }
 
-// body is an answer's body. Its connection is kept once the body was read whole,
-// the request was sent whole, and nothing follows.
+// body is the body of an answer. Its connection is used again if the body was read to its end,
+// the request was sent completely and no bytes follow.
 type body struct {
 	pool     *Pool
 	key      string
@@ -269,7 +271,7 @@
 	closed   bool
 }
 
-// Read implements io.Reader. Any error but io.EOF means that the body isn't whole.
+// Read implements io.Reader. Any error except io.EOF means that the body is incomplete.
 func (b *body) Read(buffer []byte) (int, error) {
 	count, err := b.response.Body.Read(buffer)
 	if err == io.EOF {
@@ -305,7 +307,7 @@
 	return b.conn.reader.Buffered() == 0
 }
 
-// requestSent reports whether the request's body was requestSent whole.
+// requestSent reports whether the request body was sent completely.
 func (b *body) requestSent() bool {
 	select {
 	case err := <-b.written:
--- a/internal/workerconn/probe.go
+++ b/internal/workerconn/probe.go
@@ -6,21 +6,21 @@
 	"syscall"
 )
 
-// Liveness is what a new connection tells of a worker.
+// Liveness is what an attempt to connect tells about a worker.
 type Liveness string
 
-// The states of a worker whose connections broke off.
+// These are the results of a probe.
 const (
-	// Alive workers take connections.
+	// Alive workers accept connections.
 	Alive Liveness = "alive"
-	// Dead workers have left nobody at their address.
+	// Dead workers have ended: nothing listens at their address.
 	Dead Liveness = "dead"
-	// Unheard workers give no answer: they, their machine or the way to them may be down.
+	// Unheard workers don't answer: the worker, its machine or the network may be down.
 	Unheard Liveness = "unheard"
 )
 
-// Probe opens a connection to a worker and closes it at once, to tell a worker that has
-// ended from one that only broke an answer off.
+// Probe opens a connection to a worker and closes it at once. It tells whether a worker whose
+// answer was cut off has ended.
 func Probe(ctx context.Context, address string) Liveness {
 	probe, err := dial(ctx, address)
 	switch {
