--- a/internal/httpheader/httpheader_test.go
+++ b/internal/httpheader/httpheader_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestWithoutConnection(t *testing.T) {
+func TestWithoutHopByHop(t *testing.T) {
 	header := http.Header{
 		"Connection": {"close, x-one", "X-Two"}, "X-One": {"1"}, "X-Two": {"2"}, "X-Three": {"3", "4"},
 		"Keep-Alive": {"timeout=1"}, "Transfer-Encoding": {"chunked"}, "Te": {"trailers"}, "Upgrade": {"h2c"}, "Content-Length": {"7"},
