--- a/internal/ingress/stale_test.go
+++ b/internal/ingress/stale_test.go
@@ -15,13 +15,14 @@
 	"github.com/tinarch/tinarch/internal/routing"
 )
 
-// parser takes each request as it is.
+// parser is a Parser that accepts every request.
 type parser struct{ Parser }
 
 func (parser) Parse(*dispatch.Call) error { return nil }
 
-// TestNodeThatLacksANewerConfigurationSaysSo: routes may be new, or have moved.
-func TestNodeThatLacksANewerConfigurationSaysSo(t *testing.T) {
+// TestOutdatedConfigurationIsAnswered503 checks the answers of a node that lacks a newer
+// configuration, in which routes may have been added or moved.
+func TestOutdatedConfigurationIsAnswered503(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	route := &routing.Route{
@@ -54,10 +55,10 @@
 			answer := httptest.NewRecorder()
 			f.ServeHTTP(answer, request)
 			if answer.Code != test.want || !strings.Contains(answer.Body.String(), test.code) {
-				t.Errorf("%d %s", answer.Code, answer.Body)
+				t.Errorf("answer %d %s", answer.Code, answer.Body)
 			}
 			if refused := answer.Code == http.StatusServiceUnavailable; refused && answer.Header().Get("Retry-After") == "" {
-				t.Error("it doesn't say when to come back")
+				t.Error("the answer has no Retry-After")
 			}
 		})
 	}
