--- a/internal/plainhttp/plainhttp_test.go
+++ b/internal/plainhttp/plainhttp_test.go
@@ -10,7 +10,7 @@
 	"github.com/tinarch/tinarch/internal/dispatch"
 )
 
-func TestForwardedRequestIsTheNodes(t *testing.T) {
+func TestForwardHeaderOverridesTheCallersHeaders(t *testing.T) {
 	arrived := time.Unix(0, 0)
 	call := &dispatch.Call{
 		Arrived: arrived, Deadline: arrived.Add(time.Minute),
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if call.ID == "forged" || call.ID == "" || !call.Deadline.Equal(arrived.Add(2*time.Second)) || call.LastEventID != "3" {
-		t.Errorf("%+v", call)
+		t.Errorf("parsed call: %+v", call)
 	}
 	got := (Protocol{}).ForwardHeader(call, dispatch.Forward{WorkerID: "w", Remaining: time.Second, ResumeAfter: "4"})
 	want := http.Header{
@@ -35,20 +35,20 @@
 
 func TestReply(t *testing.T) {
 	if got := (Protocol{}).Reply(503, http.Header{}); got.NotExecuted || got.Misdirected {
-		t.Error("a failure is taken for proof that nothing ran")
+		t.Error("status 503 alone counts as proof that the request didn't run")
 	}
 	if got := (Protocol{}).Reply(503, http.Header{HeaderNotRun: {"1"}}); !got.NotExecuted {
-		t.Error("a worker's word is not taken")
+		t.Error("Tinarch-Not-Run doesn't count as proof that the request didn't run")
 	}
 	if got := (Protocol{}).Reply(421, http.Header{}); !got.Misdirected {
-		t.Error("421 is not taken")
+		t.Error("status 421 doesn't count as misdirected")
 	}
 }
 
-func TestParseNamesMistakes(t *testing.T) {
+func TestParseRejectsInvalidDeadlines(t *testing.T) {
 	for _, text := range []string{"soon", "-1", "1.5"} {
 		if err := (Protocol{}).Parse(&dispatch.Call{Header: http.Header{HeaderDeadline: {text}}}); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("the deadline %q was accepted", text)
 		}
 	}
 }
