--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestKeysFindTheirOwner(t *testing.T) {
+func TestOwnerOfAKeyIsFound(t *testing.T) {
 	ring := NewKeyring[Tenant]()
 	ring.Add(DigestOf("key of a"), New("a"))
 	ring.Add(DigestOf("another of a"), New("a"))
@@ -23,20 +23,20 @@
 	}
 }
 
-func TestFirstOwnerOfAKeyHasIt(t *testing.T) {
+func TestFirstOwnerOfAKeyCounts(t *testing.T) {
 	ring := NewKeyring[Tenant]()
 	ring.Add(DigestOf("shared"), New("first"))
 	ring.Add(DigestOf("shared"), New("second"))
 	if owner, _ := ring.Owner("shared"); owner.Name() != "first" {
-		t.Errorf("the key belongs to %q", owner.Name())
+		t.Errorf("the key belongs to %q, want first", owner.Name())
 	}
 }
 
-func TestPriorityOfATenantGoesBeforeTheRoutes(t *testing.T) {
+func TestPriorityOfTheTenantOverridesTheRoutes(t *testing.T) {
 	if got := New("plain").Priority(2); got != 2 {
 		t.Errorf("a tenant without a priority has %d, want the route's 2", got)
 	}
 	if got := New("urgent").WithPriority(0).Priority(2); got != 0 {
-		t.Errorf("a tenant of priority 0 has %d", got)
+		t.Errorf("a tenant of priority 0 has %d, want 0", got)
 	}
 }
