--- a/internal/usage/reporter_test.go
+++ b/internal/usage/reporter_test.go
@@ -18,18 +18,18 @@
 	"github.com/tinarch/tinarch/internal/rowstore"
 )
 
-// memoryAPI takes reports.
-type memoryAPI struct {
+// fakeAPI is a platform API that records reports.
+type fakeAPI struct {
 	reports map[Window][]Counts
 	highest uint64
-	// silent takes reports and doesn't answer.
+	// silent makes the API accept reports without answering.
 	silent bool
 	fences []uint64
-	// until is when the last call ended at the latest.
+	// until is the deadline of the last call.
 	until time.Time
 }
 
-func (a *memoryAPI) ReportUsage(ctx context.Context, act duty.LeaseToken, window Window, counts Counts) (duty.Verdict, error) {
+func (a *fakeAPI) ReportUsage(ctx context.Context, act duty.LeaseToken, window Window, counts Counts) (duty.Verdict, error) {
 	a.until, _ = ctx.Deadline()
 	if act.Fence < a.highest {
 		return duty.Refused, errors.New("a lower fence")
@@ -43,8 +43,8 @@
 	return duty.Accepted, nil
 }
 
-// oneTruth fails where two reports of a window differ.
-func (a *memoryAPI) oneTruth(t *testing.T) {
+// checkSameCounts fails if two reports of a window differ.
+func (a *fakeAPI) checkSameCounts(t *testing.T) {
 	t.Helper()
 	for window, reports := range a.reports {
 		for _, other := range reports[1:] {
@@ -55,62 +55,62 @@
 	}
 }
 
-type alone struct {
+type fakeFleet struct {
 	members []Member
-	// told learn what was recorded.
+	// told are the collectors of other supervisors, which receive recorded windows.
 	told []*Collector
 }
 
-func (a alone) Members() []Member { return a.members }
+func (a fakeFleet) Members() []Member { return a.members }
 
-func (alone) GatherUsage(Window) {}
+func (fakeFleet) GatherUsage(Window) {}
 
-func (a alone) TellRecorded(recorded map[Window]Counts) {
+func (a fakeFleet) TellRecorded(recorded map[Window]Counts) {
 	for _, told := range a.told {
 		told.MergeRecorded(recorded)
 	}
 }
 
-// site is where reporters meet.
-type site struct {
+// fixture is what the reporters of a test share.
+type fixture struct {
 	store *memorystore.Store
-	api   *memoryAPI
+	api   *fakeAPI
 	log   *logrus.Logger
 }
 
-func newSite() *site {
+func newFixture() *fixture {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return &site{store: memorystore.New(), api: &memoryAPI{reports: make(map[Window][]Counts)}, log: log}
+	return &fixture{store: memorystore.New(), api: &fakeAPI{reports: make(map[Window][]Counts)}, log: log}
 }
 
-// shortLife lets a lease lapse within a test, and is far above any pause of it.
-const shortLife = time.Second
+// leaseLife is short enough to expire within a test, and far above any scheduling delay.
+const leaseLife = time.Second
 
-// reporter returns a reporter of a node that has counted requests of tenant a in the
-// first window.
-func (s *site) reporter(node string, counted int, members ...Member) *Reporter {
+// reporter returns a reporter of a node that has counted the given number of requests of tenant
+// a in the first window.
+func (s *fixture) reporter(node string, counted int, members ...Member) *Reporter {
 	tally := NewTally(span)
 	for range counted {
 		tally.CountStarted("a", at(1))
 	}
 	r := NewReporter(Options{
 		Node: node, Incarnation: node, Late: 10 * time.Second, Tally: tally, Collector: NewCollector(),
-		Authority: authority.New(authority.Options{Self: node, Life: shortLife, Store: s.store, Log: s.log}),
-		Store:     s.store, API: s.api, Fleet: alone{members: members}, Designated: func() bool { return true }, Log: s.log,
+		Authority: authority.New(authority.Options{Self: node, Life: leaseLife, Store: s.store, Log: s.log}),
+		Store:     s.store, API: s.api, Fleet: fakeFleet{members: members}, Designated: func() bool { return true }, Log: s.log,
 	})
 	r.first = WindowLength(span).WindowAt(at(0))
 	return r
 }
 
 func TestWindowIsReportedOnceItIsOver(t *testing.T) {
-	s := newSite()
+	s := newFixture()
 	r := s.reporter("n", 3)
 	for _, second := range []float64{1, 4.9, 5.5} {
 		r.Step(context.Background(), at(second))
 	}
 	if len(s.api.reports) != 0 {
-		t.Fatalf("reported before it was over: %v", s.api.reports)
+		t.Fatalf("a window was reported before its end: %v", s.api.reports)
 	}
 	for _, second := range []float64{5.7, 6, 9} {
 		r.Step(context.Background(), at(second))
@@ -121,41 +121,42 @@
 	}
 }
 
-// TestNodesThatLiveAreWaitedFor: but not for longer than patience.
-func TestNodesThatLiveAreWaitedFor(t *testing.T) {
-	s := newSite()
+// TestReporterWaitsForLiveNodes checks that it waits for maxNodeWait at most.
+func TestReporterWaitsForLiveNodes(t *testing.T) {
+	s := newFixture()
 	r := s.reporter("n", 1, Member{Node: "late"}, Member{Node: "dead", Silent: time.Minute})
 	r.Step(context.Background(), at(6))
 	if len(s.api.reports) != 0 {
-		t.Fatal("a node that lives was not waited for")
+		t.Fatal("the reporter didn't wait for a live node")
 	}
 	other := NewTally(span)
 	other.CountStarted("a", at(2))
 	r.options.Collector.MergeDelta("late", other.Since(0, at(6.5)))
 	r.Step(context.Background(), at(6.6))
 	if got := s.api.reports[WindowLength(span).WindowAt(at(0))]; len(got) != 1 || got[0]["a"] != 2 {
-		t.Errorf("%v", got)
+		t.Errorf("reports %v, want one of 2 requests", got)
 	}
-	silent := newSite()
+	silent := newFixture()
 	r = silent.reporter("n", 1, Member{Node: "late"})
 	r.Step(context.Background(), at(8.5))
 	if len(silent.api.reports) != 1 {
-		t.Error("a node that says nothing was waited for without end")
+		t.Error("the reporter waits for longer than maxNodeWait")
 	}
 }
 
-// TestNextHolderReportsWhatIsRecorded: a holder is lost after it recorded, whether its
-// report was sent, taken without an answer, or neither; the next one knows other counts.
-func TestNextHolderReportsWhatIsRecorded(t *testing.T) {
+// TestNextHolderReportsRecordedCounts checks that the next holder of the authority, which has
+// other counts, reports what its predecessor recorded, whether the predecessor's record or
+// report was answered or not.
+func TestNextHolderReportsRecordedCounts(t *testing.T) {
 	for _, lost := range []struct {
 		name string
-		do   func(s *site)
+		do   func(s *fixture)
 	}{
-		{"report not answered", func(s *site) { s.api.silent = true }},
-		{"record not answered", func(s *site) { s.store.SetFaults(memorystore.Faults{LoseWrites: true}) }},
-		{"nothing lost", func(*site) {}},
+		{"report not answered", func(s *fixture) { s.api.silent = true }},
+		{"record not answered", func(s *fixture) { s.store.SetFaults(memorystore.Faults{LoseWrites: true}) }},
+		{"nothing lost", func(*fixture) {}},
 	} {
-		s := newSite()
+		s := newFixture()
 		first := s.reporter("first", 5)
 		if hold := first.options.Authority.Acquire(context.Background()); hold != authority.Held {
 			t.Fatal(hold)
@@ -167,8 +168,8 @@
 		second := s.reporter("second", 4)
 		s.awaitHold(t, second)
 		second.Step(context.Background(), at(7))
-		first.Step(context.Background(), at(8)) // the old holder wakes
-		s.api.oneTruth(t)
+		first.Step(context.Background(), at(8)) // the former holder continues
+		s.api.checkSameCounts(t)
 		if got := s.api.reports[WindowLength(span).WindowAt(at(0))]; len(got) == 0 || got[0]["a"] != 5 {
 			t.Errorf("%s: %v", lost.name, got)
 		}
@@ -176,22 +177,23 @@
 }
 
 // awaitHold waits until a reporter has the authority.
-func (s *site) awaitHold(t *testing.T, r *Reporter) {
+func (s *fixture) awaitHold(t *testing.T, r *Reporter) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); r.options.Authority.Acquire(context.Background()) != authority.Held; {
 		if time.Now().After(end) {
-			t.Fatal("the authority is never free")
+			t.Fatal("the authority didn't become free")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// TestWindowLostByTheStoreIsNotReportedWithOtherCounts, whether its recorder lives or not.
-func TestWindowLostByTheStoreIsNotReportedWithOtherCounts(t *testing.T) {
+// TestWindowLostInARestoreIsReportedWithTheSameCounts checks that the next holder has received
+// the recorded counts, whether the node that recorded them continues or not.
+func TestWindowLostInARestoreIsReportedWithTheSameCounts(t *testing.T) {
 	for _, lives := range []bool{true, false} {
-		s := newSite()
+		s := newFixture()
 		first, second := s.reporter("first", 3), s.reporter("second", 5)
-		first.options.Fleet = alone{told: []*Collector{second.options.Collector}}
+		first.options.Fleet = fakeFleet{told: []*Collector{second.options.Collector}}
 		first.Step(context.Background(), at(6))
 		s.store.Restore(0)
 		if lives {
@@ -202,16 +204,16 @@
 				t.Fatal("the next holder reports nothing")
 			}
 			second.Step(context.Background(), at(moment))
-			time.Sleep(shortLife / 8)
+			time.Sleep(leaseLife / 8)
 		}
-		s.api.oneTruth(t)
+		s.api.checkSameCounts(t)
 	}
 }
 
-// TestOldHolderRecordsNothing: one that was paused before it recorded finds that another
-// has the authority.
-func TestOldHolderRecordsNothing(t *testing.T) {
-	s := newSite()
+// TestFormerHolderRecordsNothing checks that a write under the authority's condition fails once
+// another node has the authority, as after a pause of the process.
+func TestFormerHolderRecordsNothing(t *testing.T) {
+	s := newFixture()
 	first, second := s.reporter("first", 5), s.reporter("second", 4)
 	s.awaitHold(t, first)
 	condition, held := first.options.Authority.Condition()
@@ -225,47 +227,49 @@
 		Writes:     []rowstore.Write{{Table: Table, Key: windowKey(1), Value: counts}},
 	})
 	if done || err != nil {
-		t.Errorf("a write under an old authority: %v %v", done, err)
+		t.Errorf("a write under a former authority: done %v, error %v", done, err)
 	}
 }
 
-// TestNothingIsReportedUnrecorded: while the store is away, windows wait.
-func TestNothingIsReportedUnrecorded(t *testing.T) {
-	s := newSite()
+// TestWindowsAreNotReportedBeforeTheyAreRecorded checks that windows wait while the store is
+// unavailable.
+func TestWindowsAreNotReportedBeforeTheyAreRecorded(t *testing.T) {
+	s := newFixture()
 	r := s.reporter("n", 3)
 	s.store.SetFaults(memorystore.Faults{Down: true})
 	for second := 6.0; second < 12; second++ {
 		r.Step(context.Background(), at(second))
 	}
 	if len(s.api.reports) != 0 {
-		t.Fatalf("reported: %v", s.api.reports)
+		t.Fatalf("windows were reported that aren't recorded: %v", s.api.reports)
 	}
 	s.store.SetFaults(memorystore.Faults{})
 	r.Step(context.Background(), at(12.5))
 	if len(s.api.reports) != 2 {
-		t.Errorf("%d windows reported after the store was back, want 2", len(s.api.reports))
+		t.Errorf("%d windows reported once the store was available again, want 2", len(s.api.reports))
 	}
 }
 
-// TestCountsThatCameByTheStoreAreTakenIn: of nodes that reach no supervisor.
-func TestCountsThatCameByTheStoreAreTakenIn(t *testing.T) {
-	s := newSite()
+// TestCountsThatNodesWroteToTheStoreAreReported checks the rows of nodes that reach no
+// supervisor.
+func TestCountsThatNodesWroteToTheStoreAreReported(t *testing.T) {
+	s := newFixture()
 	window := WindowLength(span).WindowAt(at(0))
 	row, _ := json.Marshal(NodeRow{Incarnation: "cut off", Entries: []Entry{{Window: window, Tenant: "a", Count: 7}}})
 	_, _, _ = s.store.Transact(context.Background(), rowstore.Transaction{Writes: []rowstore.Write{{Table: Table, Key: NodeKey("m"), Value: row}}})
 	r := s.reporter("n", 1)
 	r.Step(context.Background(), at(6))
 	if got := s.api.reports[window]; len(got) != 1 || got[0]["a"] != 8 {
-		t.Errorf("%v", got)
+		t.Errorf("reports %v, want one of 8 requests", got)
 	}
 }
 
-// TestUnfencedReportEndsWithTheAuthority: where the platform doesn't compare fences, a
-// report is given up before another node may send one.
+// TestUnfencedReportEndsWithTheAuthority checks that, if the platform doesn't compare fencing
+// tokens, a report is cancelled before another node can send one.
 func TestUnfencedReportEndsWithTheAuthority(t *testing.T) {
-	s := newSite()
+	s := newFixture()
 	r := s.reporter("n", 3)
-	r.options.Authority = authority.New(authority.Options{Self: "n", Life: shortLife, Store: s.store, Log: s.log, Unfenced: true})
+	r.options.Authority = authority.New(authority.Options{Self: "n", Life: leaseLife, Store: s.store, Log: s.log, Unfenced: true})
 	s.awaitHold(t, r)
 	term, held := r.options.Authority.Term()
 	if !held {
@@ -273,6 +277,6 @@
 	}
 	r.Step(context.Background(), at(6))
 	if len(s.api.reports) != 1 || s.api.until.After(term.Until) {
-		t.Errorf("%d windows; a report may take until %v after the authority", len(s.api.reports), s.api.until.Sub(term.Until))
+		t.Errorf("%d windows reported; the deadline of the last report is %v after the end of the authority", len(s.api.reports), s.api.until.Sub(term.Until))
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -10,8 +10,8 @@
 
 const span = 5 * time.Second
 
-// at is a moment of a fixed day; it has no steady reading, so that its difference to
-// others is that of the times of day.
+// at returns a moment of a fixed day. It has no monotonic reading, so that differences are
+// those of the wall clock.
 func at(seconds float64) time.Time {
 	return time.Unix(1_800_000_000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
@@ -24,9 +24,9 @@
 	}
 }
 
-// TestClockOutlivesJumps: a time of day that jumps and returns moves nothing; one that
-// stays is taken for true.
-func TestClockOutlivesJumps(t *testing.T) {
+// TestClockIgnoresJumpsThatReturn checks that the time of day changes only if the wall clock
+// stays where it jumped to.
+func TestClockIgnoresJumpsThatReturn(t *testing.T) {
 	now := time.Now()
 	steady := func(seconds float64) time.Time { return now.Add(time.Duration(seconds * float64(time.Second))) }
 	wall := func(seconds, off float64) time.Time {
@@ -39,24 +39,24 @@
 	} {
 		got := c.now(steady(step.at), wall(step.at, step.off))
 		if off := got.Sub(wall(step.at, 0)).Seconds(); off < step.want-0.001 || off > step.want+0.001 {
-			t.Errorf("at %v s, %v s off: counts as %v s off, want %v", step.at, step.off, off, step.want)
+			t.Errorf("at %v s with the wall clock %v s off: the time of day is %v s off, want %v", step.at, step.off, off, step.want)
 		}
 	}
 }
 
-// testClock is a Clock whose two readings are given apart.
+// testClock is a Clock whose two clock readings are given separately.
 type testClock struct{ Clock }
 
 func (c *testClock) now(steady, wall time.Time) time.Time { return c.timeOfDay(steady, wall) }
 
-func TestTallyTellsWhatChanged(t *testing.T) {
+func TestSinceReturnsChanges(t *testing.T) {
 	tally := NewTally(span)
 	tally.CountStarted("a", at(1))
 	tally.CountStarted("b", at(1))
 	tally.CountStarted("a", at(2))
 	first := tally.Since(0, at(2))
 	if len(first.Entries) != 2 || first.Through != 3 || first.Closed != WindowLength(span).WindowAt(at(2))-1 {
-		t.Errorf("%+v", first)
+		t.Errorf("delta %+v", first)
 	}
 	tally.CountStarted("a", at(7))
 	second := tally.Since(first.Through, at(11))
@@ -66,10 +66,9 @@
 	}
 }
 
-// TestCollectorLosesNothing: whatever messages are lost, repeated or cross, the total is
-// the truth once the node has told all; a node tells nobody a window as closed of which
-// something is missing.
-func TestCollectorLosesNothing(t *testing.T) {
+// TestCollectorCompletesAfterLostMessages checks that, whatever messages are lost, repeated or
+// reordered, a window counts as closed only when its counts are complete.
+func TestCollectorCompletesAfterLostMessages(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		tally, collector := NewTally(span), NewCollector()
@@ -78,7 +77,7 @@
 		tell := func(now time.Time, lossy bool) {
 			delta := tally.Since(told, now)
 			told = delta.Through
-			for range 1 + random.IntN(2) { // a datagram may come twice
+			for range 1 + random.IntN(2) { // a datagram may be duplicated
 				if lossy && random.IntN(3) == 0 {
 					continue
 				}
@@ -99,7 +98,7 @@
 		window := WindowLength(span).WindowAt(at(0))
 		for i := 0; !collector.Closed("n", window); i++ {
 			if i > 100 {
-				t.Fatalf("seed %d: the window never closes", seed)
+				t.Fatalf("seed %d: the window isn't closed after 100 messages", seed)
 			}
 			tell(at(5.1+0.1*float64(i)), i < 20)
 		}
@@ -109,9 +108,9 @@
 	}
 }
 
-// TestCountsOfAKilledProcessStay: beside those of the process that follows it, and a
-// supervisor that is new learns them from another.
-func TestCountsOfAKilledProcessStay(t *testing.T) {
+// TestCountsOfAKilledProcessAreKept checks that they add to those of the next process, and that
+// a new supervisor gets both from another one.
+func TestCountsOfAKilledProcessAreKept(t *testing.T) {
 	window := WindowLength(span).WindowAt(at(0))
 	old := NewCollector()
 	for _, node := range []string{"before", "after"} {
@@ -129,7 +128,7 @@
 	}
 }
 
-func TestRecordedWindowsAreForgottenWithTheirRows(t *testing.T) {
+func TestOldRecordedWindowsAreDropped(t *testing.T) {
 	c := NewCollector()
 	for window := Window(1); window <= 3*keptRows; window++ {
 		c.MergeRecorded(map[Window]Counts{window: {"a": 1}})
