--- a/internal/worker/demand_test.go
+++ b/internal/worker/demand_test.go
@@ -15,9 +15,10 @@
 	return NewRegistry(topology.New("north-a", map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"}))
 }
 
-// TestDemandIsCountedWhereItIsWanted: prompts in the region that reads them, running
-// requests in the region of their engine, and what no plan had a region for at home.
-func TestDemandIsCountedWhereItIsWanted(t *testing.T) {
+// TestDemandCountsInTheRegionThatServesIt checks that prompts count in the region that reads
+// them, running requests in the region of their engine, and prompts without a planned region in
+// the node's own.
+func TestDemandCountsInTheRegionThatServesIt(t *testing.T) {
 	r := regionalRegistry()
 	r.ReplaceAt([]Worker{{ID: "n", Service: "s", Zone: "north-b", Stage: Decode}, {ID: "s", Service: "s", Zone: "south-a", Stage: Decode}}, demandStart)
 	r.ObserveDemand("s", "south", 300, demandStart)
@@ -31,24 +32,26 @@
 		t.Error(diff)
 	}
 	if r.Idle("s", demandStart) {
-		t.Error("a service that is wanted in another region counts as idle")
+		t.Error("a service with demand in another region counts as idle")
 	}
 }
 
-// TestDemandInOneRegionHasNoRegion: what nodes tell each other is as if none were known.
-func TestDemandInOneRegionHasNoRegion(t *testing.T) {
+// TestDemandHasNoRegionWithOneRegion checks that nodes of a deployment with one region tell
+// each other demand without a region.
+func TestDemandHasNoRegionWithOneRegion(t *testing.T) {
 	r := NewRegistry(topology.New("a", map[string]string{"a": "only", "b": "only"}))
 	r.ObserveDemand("s", "only", 300, time.Now())
 	if got := r.Demands("s", time.Now()); len(got) != 1 || got[""].ReadTokens == 0 {
-		t.Errorf("%v", got)
+		t.Errorf("demand %v", got)
 	}
 	if told := r.Snapshot(); told.Demand["s"].ReadTokens == 0 || told.RegionDemand != nil {
-		t.Errorf("%v, by region %v", told.Demand, told.RegionDemand)
+		t.Errorf("demand %v, by region %v", told.Demand, told.RegionDemand)
 	}
 }
 
-// TestDemandOfOtherNodesCountsByRegion, and no longer than a node may be silent.
-func TestDemandOfOtherNodesCountsByRegion(t *testing.T) {
+// TestRemoteDemandCountsByRegionUntilItExpires checks that the demand of another node counts
+// for DemandLife after its message.
+func TestRemoteDemandCountsByRegionUntilItExpires(t *testing.T) {
 	teller, r := regionalRegistry(), regionalRegistry()
 	teller.ObserveDemand("s", "south", 300, time.Now())
 	told := teller.Snapshot()
@@ -56,21 +59,21 @@
 	r.Merge("teller", told, demandStart)
 	for _, now := range []time.Time{demandStart, demandStart.Add(told.DemandLife)} {
 		if got := r.Demands("s", now); got["south"].ReadTokens == 0 || got["north"].ReadTokens != 0 {
-			t.Errorf("%v", got)
+			t.Errorf("demand %v", got)
 		}
 	}
 	if got := r.Demands("s", demandStart.Add(told.DemandLife+1)); !got["south"].Zero() {
-		t.Errorf("a node that is silent still wants %v", got)
+		t.Errorf("the demand of a silent node still counts: %v", got)
 	}
 }
 
-// TestOnlyRegionHasNoName: what is planned for the engines of a deployment in one region
-// is planned for all of them.
-func TestOnlyRegionHasNoName(t *testing.T) {
+// TestEnginesHaveNoRegionWithOneRegion checks that all engines of a deployment with one region
+// are planned together.
+func TestEnginesHaveNoRegionWithOneRegion(t *testing.T) {
 	r := NewRegistry(topology.New("a", map[string]string{"a": "only", "b": "only"}))
 	r.ReplaceAt([]Worker{{ID: "w", Service: "s", Zone: "b", Stage: Decode}}, demandStart)
 	if engine := r.Engines("s", demandStart)[0]; engine.Region != "" || r.RegionOfZone("a") != "" {
-		t.Errorf("%+v", engine)
+		t.Errorf("engine %+v has a region, or the zone has", engine)
 	}
 	if got := regionalRegistry().RegionOfZone("south-a"); got != "south" {
 		t.Errorf("region %q", got)
--- a/internal/worker/incarnation_test.go
+++ b/internal/worker/incarnation_test.go
@@ -9,17 +9,17 @@
 
 var somePrompt = []prefixcache.Part{{ID: 1, Tokens: 500}, {ID: 2, Tokens: 300}}
 
-// startOf is a worker that was born at a time.
-func startOf(name string, born int64) Worker {
+// incarnationOf returns the incarnation of a worker that started at the given time.
+func incarnationOf(name string, born int64) Worker {
 	return Worker{ID: IncarnationID(name, born), Service: "llm", Address: "1:1", Zone: "a", Slots: 8, Stage: Decode}
 }
 
-// twoStarts returns a registry in which a worker with work and kept parts has started again
-// under its name, and the identities of both starts.
-func twoStarts(t *testing.T) (r *Registry, before, after string) {
+// twoIncarnations returns a registry in which a worker with load and cached parts has restarted
+// under its name, and the ids of both incarnations.
+func twoIncarnations(t *testing.T) (r *Registry, before, after string) {
 	t.Helper()
 	r = newTestRegistry()
-	first, second := startOf("w", 1000), startOf("w", 2000)
+	first, second := incarnationOf("w", 1000), incarnationOf("w", 2000)
 	r.Apply(Change{Name: "w", Worker: &first})
 	r.ObserveCached(first.ID, somePrompt, origin)
 	r.Begin(first.ID, Load{Requests: 3, MemoryTokens: 900})
@@ -29,51 +29,52 @@
 	}
 	r.SetChanging(first.ID, true, origin.Add(time.Hour))
 	if !r.Apply(Change{Name: "w", Worker: &second}) {
-		t.Fatal("a worker that has started again is no change")
+		t.Fatal("the entry of a new incarnation counts as no change")
 	}
 	return r, first.ID, second.ID
 }
 
-func TestIdentityTellsNameAndBirth(t *testing.T) {
+func TestIncarnationIDHoldsNameAndStartTime(t *testing.T) {
 	for _, born := range []int64{1, 1764731647000} {
 		id := IncarnationID("i-7f3a91c2", born)
 		if NameOf(id) != "i-7f3a91c2" || BornOf(id) != born {
-			t.Errorf("%s: name %s, born %d", id, NameOf(id), BornOf(id))
+			t.Errorf("%s: name %s, start time %d", id, NameOf(id), BornOf(id))
 		}
 	}
 	if id := IncarnationID("i-1", 0); id != "i-1" || NameOf(id) != "i-1" || BornOf(id) != 0 {
-		t.Errorf("without a birth the identity is %s", id)
+		t.Errorf("without a start time the id is %s", id)
 	}
 }
 
-// TestNothingOfBeforeHangsOnALaterStart: contents, load, counts, failures and orders.
-func TestNothingOfBeforeHangsOnALaterStart(t *testing.T) {
-	r, before, after := twoStarts(t)
+// TestNewIncarnationHasNoStateOfThePrevious checks that a restarted worker starts without
+// cached parts, load, failures and stage changes.
+func TestNewIncarnationHasNoStateOfThePrevious(t *testing.T) {
+	r, before, after := twoIncarnations(t)
 	got := find(t, r, after, somePrompt, origin)
 	if got.CachedTokens != 0 || got.Requests != 0 || got.MemoryTokens != 0 || got.Avoid || got.FailureRate != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("the new incarnation has state of the previous one: %+v", got)
 	}
 	for _, candidate := range r.Candidates("llm", nil, 0, origin) {
 		if candidate.ID == before {
-			t.Error("the earlier start still gets requests")
+			t.Error("the earlier incarnation still gets requests")
 		}
 	}
 	if ended := r.TakeEnded(); len(ended) != 1 || ended[0] != before {
 		t.Errorf("ended: %v", ended)
 	}
 	if len(r.busy) != 0 || len(r.changing) != 0 {
-		t.Errorf("of the earlier start are left: %v, %v", r.busy, r.changing)
+		t.Errorf("the earlier incarnation is still indexed: busy %v, changing %v", r.busy, r.changing)
 	}
 }
 
-// TestLateNewsOfAnEarlierStartChangesNothing: its entry, what other nodes tell of it, and
-// what runs there yet.
-func TestLateNewsOfAnEarlierStartChangesNothing(t *testing.T) {
-	r, before, after := twoStarts(t)
-	late := startOf("w", 1000)
+// TestLateUpdatesOfAnEarlierIncarnationAreIgnored checks the entry of the earlier incarnation,
+// messages of other nodes about it, and requests that still run there.
+func TestLateUpdatesOfAnEarlierIncarnationAreIgnored(t *testing.T) {
+	r, before, after := twoIncarnations(t)
+	late := incarnationOf("w", 1000)
 	late.Draining = true
 	if r.Apply(Change{Name: "w", Worker: &late}) {
-		t.Error("the entry of an earlier start is a change")
+		t.Error("the entry of an earlier incarnation counts as a change")
 	}
 	r.Merge("other", Snapshot{
 		Loads: map[string]Load{before: {Requests: 2}}, CacheUpdates: []CacheUpdate{{Worker: before, Parts: somePrompt}},
@@ -84,56 +85,58 @@
 	r.ObserveCacheList(before, somePrompt, origin)
 	got := find(t, r, after, somePrompt, origin)
 	if got.CachedTokens != 0 || got.Requests != 0 || got.Avoid {
-		t.Errorf("%+v", got)
+		t.Errorf("the new incarnation has state of the previous one: %+v", got)
 	}
 	if r.IsDraining(after) {
-		t.Error("the later start drains")
+		t.Error("the new incarnation counts as draining")
 	}
 	if told := r.Snapshot(); len(told.Loads) != 0 {
-		t.Errorf("others are told of %v", told.Loads)
+		t.Errorf("loads in the snapshot: %v", told.Loads)
 	}
 }
 
-// TestEntryThatTurnsUnreadableTakesItsWorkerAway at once, and one that turns readable brings
-// it back.
-func TestEntryThatTurnsUnreadableTakesItsWorkerAway(t *testing.T) {
+// TestUnreadableEntryRemovesItsWorker checks that a worker is gone at once when its entry
+// becomes unreadable, and is back when the entry is readable again.
+func TestUnreadableEntryRemovesItsWorker(t *testing.T) {
 	r := newTestRegistry()
 	if !r.Apply(Change{Name: "d", Unreadable: true}) || r.Apply(Change{Name: "d", Unreadable: true}) {
-		t.Error("an entry that turns unreadable is one change")
+		t.Error("an entry that becomes unreadable doesn't count as exactly one change")
 	}
 	for _, candidate := range r.Candidates("llm", nil, 0, time.Now()) {
 		if candidate.ID == "d" {
-			t.Error("its worker is used")
+			t.Error("the worker of an unreadable entry gets requests")
 		}
 	}
 	back := Worker{ID: "d", Service: "llm", Address: "1:2", Stage: Decode}
 	if !r.Apply(Change{Name: "d", Worker: &back}) {
-		t.Error("the worker isn't back")
+		t.Error("an entry that is readable again counts as no change")
 	}
 	find(t, r, "d", nil, time.Now())
 }
 
-// TestEntryWithoutBirthOfAWorkerThatToldIt is another writer's.
-func TestEntryWithoutBirthOfAWorkerThatToldIt(t *testing.T) {
-	r, _, after := twoStarts(t)
-	foreign := startOf("w", 0)
+// TestEntryThatLosesItsStartTimeEndsTheIncarnation checks an entry without a start time for a
+// worker that has told one: another program has written it.
+func TestEntryThatLosesItsStartTimeEndsTheIncarnation(t *testing.T) {
+	r, _, after := twoIncarnations(t)
+	foreign := incarnationOf("w", 0)
 	r.Apply(Change{Name: "w", Worker: &foreign})
 	for _, candidate := range r.Candidates("llm", nil, 0, origin) {
 		if NameOf(candidate.ID) == "w" {
-			t.Errorf("%s is used", candidate.ID)
+			t.Errorf("%s gets requests", candidate.ID)
 		}
 	}
-	own := startOf("w", 2000)
+	own := incarnationOf("w", 2000)
 	r.Apply(Change{Name: "w", Worker: &own})
 	find(t, r, after, nil, origin)
 }
 
-// TestLaterStartIsFoundInAWholeList too, as after a forgotten history.
-func TestLaterStartIsFoundInAWholeList(t *testing.T) {
+// TestReplaceDetectsANewIncarnation checks that a restart is detected in a whole list too,
+// which is read when the store no longer has the history of changes.
+func TestReplaceDetectsANewIncarnation(t *testing.T) {
 	r := newTestRegistry()
-	r.Replace([]Worker{startOf("w", 1000), startOf("v", 1000)})
+	r.Replace([]Worker{incarnationOf("w", 1000), incarnationOf("v", 1000)})
 	r.Begin(IncarnationID("w", 1000), Load{Requests: 5})
-	added, gone := r.Replace([]Worker{startOf("w", 3000), startOf("v", 1000)})
+	added, gone := r.Replace([]Worker{incarnationOf("w", 3000), incarnationOf("v", 1000)})
 	if len(added) != 1 || added[0] != IncarnationID("w", 3000) || len(gone) != 0 {
 		t.Errorf("added %v, gone %v", added, gone)
 	}
@@ -141,6 +144,6 @@
 		t.Errorf("%d requests", got.Requests)
 	}
 	if !r.Apply(Change{Name: "w"}) || r.Apply(Change{Name: "w"}) {
-		t.Error("the removal of the worker's entry is one change")
+		t.Error("the removal of the worker's entry doesn't count as exactly one change")
 	}
 }
--- a/internal/worker/load_test.go
+++ b/internal/worker/load_test.go
@@ -7,7 +7,7 @@
 	"github.com/tinarch/tinarch/internal/topology"
 )
 
-func TestReadsAheadAreThoseOfTheSameAndMoreUrgentRanks(t *testing.T) {
+func TestTokensAheadAreThoseOfTheSameAndMoreUrgentRanks(t *testing.T) {
 	var load Load
 	for rank, tokens := range []int{1, 10, 100, 1000, 10_000} {
 		load = load.plus(Load{Unread: UnreadTokensOf(rank, tokens)})
@@ -18,13 +18,13 @@
 		}
 	}
 	if load.Unread.Total() != 11_111 {
-		t.Errorf("%d in all", load.Unread.Total())
+		t.Errorf("%d tokens in total, want 11111", load.Unread.Total())
 	}
 }
 
-// TestUrgentRequestsDontWaitForOthers: an engine reads the more urgent prompts first,
-// so that a candidate's queue depends on the request.
-func TestUrgentRequestsDontWaitForOthers(t *testing.T) {
+// TestQueueAheadDependsOnTheRequestsRank checks that the queue ahead of a request has only
+// prompts of the same or more urgent ranks, because engines read more urgent prompts first.
+func TestQueueAheadDependsOnTheRequestsRank(t *testing.T) {
 	r := NewRegistry(topology.New("here", nil))
 	r.Replace([]Worker{{ID: "p", Service: "llm", Stage: Prefill}})
 	r.Begin("p", Load{Unread: UnreadTokensOf(2, 60_000)})
@@ -32,7 +32,7 @@
 	for rank, want := range []int{500, 500, 60_500} {
 		candidate := r.Candidates("llm", []prefixcache.Part{}, rank, origin)[0]
 		if candidate.ReadAhead != want || candidate.ReadTokens != 60_500 {
-			t.Errorf("rank %d: %d ahead of %d", rank, candidate.ReadAhead, candidate.ReadTokens)
+			t.Errorf("rank %d: %d tokens ahead of %d", rank, candidate.ReadAhead, candidate.ReadTokens)
 		}
 	}
 }
--- a/internal/worker/notice_test.go
+++ b/internal/worker/notice_test.go
@@ -7,7 +7,7 @@
 	"github.com/tinarch/tinarch/internal/topology"
 )
 
-func TestOfSeveralPausesTheLastToEndHolds(t *testing.T) {
+func TestPauseThatEndsLastCounts(t *testing.T) {
 	now := time.Now()
 	held := NoticeState{}.with(Notice{Backoff: 3 * time.Second}, now)
 	held = held.with(Notice{Backoff: time.Second}, now.Add(time.Second))
@@ -20,15 +20,15 @@
 	}
 }
 
-func TestNothingTakesAnEndBack(t *testing.T) {
+func TestLaterAnswerDoesNotRevokeDraining(t *testing.T) {
 	now := time.Now()
 	held := NoticeState{}.with(Notice{Draining: true}, now).with(Notice{}, now.Add(time.Second))
 	if !held.Draining(now.Add(time.Minute)) || held.Draining(now.Add(drainingTTL)) {
-		t.Error("a worker that says it is about to end must count as such for drainingLife")
+		t.Error("a worker that has announced its end must count as draining for drainingTTL")
 	}
 }
 
-func TestAdvisoriesOutliveEntries(t *testing.T) {
+func TestNoticeStatesOutliveEntries(t *testing.T) {
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
 	entry := Worker{ID: "w", Service: "s", Address: "127.0.0.1:1"}
@@ -38,22 +38,22 @@
 	r.ReplaceAt([]Worker{{ID: "other", Service: "s"}}, now.Add(time.Second+forgetAfter))
 	r.ReplaceAt([]Worker{entry}, now.Add(2*time.Second+forgetAfter))
 	if !r.NoticeState("w").Draining(now.Add(2*time.Second + forgetAfter)) {
-		t.Error("a worker whose entry came back counts as one that stays")
+		t.Error("a worker whose entry came back no longer counts as draining")
 	}
 }
 
-func TestAdvisoryEndsWithTheWorkersStart(t *testing.T) {
+func TestNoticeStateEndsWithTheIncarnation(t *testing.T) {
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
 	r.ReplaceAt([]Worker{{ID: IncarnationID("w", 1000), Service: "s"}}, now)
 	r.ObserveNotice(IncarnationID("w", 1000), Notice{Draining: true, Backoff: time.Hour}, now)
 	r.ReplaceAt([]Worker{{ID: IncarnationID("w", 2000), Service: "s"}}, now)
 	if !r.NoticeState(IncarnationID("w", 2000)).Expired(now) {
-		t.Error("what a worker said before it started again counts for its new start")
+		t.Error("a notice of the earlier incarnation counts for the new one")
 	}
 }
 
-func TestAdvisoriesThatAreOverAreForgotten(t *testing.T) {
+func TestExpiredNoticeStatesAreDropped(t *testing.T) {
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
 	for _, id := range []string{"a", "b", "c"} {
@@ -61,11 +61,11 @@
 	}
 	r.ObserveNotice("d", Notice{Backoff: time.Second}, now.Add(2*time.Second))
 	if len(r.noticeStates) != 1 {
-		t.Errorf("%d advisories are kept, want 1", len(r.noticeStates))
+		t.Errorf("%d notice states are kept, want 1", len(r.noticeStates))
 	}
 }
 
-func TestWorkerThatAnnouncesItsEndIsTheLastResortForAMoment(t *testing.T) {
+func TestWorkerThatAnnouncesDrainingIsTheLastResortForAMoment(t *testing.T) {
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
 	r.ReplaceAt([]Worker{{ID: "w", Service: "s"}}, now)
@@ -74,7 +74,7 @@
 		t.Errorf("the candidates are %+v, want one that is leaving", candidates)
 	}
 	if !r.IsDraining("w") || len(r.Standing("s")) != 0 {
-		t.Error("a worker that announces its end counts as one that stays")
+		t.Error("a worker that has announced its end doesn't count as draining")
 	}
 	after := now.Add(lastResortFor)
 	if len(r.Candidates("s", nil, 0, after)) != 0 || r.Admit("w", after) == nil {
@@ -83,37 +83,37 @@
 	r.ApplyAt(Change{Name: "w"}, after)
 	r.ApplyAt(Change{Name: "w", Worker: &Worker{ID: "w", Service: "s"}}, after)
 	if r.Admit("w", after) == nil {
-		t.Error("an entry that comes back takes the worker's own word back")
+		t.Error("an entry that comes back revokes the worker's notice")
 	}
 }
 
-func TestAdvisoryEndsWhereAWorkerWithoutABirthMoves(t *testing.T) {
+func TestNoticeStateEndsIfAWorkerWithoutStartTimeChangesItsAddress(t *testing.T) {
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
 	r.ReplaceAt([]Worker{{ID: "w", Service: "s", Address: "127.0.0.1:1"}}, now)
 	r.ObserveNotice("w", Notice{Backoff: time.Hour}, now)
 	r.ReplaceAt([]Worker{{ID: "w", Service: "s", Address: "127.0.0.1:2"}}, now)
 	if r.Admit("w", now) != nil {
-		t.Error("a worker at another address is kept from requests by the word of the one before")
+		t.Error("a notice of the worker at the previous address still applies")
 	}
 }
 
-func TestCallPlannedBeforeItsWorkerDrainsIsKeptFromIt(t *testing.T) {
+func TestAdmitCallRejectsDrainingAndUnlistedWorkers(t *testing.T) {
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
 	r.ReplaceAt([]Worker{{ID: "w", Service: "s"}, {ID: "gone", Service: "s"}}, now)
 	if r.AdmitCall("w", now) != nil {
-		t.Error("a sound worker gets no calls")
+		t.Error("a worker that is listed and doesn't drain gets no calls")
 	}
 	r.ApplyAt(Change{Name: "w", Worker: &Worker{ID: "w", Service: "s", Draining: true}}, now)
 	if r.AdmitCall("w", now) == nil {
-		t.Error("a worker whose entry says that it drains gets a call")
+		t.Error("a worker whose entry says that it is draining gets calls")
 	}
 	if r.Admit("w", now) != nil {
-		t.Error("nothing can be freed at a worker whose entry says that it drains")
+		t.Error("a worker whose entry says that it is draining gets no requests to free resources")
 	}
 	r.ApplyAt(Change{Name: "gone"}, now)
 	if r.AdmitCall("gone", now.Add(lastResortFor-1)) != nil || r.AdmitCall("gone", now.Add(lastResortFor)) == nil {
-		t.Error("a worker whose entry has vanished isn't the last resort for a moment")
+		t.Error("a worker whose entry has disappeared isn't admitted for exactly lastResortFor")
 	}
 }
--- a/internal/worker/recovery_test.go
+++ b/internal/worker/recovery_test.go
@@ -7,17 +7,17 @@
 	"github.com/tinarch/tinarch/internal/topology"
 )
 
-func TestLoadComesBackStepByStepAfterAPause(t *testing.T) {
+func TestLoadIncreasesStepwiseAfterAPause(t *testing.T) {
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
 	r.ReplaceAt([]Worker{{ID: "w", Service: "s"}}, now)
 	r.ObserveNotice("w", Notice{Backoff: time.Second}, now)
-	r.Succeeded("w", now) // it was begun before the pause
+	r.Succeeded("w", now) // a request that started before the pause
 	if wait := r.UsableIn("s", nil, now); wait < time.Second || wait > 1100*time.Millisecond {
-		t.Errorf("the worker takes requests again in %v, want 1s and a tenth of that at most", wait)
+		t.Errorf("the worker accepts requests again in %v, want 1s plus at most a tenth", wait)
 	}
 	if len(r.Candidates("s", nil, 0, now.Add(time.Second-1))) != 0 {
-		t.Error("a worker gets requests within its pause")
+		t.Error("a worker gets requests during its pause")
 	}
 	after := now.Add(1200 * time.Millisecond)
 	for _, window := range []int{1, 2, 4, 8, 16} {
@@ -31,13 +31,13 @@
 			t.Fatalf("the worker gets more than %d requests", window)
 		}
 		if wait := r.UsableIn("s", nil, after); wait != recoveryRetryAfter {
-			t.Errorf("a recovering worker takes a further request in %v, want %v", wait, recoveryRetryAfter)
+			t.Errorf("a recovering worker accepts another request in %v, want %v", wait, recoveryRetryAfter)
 		}
 		r.End("w", Load{Requests: window})
 		r.Succeeded("w", after)
 	}
 	r.Begin("w", Load{Requests: 1000})
 	if len(r.Candidates("s", nil, 0, after)) == 0 {
-		t.Error("the worker has recovered and gets no further request")
+		t.Error("a worker that has recovered gets no more requests")
 	}
 }
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -40,7 +40,7 @@
 	return scheduling.Candidate{}
 }
 
-func TestCandidatesAreTheServicesWorkersThatStay(t *testing.T) {
+func TestCandidatesAreTheServicesWorkersThatDoNotDrain(t *testing.T) {
 	r := newTestRegistry()
 	got := map[string]bool{}
 	for _, candidate := range r.Candidates("llm", nil, 0, origin) {
@@ -50,22 +50,22 @@
 		t.Error(diff)
 	}
 	if !find(t, r, "p", nil, origin).SameZone || find(t, r, "d", nil, origin).SameZone {
-		t.Error("zones are mistaken")
+		t.Error("SameZone is wrong")
 	}
 }
 
-func TestChangesOfTheList(t *testing.T) {
+func TestApplyAndReplaceReportChanges(t *testing.T) {
 	r := newTestRegistry()
 	same, _ := r.Get("p")
 	if r.Apply(Change{Name: "p", Worker: &same}) {
-		t.Error("an entry that is the same counts as a change")
+		t.Error("an unchanged entry counts as a change")
 	}
 	same.Draining = true
 	if !r.Apply(Change{Name: "p", Worker: &same}) || r.CountDraining() != 2 {
-		t.Error("draining is no change")
+		t.Error("an entry that says that the worker is draining counts as no change")
 	}
 	if !r.Apply(Change{Name: "p"}) || r.Apply(Change{Name: "p"}) {
-		t.Error("a removal counts once")
+		t.Error("a removal doesn't count as exactly one change")
 	}
 	added, gone := r.Replace([]Worker{{ID: "new", Service: "llm"}, {ID: "d", Service: "llm"}})
 	if len(added) != 1 || added[0] != "new" || len(gone) != 2 {
@@ -73,8 +73,9 @@
 	}
 }
 
-// TestLoadOfAllNodesIsAdded, and a silent node's load fades.
-func TestLoadOfAllNodesIsAdded(t *testing.T) {
+// TestLoadsOfAllNodesAreAddedUntilTheyExpire checks that a load of another node ends when the
+// node no longer mentions it, or is silent.
+func TestLoadsOfAllNodesAreAddedUntilTheyExpire(t *testing.T) {
 	r := newTestRegistry()
 	r.Begin("p", Load{Requests: 1, Unread: UnreadTokensOf(0, 100), MemoryTokens: 10})
 	r.Merge("other", Snapshot{Loads: map[string]Load{"p": {Requests: 2, Unread: UnreadTokensOf(0, 50)}}}, origin)
@@ -83,7 +84,7 @@
 	}
 	r.Merge("other", Snapshot{}, origin)
 	if got := find(t, r, "p", nil, origin); got.Requests != 1 {
-		t.Errorf("a finished load of another node counts: %+v", got)
+		t.Errorf("a load that another node no longer mentions counts: %+v", got)
 	}
 	r.Merge("other", Snapshot{Loads: map[string]Load{"p": {Requests: 2}}}, origin)
 	if got := find(t, r, "p", nil, origin.Add(remoteLoadTTL+1)); got.Requests != 1 {
@@ -95,22 +96,22 @@
 	}
 }
 
-// TestOwnWordOfAWorkerCounts where it is more than what nodes placed, and for a
-// short while.
-func TestOwnWordOfAWorkerCounts(t *testing.T) {
+// TestHigherLoadReportedByTheWorkerCounts checks that the load that a worker reports counts for
+// a short time, if it is higher than what the nodes placed.
+func TestHigherLoadReportedByTheWorkerCounts(t *testing.T) {
 	r := newTestRegistry()
 	r.ObserveReportedLoad("board", 4, 2, origin)
 	if got := find(t, r, "board", nil, origin); got.Requests != 6 {
-		t.Errorf("%d requests", got.Requests)
+		t.Errorf("%d requests, want 6", got.Requests)
 	}
 	if got := find(t, r, "board", nil, origin.Add(reportedLoadTTL)); got.Requests != 0 {
-		t.Errorf("%d requests later", got.Requests)
+		t.Errorf("%d requests after reportedLoadTTL, want 0", got.Requests)
 	}
 }
 
-// TestNewsTravels: what one node read, and which workers failed it, is known at the
-// other, once.
-func TestNewsTravels(t *testing.T) {
+// TestSnapshotTellsCacheUpdatesAndFailuresOnce checks that a node tells others what it has
+// observed itself, and only once.
+func TestSnapshotTellsCacheUpdatesAndFailuresOnce(t *testing.T) {
 	parts := []prefixcache.Part{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}
 	here, there := newTestRegistry(), newTestRegistry()
 	here.ObserveCached("p", parts, origin)
@@ -119,7 +120,7 @@
 	snapshot := here.Snapshot()
 	select {
 	case <-here.Changed():
-		t.Error("telling is a change")
+		t.Error("taking a snapshot counts as a change")
 	default:
 	}
 	there.Merge("here", snapshot, origin)
@@ -127,18 +128,18 @@
 		t.Errorf("%+v", got)
 	}
 	if !find(t, there, "d", nil, origin).Avoid {
-		t.Error("a failure at another node isn't known")
+		t.Error("a failure observed by another node isn't known")
 	}
 	again := here.Snapshot()
 	if len(again.CacheUpdates) != 0 || len(again.Failures) != 0 {
-		t.Errorf("told twice: %+v", again)
+		t.Errorf("a second snapshot repeats: %+v", again)
 	}
 	if told := there.Snapshot(); len(told.CacheUpdates) != 0 || len(told.Failures) != 0 {
-		t.Errorf("hearsay is passed on: %+v", told)
+		t.Errorf("observations of another node are passed on: %+v", told)
 	}
 }
 
-func TestHandleFailuresAreApart(t *testing.T) {
+func TestHandleFailureIsNoFailureOfTheWorker(t *testing.T) {
 	r := newTestRegistry()
 	r.HandleFailed("p", "d", origin)
 	if got := find(t, r, "p", nil, origin); !got.HandleFailure || got.Avoid {
@@ -146,33 +147,34 @@
 	}
 }
 
-// TestEngineThatFetchesFromNoneIsToBlame: the readers whose prompts it could not fetch
-// serve others.
-func TestEngineThatFetchesFromNoneIsToBlame(t *testing.T) {
+// TestHandleFailuresCountForAnEngineThatFetchesFromNone checks that they don't count for the
+// readers from which it could not fetch, which serve other engines.
+func TestHandleFailuresCountForAnEngineThatFetchesFromNone(t *testing.T) {
 	r := newTestRegistry()
 	r.put(Worker{ID: "q", Service: "llm", Address: "1.1.1.4:1", Zone: "a", Slots: 8, Stage: Prefill}, origin)
 	r.HandleFailed("p", "d", origin)
 	r.HandleFailed("q", "d", origin)
 	if find(t, r, "q", nil, origin).HandleFailure {
-		t.Error("a reader is blamed for an engine that has failed to fetch from another, too")
+		t.Error("the failure counts for a reader although the engine has failed to fetch from another one too")
 	}
 	if !find(t, r, "d", nil, origin).HandleFailure {
-		t.Error("the engine that fetched from none isn't blamed")
+		t.Error("the failures don't count for the engine that could not fetch from any reader")
 	}
 	r.HandleFetched("q", "d", origin.Add(time.Minute))
 	if got := find(t, r, "d", nil, origin.Add(time.Minute)); got.HandleFailure {
-		t.Error("an engine that fetches again is still blamed")
+		t.Error("the failures still count for an engine that can fetch again")
 	}
 }
 
-// TestReaderThatNoneFetchesFromIsToBlame: the engines that could not fetch serve others.
-func TestReaderThatNoneFetchesFromIsToBlame(t *testing.T) {
+// TestHandleFailuresCountForAReaderThatNoneFetchesFrom checks that they don't count for the
+// engines that could not fetch from it, which can fetch from other readers.
+func TestHandleFailuresCountForAReaderThatNoneFetchesFrom(t *testing.T) {
 	r := newTestRegistry()
 	r.put(Worker{ID: "e", Service: "llm", Address: "1.1.1.4:1", Zone: "a", Slots: 8, Stage: Decode}, origin)
 	r.HandleFailed("p", "d", origin)
 	r.HandleFailed("p", "e", origin)
 	if find(t, r, "e", nil, origin).HandleFailure || !find(t, r, "p", nil, origin).HandleFailure {
-		t.Error("an engine is blamed for a reader from which another could not fetch either")
+		t.Error("the failure counts for an engine, or not for the reader, although another engine could not fetch from it either")
 	}
 }
 
@@ -188,8 +190,9 @@
 	}
 }
 
-// TestPaceOfTheGroupHoldsForANewWorker until it was measured itself.
-func TestPaceOfTheGroupHoldsForANewWorker(t *testing.T) {
+// TestNewWorkerIsAssumedAsFastAsItsGroup checks that this holds until the worker itself has
+// been measured.
+func TestNewWorkerIsAssumedAsFastAsItsGroup(t *testing.T) {
 	r := newTestRegistry()
 	for range 30 {
 		r.ObserveReading("p", latency.Reading{Tokens: 10_000, Elapsed: 125 * time.Millisecond})
@@ -207,10 +210,11 @@
 	}
 }
 
-// TestVanishedWorkerIsTheLastResort: entries may vanish while the store is away
-// although their workers live. For a moment they are used where nothing else is
-// left, and one that comes back is known as it was.
-func TestVanishedWorkerIsTheLastResort(t *testing.T) {
+// TestUnlistedWorkerIsTheLastResort checks that a worker whose entry has disappeared may still
+// be used for lastResortFor, because entries may disappear while the store is unavailable
+// although their workers are alive. Its state is kept if the entry comes back before
+// forgetAfter.
+func TestUnlistedWorkerIsTheLastResort(t *testing.T) {
 	parts := []prefixcache.Part{{ID: 1, Tokens: 100}}
 	r := newTestRegistry()
 	entry, _ := r.Get("p")
@@ -220,11 +224,11 @@
 		t.Errorf("%+v", got)
 	}
 	if r.Count() != 3 {
-		t.Errorf("%d workers are counted", r.Count())
+		t.Errorf("%d workers are counted, want 3", r.Count())
 	}
 	for _, candidate := range r.Candidates("llm", parts, 0, origin.Add(lastResortFor)) {
 		if candidate.ID == "p" {
-			t.Error("a vanished worker is used for ever")
+			t.Error("an unlisted worker gets requests after lastResortFor")
 		}
 	}
 	r.ApplyAt(Change{Name: "p", Worker: &entry}, origin.Add(lastResortFor))
@@ -234,24 +238,25 @@
 	r.ApplyAt(Change{Name: "p"}, origin)
 	r.ApplyAt(Change{Name: "p", Worker: &entry}, origin.Add(forgetAfter))
 	if got := find(t, r, "p", parts, origin.Add(forgetAfter)); got.CachedTokens != 0 {
-		t.Errorf("what vanished long ago is remembered: %+v", got)
+		t.Errorf("the state of a worker is kept for longer than forgetAfter: %+v", got)
 	}
 }
 
-// TestDrainingWorkerThatVanishesIsNotUsed: it said itself that it leaves.
-func TestDrainingWorkerThatVanishesIsNotUsed(t *testing.T) {
+// TestUnlistedDrainingWorkerIsNotUsed checks that a worker is no last resort if its entry said
+// that it was draining.
+func TestUnlistedDrainingWorkerIsNotUsed(t *testing.T) {
 	r := newTestRegistry()
 	r.ApplyAt(Change{Name: "leaving"}, origin)
 	for _, candidate := range r.Candidates("llm", nil, 0, origin) {
 		if candidate.ID == "leaving" {
-			t.Error("a worker that drained is used")
+			t.Error("an unlisted worker that was draining gets requests")
 		}
 	}
 }
 
-// TestOrderedWorkerGetsNothing until its entry shows the stage, or the time is over;
-// the other nodes hear of it.
-func TestOrderedWorkerGetsNothing(t *testing.T) {
+// TestWorkerThatChangesItsStageGetsNoRequests checks that a worker gets no requests of any node
+// until its entry shows the new stage or the time is over.
+func TestWorkerThatChangesItsStageGetsNoRequests(t *testing.T) {
 	here, there := newTestRegistry(), newTestRegistry()
 	now := time.Now()
 	here.SetChanging("d", true, now.Add(time.Minute))
@@ -260,7 +265,7 @@
 	for name, r := range map[string]*Registry{"here": here, "there": there} {
 		for _, candidate := range r.Candidates("llm", nil, 0, now) {
 			if candidate.ID == "d" {
-				t.Errorf("%s: a worker that changes is used", name)
+				t.Errorf("%s: a worker that changes its stage gets requests", name)
 			}
 		}
 		for _, engine := range r.Engines("llm", now) {
@@ -269,23 +274,24 @@
 			}
 		}
 		if len(r.Candidates("llm", nil, 0, now.Add(2*time.Minute))) != 2 {
-			t.Errorf("%s: an order keeps its worker away for ever", name)
+			t.Errorf("%s: an order keeps requests away for longer than its time", name)
 		}
 		entry, _ := r.Get("d")
 		entry.Stage = Prefill
 		r.ApplyAt(Change{Name: "d", Worker: &entry}, now)
 		if !find(t, r, "d", nil, now).Prefill {
-			t.Errorf("%s: the worker has changed and isn't used", name)
+			t.Errorf("%s: a worker that has changed its stage gets no requests", name)
 		}
 		r.Merge("late", snapshot, now)
 		if !find(t, r, "d", nil, now).Prefill {
-			t.Errorf("%s: an old word takes a changed worker away", name)
+			t.Errorf("%s: an old message keeps requests away from a worker that has changed its stage", name)
 		}
 	}
 }
 
-// TestAccountsLeaveOutTheAskingNode: it knows its own load better.
-func TestAccountsLeaveOutTheAskingNode(t *testing.T) {
+// TestAccountsExcludeTheAskingNodesLoad checks that the load of the asking node is left out,
+// since that node knows its own load better.
+func TestAccountsExcludeTheAskingNodesLoad(t *testing.T) {
 	parts := []prefixcache.Part{{ID: 1, Tokens: 100}}
 	r := newTestRegistry()
 	r.Begin("p", Load{Requests: 1, Unread: UnreadTokensOf(0, 10)})
@@ -302,9 +308,9 @@
 	}
 }
 
-// TestTimesThatArentPositiveTeachNothing: the way to another region, which is taken off, may
-// be taken for longer than the engine's answer took.
-func TestTimesThatArentPositiveTeachNothing(t *testing.T) {
+// TestTimesThatArentPositiveAreIgnored checks measurements from which more network time was
+// subtracted, such as that to another region, than the engine's answer took.
+func TestTimesThatArentPositiveAreIgnored(t *testing.T) {
 	r := newTestRegistry()
 	slow := latency.Reading{Tokens: 10_000, Elapsed: 400 * time.Millisecond}
 	for range 20 {
@@ -314,10 +320,10 @@
 	r.ObserveReading("p", latency.Reading{Tokens: 1000, Elapsed: -5 * time.Millisecond})
 	r.ObserveHandover("d", -5*time.Millisecond)
 	if got := find(t, r, "p", nil, origin).Reading; got != reading {
-		t.Errorf("reads by %+v, by %+v before", got, reading)
+		t.Errorf("coefficients of the prefill time are %+v, want %+v", got, reading)
 	}
 	if got := r.LearnedTimings("llm").Handover; got != handover {
-		t.Errorf("a handover takes %v ms, %v before", got, handover)
+		t.Errorf("a handover takes %v ms, want %v", got, handover)
 	}
 }
 
@@ -332,8 +338,8 @@
 	return r
 }
 
-// TestMergeForgetsWhatIsNotToldAnyMore, and only of the node that tells.
-func TestMergeForgetsWhatIsNotToldAnyMore(t *testing.T) {
+// TestMergeDropsLoadsNoLongerMentioned checks that only loads of the sending node are dropped.
+func TestMergeDropsLoadsNoLongerMentioned(t *testing.T) {
 	r := manyEngines(3)
 	one := Load{Requests: 1}
 	r.Merge("a", Snapshot{Loads: map[string]Load{"w0": one, "w1": one}}, origin)
@@ -345,12 +351,13 @@
 		}
 	}
 	if got := len(r.loadedByNode["a"]); got != 1 {
-		t.Errorf("%d workers are remembered for a node that told of one", got)
+		t.Errorf("%d workers are kept for a node that mentioned one known worker", got)
 	}
 }
 
-// TestSnapshotTellsOfBusyWorkersOnly, until their load is over or they are forgotten.
-func TestSnapshotTellsOfBusyWorkersOnly(t *testing.T) {
+// TestSnapshotHasBusyWorkersOnly checks that a worker is left out when its load has ended or it
+// has been forgotten.
+func TestSnapshotHasBusyWorkersOnly(t *testing.T) {
 	r := manyEngines(5)
 	one := Load{Requests: 1}
 	r.Begin("w1", one)
@@ -368,11 +375,11 @@
 		t.Errorf("changing: %v", snapshot.Changing)
 	}
 	if _, known := r.workers["w3"]; known {
-		t.Error("a worker that has been gone for long is not forgotten")
+		t.Error("a worker that has been unlisted for forgetAfter isn't forgotten")
 	}
 }
 
-// BenchmarkMerge is a message of another node in a fleet of 10,000 workers.
+// BenchmarkMerge merges a message of another node in a fleet of 10,000 workers.
 func BenchmarkMerge(b *testing.B) {
 	r := manyEngines(10_000)
 	snapshot := Snapshot{Loads: map[string]Load{"w1": {Requests: 1}, "w2": {Requests: 1}}}
--- a/internal/worker/restore_test.go
+++ b/internal/worker/restore_test.go
@@ -24,7 +24,7 @@
 	return false
 }
 
-func TestWorkerThatHadLeftIsNotUsedAgainByARestoredEntry(t *testing.T) {
+func TestWorkerThatLeftIsNotUsedAfterARestore(t *testing.T) {
 	const doubt = 5 * time.Second
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
@@ -33,13 +33,13 @@
 	now = now.Add(2 * lastResortFor)
 	r.ReplaceRestored(listOf("left", "b", "c"), doubt, now)
 	if usableAt(r, "left", now) || r.AdmitCall("left", now) == nil {
-		t.Error("a worker that had left gets calls again")
+		t.Error("a worker that had left gets calls again after a restore")
 	}
 	if !usableAt(r, "b", now) {
-		t.Error("a worker that was listed all the time gets no calls")
+		t.Error("a worker that was listed before the restore gets no calls")
 	}
 	if !usableAt(r, "left", now.Add(doubt)) {
-		t.Error("a worker whose entry outlasts its heartbeats is doubted for ever")
+		t.Error("a worker that stays listed is doubted for too long")
 	}
 	r.ApplyAt(Change{Name: "left", Worker: &listOf("left")[0]}, now)
 	if !usableAt(r, "left", now) {
@@ -47,13 +47,13 @@
 	}
 }
 
-func TestRestoreAfterAllEntriesHadVanishedStopsNoService(t *testing.T) {
+func TestRestoreAfterAllEntriesDisappearedDoubtsNoWorker(t *testing.T) {
 	r := NewRegistry(topology.Map{})
 	now := time.Now()
 	r.ReplaceAt(listOf("a", "b", "c"), now)
 	r.ReplaceAt(nil, now)
 	r.ReplaceRestored(listOf("a", "b", "c"), time.Minute, now)
 	if !usableAt(r, "a", now) {
-		t.Error("no worker is used")
+		t.Error("workers are doubted although all entries had disappeared")
 	}
 }
