--- a/internal/workerconn/pool_test.go
+++ b/internal/workerconn/pool_test.go
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// script is what a raw server does with one connection.
+// script is how a rawServer handles one connection.
 type script func(c net.Conn, requests *bufio.Reader)
 
-// rawServer accepts connections and plays one script on each, in order; the last
-// one is played on all that follow.
+// rawServer accepts connections and runs one script on each, in order. The last script also
+// runs on all further connections.
 type rawServer struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -55,14 +55,14 @@
 
 func (s *rawServer) address() string { return s.listener.Addr().String() }
 
-func (s *rawServer) connections() int {
+func (s *rawServer) accepts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
 }
 
-// take reads one request whole.
-func take(requests *bufio.Reader) (id string, ok bool) {
+// readRequest reads one request with its body.
+func readRequest(requests *bufio.Reader) (id string, ok bool) {
 	request, err := http.ReadRequest(requests)
 	if err != nil {
 		return "", false
@@ -73,18 +73,18 @@
 
 func write(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
-func whole(id, body string) string {
+func completeAnswer(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
 // echo answers every request.
 func echo(c net.Conn, requests *bufio.Reader) {
 	for {
-		id, ok := take(requests)
+		id, ok := readRequest(requests)
 		if !ok {
 			return
 		}
-		write(c, whole(id, "ok"))
+		write(c, completeAnswer(id, "ok"))
 	}
 }
 
@@ -94,14 +94,14 @@
 	err    error
 }
 
-func ask(t *testing.T, pool *Pool, s *rawServer, id, body string) result {
+func send(t *testing.T, pool *Pool, s *rawServer, id, body string) result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	return askWithin(ctx, pool, s, id, body)
+	return sendWithin(ctx, pool, s, id, body)
 }
 
-func askWithin(ctx context.Context, pool *Pool, s *rawServer, id, body string) result {
+func sendWithin(ctx context.Context, pool *Pool, s *rawServer, id, body string) result {
 	answer, err := pool.Do(ctx, "worker", s.address(), 2, &Request{
 		Method: http.MethodPost, Target: "/x?y=%2f", Host: "h", Header: http.Header{"Id": {id}},
 		Body: []byte(body), IDHeader: "Id", ID: id,
@@ -126,57 +126,57 @@
 	pool := NewPool()
 	defer pool.Close()
 	for range 5 {
-		wantAnswer(t, ask(t, pool, s, "1", "body"), "ok")
+		wantAnswer(t, send(t, pool, s, "1", "body"), "ok")
 	}
-	if s.connections() != 1 || pool.Opened() != 1 {
-		t.Errorf("%d connections, %d opened", s.connections(), pool.Opened())
+	if s.accepts() != 1 || pool.Opened() != 1 {
+		t.Errorf("%d connections were accepted, %d opened, want 1", s.accepts(), pool.Opened())
 	}
 }
 
-// TestAnswerOfAnotherRequestIsDropped: the id shows which answer is whose.
+// TestAnswerOfAnotherRequestIsDropped checks that answers are matched to requests by id.
 func TestAnswerOfAnotherRequestIsDropped(t *testing.T) {
 	s := serve(t, func(c net.Conn, requests *bufio.Reader) {
-		id, _ := take(requests)
-		write(c, whole("earlier", "stray")+whole(id, "mine"))
-		_, _ = take(requests)
+		id, _ := readRequest(requests)
+		write(c, completeAnswer("earlier", "stray")+completeAnswer(id, "mine"))
+		_, _ = readRequest(requests)
 	})
 	pool := NewPool()
 	defer pool.Close()
-	wantAnswer(t, ask(t, pool, s, "1", ""), "mine")
+	wantAnswer(t, send(t, pool, s, "1", ""), "mine")
 }
 
-// TestBytesAfterAnAnswerEndTheConnection: they belong to no request, whether they
-// come with the answer or while the connection is idle.
+// TestBytesAfterAnAnswerEndTheConnection checks that a connection isn't used again if further
+// bytes have arrived, with the answer or while it was idle.
 func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
 	sent := make(chan struct{}, 1)
 	late := func(c net.Conn, requests *bufio.Reader) {
-		id, _ := take(requests)
-		write(c, whole(id, "one"))
-		write(c, whole("0", "extra"))
+		id, _ := readRequest(requests)
+		write(c, completeAnswer(id, "one"))
+		write(c, completeAnswer("0", "extra"))
 		sent <- struct{}{}
-		_, _ = take(requests)
+		_, _ = readRequest(requests)
 	}
 	together := func(c net.Conn, requests *bufio.Reader) {
-		id, _ := take(requests)
-		write(c, whole(id, "one")+whole(id, "extra"))
+		id, _ := readRequest(requests)
+		write(c, completeAnswer(id, "one")+completeAnswer(id, "extra"))
 		sent <- struct{}{}
-		_, _ = take(requests)
+		_, _ = readRequest(requests)
 	}
 	for _, first := range []script{late, together} {
 		s := serve(t, first, echo)
 		pool := NewPool()
-		wantAnswer(t, ask(t, pool, s, "1", ""), "one")
+		wantAnswer(t, send(t, pool, s, "1", ""), "one")
 		<-sent
 		awaitExtra(t, pool)
-		wantAnswer(t, ask(t, pool, s, "1", ""), "ok")
-		if s.connections() != 2 {
-			t.Errorf("%d connections", s.connections())
+		wantAnswer(t, send(t, pool, s, "1", ""), "ok")
+		if s.accepts() != 2 {
+			t.Errorf("%d connections were accepted", s.accepts())
 		}
 		pool.Close()
 	}
 }
 
-// awaitExtra waits until what was sent has arrived at an idle connection.
+// awaitExtra waits until the extra bytes, or the end, have arrived at an idle connection.
 func awaitExtra(t *testing.T, pool *Pool) {
 	t.Helper()
 	pool.mu.Lock()
@@ -191,26 +191,26 @@
 	}
 }
 
-// TestClosedIdleConnectionIsNotUsed: no request is lost to a connection that the
-// worker closed before.
+// TestClosedIdleConnectionIsNotUsed checks that no request is sent over an idle connection that
+// the worker has closed.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	s := serve(t, func(c net.Conn, requests *bufio.Reader) {
-		id, _ := take(requests)
-		write(c, whole(id, "one"))
+		id, _ := readRequest(requests)
+		write(c, completeAnswer(id, "one"))
 	}, echo)
 	pool := NewPool()
 	defer pool.Close()
-	wantAnswer(t, ask(t, pool, s, "1", ""), "one")
+	wantAnswer(t, send(t, pool, s, "1", ""), "one")
 	awaitExtra(t, pool)
-	wantAnswer(t, ask(t, pool, s, "1", ""), "ok")
+	wantAnswer(t, send(t, pool, s, "1", ""), "ok")
 }
 
-// TestWorkersWordOnIdleTimeIsKept: an idle connection is not used so late that the
-// worker may be closing it.
-func TestWorkersWordOnIdleTimeIsKept(t *testing.T) {
+// TestKeepAliveTimeoutOfTheWorkerIsRespected checks that an idle connection isn't used again
+// when the worker may be closing it.
+func TestKeepAliveTimeoutOfTheWorkerIsRespected(t *testing.T) {
 	s := serve(t, func(c net.Conn, requests *bufio.Reader) {
 		for {
-			id, ok := take(requests)
+			id, ok := readRequest(requests)
 			if !ok {
 				return
 			}
@@ -219,84 +219,84 @@
 	})
 	pool := NewPool()
 	defer pool.Close()
-	wantAnswer(t, ask(t, pool, s, "1", ""), "ok")
-	wantAnswer(t, ask(t, pool, s, "2", ""), "ok")
-	if s.connections() != 2 {
-		t.Errorf("%d connections", s.connections())
+	wantAnswer(t, send(t, pool, s, "1", ""), "ok")
+	wantAnswer(t, send(t, pool, s, "2", ""), "ok")
+	if s.accepts() != 2 {
+		t.Errorf("%d connections were accepted", s.accepts())
 	}
 	if got := keepAlive(http.Header{"Keep-Alive": {"max=3, timeout=7"}}); got != 7*time.Second {
-		t.Errorf("%v is read", got)
+		t.Errorf("keepAlive returns %v, want 7s", got)
 	}
 }
 
-func TestBrokenAnswersAreNotWhole(t *testing.T) {
+func TestTruncatedAnswersAreErrors(t *testing.T) {
 	for name, play := range map[string]script{
 		"cut in its length": func(c net.Conn, requests *bufio.Reader) {
-			id, _ := take(requests)
+			id, _ := readRequest(requests)
 			write(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nContent-Length: 9\r\n\r\nshort")
 		},
 		"cut in a chunk": func(c net.Conn, requests *bufio.Reader) {
-			id, _ := take(requests)
+			id, _ := readRequest(requests)
 			write(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab")
 		},
 		"without its last chunk": func(c net.Conn, requests *bufio.Reader) {
-			id, _ := take(requests)
+			id, _ := readRequest(requests)
 			write(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
 		},
 		"unframed and reset": func(c net.Conn, requests *bufio.Reader) {
-			id, _ := take(requests)
+			id, _ := readRequest(requests)
 			write(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n\r\nab")
 			_ = c.(*net.TCPConn).SetLinger(0)
 		},
-		"no answer":        func(c net.Conn, requests *bufio.Reader) { _, _ = take(requests) },
-		"not the protocol": func(c net.Conn, requests *bufio.Reader) { _, _ = take(requests); write(c, "rubbish\r\n\r\n") },
+		"no answer":        func(c net.Conn, requests *bufio.Reader) { _, _ = readRequest(requests) },
+		"not the protocol": func(c net.Conn, requests *bufio.Reader) { _, _ = readRequest(requests); write(c, "rubbish\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := serve(t, play)
 			pool := NewPool()
 			defer pool.Close()
-			got := ask(t, pool, s, "1", "body")
+			got := send(t, pool, s, "1", "body")
 			if got.err == nil {
-				t.Fatalf("it looks whole: %+v", got)
+				t.Fatalf("a truncated answer is taken for complete: %+v", got)
 			}
 			if Unsent(got.err) {
-				t.Error("it is called unsent")
+				t.Error("the request is reported as unsent")
 			}
-			if s.connections() != 1 {
-				t.Errorf("it was sent %d times", s.connections())
+			if s.accepts() != 1 {
+				t.Errorf("the request was sent %d times", s.accepts())
 			}
 		})
 	}
 }
 
-func TestUnframedAnswerEndsWithItsConnection(t *testing.T) {
+func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
 	s := serve(t, func(c net.Conn, requests *bufio.Reader) {
-		id, _ := take(requests)
+		id, _ := readRequest(requests)
 		write(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n\r\nall of it")
 	})
 	pool := NewPool()
 	defer pool.Close()
-	wantAnswer(t, ask(t, pool, s, "1", ""), "all of it")
+	wantAnswer(t, send(t, pool, s, "1", ""), "all of it")
 }
 
-// TestEarlyAnswer: a worker may answer before it has read a long body. The answer
-// counts, and the connection is not used again while the body is still due.
-func TestEarlyAnswer(t *testing.T) {
+// TestAnswerBeforeTheRequestBodyIsSent checks that a worker may answer before it has read a
+// long body, and that the connection isn't used again while the body is still being sent.
+func TestAnswerBeforeTheRequestBodyIsSent(t *testing.T) {
 	s := serve(t, func(c net.Conn, requests *bufio.Reader) {
 		request, err := http.ReadRequest(requests)
 		if err != nil {
 			return
 		}
-		write(c, whole(request.Header.Get("Id"), "early"))
+		write(c, completeAnswer(request.Header.Get("Id"), "early"))
 		time.Sleep(bodyWait * 2)
 	}, echo)
 	pool := NewPool()
 	defer pool.Close()
 	long := strings.Repeat("b", 32<<20)
-	wantAnswer(t, ask(t, pool, s, "1", long), "early")
-	wantAnswer(t, ask(t, pool, s, "2", ""), "ok")
-	if s.connections() != 2 {
-		t.Errorf("%d connections", s.connections())
+	wantAnswer(t, send(t, pool, s, "1", long), "early")
+	wantAnswer(t, send(t, pool, s, "2", ""), "ok")
+	if s.accepts() != 2 {
+		t.Errorf("%d connections were accepted", s.accepts())
 	}
 }
 
@@ -304,44 +304,44 @@
 	s := serve(t, echo)
 	_ = s.listener.Close()
 	pool := NewPool()
-	got := ask(t, pool, s, "1", "")
+	got := send(t, pool, s, "1", "")
 	if !Unsent(got.err) {
-		t.Errorf("%v is not called unsent", got.err)
+		t.Errorf("the error is %v, want one that reports the request as unsent", got.err)
 	}
 	if len(pool.open) != 0 {
-		t.Errorf("%v connections are counted", pool.open)
+		t.Errorf("open connections are %v, want none", pool.open)
 	}
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionsAreLimited(t *testing.T) {
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	s := serve(t, func(c net.Conn, requests *bufio.Reader) {
-		id, _ := take(requests)
+		id, _ := readRequest(requests)
 		arrived <- struct{}{}
 		<-release
-		write(c, whole(id, "ok"))
+		write(c, completeAnswer(id, "ok"))
 	})
 	pool := NewPool()
 	defer pool.Close()
 	answers := make(chan result)
 	for range 2 {
-		go func() { answers <- askWithin(context.Background(), pool, s, "1", "") }()
+		go func() { answers <- sendWithin(context.Background(), pool, s, "1", "") }()
 		<-arrived
 	}
-	if got := ask(t, pool, s, "2", ""); !errors.Is(got.err, ErrFull) || !Unsent(got.err) {
-		t.Errorf("a third connection: %v", got.err)
+	if got := send(t, pool, s, "2", ""); !errors.Is(got.err, ErrFull) || !Unsent(got.err) {
+		t.Errorf("the error of a third connection is %v, want ErrFull", got.err)
 	}
 	close(release)
 	wantAnswer(t, <-answers, "ok")
 	wantAnswer(t, <-answers, "ok")
 }
 
-// TestEndOfContextEndsTheConnection: the worker sees the caller leave.
+// TestEndOfContextEndsTheConnection checks that the worker sees when the caller leaves.
 func TestEndOfContextEndsTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	arrived := make(chan struct{})
 	s := serve(t, func(_ net.Conn, requests *bufio.Reader) {
-		_, _ = take(requests)
+		_, _ = readRequest(requests)
 		close(arrived)
 		_, _ = requests.ReadByte()
 		close(closed)
@@ -349,28 +349,28 @@
 	pool := NewPool()
 	ctx, cancel := context.WithCancel(context.Background())
 	answers := make(chan result)
-	go func() { answers <- askWithin(ctx, pool, s, "1", "") }()
+	go func() { answers <- sendWithin(ctx, pool, s, "1", "") }()
 	<-arrived
 	cancel()
 	if got := <-answers; !errors.Is(got.err, context.Canceled) {
-		t.Errorf("%v", got.err)
+		t.Errorf("the error is %v, want that of the context", got.err)
 	}
 	<-closed
 }
 
-func TestDropClosesIdleConnections(t *testing.T) {
+func TestCloseIdleClosesIdleConnections(t *testing.T) {
 	s := serve(t, echo)
 	pool := NewPool()
-	wantAnswer(t, ask(t, pool, s, "1", ""), "ok")
+	wantAnswer(t, send(t, pool, s, "1", ""), "ok")
 	pool.CloseIdle("worker")
 	if len(pool.open) != 0 || len(pool.idle) != 0 {
 		t.Errorf("open %v, idle %v", pool.open, pool.idle)
 	}
 }
 
-// TestGivenUpRequestIsDropped: with DropAfter its connection is reset, so that the kernel
-// sends nothing of it later; the same connection carries other requests as before.
-func TestGivenUpRequestIsDropped(t *testing.T) {
+// TestCancelledRequestResetsTheConnection checks that a cancelled request resets its connection
+// if it has DropAfter, so that the kernel doesn't send the rest of it later, and only then.
+func TestCancelledRequestResetsTheConnection(t *testing.T) {
 	for _, drop := range []time.Duration{0, time.Second} {
 		ctx, giveUp := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
@@ -386,17 +386,17 @@
 		pool := NewPool()
 		request := &Request{Method: http.MethodPost, Target: "/", Host: "w", DropAfter: drop}
 		if _, err := pool.Do(ctx, "w", server.address(), 0, request); err == nil {
-			t.Error("answered")
+			t.Error("a cancelled request was answered")
 		}
 		if err, reset := <-ended, drop > 0; errors.Is(err, syscall.ECONNRESET) != reset {
-			t.Errorf("dropped after %v: the connection ended with %v", drop, err)
+			t.Errorf("DropAfter %v: the connection ended with %v", drop, err)
 		}
 	}
 }
 
-// TestRequestIsNotSentAfterItsTime: a process that was paused, or waited for a connection,
-// looks at the clock once more.
-func TestRequestIsNotSentAfterItsTime(t *testing.T) {
+// TestRequestIsNotSentAfterItsDeadline checks that a request with DropAfter isn't sent if its
+// deadline has passed while the process was paused or the request waited for a connection.
+func TestRequestIsNotSentAfterItsDeadline(t *testing.T) {
 	server := serve(t, func(c net.Conn, requests *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(requests); err != nil {
@@ -413,16 +413,16 @@
 	}
 	_, _ = io.Copy(io.Discard, answer.Body)
 	_ = answer.Body.Close()
-	if _, err := pool.Do(pausedContext{context.Background()}, "w", server.address(), 0, request); !Unsent(err) {
-		t.Errorf("%v", err)
+	if _, err := pool.Do(expiredContext{context.Background()}, "w", server.address(), 0, request); !Unsent(err) {
+		t.Errorf("the error is %v, want one that reports the request as unsent", err)
 	}
-	if server.connections() != 1 {
-		t.Errorf("%d connections", server.connections())
+	if server.accepts() != 1 {
+		t.Errorf("%d connections were accepted", server.accepts())
 	}
 }
 
-// pausedContext is that of a process that was paused: its time is over, and its timer has
-// not run yet.
-type pausedContext struct{ context.Context }
+// expiredContext is the context of a process that was paused: its deadline has passed, but its
+// timer hasn't fired yet.
+type expiredContext struct{ context.Context }
 
-func (pausedContext) Deadline() (time.Time, bool) { return time.Unix(1, 0), true }
+func (expiredContext) Deadline() (time.Time, bool) { return time.Unix(1, 0), true }
--- a/internal/workerconn/probe_test.go
+++ b/internal/workerconn/probe_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestProbeTellsDeadFromAlive: a worker that has ended refuses connections, and one that
-// can't be heard is not taken for dead.
-func TestProbeTellsDeadFromAlive(t *testing.T) {
+// TestProbeTellsEndedWorkersFromOthers checks that only a worker that refuses connections is
+// taken for ended, not one that doesn't answer.
+func TestProbeTellsEndedWorkersFromOthers(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
