--- a/internal/httpheader/retryafter.go
+++ b/internal/httpheader/retryafter.go
@@ -46,12 +46,12 @@
 		end, endErr := http.ParseTime(text)
 		begin, beginErr := http.ParseTime(answered)
 		if endErr != nil || beginErr != nil {
-			return 0, eris.New("neither a number of seconds nor a date after that of the answer")
+			return 0, eris.New("neither a number of seconds nor a date that can be compared with the Date header")
 		}
 		seconds = end.Sub(begin).Seconds()
 	}
 	if !(seconds >= 0) || math.IsInf(seconds, 0) {
-		return 0, eris.New("not a number of seconds from 0 on")
+		return 0, eris.New("the number of seconds is negative or infinite")
 	}
 	return time.Duration(min(seconds, maxPause.Seconds()) * float64(time.Second)), nil
 }
