--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -245,7 +245,7 @@
 	f.logOutcome(call, outcome)
 	if failure.Code == result.TenantQuota {
 		if err := answer.answerEarly(); err != nil {
-			f.log.WithField("id", call.ID).WithError(err).Debug("a refusal waits for the request's body")
+			f.log.WithField("id", call.ID).WithError(err).Debug("the error can't be sent before the request body has been read")
 		}
 	}
 	writeError(answer, failure)
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -35,7 +35,7 @@
 		call.Charge = claim.Charge()
 		return nil
 	case ctx.Err() != nil:
-		return result.New(result.CallerGone, "the caller left before its quota was known")
+		return result.New(result.CallerGone, "the caller left before its quota was checked")
 	}
 	f.logOverQuota(call, claim, verdict)
 	return result.New(result.TenantQuota, "tenant %s is over its quota of %g %s a second, with a burst of %g",
