--- a/internal/usage/records.go
+++ b/internal/usage/records.go
@@ -46,7 +46,7 @@
 	recorded := make(map[Window]Counts)
 	for _, row := range rows {
 		if err := r.readRow(row, recorded); err != nil {
-			r.options.Log.WithFields(logrus.Fields{"row": row.Key, "cause": err.Error()}).Error("a row of usage can't be read; it is passed over")
+			r.options.Log.WithFields(logrus.Fields{"row": row.Key, "cause": err.Error()}).Error("a usage row can't be parsed and is skipped")
 		}
 	}
 	return recorded, nil
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -234,7 +234,7 @@
 func (r *Reporter) send(ctx context.Context, window Window, counts Counts) error {
 	act, held := r.options.Authority.Begin(ctx, callTimeout)
 	if !held {
-		return eris.New("the authority lapsed before the report left")
+		return eris.New("the authority lapsed before the report was sent")
 	}
 	defer act.End()
 	verdict, err := r.options.API.ReportUsage(act.Context, duty.LeaseToken{Holder: r.options.Node, Fence: act.Fence}, window, counts)
@@ -248,5 +248,5 @@
 	case duty.Refused:
 		r.options.Authority.Renounce()
 	}
-	return eris.Errorf("the platform's answer to window %d: %s", window, verdict)
+	return eris.Errorf("the platform's verdict on the report of window %d is %s", window, verdict)
 }
