--- a/internal/workerconn/dial.go
+++ b/internal/workerconn/dial.go
@@ -35,7 +35,7 @@
 func setLingerAndUserTimeout(c net.Conn, linger int, timeout time.Duration) error {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
-		return eris.Errorf("%T is no TCP connection", c)
+		return eris.Errorf("%T isn't a TCP connection", c)
 	}
 	if err := tcp.SetLinger(linger); err != nil {
 		return err
