--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -29,23 +29,23 @@
 }
 
 // admit finds the route of a request, and the tenant whose API key it carries.
-func (f *Handler) admit(table *routing.Table, request *http.Request) (admission, *result.Error) {
+func (h *Handler) admit(table *routing.Table, request *http.Request) (admission, *result.Error) {
 	path := pathOf(request)
 	route := table.Match(request.Host, path)
 	if route == nil {
-		return admission{}, f.refuseUnknown(result.New(result.NotFound, "no route in configuration version %d for host %q and path %q", table.Version, request.Host, path))
+		return admission{}, h.refuseUnknown(result.New(result.NotFound, "no route in configuration version %d for host %q and path %q", table.Version, request.Host, path))
 	}
-	owner, failure := f.authenticate(table, route, request.Header)
+	owner, failure := h.authenticate(table, route, request.Header)
 	return admission{route: route, tenant: owner}, failure
 }
 
 // authenticate returns the tenant of the request's API key. A public route needs no key, but a
 // key in a request to it must be known too.
-func (f *Handler) authenticate(table *routing.Table, route *routing.Route, header http.Header) (tenant.Tenant, *result.Error) {
+func (h *Handler) authenticate(table *routing.Table, route *routing.Route, header http.Header) (tenant.Tenant, *result.Error) {
 	if table.Tenants == nil {
 		return tenant.Tenant{}, nil
 	}
-	keys := f.parser.APIKeys(header)
+	keys := h.parser.APIKeys(header)
 	switch {
 	case len(keys) == 0 && route.Public:
 		return tenant.Tenant{}, nil
@@ -56,30 +56,30 @@
 	}
 	owner, known := table.Tenants.Owner(keys[0])
 	if !known {
-		return tenant.Tenant{}, f.refuseUnknown(result.New(result.Unauthenticated, "no tenant in configuration version %d has the request's API key", table.Version))
+		return tenant.Tenant{}, h.refuseUnknown(result.New(result.Unauthenticated, "no tenant in configuration version %d has the request's API key", table.Version))
 	}
 	return owner, nil
 }
 
 // refuseOutdated refuses all requests if this node has known of a newer configuration for
 // longer than outdatedAfter and can't get it: routes may point to other services now.
-func (f *Handler) refuseOutdated(table *routing.Table) *result.Error {
-	if !f.Outdated() {
+func (h *Handler) refuseOutdated(table *routing.Table) *result.Error {
+	if !h.Outdated() {
 		return nil
 	}
-	behind := f.configurationBehind()
+	behind := h.configurationBehind()
 	return result.New(result.ConfigurationStale, "this node has configuration version %d, and heard %d ms ago of a newer one that it can't get", table.Version, behind.Milliseconds()).
 		WithRetryAfter(staleRetryAfter)
 }
 
 // Outdated reports whether requests are refused because this node lacks a newer configuration
 // that it has known of for longer than outdatedAfter.
-func (f *Handler) Outdated() bool { return f.configurationBehind() > outdatedAfter }
+func (h *Handler) Outdated() bool { return h.configurationBehind() > outdatedAfter }
 
 // refuseUnknown returns the error for a route or key that the configuration doesn't have. If a
 // newer version may have it, the error asks the caller to retry.
-func (f *Handler) refuseUnknown(failure *result.Error) *result.Error {
-	age, behind := f.configurationAge(), f.configurationBehind()
+func (h *Handler) refuseUnknown(failure *result.Error) *result.Error {
+	age, behind := h.configurationAge(), h.configurationBehind()
 	switch {
 	case behind > 0:
 		return result.New(result.ConfigurationStale, "%s; this node has lacked a newer configuration for %d ms", failure.Message, behind.Milliseconds()).
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -73,35 +73,35 @@
 
 // New returns a handler without routes.
 func New(options Options) *Handler {
-	f := &Handler{
+	h := &Handler{
 		configurationAge: options.ConfigurationAge, configurationBehind: options.ConfigurationBehind,
 		parser: options.Parser, runner: options.Runner, log: options.Log, metrics: options.Metrics,
 		quotas:   options.Quotas,
 		splitter: routing.NewSplitter(rand.IntN),
 	}
-	if f.configurationAge == nil {
-		f.configurationAge = zeroAge
+	if h.configurationAge == nil {
+		h.configurationAge = zeroAge
 	}
-	if f.configurationBehind == nil {
-		f.configurationBehind = zeroAge
+	if h.configurationBehind == nil {
+		h.configurationBehind = zeroAge
 	}
-	return f
+	return h
 }
 
 func zeroAge() time.Duration { return 0 }
 
 // Stop makes every further answer close its connection, so that callers connect to other nodes.
-func (f *Handler) Stop() { f.stopping.Store(true) }
+func (h *Handler) Stop() { h.stopping.Store(true) }
 
 // Stopping reports whether Stop was called.
-func (f *Handler) Stopping() bool { return f.stopping.Load() }
+func (h *Handler) Stopping() bool { return h.stopping.Load() }
 
 // Active returns the number of requests in progress.
-func (f *Handler) Active() int64 { return f.active.Load() }
+func (h *Handler) Active() int64 { return h.active.Load() }
 
 // HasRoute reports whether a request has a route.
-func (f *Handler) HasRoute(request *http.Request) bool {
-	table := f.table.Load()
+func (h *Handler) HasRoute(request *http.Request) bool {
+	table := h.table.Load()
 	return table != nil && table.Match(request.Host, pathOf(request)) != nil
 }
 
@@ -116,43 +116,43 @@
 const notConfiguredRetryAfter = 300 * time.Millisecond
 
 // SetTable replaces the routes.
-func (f *Handler) SetTable(table *routing.Table) { f.table.Store(table) }
+func (h *Handler) SetTable(table *routing.Table) { h.table.Store(table) }
 
 // Table returns the current routes, nil before the first SetTable.
-func (f *Handler) Table() *routing.Table { return f.table.Load() }
+func (h *Handler) Table() *routing.Table { return h.table.Load() }
 
 // ServeHTTP implements http.Handler.
-func (f *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	f.active.Add(1)
-	defer f.active.Add(-1)
+func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	h.active.Add(1)
+	defer h.active.Add(-1)
 	arrived := time.Now()
-	answer := newHTTPCaller(writer, f.stopping.Load())
-	call, failure := f.accept(writer, request, arrived)
+	answer := newHTTPCaller(writer, h.stopping.Load())
+	call, failure := h.accept(writer, request, arrived)
 	if failure != nil {
-		f.refund(call)
-		f.refuse(answer, request, call, failure, arrived)
+		h.refund(call)
+		h.refuse(answer, request, call, failure, arrived)
 		return
 	}
-	outcome := f.runner.Run(request.Context(), call, answer)
+	outcome := h.runner.Run(request.Context(), call, answer)
 	if outcome.NotRun() {
-		f.refund(call)
+		h.refund(call)
 	}
-	f.finish(answer, request, call, outcome)
+	h.finish(answer, request, call, outcome)
 }
 
 // accept finds the route and tenant of a request, charges the tenant and reads the body.
-func (f *Handler) accept(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*dispatch.Call, *result.Error) {
-	table := f.table.Load()
+func (h *Handler) accept(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*dispatch.Call, *result.Error) {
+	table := h.table.Load()
 	if table == nil {
 		return nil, result.New(result.NotConfigured, "this node has read no configuration yet").WithRetryAfter(notConfiguredRetryAfter)
 	}
-	if failure := f.refuseOutdated(table); failure != nil {
+	if failure := h.refuseOutdated(table); failure != nil {
 		return nil, failure
 	}
 	if size := headerBytes(request); table.Limits.MaxHeaderBytes > 0 && size > table.Limits.MaxHeaderBytes {
 		return nil, result.New(result.HeaderTooLarge, "the header has %d bytes; the limit is %d", size, table.Limits.MaxHeaderBytes)
 	}
-	admitted, failure := f.admit(table, request)
+	admitted, failure := h.admit(table, request)
 	if failure != nil {
 		return nil, failure
 	}
@@ -161,9 +161,9 @@
 		Header: request.Header, Route: admitted.route, Tenant: admitted.tenant, Arrived: arrived,
 		Deadline: arrived.Add(admitted.route.Timeout), RoutesVersion: table.Version,
 	}
-	parseErr := f.parser.Parse(call)
+	parseErr := h.parser.Parse(call)
 	if parseErr == nil {
-		if failure := f.charge(request.Context(), call); failure != nil {
+		if failure := h.charge(request.Context(), call); failure != nil {
 			return call, failure
 		}
 	}
@@ -175,15 +175,15 @@
 		return call, result.New(result.InvalidRequest, "%v", parseErr)
 	}
 	// The configuration may have changed while the body was received.
-	if newest := f.table.Load(); newest != table {
+	if newest := h.table.Load(); newest != table {
 		table = newest
-		if admitted, failure = f.admit(table, request); failure != nil {
+		if admitted, failure = h.admit(table, request); failure != nil {
 			return call, failure
 		}
 		call.Route, call.Tenant = admitted.route, admitted.tenant
 	}
 	call.RoutesVersion = table.Version
-	service := f.splitter.Choose(call.Route)
+	service := h.splitter.Choose(call.Route)
 	call.Service = table.Service(service)
 	if call.Service == nil {
 		return call, result.New(result.NoEngine, "route %s has no service with a weight", call.Route.Name).WithRetryAfter(notConfiguredRetryAfter)
@@ -233,19 +233,19 @@
 }
 
 // refuse answers a request that isn't sent to a worker.
-func (f *Handler) refuse(answer *httpCaller, request *http.Request, call *dispatch.Call, failure *result.Error, arrived time.Time) {
+func (h *Handler) refuse(answer *httpCaller, request *http.Request, call *dispatch.Call, failure *result.Error, arrived time.Time) {
 	if call == nil {
 		call = &dispatch.Call{Method: request.Method, Target: request.RequestURI, Header: request.Header, Arrived: arrived}
-		_ = f.parser.Parse(call)
+		_ = h.parser.Parse(call)
 	}
 	outcome := dispatch.Outcome{
 		Code: failure.Code, Detail: failure.Message,
 		RetryAfter: time.Duration(failure.RetryAfterMillis) * time.Millisecond,
 	}
-	f.logOutcome(call, outcome)
+	h.logOutcome(call, outcome)
 	if failure.Code == result.TenantQuota {
 		if err := answer.answerEarly(); err != nil {
-			f.log.WithField("id", call.ID).WithError(err).Debug("the error can't be sent before the request body has been read")
+			h.log.WithField("id", call.ID).WithError(err).Debug("the error can't be sent before the request body has been read")
 		}
 	}
 	writeError(answer, failure)
@@ -253,8 +253,8 @@
 
 // finish answers a call that the dispatcher has processed, unless its answer has been sent
 // already.
-func (f *Handler) finish(answer *httpCaller, request *http.Request, call *dispatch.Call, outcome dispatch.Outcome) {
-	f.logOutcome(call, outcome)
+func (h *Handler) finish(answer *httpCaller, request *http.Request, call *dispatch.Call, outcome dispatch.Outcome) {
+	h.logOutcome(call, outcome)
 	switch {
 	case outcome.Code == result.OK:
 		return
@@ -283,16 +283,16 @@
 	_ = answer.Write(body)
 }
 
-func (f *Handler) logOutcome(call *dispatch.Call, outcome dispatch.Outcome) {
+func (h *Handler) logOutcome(call *dispatch.Call, outcome dispatch.Outcome) {
 	took := time.Since(call.Arrived)
 	route := ""
 	if call.Route != nil {
 		route = call.Route.Name
 	}
-	f.metrics.observe(call, outcome, took)
-	entry := f.log.WithFields(logrus.Fields{
+	h.metrics.observe(call, outcome, took)
+	entry := h.log.WithFields(logrus.Fields{
 		"id": call.ID, "route": route, "tenant": call.Tenant.Name(), "code": int(outcome.Code), "status": outcome.Status,
-		"routes_version": call.RoutesVersion, "routes_age_ms": f.configurationAge().Milliseconds(),
+		"routes_version": call.RoutesVersion, "routes_age_ms": h.configurationAge().Milliseconds(),
 		"attempts": outcome.Attempts, "first_ms": outcome.First.Milliseconds(),
 		"last_ms": outcome.Last.Milliseconds(), "gap_ms": outcome.Gap.Milliseconds(), "pieces": outcome.Pieces,
 		"took_ms": took.Milliseconds(), "retry_after_ms": outcome.RetryAfter.Milliseconds(),
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -20,16 +20,16 @@
 
 // charge charges a call's tenant by the sizes that the header declares, before the body is read
 // or a worker is chosen. It does nothing for tenants without a limit.
-func (f *Handler) charge(ctx context.Context, call *dispatch.Call) *result.Error {
+func (h *Handler) charge(ctx context.Context, call *dispatch.Call) *result.Error {
 	limit := call.Tenant.Limit()
-	if f.quotas == nil || !limit.Limited() {
+	if h.quotas == nil || !limit.Limited() {
 		return nil
 	}
 	claim := quota.ChargeRequest{
 		Tenant: call.Tenant.Name(), Limit: limit, Version: call.RoutesVersion,
 		Cost: limit.Cost(call.PromptTokens + call.OutputTokens),
 	}
-	verdict := f.quotas.Charge(ctx, claim)
+	verdict := h.quotas.Charge(ctx, claim)
 	switch {
 	case verdict.Granted:
 		call.Charge = claim.Charge()
@@ -37,13 +37,13 @@
 	case ctx.Err() != nil:
 		return result.New(result.CallerGone, "the caller left before its quota was checked")
 	}
-	f.logOverQuota(call, claim, verdict)
+	h.logOverQuota(call, claim, verdict)
 	return result.New(result.TenantQuota, "tenant %s is over its quota of %g %s a second, with a burst of %g",
 		claim.Tenant, limit.Rate, limit.Unit, limit.Burst).WithRetryAfter(verdict.RetryAfter)
 }
 
-func (f *Handler) logOverQuota(call *dispatch.Call, claim quota.ChargeRequest, verdict quota.Outcome) {
-	f.log.WithFields(logrus.Fields{
+func (h *Handler) logOverQuota(call *dispatch.Call, claim quota.ChargeRequest, verdict quota.Outcome) {
+	h.log.WithFields(logrus.Fields{
 		"id": call.ID, "tenant": claim.Tenant, "cost": claim.Cost, "unit": claim.Limit.Unit,
 		"rate": claim.Limit.Rate, "burst": claim.Limit.Burst, "routes_version": claim.Version,
 		"decided_by_version": verdict.Version, "keeper": verdict.Keeper, "private": verdict.Private,
@@ -53,10 +53,10 @@
 }
 
 // refund refunds the charge of a call that hasn't run.
-func (f *Handler) refund(call *dispatch.Call) {
+func (h *Handler) refund(call *dispatch.Call) {
 	if call == nil || call.Charge.None() {
 		return
 	}
-	f.quotas.Return(call.Charge)
+	h.quotas.Return(call.Charge)
 	call.Charge = quota.Charge{}
 }
