--- a/internal/worker/load.go
+++ b/internal/worker/load.go
@@ -14,26 +14,26 @@
 // UnreadTokensOf returns the tokens of one request. Ranks above the last are counted as the
 // last.
 func UnreadTokensOf(rank, tokens int) UnreadTokens {
-	var reads UnreadTokens
-	reads[clampRank(rank)] = tokens
-	return reads
+	var unread UnreadTokens
+	unread[clampRank(rank)] = tokens
+	return unread
 }
 
 func clampRank(rank int) int { return min(max(rank, 0), RankCount-1) }
 
 // InTime returns the tokens of all requests except late ones.
-func (r UnreadTokens) InTime() int { return r.Ahead(LateRank - 1) }
+func (u UnreadTokens) InTime() int { return u.Ahead(LateRank - 1) }
 
 // Late returns the tokens of late requests.
-func (r UnreadTokens) Late() int { return r[LateRank] }
+func (u UnreadTokens) Late() int { return u[LateRank] }
 
 // Total returns the tokens of all ranks.
-func (r UnreadTokens) Total() int { return r.Ahead(RankCount - 1) }
+func (u UnreadTokens) Total() int { return u.Ahead(RankCount - 1) }
 
 // Ahead returns the tokens that are read before the prompt of a new request of a rank.
-func (r UnreadTokens) Ahead(rank int) int {
+func (u UnreadTokens) Ahead(rank int) int {
 	sum := 0
-	for _, tokens := range r[:clampRank(rank)+1] {
+	for _, tokens := range u[:clampRank(rank)+1] {
 		sum += tokens
 	}
 	return sum
--- a/internal/worker/notice.go
+++ b/internal/worker/notice.go
@@ -29,16 +29,16 @@
 }
 
 // Draining reports whether the worker is about to end.
-func (a NoticeState) Draining(now time.Time) bool {
-	return !a.DrainingSince.IsZero() && now.Sub(a.DrainingSince) < drainingTTL
+func (s NoticeState) Draining(now time.Time) bool {
+	return !s.DrainingSince.IsZero() && now.Sub(s.DrainingSince) < drainingTTL
 }
 
 // BackingOff reports whether the worker wants no requests from this node.
-func (a NoticeState) BackingOff(now time.Time) bool { return now.Before(a.BackoffUntil) }
+func (s NoticeState) BackingOff(now time.Time) bool { return now.Before(s.BackoffUntil) }
 
 // BackoffRemaining returns for how much longer the worker wants no requests from this node.
-func (a NoticeState) BackoffRemaining(now time.Time) time.Duration {
-	return max(a.BackoffUntil.Sub(now), 0)
+func (s NoticeState) BackoffRemaining(now time.Time) time.Duration {
+	return max(s.BackoffUntil.Sub(now), 0)
 }
 
 // drainingTTL is how long an announcement to end counts. A worker that is listed for longer
@@ -48,21 +48,21 @@
 // with returns the state after a further notice. Answers can overtake each other, so one
 // without a notice may be older than one with it. So no notice is ever revoked by a later
 // answer, and of several pauses the one that ends last holds.
-func (a NoticeState) with(said Notice, now time.Time) NoticeState {
-	if said.Draining && !a.Draining(now) {
-		a.DrainingSince = now
+func (s NoticeState) with(said Notice, now time.Time) NoticeState {
+	if said.Draining && !s.Draining(now) {
+		s.DrainingSince = now
 	}
-	if until := now.Add(said.Backoff); said.Backoff > 0 && until.After(a.BackoffUntil) {
-		if !a.BackingOff(now) {
-			a.BackoffSince = now
+	if until := now.Add(said.Backoff); said.Backoff > 0 && until.After(s.BackoffUntil) {
+		if !s.BackingOff(now) {
+			s.BackoffSince = now
 		}
-		a.BackoffUntil = until
+		s.BackoffUntil = until
 	}
-	return a
+	return s
 }
 
 // Expired reports whether the state has no effect any more.
-func (a NoticeState) Expired(now time.Time) bool { return !a.Draining(now) && !a.BackingOff(now) }
+func (s NoticeState) Expired(now time.Time) bool { return !s.Draining(now) && !s.BackingOff(now) }
 
 // NoticeChange is a change of a worker's NoticeState.
 type NoticeChange struct {
