--- a/internal/httpheader/retryafter.go
+++ b/internal/httpheader/retryafter.go
@@ -51,7 +51,7 @@
 		seconds = end.Sub(begin).Seconds()
 	}
 	if !(seconds >= 0) || math.IsInf(seconds, 0) {
-		return 0, eris.New("the number of seconds is negative or infinite")
+		return 0, eris.New("the number of seconds is negative or not finite")
 	}
 	return time.Duration(min(seconds, maxPause.Seconds()) * float64(time.Second)), nil
 }
