--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -41,9 +41,9 @@
 }
 
 // Outlines iterates over the workers of a service that may take a request, with the little
-// state that is needed to shortlist them. kept holds the workers whose load this node tracks.
-// The registry stays locked during the iteration.
-func (r *Registry) Outlines(service string, kept map[string]bool, now time.Time) iter.Seq[scheduling.Outline] {
+// state that is needed to shortlist them. tracked holds the workers whose load this node
+// tracks. The registry stays locked during the iteration.
+func (r *Registry) Outlines(service string, tracked map[string]bool, now time.Time) iter.Seq[scheduling.Outline] {
 	return func(yield func(scheduling.Outline) bool) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -51,18 +51,18 @@
 			if known.worker.Service != service || !r.usable(known, now) {
 				continue
 			}
-			if !yield(r.outline(known, kept[id], now)) {
+			if !yield(r.outline(known, tracked[id], now)) {
 				return
 			}
 		}
 	}
 }
 
-func (r *Registry) outline(known *workerState, kept bool, now time.Time) scheduling.Outline {
+func (r *Registry) outline(known *workerState, tracked bool, now time.Time) scheduling.Outline {
 	return scheduling.Outline{
 		ID: known.worker.ID, Prefill: known.worker.Stage == Prefill,
 		SameZone: r.places.DistanceTo(known.worker.Zone) == topology.SameZone,
-		Rank:     known.rank, Hash: known.hash, Tracked: kept,
+		Rank:     known.rank, Hash: known.hash, Tracked: tracked,
 		Sound: r.isStaying(known, now) && !known.breaker.Open(now) && !known.handleBreaker.Open(now) && known.turnWait(now) == 0,
 	}
 }
@@ -108,7 +108,7 @@
 			continue
 		}
 		load := known.totalLoad(now, "")
-		_, queuePace := r.prefillModel(known)
+		_, throughput := r.prefillModel(known)
 		engines = append(engines, stageplan.Worker{
 			ID: known.worker.ID, Region: r.RegionOfZone(known.worker.Zone),
 			Prefill: known.targetStage(now) == Prefill, Slots: known.worker.Slots,
@@ -116,7 +116,7 @@
 			Limited:  known.limit.Named,
 			Changing: known.isChanging(now),
 			Requests: load.Requests, ReadTokens: load.Unread.Total(), MemoryTokens: load.MemoryTokens,
-			Capacity: r.cacheCapacity[service], Pace: queuePace,
+			Capacity: r.cacheCapacity[service], Pace: throughput,
 		})
 	}
 	return engines
@@ -147,7 +147,7 @@
 
 func (r *Registry) candidate(known *workerState, parts []prefixcache.Part, rank int, now time.Time) scheduling.Candidate {
 	load := known.totalLoad(now, "")
-	terms, queuePace := r.prefillModel(known)
+	terms, throughput := r.prefillModel(known)
 	distance := r.places.DistanceTo(known.worker.Zone)
 	return scheduling.Candidate{
 		ID:            known.worker.ID,
@@ -166,7 +166,7 @@
 		Capacity:      r.cacheCapacity[known.worker.Service],
 		CachedTokens:  known.cache.Match(parts),
 		Reading:       terms,
-		Throughput:    queuePace,
+		Throughput:    throughput,
 		Rank:          known.rank,
 		Hash:          known.hash,
 		Avoid:         known.breaker.Open(now),
@@ -184,21 +184,21 @@
 func (r *Registry) Accounts(workers []string, parts []prefixcache.Part, rank int, asking string, now time.Time) map[string]scheduling.LoadReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	accounts := make(map[string]scheduling.LoadReport, len(workers))
+	reports := make(map[string]scheduling.LoadReport, len(workers))
 	for _, id := range workers {
 		known, exists := r.workers[id]
 		if !exists {
 			continue
 		}
 		load := known.totalLoad(now, asking)
-		accounts[id] = scheduling.LoadReport{
+		reports[id] = scheduling.LoadReport{
 			Requests: load.Requests, ReadTokens: load.Unread.InTime(), ReadAhead: load.Unread.Ahead(rank),
 			LateTokens: load.Unread.Late(), MemoryTokens: load.MemoryTokens, CachedTokens: known.cache.Match(parts),
 			Changing: known.isChanging(now), Leaving: r.isDraining(known, now), Avoid: known.breaker.Open(now),
 			HandleFailure: known.handleBreaker.Open(now), FailureRate: known.breaker.FailureRate(now),
 		}
 	}
-	return accounts
+	return reports
 }
 
 // totalLoad returns the load of all nodes except one. If the worker has just reported more
@@ -224,8 +224,8 @@
 // prefillModel returns the coefficients of a worker's prefill time, and the throughput of its
 // queue in tokens per millisecond.
 func (r *Registry) prefillModel(known *workerState) (latency.Coefficients, float64) {
-	group, slower := r.groupModel(known.worker), known.slowdown.Value()
-	return group.Coefficients().Scaled(slower), group.Throughput() / slower
+	group, slowdown := r.groupModel(known.worker), known.slowdown.Value()
+	return group.Coefficients().Scaled(slowdown), group.Throughput() / slowdown
 }
 
 // assumedDecodeSlowdown is the factor by which decode engines are assumed to read prompts more
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -39,7 +39,7 @@
 // that was told before and is repeated.
 func (s Snapshot) Concerns(id string) bool {
 	return slices.Contains(s.Touched, id) || slices.Contains(s.Failures, id) ||
-		slices.ContainsFunc(s.CacheUpdates, func(read CacheUpdate) bool { return read.Worker == id })
+		slices.ContainsFunc(s.CacheUpdates, func(update CacheUpdate) bool { return update.Worker == id })
 }
 
 // ForWorkers returns the part of a snapshot that is about the given workers.
@@ -48,16 +48,16 @@
 		Loads: make(map[string]Load), Limits: make(map[string]LimitStatement), Demand: s.Demand, RegionDemand: s.RegionDemand,
 	}
 	for _, id := range workers {
-		if limit, said := s.Limits[id]; said {
+		if limit, stated := s.Limits[id]; stated {
 			part.Limits[id] = limit
 		}
 		if load, placed := s.Loads[id]; placed {
 			part.Loads[id] = load
 		}
 	}
-	for _, read := range s.CacheUpdates {
-		if slices.Contains(workers, read.Worker) {
-			part.CacheUpdates = append(part.CacheUpdates, read)
+	for _, update := range s.CacheUpdates {
+		if slices.Contains(workers, update.Worker) {
+			part.CacheUpdates = append(part.CacheUpdates, update)
 		}
 	}
 	for _, id := range s.Failures {
@@ -70,9 +70,9 @@
 			part.Draining = append(part.Draining, id)
 		}
 	}
-	for _, changing := range s.Changing {
-		if slices.Contains(workers, changing.Worker) {
-			part.Changing = append(part.Changing, changing)
+	for _, change := range s.Changing {
+		if slices.Contains(workers, change.Worker) {
+			part.Changing = append(part.Changing, change)
 		}
 	}
 	return part
@@ -154,12 +154,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range workers {
-		asked, exists := r.workers[id]
-		if !exists || !asked.cacheKnown {
+		state, exists := r.workers[id]
+		if !exists || !state.cacheKnown {
 			continue
 		}
 		known = append(known, id)
-		if parts := asked.cache.Parts(); len(parts) > 0 {
+		if parts := state.cache.Parts(); len(parts) > 0 {
 			learned.CacheUpdates = append(learned.CacheUpdates, CacheUpdate{Worker: id, Parts: parts})
 		}
 	}
@@ -187,13 +187,13 @@
 func (r *Registry) MergeLearnedState(learned LearnedState, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, read := range learned.CacheUpdates {
-		if known, exists := r.workers[read.Worker]; exists {
-			known.cache.Use(read.Parts, now)
+	for _, update := range learned.CacheUpdates {
+		if known, exists := r.workers[update.Worker]; exists {
+			known.cache.Use(update.Parts, now)
 		}
 	}
-	for _, learned := range learned.Paces {
-		r.groupModel(Worker{Service: learned.Service, Stage: learned.Stage}).Assume(learned.Terms, learned.TokensPerMillisecond)
+	for _, pace := range learned.Paces {
+		r.groupModel(Worker{Service: pace.Service, Stage: pace.Stage}).Assume(pace.Terms, pace.TokensPerMillisecond)
 	}
 }
 
@@ -214,14 +214,14 @@
 func (r *Registry) UnknownCaches() []Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var unlisted []Worker
+	var unknown []Worker
 	now := time.Now()
 	for _, known := range r.workers {
 		if r.isCacheUnknown(known, now) {
-			unlisted = append(unlisted, known.worker)
+			unknown = append(unknown, known.worker)
 		}
 	}
-	return unlisted
+	return unknown
 }
 
 // UnknownCachesAmong is UnknownCaches restricted to the given engines: in a large fleet a node
@@ -229,14 +229,14 @@
 func (r *Registry) UnknownCachesAmong(engines map[string]bool) []Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var unlisted []Worker
+	var unknown []Worker
 	now := time.Now()
 	for id := range engines {
 		if known, exists := r.workers[id]; exists && r.isCacheUnknown(known, now) {
-			unlisted = append(unlisted, known.worker)
+			unknown = append(unknown, known.worker)
 		}
 	}
-	return unlisted
+	return unknown
 }
 
 func (r *Registry) isCacheUnknown(known *workerState, now time.Time) bool {
@@ -249,14 +249,14 @@
 	defer r.mu.Unlock()
 	r.mergeLoads(node, snapshot.Loads, now)
 	r.mergeDemand(node, snapshot, now)
-	for _, read := range snapshot.CacheUpdates {
-		if known, exists := r.workers[read.Worker]; exists {
-			known.cache.Use(read.Parts, now)
-			known.cacheKnown = known.cacheKnown || len(read.Parts) >= minListedParts
+	for _, update := range snapshot.CacheUpdates {
+		if known, exists := r.workers[update.Worker]; exists {
+			known.cache.Use(update.Parts, now)
+			known.cacheKnown = known.cacheKnown || len(update.Parts) >= minListedParts
 		}
 	}
-	for _, changing := range snapshot.Changing {
-		r.mergeStageChange(changing, now)
+	for _, change := range snapshot.Changing {
+		r.mergeStageChange(change, now)
 	}
 	for _, id := range snapshot.Failures {
 		if known, exists := r.workers[id]; exists {
--- a/internal/worker/limit.go
+++ b/internal/worker/limit.go
@@ -124,11 +124,11 @@
 func (r *Registry) Limit(id string) (said LimitStatement, version uint64, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	asked, exists := r.workers[id]
+	state, exists := r.workers[id]
 	if !exists {
 		return LimitStatement{}, 0, false
 	}
-	return asked.limit, asked.limitVersion, true
+	return state.limit, state.limitVersion, true
 }
 
 // Limits returns the statements of those of the given workers that have ever stated a limit.
--- a/internal/worker/observe.go
+++ b/internal/worker/observe.go
@@ -54,9 +54,9 @@
 	r.update(id, func(known *workerState) {
 		group := r.groupModel(known.worker)
 		if reading.Ahead > 0 {
-			terms, queuePace := r.prefillModel(known)
+			terms, throughput := r.prefillModel(known)
 			waited := reading.Elapsed - time.Duration(terms.Milliseconds(reading.Tokens, reading.Context)*float64(time.Millisecond))
-			r.timingsOf(known.worker.Service).queue.Observe(float64(waited)/float64(time.Millisecond), float64(reading.Ahead)/queuePace)
+			r.timingsOf(known.worker.Service).queue.Observe(float64(waited)/float64(time.Millisecond), float64(reading.Ahead)/throughput)
 		}
 		known.slowdown.Observe(reading, group)
 		group.Observe(reading)
@@ -68,9 +68,9 @@
 func (r *Registry) ObserveFetch(id string, reading latency.Reading, link time.Duration) {
 	r.update(id, func(known *workerState) {
 		terms, _ := r.prefillModel(known)
-		rest := reading.Elapsed - link - time.Duration(terms.Milliseconds(reading.Tokens, reading.Context)*float64(time.Millisecond))
+		fetchTime := reading.Elapsed - link - time.Duration(terms.Milliseconds(reading.Tokens, reading.Context)*float64(time.Millisecond))
 		if reading.Ahead == 0 {
-			r.timingsOf(known.worker.Service).fetch.Observe(max(rest, 0))
+			r.timingsOf(known.worker.Service).fetch.Observe(max(fetchTime, 0))
 		}
 	})
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -43,7 +43,7 @@
 type Change struct {
 	// Name is the worker's name, which is the key of its entry.
 	Name string
-	// Worker is nil where the entry is gone.
+	// Worker is nil if the entry was removed.
 	Worker *Worker
 	// Unreadable is set if the entry describes no usable worker, for example because another
 	// program has overwritten it.
