--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -174,9 +174,9 @@
 func (p *Pool) takeIdle(key string, limit int) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if kept := p.idle[key]; len(kept) > 0 {
-		last := kept[len(kept)-1]
-		p.idle[key] = kept[:len(kept)-1]
+	if idle := p.idle[key]; len(idle) > 0 {
+		last := idle[len(idle)-1]
+		p.idle[key] = idle[:len(idle)-1]
 		return last, nil
 	}
 	if limit > 0 && p.open[key] >= limit {
@@ -236,10 +236,10 @@
 // CloseIdle closes the idle connections to a worker, for example when it is gone.
 func (p *Pool) CloseIdle(key string) {
 	p.mu.Lock()
-	kept := p.idle[key]
+	idle := p.idle[key]
 	delete(p.idle, key)
 	p.mu.Unlock()
-	for _, c := range kept {
+	for _, c := range idle {
 		p.discard(key, c)
 	}
 }
