--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -84,11 +84,11 @@
 // Admit implements workerconn.Monitor.
 func (m *Monitor) Admit(key string, request *workerconn.Request) error {
 	now := time.Now()
-	admits := m.options.Registry.Admit
+	admit := m.options.Registry.Admit
 	if request.ID != "" { // a caller's request
-		admits = m.options.Registry.AdmitCall
+		admit = m.options.Registry.AdmitCall
 	}
-	err := admits(key, now)
+	err := admit(key, now)
 	if err == nil {
 		return nil
 	}
@@ -100,14 +100,14 @@
 // Sending implements workerconn.Monitor.
 func (m *Monitor) Sending(key string, request *workerconn.Request) {
 	now := time.Now()
-	advisory := m.options.Registry.NoticeState(key)
-	if advisory.Expired(now) {
+	state := m.options.Registry.NoticeState(key)
+	if state.Expired(now) {
 		return
 	}
-	if advisory.Draining(now) {
+	if state.Draining(now) {
 		m.sentDespiteNotice.WithLabelValues(labelDraining).Inc()
 	}
-	if advisory.BackingOff(now) {
+	if state.BackingOff(now) {
 		m.sentDespiteNotice.WithLabelValues(labelBackoff).Inc()
 	}
 	m.logRequest(key, request, now).Warn("sent to a worker that had said it takes no requests")
@@ -116,10 +116,10 @@
 // logRequest returns a log entry with the fields of a request and the notice state of its
 // worker.
 func (m *Monitor) logRequest(key string, request *workerconn.Request, now time.Time) *logrus.Entry {
-	advisory := m.options.Registry.NoticeState(key)
+	state := m.options.Registry.NoticeState(key)
 	return m.options.Log.WithFields(logrus.Fields{
 		"id": request.ID, "method": request.Method, "worker": key,
-		"draining_for_ms": sinceMillis(advisory.DrainingSince, now), "backoff_ms": advisory.BackoffRemaining(now).Milliseconds(),
+		"draining_for_ms": sinceMillis(state.DrainingSince, now), "backoff_ms": state.BackoffRemaining(now).Milliseconds(),
 	})
 }
 
@@ -133,19 +133,19 @@
 
 // Answered implements workerconn.Monitor.
 func (m *Monitor) Answered(key string, request *workerconn.Request, status int, header http.Header) {
-	said := m.options.Read(status, header)
+	notice := m.options.Read(status, header)
 	now := time.Now()
-	if said.Malformed != "" {
+	if notice.Malformed != "" {
 		m.malformed.Inc()
 		if m.shouldLog(key, now) {
-			m.options.Log.WithFields(logrus.Fields{"id": request.ID, "worker": key, "status": status, "notice": said.Malformed}).
+			m.options.Log.WithFields(logrus.Fields{"id": request.ID, "worker": key, "status": status, "notice": notice.Malformed}).
 				Warn("a notice of a worker can't be read; what it said before holds")
 		}
 	}
-	if said == (worker.Notice{Malformed: said.Malformed}) {
+	if notice == (worker.Notice{Malformed: notice.Malformed}) {
 		return
 	}
-	if change, changed := m.options.Registry.ObserveNotice(key, said, now); changed {
+	if change, changed := m.options.Registry.ObserveNotice(key, notice, now); changed {
 		m.recordChange(change, request, status, now)
 	}
 }
@@ -153,14 +153,14 @@
 // recordChange counts and logs a change. An announcement that the worker drains is always
 // logged; changes of its pause are limited to one line per logEvery.
 func (m *Monitor) recordChange(change worker.NoticeChange, request *workerconn.Request, status int, now time.Time) {
-	drains := change.After.DrainingSince != change.Before.DrainingSince
-	if drains {
+	draining := change.After.DrainingSince != change.Before.DrainingSince
+	if draining {
 		m.changes.WithLabelValues(labelDraining).Inc()
 	}
 	if change.After.BackoffUntil != change.Before.BackoffUntil {
 		m.changes.WithLabelValues(labelBackoff).Inc()
 	}
-	if !m.shouldLog(change.Worker.ID, now) && !drains {
+	if !m.shouldLog(change.Worker.ID, now) && !draining {
 		return
 	}
 	m.options.Log.WithFields(logrus.Fields{
