--- a/internal/worker/demand.go
+++ b/internal/worker/demand.go
@@ -188,12 +188,12 @@
 }
 
 // mergeDemand records the demand at another node.
-func (r *Registry) mergeDemand(node string, told Snapshot, now time.Time) {
-	until := now.Add(told.DemandLife)
-	for service, demand := range told.Demand {
+func (r *Registry) mergeDemand(node string, snapshot Snapshot, now time.Time) {
+	until := now.Add(snapshot.DemandLife)
+	for service, demand := range snapshot.Demand {
 		r.demandOf(demandKey{service: service}).remote[node] = remoteDemand{demand, until}
 	}
-	for region, byService := range told.RegionDemand {
+	for region, byService := range snapshot.RegionDemand {
 		for service, demand := range byService {
 			r.demandOf(demandKey{service, region}).remote[node] = remoteDemand{demand, until}
 		}
--- a/internal/worker/limit.go
+++ b/internal/worker/limit.go
@@ -74,16 +74,16 @@
 func (r *Registry) OnLimitChange(changed func(LimitChange)) { r.limitChanged = changed }
 
 // ObserveLimit records what a worker stated in the answer to a request of this node.
-func (r *Registry) ObserveLimit(id, request string, said LimitStatement) {
-	r.observeLimit(id, request, said, true)
+func (r *Registry) ObserveLimit(id, request string, statement LimitStatement) {
+	r.observeLimit(id, request, statement, true)
 }
 
 // MergeLimit records what a worker stated in the answer to a request of another node.
-func (r *Registry) MergeLimit(id, node string, said LimitStatement) {
-	r.observeLimit(id, node, said, false)
+func (r *Registry) MergeLimit(id, node string, statement LimitStatement) {
+	r.observeLimit(id, node, statement, false)
 }
 
-func (r *Registry) observeLimit(id, source string, said LimitStatement, own bool) {
+func (r *Registry) observeLimit(id, source string, statement LimitStatement, own bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, exists := r.workers[id]
@@ -91,7 +91,7 @@
 		return
 	}
 	before := known.limit
-	known.limit = said.mergedWith(before)
+	known.limit = statement.mergedWith(before)
 	if own && known.limit != before {
 		r.limitUpdates[id] = time.Now().Add(limitBroadcastTime)
 		r.touch(id)
@@ -121,7 +121,7 @@
 
 // Limit returns what a worker has stated about its request rate, and a version that increases
 // whenever the limit changes at this node. It reports false if the worker isn't known.
-func (r *Registry) Limit(id string) (said LimitStatement, version uint64, known bool) {
+func (r *Registry) Limit(id string) (statement LimitStatement, version uint64, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	state, exists := r.workers[id]
--- a/internal/worker/notice.go
+++ b/internal/worker/notice.go
@@ -48,11 +48,11 @@
 // with returns the state after a further notice. Answers can overtake each other, so one
 // without a notice may be older than one with it. So no notice is ever revoked by a later
 // answer, and of several pauses the one that ends last holds.
-func (s NoticeState) with(said Notice, now time.Time) NoticeState {
-	if said.Draining && !s.Draining(now) {
+func (s NoticeState) with(notice Notice, now time.Time) NoticeState {
+	if notice.Draining && !s.Draining(now) {
 		s.DrainingSince = now
 	}
-	if until := now.Add(said.Backoff); said.Backoff > 0 && until.After(s.BackoffUntil) {
+	if until := now.Add(notice.Backoff); notice.Backoff > 0 && until.After(s.BackoffUntil) {
 		if !s.BackingOff(now) {
 			s.BackoffSince = now
 		}
@@ -76,12 +76,12 @@
 
 // ObserveNotice records the notice in an answer to a request of this node, and reports whether
 // it changed anything.
-func (r *Registry) ObserveNotice(id string, said Notice, now time.Time) (NoticeChange, bool) {
-	said.Backoff = addJitter(said.Backoff)
+func (r *Registry) ObserveNotice(id string, notice Notice, now time.Time) (NoticeChange, bool) {
+	notice.Backoff = addJitter(notice.Backoff)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.noticeStates[id]
-	after := before.with(said, now)
+	after := before.with(notice, now)
 	if after == before {
 		return NoticeChange{}, false
 	}
@@ -139,8 +139,8 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	var draining []string
-	for id, advisory := range r.noticeStates {
-		if advisory.Draining(now) {
+	for id, state := range r.noticeStates {
+		if state.Draining(now) {
 			draining = append(draining, id)
 		}
 	}
@@ -150,8 +150,8 @@
 // dropExpiredNotices deletes states without effect. Notice states outlive the entries of their
 // workers, which may disappear and come back while the store is unavailable.
 func (r *Registry) dropExpiredNotices(now time.Time) {
-	for id, advisory := range r.noticeStates {
-		if advisory.Expired(now) {
+	for id, state := range r.noticeStates {
+		if state.Expired(now) {
 			delete(r.noticeStates, id)
 		}
 	}
@@ -189,11 +189,11 @@
 }
 
 func (r *Registry) admit(id string, now time.Time) error {
-	advisory := r.noticeStates[id]
-	if advisory.Draining(now) && now.Sub(advisory.DrainingSince) >= lastResortFor {
+	state := r.noticeStates[id]
+	if state.Draining(now) && now.Sub(state.DrainingSince) >= lastResortFor {
 		return ErrDraining
 	}
-	if advisory.BackingOff(now) {
+	if state.BackingOff(now) {
 		return ErrBackoff
 	}
 	return nil
@@ -239,11 +239,11 @@
 func (r *Registry) CountNoticeStates(now time.Time) (draining, backingOff int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, advisory := range r.noticeStates {
-		if advisory.Draining(now) {
+	for _, state := range r.noticeStates {
+		if state.Draining(now) {
 			draining++
 		}
-		if advisory.BackingOff(now) {
+		if state.BackingOff(now) {
 			backingOff++
 		}
 	}
