--- a/internal/ingress/front.go
+++ b/internal/ingress/ingress.go
@@ -1,5 +1,5 @@
-// Package front takes callers' HTTP requests for routes: it reads them whole, finds
-// their route, has them served, and answers what was refused.
+// Package ingress is the HTTP entry point for callers. It reads each request completely, finds
+// its route and tenant, passes it to the dispatcher and answers requests that are refused.
 package ingress
 
 import (
@@ -20,33 +20,34 @@
 	"github.com/tinarch/tinarch/internal/routing"
 )
 
-// Parser reads what a caller's request says in the platform's names.
+// Parser reads request headers in the names of one platform.
 type Parser interface {
-	// Parse fills the fields of a call that headers tell. The error is the
-	// caller's mistake.
+	// Parse sets the fields of a call that come from headers. An error means that the caller
+	// sent an invalid header.
 	Parse(call *dispatch.Call) error
-	// APIKeys returns the API keys that a request's header holds.
+	// APIKeys returns the API keys in a request's header.
 	APIKeys(header http.Header) []string
 }
 
-// Runner serves calls.
+// Runner sends calls to workers.
 type Runner interface {
 	Run(ctx context.Context, call *dispatch.Call, caller dispatch.Caller) dispatch.Outcome
 }
 
-// Handler takes callers' requests. It implements http.Handler.
+// Handler serves callers' requests. It implements http.Handler.
 type Handler struct {
 	parser   Parser
 	runner   Runner
 	splitter *routing.Splitter
 	log      *logrus.Logger
 	metrics  *Metrics
-	// quotas is nil where no tenant has a limit.
+	// quotas is nil if no tenant has a limit.
 	quotas Quotas
-	// configurationAge is the time since the configuration in force was confirmed.
+	// configurationAge returns the time since the configuration was last confirmed to be
+	// current.
 	configurationAge func() time.Duration
-	// configurationBehind is the time since this node heard of a newer configuration that it
-	// doesn't hold, zero where it lacks none.
+	// configurationBehind returns the time since this node heard of a newer configuration that
+	// it doesn't have, zero if there is none.
 	configurationBehind func() time.Duration
 
 	table    atomic.Pointer[routing.Table]
@@ -54,104 +55,104 @@
 	active   atomic.Int64
 }
 
-// Options are what a front works with.
+// Options configures a Handler.
 type Options struct {
 	Parser  Parser
 	Runner  Runner
 	Log     *logrus.Logger
 	Metrics *Metrics
-	// Quotas charges tenants that have a limit. It may be nil where none has.
+	// Quotas charges tenants that have a limit. It may be nil if none has.
 	Quotas Quotas
-	// ConfigurationAge is the time since the configuration in force was confirmed. It may
-	// be nil where that is never long ago.
+	// ConfigurationAge returns the time since the configuration was last confirmed to be
+	// current. If it is nil, the configuration counts as always current.
 	ConfigurationAge func() time.Duration
-	// ConfigurationBehind is the time since this node heard of a newer configuration that it
-	// doesn't hold, zero where it lacks none. It may be nil where it never lacks one.
+	// ConfigurationBehind returns the time since this node heard of a newer configuration that
+	// it doesn't have, zero if there is none. If it is nil, there never is one.
 	ConfigurationBehind func() time.Duration
 }
 
-// New returns a front without routes.
+// New returns a handler without routes.
 func New(options Options) *Handler {
-	f := &Handler{
+	h := &Handler{
 		configurationAge: options.ConfigurationAge, configurationBehind: options.ConfigurationBehind,
 		parser: options.Parser, runner: options.Runner, log: options.Log, metrics: options.Metrics,
 		quotas:   options.Quotas,
 		splitter: routing.NewSplitter(rand.IntN),
 	}
-	if f.configurationAge == nil {
-		f.configurationAge = never
+	if h.configurationAge == nil {
+		h.configurationAge = zeroAge
 	}
-	if f.configurationBehind == nil {
-		f.configurationBehind = never
+	if h.configurationBehind == nil {
+		h.configurationBehind = zeroAge
 	}
-	return f
+	return h
 }
 
-func never() time.Duration { return 0 }
+func zeroAge() time.Duration { return 0 }
 
-// Stop asks callers to use other connections from now on.
-func (f *Handler) Stop() { f.stopping.Store(true) }
+// Stop makes every further answer close its connection, so that callers connect to other nodes.
+func (h *Handler) Stop() { h.stopping.Store(true) }
 
 // Stopping reports whether Stop was called.
-func (f *Handler) Stopping() bool { return f.stopping.Load() }
+func (h *Handler) Stopping() bool { return h.stopping.Load() }
 
-// Active returns the number of requests under way.
-func (f *Handler) Active() int64 { return f.active.Load() }
+// Active returns the number of requests in progress.
+func (h *Handler) Active() int64 { return h.active.Load() }
 
 // HasRoute reports whether a request has a route.
-func (f *Handler) HasRoute(request *http.Request) bool {
-	table := f.table.Load()
+func (h *Handler) HasRoute(request *http.Request) bool {
+	table := h.table.Load()
 	return table != nil && table.Match(request.Host, pathOf(request)) != nil
 }
 
-// pathOf returns the path as it was sent, without the query.
+// pathOf returns the path as it was sent, that is, still escaped.
 func pathOf(request *http.Request) string {
 	path, _, _ := strings.Cut(request.RequestURI, "?")
 	return path
 }
 
-// notConfiguredPause is when a caller should come back to a node that has no
-// configuration yet.
-const notConfiguredPause = 300 * time.Millisecond
+// notConfiguredRetryAfter is the Retry-After of answers while the node has no configuration, or
+// no service for a route.
+const notConfiguredRetryAfter = 300 * time.Millisecond
 
-// SetTable puts a version of the routes in force.
-func (f *Handler) SetTable(table *routing.Table) { f.table.Store(table) }
+// SetTable replaces the routes.
+func (h *Handler) SetTable(table *routing.Table) { h.table.Store(table) }
 
-// Table returns the routes in force, nil before any are known.
-func (f *Handler) Table() *routing.Table { return f.table.Load() }
+// Table returns the current routes, nil before the first SetTable.
+func (h *Handler) Table() *routing.Table { return h.table.Load() }
 
 // ServeHTTP implements http.Handler.
-func (f *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	f.active.Add(1)
-	defer f.active.Add(-1)
+func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	h.active.Add(1)
+	defer h.active.Add(-1)
 	arrived := time.Now()
-	answer := newHTTPCaller(writer, f.stopping.Load())
-	call, failure := f.accept(writer, request, arrived)
+	answer := newHTTPCaller(writer, h.stopping.Load())
+	call, failure := h.accept(writer, request, arrived)
 	if failure != nil {
-		f.giveBack(call)
-		f.refuse(answer, request, call, failure, arrived)
+		h.refund(call)
+		h.refuse(answer, request, call, failure, arrived)
 		return
 	}
-	outcome := f.runner.Run(request.Context(), call, answer)
+	outcome := h.runner.Run(request.Context(), call, answer)
 	if outcome.NotRun() {
-		f.giveBack(call)
+		h.refund(call)
 	}
-	f.finish(answer, request, call, outcome)
+	h.finish(answer, request, call, outcome)
 }
 
-// accept reads a request whole and finds its route.
-func (f *Handler) accept(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*dispatch.Call, *result.Error) {
-	table := f.table.Load()
+// accept finds the route and tenant of a request, charges the tenant and reads the body.
+func (h *Handler) accept(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*dispatch.Call, *result.Error) {
+	table := h.table.Load()
 	if table == nil {
-		return nil, result.New(result.NotConfigured, "this node has read no configuration yet").WithRetryAfter(notConfiguredPause)
+		return nil, result.New(result.NotConfigured, "this node has read no configuration yet").WithRetryAfter(notConfiguredRetryAfter)
 	}
-	if failure := f.refuseOutdated(table); failure != nil {
+	if failure := h.refuseOutdated(table); failure != nil {
 		return nil, failure
 	}
 	if size := headerBytes(request); table.Limits.MaxHeaderBytes > 0 && size > table.Limits.MaxHeaderBytes {
 		return nil, result.New(result.HeaderTooLarge, "the header has %d bytes; the limit is %d", size, table.Limits.MaxHeaderBytes)
 	}
-	admitted, failure := f.admit(table, request)
+	admitted, failure := h.admit(table, request)
 	if failure != nil {
 		return nil, failure
 	}
@@ -160,9 +161,9 @@
 		Header: request.Header, Route: admitted.route, Tenant: admitted.tenant, Arrived: arrived,
 		Deadline: arrived.Add(admitted.route.Timeout), RoutesVersion: table.Version,
 	}
-	parseErr := f.parser.Parse(call)
+	parseErr := h.parser.Parse(call)
 	if parseErr == nil {
-		if failure := f.charge(request.Context(), call); failure != nil {
+		if failure := h.charge(request.Context(), call); failure != nil {
 			return call, failure
 		}
 	}
@@ -173,24 +174,24 @@
 	if parseErr != nil {
 		return call, result.New(result.InvalidRequest, "%v", parseErr)
 	}
-	// The configuration may have changed while the body came.
-	if newest := f.table.Load(); newest != table {
+	// The configuration may have changed while the body was received.
+	if newest := h.table.Load(); newest != table {
 		table = newest
-		if admitted, failure = f.admit(table, request); failure != nil {
+		if admitted, failure = h.admit(table, request); failure != nil {
 			return call, failure
 		}
 		call.Route, call.Tenant = admitted.route, admitted.tenant
 	}
 	call.RoutesVersion = table.Version
-	service := f.splitter.Choose(call.Route)
+	service := h.splitter.Choose(call.Route)
 	call.Service = table.Service(service)
 	if call.Service == nil {
-		return call, result.New(result.NoEngine, "route %s has no service with a weight", call.Route.Name).WithRetryAfter(notConfiguredPause)
+		return call, result.New(result.NoEngine, "route %s has no service with a weight", call.Route.Name).WithRetryAfter(notConfiguredRetryAfter)
 	}
 	return call, nil
 }
 
-// headerBytes is the size of a request's header as it was sent, about.
+// headerBytes returns the approximate size of a request's header.
 func headerBytes(request *http.Request) int {
 	const separators = 4
 	size := len(request.Method) + len(request.RequestURI) + len(request.Host)
@@ -231,33 +232,34 @@
 	return nil, result.New(result.CallerGone, "the body could not be read: %v", err)
 }
 
-// refuse answers a request that goes to no worker.
-func (f *Handler) refuse(answer *httpCaller, request *http.Request, call *dispatch.Call, failure *result.Error, arrived time.Time) {
+// refuse answers a request that isn't sent to a worker.
+func (h *Handler) refuse(answer *httpCaller, request *http.Request, call *dispatch.Call, failure *result.Error, arrived time.Time) {
 	if call == nil {
 		call = &dispatch.Call{Method: request.Method, Target: request.RequestURI, Header: request.Header, Arrived: arrived}
-		_ = f.parser.Parse(call)
+		_ = h.parser.Parse(call)
 	}
 	outcome := dispatch.Outcome{
 		Code: failure.Code, Detail: failure.Message,
 		RetryAfter: time.Duration(failure.RetryAfterMillis) * time.Millisecond,
 	}
-	f.logOutcome(call, outcome)
+	h.logOutcome(call, outcome)
 	if failure.Code == result.TenantQuota {
 		if err := answer.answerEarly(); err != nil {
-			f.log.WithField("id", call.ID).WithError(err).Debug("a refusal waits for the request's body")
+			h.log.WithField("id", call.ID).WithError(err).Debug("the error can't be sent before the request body has been read")
 		}
 	}
-	giveFailure(answer, failure)
+	writeError(answer, failure)
 }
 
-// finish answers a call that the dispatcher has given back.
-func (f *Handler) finish(answer *httpCaller, request *http.Request, call *dispatch.Call, outcome dispatch.Outcome) {
-	f.logOutcome(call, outcome)
+// finish answers a call that the dispatcher has processed, unless its answer has been sent
+// already.
+func (h *Handler) finish(answer *httpCaller, request *http.Request, call *dispatch.Call, outcome dispatch.Outcome) {
+	h.logOutcome(call, outcome)
 	switch {
 	case outcome.Code == result.OK:
 		return
 	case outcome.HeadGiven:
-		// A cut answer must not look whole.
+		// Closing the connection keeps a truncated answer from looking complete.
 		panic(http.ErrAbortHandler)
 	case request.Context().Err() != nil:
 		panic(http.ErrAbortHandler)
@@ -266,11 +268,11 @@
 	if outcome.RetryAfter > 0 {
 		failure = failure.WithRetryAfter(outcome.RetryAfter)
 	}
-	giveFailure(answer, failure)
+	writeError(answer, failure)
 }
 
-// giveFailure writes a numbered error.
-func giveFailure(answer *httpCaller, failure *result.Error) {
+// writeError sends an error with its code.
+func writeError(answer *httpCaller, failure *result.Error) {
 	body := []byte(failure.Error() + "\n")
 	header := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	if failure.RetryAfterMillis > 0 {
@@ -281,16 +283,16 @@
 	_ = answer.Write(body)
 }
 
-func (f *Handler) logOutcome(call *dispatch.Call, outcome dispatch.Outcome) {
+func (h *Handler) logOutcome(call *dispatch.Call, outcome dispatch.Outcome) {
 	took := time.Since(call.Arrived)
 	route := ""
 	if call.Route != nil {
 		route = call.Route.Name
 	}
-	f.metrics.observe(call, outcome, took)
-	entry := f.log.WithFields(logrus.Fields{
+	h.metrics.observe(call, outcome, took)
+	entry := h.log.WithFields(logrus.Fields{
 		"id": call.ID, "route": route, "tenant": call.Tenant.Name(), "code": int(outcome.Code), "status": outcome.Status,
-		"routes_version": call.RoutesVersion, "routes_age_ms": f.configurationAge().Milliseconds(),
+		"routes_version": call.RoutesVersion, "routes_age_ms": h.configurationAge().Milliseconds(),
 		"attempts": outcome.Attempts, "first_ms": outcome.First.Milliseconds(),
 		"last_ms": outcome.Last.Milliseconds(), "gap_ms": outcome.Gap.Milliseconds(), "pieces": outcome.Pieces,
 		"took_ms": took.Milliseconds(), "retry_after_ms": outcome.RetryAfter.Milliseconds(),
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -10,40 +10,40 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Quotas charges tenants for requests, over all nodes together.
+// Quotas charges tenants for requests. A quota applies to all nodes together.
 type Quotas interface {
 	// Charge decides whether a request is within its tenant's quota.
 	Charge(ctx context.Context, claim quota.ChargeRequest) quota.Outcome
-	// Return gives back what was charged for a request that has not run.
+	// Return refunds the charge of a request that hasn't run.
 	Return(charge quota.Charge)
 }
 
-// charge has a call's tenant charged by what its header declares, before its body is read
-// or a worker looked for. Tenants without a limit cost nothing.
-func (f *Handler) charge(ctx context.Context, call *dispatch.Call) *result.Error {
+// charge charges a call's tenant by the sizes that the header declares, before the body is read
+// or a worker is chosen. It does nothing for tenants without a limit.
+func (h *Handler) charge(ctx context.Context, call *dispatch.Call) *result.Error {
 	limit := call.Tenant.Limit()
-	if f.quotas == nil || !limit.Limited() {
+	if h.quotas == nil || !limit.Limited() {
 		return nil
 	}
 	claim := quota.ChargeRequest{
 		Tenant: call.Tenant.Name(), Limit: limit, Version: call.RoutesVersion,
 		Cost: limit.Cost(call.PromptTokens + call.OutputTokens),
 	}
-	verdict := f.quotas.Charge(ctx, claim)
+	verdict := h.quotas.Charge(ctx, claim)
 	switch {
 	case verdict.Granted:
 		call.Charge = claim.Charge()
 		return nil
 	case ctx.Err() != nil:
-		return result.New(result.CallerGone, "the caller left before its quota was known")
+		return result.New(result.CallerGone, "the caller left before its quota was checked")
 	}
-	f.logOverQuota(call, claim, verdict)
+	h.logOverQuota(call, claim, verdict)
 	return result.New(result.TenantQuota, "tenant %s is over its quota of %g %s a second, with a burst of %g",
 		claim.Tenant, limit.Rate, limit.Unit, limit.Burst).WithRetryAfter(verdict.RetryAfter)
 }
 
-func (f *Handler) logOverQuota(call *dispatch.Call, claim quota.ChargeRequest, verdict quota.Outcome) {
-	f.log.WithFields(logrus.Fields{
+func (h *Handler) logOverQuota(call *dispatch.Call, claim quota.ChargeRequest, verdict quota.Outcome) {
+	h.log.WithFields(logrus.Fields{
 		"id": call.ID, "tenant": claim.Tenant, "cost": claim.Cost, "unit": claim.Limit.Unit,
 		"rate": claim.Limit.Rate, "burst": claim.Limit.Burst, "routes_version": claim.Version,
 		"decided_by_version": verdict.Version, "keeper": verdict.Keeper, "private": verdict.Private,
@@ -52,11 +52,11 @@
 	}).Warn("over quota")
 }
 
-// giveBack returns what was charged for a call that has not run.
-func (f *Handler) giveBack(call *dispatch.Call) {
+// refund refunds the charge of a call that hasn't run.
+func (h *Handler) refund(call *dispatch.Call) {
 	if call == nil || call.Charge.None() {
 		return
 	}
-	f.quotas.Return(call.Charge)
+	h.quotas.Return(call.Charge)
 	call.Charge = quota.Charge{}
 }
--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -1,5 +1,5 @@
-// Package notices takes in what workers say, in answers to whatever they were sent, of whether
-// they take further requests, and withholds what they don't take.
+// Package notices records what workers announce in the headers of their answers about whether
+// they accept further requests (notices), and keeps requests from workers that accept none.
 package notices
 
 import (
@@ -14,22 +14,22 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// logEvery is the least time between two lines on notices of one worker: a worker that
-// is full may ask for another pause in each of its answers.
+// logEvery is the minimum time between two log lines about notices of one worker. An overloaded
+// worker may ask for a new pause in each of its answers.
 const logEvery = time.Second
 
-// The labels of notices.
+// These are the values of the metric label notice.
 const (
 	labelDraining = "draining"
 	labelBackoff  = "backoff"
 )
 
-// Options are what a monitor works with.
+// Options configures a Monitor.
 type Options struct {
 	Registry *worker.Registry
-	// Read reads the head of an answer.
+	// Read returns the notice in the status and header of an answer.
 	Read func(status int, header http.Header) worker.Notice
-	// ListAge is how old the list of workers is, for the log.
+	// ListAge returns the age of this node's copy of the worker list, which is logged.
 	ListAge func() time.Duration
 	Log     *logrus.Logger
 	Metrics prometheus.Registerer
@@ -37,14 +37,14 @@
 
 // Monitor implements workerconn.Monitor. It is safe for concurrent use.
 type Monitor struct {
-	options   Options
-	changes   *prometheus.CounterVec
-	malformed prometheus.Counter
-	despite   *prometheus.CounterVec
-	withheld  prometheus.Counter
+	options           Options
+	changes           *prometheus.CounterVec
+	malformed         prometheus.Counter
+	sentDespiteNotice *prometheus.CounterVec
+	withheld          prometheus.Counter
 
 	mu sync.Mutex
-	// logged is when a line was written on a worker.
+	// logged is when the last line about a worker was logged.
 	logged map[string]time.Time
 }
 
@@ -58,14 +58,14 @@
 		malformed: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "tinarch_worker_notices_malformed_total", Help: "Notices of workers that can't be read.",
 		}),
-		despite: prometheus.NewCounterVec(prometheus.CounterOpts{
+		sentDespiteNotice: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "tinarch_worker_requests_despite_notice_total", Help: "Requests of any kind sent to a worker that had said it takes none.",
 		}, []string{"notice"}),
 	}
 	m.withheld = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "tinarch_worker_requests_withheld_total", Help: "Requests of any kind kept from a worker that takes none, after they were meant for it.",
 	})
-	options.Metrics.MustRegister(m.changes, m.malformed, m.despite, m.withheld,
+	options.Metrics.MustRegister(m.changes, m.malformed, m.sentDespiteNotice, m.withheld,
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "tinarch_workers_announced_draining", Help: "Workers that have said in answers that they are about to end.",
 		}, func() float64 {
@@ -84,11 +84,11 @@
 // Admit implements workerconn.Monitor.
 func (m *Monitor) Admit(key string, request *workerconn.Request) error {
 	now := time.Now()
-	admits := m.options.Registry.Admit
-	if request.ID != "" { // a caller's
-		admits = m.options.Registry.AdmitCall
+	admit := m.options.Registry.Admit
+	if request.ID != "" { // a caller's request
+		admit = m.options.Registry.AdmitCall
 	}
-	err := admits(key, now)
+	err := admit(key, now)
 	if err == nil {
 		return nil
 	}
@@ -100,29 +100,30 @@
 // Sending implements workerconn.Monitor.
 func (m *Monitor) Sending(key string, request *workerconn.Request) {
 	now := time.Now()
-	advisory := m.options.Registry.NoticeState(key)
-	if advisory.Expired(now) {
+	state := m.options.Registry.NoticeState(key)
+	if state.Expired(now) {
 		return
 	}
-	if advisory.Draining(now) {
-		m.despite.WithLabelValues(labelDraining).Inc()
+	if state.Draining(now) {
+		m.sentDespiteNotice.WithLabelValues(labelDraining).Inc()
 	}
-	if advisory.BackingOff(now) {
-		m.despite.WithLabelValues(labelBackoff).Inc()
+	if state.BackingOff(now) {
+		m.sentDespiteNotice.WithLabelValues(labelBackoff).Inc()
 	}
 	m.logRequest(key, request, now).Warn("sent to a worker that had said it takes no requests")
 }
 
-// logRequest is the log with a request and the notices of its worker.
+// logRequest returns a log entry with the fields of a request and the notice state of its
+// worker.
 func (m *Monitor) logRequest(key string, request *workerconn.Request, now time.Time) *logrus.Entry {
-	advisory := m.options.Registry.NoticeState(key)
+	state := m.options.Registry.NoticeState(key)
 	return m.options.Log.WithFields(logrus.Fields{
 		"id": request.ID, "method": request.Method, "worker": key,
-		"draining_for_ms": sinceMillis(advisory.DrainingSince, now), "backoff_ms": advisory.BackoffRemaining(now).Milliseconds(),
+		"draining_for_ms": sinceMillis(state.DrainingSince, now), "backoff_ms": state.BackoffRemaining(now).Milliseconds(),
 	})
 }
 
-// sinceMillis is the time since a moment in milliseconds, zero where it never was.
+// sinceMillis returns the milliseconds since a moment, zero if the moment is zero.
 func sinceMillis(moment, now time.Time) int64 {
 	if moment.IsZero() {
 		return 0
@@ -132,34 +133,34 @@
 
 // Answered implements workerconn.Monitor.
 func (m *Monitor) Answered(key string, request *workerconn.Request, status int, header http.Header) {
-	said := m.options.Read(status, header)
+	notice := m.options.Read(status, header)
 	now := time.Now()
-	if said.Malformed != "" {
+	if notice.Malformed != "" {
 		m.malformed.Inc()
-		if m.due(key, now) {
-			m.options.Log.WithFields(logrus.Fields{"id": request.ID, "worker": key, "status": status, "notice": said.Malformed}).
+		if m.shouldLog(key, now) {
+			m.options.Log.WithFields(logrus.Fields{"id": request.ID, "worker": key, "status": status, "notice": notice.Malformed}).
 				Warn("a notice of a worker can't be read; what it said before holds")
 		}
 	}
-	if said == (worker.Notice{Malformed: said.Malformed}) {
+	if notice == (worker.Notice{Malformed: notice.Malformed}) {
 		return
 	}
-	if change, changed := m.options.Registry.ObserveNotice(key, said, now); changed {
-		m.changed(change, request, status, now)
+	if change, changed := m.options.Registry.ObserveNotice(key, notice, now); changed {
+		m.recordChange(change, request, status, now)
 	}
 }
 
-// changed counts and logs a change. A worker that asks for a longer pause while one holds is
-// logged now and then.
-func (m *Monitor) changed(change worker.NoticeChange, request *workerconn.Request, status int, now time.Time) {
-	drains := change.After.DrainingSince != change.Before.DrainingSince
-	if drains {
+// recordChange counts and logs a change. An announcement that the worker drains is always
+// logged; changes of its pause are limited to one line per logEvery.
+func (m *Monitor) recordChange(change worker.NoticeChange, request *workerconn.Request, status int, now time.Time) {
+	draining := change.After.DrainingSince != change.Before.DrainingSince
+	if draining {
 		m.changes.WithLabelValues(labelDraining).Inc()
 	}
 	if change.After.BackoffUntil != change.Before.BackoffUntil {
 		m.changes.WithLabelValues(labelBackoff).Inc()
 	}
-	if !m.due(change.Worker.ID, now) && !drains {
+	if !m.shouldLog(change.Worker.ID, now) && !draining {
 		return
 	}
 	m.options.Log.WithFields(logrus.Fields{
@@ -170,8 +171,8 @@
 	}).Info("worker notice")
 }
 
-// due reports whether a line on a worker may be written.
-func (m *Monitor) due(id string, now time.Time) bool {
+// shouldLog reports whether a line about a worker may be logged now.
+func (m *Monitor) shouldLog(id string, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for other, at := range m.logged {
--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -11,8 +11,8 @@
 	"github.com/tinarch/tinarch/internal/topology"
 )
 
-// Candidates describes the workers of a service that may take a request of a rank
-// with a prompt of these parts.
+// Candidates returns the workers of a service that may take a request with this rank and these
+// prompt parts, each with the state that placement needs.
 func (r *Registry) Candidates(service string, parts []prefixcache.Part, rank int, now time.Time) []scheduling.Candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -26,7 +26,7 @@
 	return candidates
 }
 
-// CandidatesAmong is Candidates of some workers only.
+// CandidatesAmong is Candidates restricted to the given workers.
 func (r *Registry) CandidatesAmong(service string, workers []string, parts []prefixcache.Part, rank int, now time.Time) []scheduling.Candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,9 +40,10 @@
 	return candidates
 }
 
-// Outlines goes through the workers of a service that may take a request, for a shortlist.
-// kept are those whose account this node keeps. The registry is locked meanwhile.
-func (r *Registry) Outlines(service string, kept map[string]bool, now time.Time) iter.Seq[scheduling.Outline] {
+// Outlines iterates over the workers of a service that may take a request, with the little
+// state that is needed to shortlist them. tracked holds the workers whose load this node
+// tracks. The registry stays locked during the iteration.
+func (r *Registry) Outlines(service string, tracked map[string]bool, now time.Time) iter.Seq[scheduling.Outline] {
 	return func(yield func(scheduling.Outline) bool) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -50,23 +51,23 @@
 			if known.worker.Service != service || !r.usable(known, now) {
 				continue
 			}
-			if !yield(r.outline(known, kept[id], now)) {
+			if !yield(r.outline(known, tracked[id], now)) {
 				return
 			}
 		}
 	}
 }
 
-func (r *Registry) outline(known *state, kept bool, now time.Time) scheduling.Outline {
+func (r *Registry) outline(known *workerState, tracked bool, now time.Time) scheduling.Outline {
 	return scheduling.Outline{
 		ID: known.worker.ID, Prefill: known.worker.Stage == Prefill,
 		SameZone: r.places.DistanceTo(known.worker.Zone) == topology.SameZone,
-		Rank:     known.rank, Hash: known.hash, Tracked: kept,
-		Sound: r.stays(known, now) && !known.breaker.Open(now) && !known.handles.Open(now) && known.turnWait(now) == 0,
+		Rank:     known.rank, Hash: known.hash, Tracked: tracked,
+		Sound: r.isStaying(known, now) && !known.breaker.Open(now) && !known.handleBreaker.Open(now) && known.turnWait(now) == 0,
 	}
 }
 
-// EngineIDs names all engines that are known.
+// EngineIDs returns the ids of all known engines.
 func (r *Registry) EngineIDs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,25 +80,25 @@
 	return ids
 }
 
-// Generation rises whenever a worker is added or forgotten.
+// Generation returns a number that increases whenever a worker is added or forgotten.
 func (r *Registry) Generation() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.generation
 }
 
-// isChanging reports whether an order may be under way.
-func (s *state) isChanging(now time.Time) bool { return now.Before(s.changing) }
+// isChanging reports whether the worker may be changing its stage.
+func (s *workerState) isChanging(now time.Time) bool { return now.Before(s.changingUntil) }
 
-// stageToBe is the stage of a worker, or that to which it was ordered.
-func (s *state) stageToBe(now time.Time) Stage {
+// targetStage returns the stage that the worker was ordered to change to, or else its stage.
+func (s *workerState) targetStage(now time.Time) Stage {
 	if s.isChanging(now) {
 		return s.changingStage
 	}
 	return s.worker.Stage
 }
 
-// Engines describes the engines of a service for planning their stages.
+// Engines returns the engines of a service, as the planning of their stages needs them.
 func (r *Registry) Engines(service string, now time.Time) []stageplan.Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,47 +107,47 @@
 		if known.worker.Service != service || known.worker.Stage == Opaque || !known.listed() {
 			continue
 		}
-		load := known.total(now, "")
-		_, queuePace := r.readingOf(known)
+		load := known.totalLoad(now, "")
+		_, throughput := r.prefillModel(known)
 		engines = append(engines, stageplan.Worker{
 			ID: known.worker.ID, Region: r.RegionOfZone(known.worker.Zone),
-			Prefill: known.stageToBe(now) == Prefill, Slots: known.worker.Slots,
-			Usable:   r.stays(known, now) && !known.breaker.Open(now) && !r.advisories[known.worker.ID].BackingOff(now),
+			Prefill: known.targetStage(now) == Prefill, Slots: known.worker.Slots,
+			Usable:   r.isStaying(known, now) && !known.breaker.Open(now) && !r.noticeStates[known.worker.ID].BackingOff(now),
 			Limited:  known.limit.Named,
 			Changing: known.isChanging(now),
 			Requests: load.Requests, ReadTokens: load.Unread.Total(), MemoryTokens: load.MemoryTokens,
-			Capacity: r.memory[service], Pace: queuePace,
+			Capacity: r.cacheCapacity[service], Pace: throughput,
 		})
 	}
 	return engines
 }
 
-// usable reports whether a worker may get requests: it is listed and stays, or has
-// vanished or announced its end a moment ago.
-func (r *Registry) usable(known *state, now time.Time) bool {
-	if known.worker.Draining || known.isDoubted(now) || known.isChanging(now) || r.admits(known.worker.ID, now) != nil || !known.recovery.admits(known.load.Requests) {
+// usable reports whether a worker may get requests. One whose entry disappeared or that
+// announced its end may still get them for lastResortFor.
+func (r *Registry) usable(known *workerState, now time.Time) bool {
+	if known.worker.Draining || known.isDoubted(now) || known.isChanging(now) || r.admit(known.worker.ID, now) != nil || !known.recovery.admits(known.load.Requests) {
 		return false
 	}
-	return known.listed() || now.Sub(known.goneAt) < lingerFor
+	return known.listed() || now.Sub(known.goneAt) < lastResortFor
 }
 
-// drains reports whether a worker is about to end, by its entry or its own word. The entry may
-// lag behind by as long as the store is away.
-func (r *Registry) drains(known *state, now time.Time) bool {
-	return known.worker.Draining || r.advisories[known.worker.ID].Draining(now)
+// isDraining reports whether a worker is about to end, by its entry or its own announcement.
+// The entry lags behind while the store is unavailable.
+func (r *Registry) isDraining(known *workerState, now time.Time) bool {
+	return known.worker.Draining || r.noticeStates[known.worker.ID].Draining(now)
 }
 
-// stays reports whether a worker is listed and not about to end.
-func (r *Registry) stays(known *state, now time.Time) bool {
-	return known.listed() && !known.isDoubted(now) && !r.drains(known, now)
+// isStaying reports whether a worker is listed, not doubted and not draining.
+func (r *Registry) isStaying(known *workerState, now time.Time) bool {
+	return known.listed() && !known.isDoubted(now) && !r.isDraining(known, now)
 }
 
-// isDoubted reports whether a listed worker counts as gone.
-func (s *state) isDoubted(now time.Time) bool { return now.Before(s.doubtedUntil) }
+// isDoubted reports whether the worker counts as gone although it is listed.
+func (s *workerState) isDoubted(now time.Time) bool { return now.Before(s.doubtedUntil) }
 
-func (r *Registry) candidate(known *state, parts []prefixcache.Part, rank int, now time.Time) scheduling.Candidate {
-	load := known.total(now, "")
-	terms, queuePace := r.readingOf(known)
+func (r *Registry) candidate(known *workerState, parts []prefixcache.Part, rank int, now time.Time) scheduling.Candidate {
+	load := known.totalLoad(now, "")
+	terms, throughput := r.prefillModel(known)
 	distance := r.places.DistanceTo(known.worker.Zone)
 	return scheduling.Candidate{
 		ID:            known.worker.ID,
@@ -162,108 +163,110 @@
 		LateTokens:    load.Unread.Late(),
 		ReadAhead:     load.Unread.Ahead(rank),
 		MemoryTokens:  load.MemoryTokens,
-		Capacity:      r.memory[known.worker.Service],
+		Capacity:      r.cacheCapacity[known.worker.Service],
 		CachedTokens:  known.cache.Match(parts),
 		Reading:       terms,
-		Throughput:    queuePace,
+		Throughput:    throughput,
 		Rank:          known.rank,
 		Hash:          known.hash,
 		Avoid:         known.breaker.Open(now),
 		FailureRate:   known.breaker.FailureRate(now),
-		HandleFailure: known.handles.Open(now),
-		Leaving:       !r.stays(known, now),
+		HandleFailure: known.handleBreaker.Open(now),
+		Leaving:       !r.isStaying(known, now),
 		Limited:       known.limit.Named,
 		PerSecond:     known.limit.Rate,
 		TurnWait:      float64(known.turnWait(now)) / float64(time.Millisecond),
 	}
 }
 
-// Accounts returns what this node knows of workers, for another node that asks with a
-// request of a rank and a prompt of these parts. The asking node's own load isn't counted.
+// Accounts returns what this node knows of workers, for another node that asks with a request
+// of this rank and these prompt parts. The load of the asking node itself is left out.
 func (r *Registry) Accounts(workers []string, parts []prefixcache.Part, rank int, asking string, now time.Time) map[string]scheduling.LoadReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	accounts := make(map[string]scheduling.LoadReport, len(workers))
+	reports := make(map[string]scheduling.LoadReport, len(workers))
 	for _, id := range workers {
 		known, exists := r.workers[id]
 		if !exists {
 			continue
 		}
-		load := known.total(now, asking)
-		accounts[id] = scheduling.LoadReport{
+		load := known.totalLoad(now, asking)
+		reports[id] = scheduling.LoadReport{
 			Requests: load.Requests, ReadTokens: load.Unread.InTime(), ReadAhead: load.Unread.Ahead(rank),
 			LateTokens: load.Unread.Late(), MemoryTokens: load.MemoryTokens, CachedTokens: known.cache.Match(parts),
-			Changing: known.isChanging(now), Leaving: r.drains(known, now), Avoid: known.breaker.Open(now),
-			HandleFailure: known.handles.Open(now), FailureRate: known.breaker.FailureRate(now),
+			Changing: known.isChanging(now), Leaving: r.isDraining(known, now), Avoid: known.breaker.Open(now),
+			HandleFailure: known.handleBreaker.Open(now), FailureRate: known.breaker.FailureRate(now),
 		}
 	}
-	return accounts
+	return reports
 }
 
-// total is the load of all nodes but one, or what the worker itself told just now where
-// that is more.
-func (s *state) total(now time.Time, except string) Load {
-	total := s.load
+// totalLoad returns the load of all nodes except one. If the worker has just reported more
+// requests than that, the reported number counts.
+func (s *workerState) totalLoad(now time.Time, except string) Load {
+	load := s.load
 	for node, remote := range s.remote {
 		if node == except {
 			continue
 		}
-		if now.Sub(remote.at) > remoteLife {
+		if now.Sub(remote.at) > remoteLoadTTL {
 			delete(s.remote, node)
 			continue
 		}
-		total = total.plus(remote.load)
+		load = load.plus(remote.load)
 	}
-	if now.Sub(s.reported.at) < reportLife {
-		total.Requests = max(total.Requests, s.reported.running+s.reported.waiting)
+	if now.Sub(s.reported.at) < reportedLoadTTL {
+		load.Requests = max(load.Requests, s.reported.running+s.reported.waiting)
 	}
-	return total
+	return load
 }
 
-// readingOf returns the terms of a worker's reading, and the pace of its queue in
-// tokens a millisecond.
-func (r *Registry) readingOf(known *state) (latency.Coefficients, float64) {
-	group, slower := r.group(known.worker), known.slower.Value()
-	return group.Coefficients().Scaled(slower), group.Throughput() / slower
+// prefillModel returns the coefficients of a worker's prefill time, and the throughput of its
+// queue in tokens per millisecond.
+func (r *Registry) prefillModel(known *workerState) (latency.Coefficients, float64) {
+	group, slowdown := r.groupModel(known.worker), known.slowdown.Value()
+	return group.Coefficients().Scaled(slowdown), group.Throughput() / slowdown
 }
 
-// decodeSlower is by how much decode engines are assumed to read more slowly than
-// prefill engines until they were measured: they read between the tokens of others.
-const decodeSlower = 2
+// assumedDecodeSlowdown is the factor by which decode engines are assumed to read prompts more
+// slowly than prefill engines until it has been measured: they read between decoding steps of
+// other requests.
+const assumedDecodeSlowdown = 2
 
-func (r *Registry) group(worker Worker) *latency.Model {
+func (r *Registry) groupModel(worker Worker) *latency.Model {
 	key := groupKey{worker.Service, worker.Stage}
 	group, known := r.groups[key]
 	if !known {
 		group = &latency.Model{}
 		if worker.Stage == Decode {
-			group.AssumeSlower(decodeSlower)
+			group.AssumeSlower(assumedDecodeSlowdown)
 		}
 		r.groups[key] = group
 	}
 	return group
 }
 
-func (r *Registry) stepsOf(service string) *steps {
-	learned, known := r.steps[service]
+func (r *Registry) timingsOf(service string) *engineTimings {
+	learned, known := r.timings[service]
 	if !known {
-		learned = &steps{}
-		r.steps[service] = learned
+		learned = &engineTimings{}
+		r.timings[service] = learned
 	}
 	return learned
 }
 
-// Assumed until measured, in milliseconds.
+// These times, in milliseconds, are assumed until they have been measured.
 const (
 	assumedHandover = 15
 	assumedFetch    = 5
 )
 
-// LearnedTimings returns what was learned of a service's engines besides their reading.
+// LearnedTimings returns the learned times of a service's engines, except for the time to read
+// prompts.
 func (r *Registry) LearnedTimings(service string) scheduling.EngineTimes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	learned := r.stepsOf(service)
+	learned := r.timingsOf(service)
 	return scheduling.EngineTimes{
 		Handover: learned.handover.Milliseconds(assumedHandover),
 		Fetch:    learned.fetch.Milliseconds(assumedFetch),
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -8,56 +8,56 @@
 	"github.com/tinarch/tinarch/internal/prefixcache"
 )
 
-// listedParts is how many parts make a read a list of what a worker keeps, rather
-// than one prompt.
-const listedParts = 8
+// minListedParts is the number of parts from which a CacheUpdate counts as a list of all that a
+// worker has cached, rather than one prompt.
+const minListedParts = 8
 
-// Snapshot is what one node tells the others: its own load by worker, and what
-// happened since the last snapshot.
+// Snapshot is what one node tells the others: its own load by worker, and what happened since
+// its last snapshot.
 type Snapshot struct {
 	Loads        map[string]Load
 	CacheUpdates []CacheUpdate
 	Failures     []string
-	// Changing are the workers that were ordered to a stage.
+	// Changing holds the workers that were ordered to change their stage.
 	Changing []StageChange
-	// Demand holds, by service, what its callers want in a deployment in one region, and
-	// RegionDemand, by region and service, what they want of each region's engines.
+	// Demand holds the demand by service if the deployment has one region; otherwise
+	// RegionDemand holds it by region of the engines and service.
 	Demand       map[string]Demand
 	RegionDemand map[string]map[string]Demand
-	// DemandLife is how long a demand that another node told counts: it is told less often
-	// in a large fleet.
+	// DemandLife is how long the demand of another node counts. It is told less often in a
+	// large fleet.
 	DemandLife time.Duration
-	// Limits are what workers said to this node lately of the requests that they take.
+	// Limits holds the request rates that workers stated to this node lately.
 	Limits map[string]LimitStatement
-	// Draining are the workers that told this node of their end lately.
+	// Draining holds the workers that announced to this node lately that they are draining.
 	Draining []string
-	// Touched are the workers of which anything changed since the last snapshot.
+	// Touched holds the workers whose state changed since the last snapshot.
 	Touched []string
 }
 
-// Concerns reports whether anything of a worker changed since the last snapshot, or is
-// told once more.
+// Concerns reports whether the snapshot contains a change of a worker's state, including one
+// that was told before and is repeated.
 func (s Snapshot) Concerns(id string) bool {
 	return slices.Contains(s.Touched, id) || slices.Contains(s.Failures, id) ||
-		slices.ContainsFunc(s.CacheUpdates, func(read CacheUpdate) bool { return read.Worker == id })
+		slices.ContainsFunc(s.CacheUpdates, func(update CacheUpdate) bool { return update.Worker == id })
 }
 
-// ForWorkers returns the part of a snapshot that is about some workers.
+// ForWorkers returns the part of a snapshot that is about the given workers.
 func (s Snapshot) ForWorkers(workers []string) Snapshot {
 	part := Snapshot{
 		Loads: make(map[string]Load), Limits: make(map[string]LimitStatement), Demand: s.Demand, RegionDemand: s.RegionDemand,
 	}
 	for _, id := range workers {
-		if limit, said := s.Limits[id]; said {
+		if limit, stated := s.Limits[id]; stated {
 			part.Limits[id] = limit
 		}
 		if load, placed := s.Loads[id]; placed {
 			part.Loads[id] = load
 		}
 	}
-	for _, read := range s.CacheUpdates {
-		if slices.Contains(workers, read.Worker) {
-			part.CacheUpdates = append(part.CacheUpdates, read)
+	for _, update := range s.CacheUpdates {
+		if slices.Contains(workers, update.Worker) {
+			part.CacheUpdates = append(part.CacheUpdates, update)
 		}
 	}
 	for _, id := range s.Failures {
@@ -70,38 +70,39 @@
 			part.Draining = append(part.Draining, id)
 		}
 	}
-	for _, changing := range s.Changing {
-		if slices.Contains(workers, changing.Worker) {
-			part.Changing = append(part.Changing, changing)
+	for _, change := range s.Changing {
+		if slices.Contains(workers, change.Worker) {
+			part.Changing = append(part.Changing, change)
 		}
 	}
 	return part
 }
 
-// StageChange tells that an order to a worker may be under way.
+// StageChange says that a worker was ordered to change its stage and may not have done so yet.
 type StageChange struct {
 	Worker  string
 	Prefill bool
-	// Left is for how long, unless its entry shows the stage before.
+	// Left is for how long the worker gets no requests, unless its entry shows the new stage
+	// before.
 	Left time.Duration
 }
 
-// Snapshot returns what is to be told.
+// Snapshot returns what is to be told to other nodes, and starts the next snapshot.
 func (r *Registry) Snapshot() Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	snapshot := Snapshot{
-		Loads: make(map[string]Load), Limits: make(map[string]LimitStatement), CacheUpdates: r.reads, Failures: r.failures,
+		Loads: make(map[string]Load), Limits: make(map[string]LimitStatement), CacheUpdates: r.cacheUpdates, Failures: r.failures,
 	}
 	now := time.Now()
-	snapshot.Demand, snapshot.RegionDemand = r.ownDemand(now)
-	r.tellLimits(&snapshot, now)
-	r.tellDraining(&snapshot, now)
+	snapshot.Demand, snapshot.RegionDemand = r.localDemandByService(now)
+	r.addLimits(&snapshot, now)
+	r.addDraining(&snapshot, now)
 	for id, known := range r.busy {
 		snapshot.Loads[id] = known.load
 	}
 	for id, known := range r.changing {
-		left := time.Until(known.changing)
+		left := time.Until(known.changingUntil)
 		if left <= 0 {
 			delete(r.changing, id)
 			continue
@@ -111,7 +112,7 @@
 	for id := range r.touched {
 		snapshot.Touched = append(snapshot.Touched, id)
 	}
-	r.reads, r.failures = nil, nil
+	r.cacheUpdates, r.failures = nil, nil
 	clear(r.touched)
 	select {
 	case <-r.changed:
@@ -120,57 +121,57 @@
 	return snapshot
 }
 
-// mergeChanging takes over an order that another node gave, unless the entry shows
-// that it is done.
-func (r *Registry) mergeChanging(changing StageChange, now time.Time) {
+// mergeStageChange records an order that another node gave, unless the entry already shows the
+// new stage.
+func (r *Registry) mergeStageChange(change StageChange, now time.Time) {
 	stage := Decode
-	if changing.Prefill {
+	if change.Prefill {
 		stage = Prefill
 	}
-	if known, exists := r.workers[changing.Worker]; exists && known.worker.Stage != stage {
-		r.setChanging(known, now.Add(changing.Left), stage)
+	if known, exists := r.workers[change.Worker]; exists && known.worker.Stage != stage {
+		r.setChanging(known, now.Add(change.Left), stage)
 	}
 }
 
-// Pace is the learned reading of a service's workers of a stage.
+// Pace is the learned prefill time of the workers of a service and stage.
 type Pace struct {
 	Service string
 	Stage   Stage
 	Terms   latency.Coefficients
-	// TokensPerMillisecond is the pace of a queue.
+	// TokensPerMillisecond is the throughput of a queue of prompts.
 	TokensPerMillisecond float64
 }
 
-// LearnedState is what a node has learned over time, for one that has just started.
+// LearnedState is what a node has learned over time and sends to a node that has just started.
 type LearnedState struct {
 	CacheUpdates []CacheUpdate
 	Paces        []Pace
 }
 
-// LearnedState returns what this node has learned of workers, of those whose caches it knows,
-// and the names of these.
-func (r *Registry) LearnedState(workers []string) (memory LearnedState, known []string) {
+// LearnedState returns what this node has learned of those of the given workers whose caches it
+// knows, and the ids of these.
+func (r *Registry) LearnedState(workers []string) (learned LearnedState, known []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range workers {
-		asked, exists := r.workers[id]
-		if !exists || !asked.cacheKnown {
+		state, exists := r.workers[id]
+		if !exists || !state.cacheKnown {
 			continue
 		}
 		known = append(known, id)
-		if parts := asked.cache.Parts(); len(parts) > 0 {
-			memory.CacheUpdates = append(memory.CacheUpdates, CacheUpdate{Worker: id, Parts: parts})
+		if parts := state.cache.Parts(); len(parts) > 0 {
+			learned.CacheUpdates = append(learned.CacheUpdates, CacheUpdate{Worker: id, Parts: parts})
 		}
 	}
 	for key, group := range r.groups {
 		if group.Samples() > 0 {
-			memory.Paces = append(memory.Paces, Pace{key.service, key.stage, group.Coefficients(), group.Throughput()})
+			learned.Paces = append(learned.Paces, Pace{key.service, key.stage, group.Coefficients(), group.Throughput()})
 		}
 	}
-	return memory, known
+	return learned, known
 }
 
-// MarkCachesKnown records that all that workers keep is known now.
+// MarkCachesKnown records that the cache contents of workers are completely known now.
 func (r *Registry) MarkCachesKnown(workers []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,80 +182,81 @@
 	}
 }
 
-// MergeLearnedState takes over what another node has learned. Parts that this node knows
-// of already keep their place.
-func (r *Registry) MergeLearnedState(memory LearnedState, now time.Time) {
+// MergeLearnedState merges what another node has learned. Parts that this node knows already
+// keep their position in the order of use.
+func (r *Registry) MergeLearnedState(learned LearnedState, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, read := range memory.CacheUpdates {
-		if known, exists := r.workers[read.Worker]; exists {
-			known.cache.Use(read.Parts, now)
+	for _, update := range learned.CacheUpdates {
+		if known, exists := r.workers[update.Worker]; exists {
+			known.cache.Use(update.Parts, now)
 		}
 	}
-	for _, learned := range memory.Paces {
-		r.group(Worker{Service: learned.Service, Stage: learned.Stage}).Assume(learned.Terms, learned.TokensPerMillisecond)
+	for _, pace := range learned.Paces {
+		r.groupModel(Worker{Service: pace.Service, Stage: pace.Stage}).Assume(pace.Terms, pace.TokensPerMillisecond)
 	}
 }
 
-// ObserveCacheList records what a worker itself says that it keeps, and queues that for the
-// other nodes.
+// ObserveCacheList records the cache contents that a worker has reported itself, and queues
+// them for the other nodes.
 func (r *Registry) ObserveCacheList(id string, parts []prefixcache.Part, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known, exists := r.workers[id]; exists {
 		known.cache.Use(parts, now)
 		known.cacheKnown = true
-		r.reads = append(r.reads, CacheUpdate{Worker: id, Parts: parts})
+		r.cacheUpdates = append(r.cacheUpdates, CacheUpdate{Worker: id, Parts: parts})
 		r.touch(id)
 	}
 }
 
-// UnknownCaches returns the engines of whose caches nothing is known.
+// UnknownCaches returns the engines whose cache contents aren't known.
 func (r *Registry) UnknownCaches() []Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var unlisted []Worker
+	var unknown []Worker
 	now := time.Now()
 	for _, known := range r.workers {
-		if r.isUnlisted(known, now) {
-			unlisted = append(unlisted, known.worker)
+		if r.isCacheUnknown(known, now) {
+			unknown = append(unknown, known.worker)
 		}
 	}
-	return unlisted
+	return unknown
 }
 
-// UnknownCachesAmong is Unlisted of some engines: in a large fleet a node keeps account of few.
+// UnknownCachesAmong is UnknownCaches restricted to the given engines: in a large fleet a node
+// tracks the load of few.
 func (r *Registry) UnknownCachesAmong(engines map[string]bool) []Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var unlisted []Worker
+	var unknown []Worker
 	now := time.Now()
 	for id := range engines {
-		if known, exists := r.workers[id]; exists && r.isUnlisted(known, now) {
-			unlisted = append(unlisted, known.worker)
+		if known, exists := r.workers[id]; exists && r.isCacheUnknown(known, now) {
+			unknown = append(unknown, known.worker)
 		}
 	}
-	return unlisted
+	return unknown
 }
 
-func (r *Registry) isUnlisted(known *state, now time.Time) bool {
-	return known.worker.Stage != Opaque && r.stays(known, now) && !known.cacheKnown
+func (r *Registry) isCacheUnknown(known *workerState, now time.Time) bool {
+	return known.worker.Stage != Opaque && r.isStaying(known, now) && !known.cacheKnown
 }
 
-// Merge takes over what another node told.
+// Merge merges the snapshot of another node.
 func (r *Registry) Merge(node string, snapshot Snapshot, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mergeLoads(node, snapshot.Loads, now)
 	r.mergeDemand(node, snapshot, now)
-	for _, read := range snapshot.CacheUpdates {
-		if known, exists := r.workers[read.Worker]; exists {
-			known.cache.Use(read.Parts, now)
-			known.cacheKnown = known.cacheKnown || len(read.Parts) >= listedParts
+	for _, update := range snapshot.CacheUpdates {
+		if known, exists := r.workers[update.Worker]; exists {
+			known.cache.Use(update.Parts, now)
+			known.cacheKnown = known.cacheKnown || len(update.Parts) >= minListedParts
 		}
 	}
-	for _, changing := range snapshot.Changing {
-		r.mergeChanging(changing, now)
+	for _, change := range snapshot.Changing {
+		r.mergeStageChange(change, now)
 	}
 	for _, id := range snapshot.Failures {
 		if known, exists := r.workers[id]; exists {
@@ -263,24 +265,24 @@
 	}
 }
 
-// mergeLoads takes over what another node has placed: nothing on the workers of which it
-// told before and doesn't any more.
+// mergeLoads replaces the load that another node has placed. Workers that it no longer mentions
+// have no load of it.
 func (r *Registry) mergeLoads(node string, loads map[string]Load, now time.Time) {
-	for _, id := range r.placed[node] {
+	for _, id := range r.loadedByNode[node] {
 		if known, exists := r.workers[id]; exists {
 			delete(known.remote, node)
 		}
 	}
-	delete(r.placed, node)
+	delete(r.loadedByNode, node)
 	for id, load := range loads {
 		if known, exists := r.workers[id]; exists {
 			known.remote[node] = remoteLoad{load: load, at: now}
-			r.placed[node] = append(r.placed[node], id)
+			r.loadedByNode[node] = append(r.loadedByNode[node], id)
 		}
 	}
 }
 
-// CachedTokens returns how much of prompts a worker is believed to keep.
+// CachedTokens returns how many prompt tokens a worker is predicted to have cached.
 func (r *Registry) CachedTokens(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -8,14 +8,15 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// SetCacheCapacity sets the KV cache of a service's engines, in tokens.
+// SetCacheCapacity sets the KV cache size of a service's engines, in tokens.
 func (r *Registry) SetCacheCapacity(service string, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.memory[service] = tokens
+	r.cacheCapacity[service] = tokens
 }
 
-// Replace sets the whole list. It returns the workers that are new and those gone.
+// Replace replaces the whole worker list. It returns the ids of workers that were added and of
+// those that are no longer listed.
 func (r *Registry) Replace(workers []Worker) (added, gone []string) {
 	return r.ReplaceAt(workers, time.Now())
 }
@@ -37,16 +38,18 @@
 			gone = append(gone, id)
 		}
 	}
-	r.read = r.read || len(workers) > 0
+	r.listRead = r.listRead || len(workers) > 0
 	return added, gone
 }
 
-// ReplaceRestored is ReplaceAt of the list of a store that has come back from a copy. A worker
-// that was gone before counts as gone for a time, unless its entry is written again: one that
-// lives keeps it longer than that, one that has left may still be listed by the copy. Where
-// most would be doubted the store had lost their entries, not they.
+// ReplaceRestored is ReplaceAt for the list of a store that was restored from a backup. The
+// backup may list workers that have left since. So a worker that was already gone before the
+// restore counts as gone for the time given by doubt, or until its entry is written again: the
+// entry of a worker that is alive stays listed for longer than that, that of one that has left
+// goes when its heartbeats are missed. If this applies to more than half of the workers, it is
+// more likely that the store had lost their entries than that they left, and none is doubted.
 func (r *Registry) ReplaceRestored(workers []Worker, doubt time.Duration, now time.Time) (added, gone, doubted []string) {
-	doubted = r.unlistedOf(workers)
+	doubted = r.knownUnlisted(workers)
 	added, gone = r.ReplaceAt(workers, now)
 	if 2*len(doubted) > len(workers) {
 		return added, gone, nil
@@ -61,8 +64,8 @@
 	return added, gone, doubted
 }
 
-// unlistedOf returns those of some workers that are known and not listed.
-func (r *Registry) unlistedOf(workers []Worker) []string {
+// knownUnlisted returns the ids of those of the given workers that are known but not listed.
+func (r *Registry) knownUnlisted(workers []Worker) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var unlisted []string
@@ -74,8 +77,8 @@
 	return unlisted
 }
 
-// Apply records one change of the list. It reports whether anything that matters
-// for placement changed.
+// Apply applies one change of the worker list. It reports whether anything changed that matters
+// for placement.
 func (r *Registry) Apply(change Change) bool { return r.ApplyAt(change, time.Now()) }
 
 // ApplyAt is Apply at a given time.
@@ -84,15 +87,15 @@
 	defer r.mu.Unlock()
 	switch {
 	case change.Unreadable:
-		return r.end(r.names[change.Name])
+		return r.endIncarnation(r.newestByName[change.Name])
 	case change.Worker != nil:
 		return r.put(*change.Worker, now)
 	}
 	return r.remove(change.Name, now)
 }
 
-// TakeEnded returns the identities of workers that have ended since it was called last:
-// another start has their name, or their entry can't be read any more.
+// TakeEnded returns the ids of the incarnations that have ended since the last call: a newer
+// one has their name, or their entry became unreadable.
 func (r *Registry) TakeEnded() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,8 +104,8 @@
 	return ended
 }
 
-// end forgets a start of a worker at once: it has ended, whatever others still tell of it.
-func (r *Registry) end(id string) bool {
+// endIncarnation forgets an incarnation at once. What other nodes still tell of it is ignored.
+func (r *Registry) endIncarnation(id string) bool {
 	if _, exists := r.workers[id]; !exists {
 		return false
 	}
@@ -111,19 +114,19 @@
 	return true
 }
 
-// listed reports whether the platform lists the worker.
-func (s *state) listed() bool { return s.goneAt.IsZero() }
+// listed reports whether the worker is in the platform's list.
+func (s *workerState) listed() bool { return s.goneAt.IsZero() }
 
-// remove takes a worker off the list, and reports whether it was on it. What is
-// known of it is kept for a while: entries may vanish while the store is away,
-// although their workers live.
+// remove marks a worker as no longer listed, and reports whether it was listed. Its state is
+// kept until forgetAfter, because entries may disappear while the store is unavailable although
+// their workers are alive.
 func (r *Registry) remove(name string, now time.Time) bool {
 	for other, known := range r.gone {
 		if now.Sub(known.goneAt) >= forgetAfter {
 			r.forget(other)
 		}
 	}
-	known, exists := r.workers[r.names[name]]
+	known, exists := r.workers[r.newestByName[name]]
 	if !exists || !known.listed() {
 		return false
 	}
@@ -132,31 +135,32 @@
 	return true
 }
 
-// forget drops all that is known of a worker.
+// forget drops the state of a worker.
 func (r *Registry) forget(id string) {
 	r.generation++
 	delete(r.workers, id)
-	if r.names[NameOf(id)] == id {
-		delete(r.names, NameOf(id))
+	if r.newestByName[NameOf(id)] == id {
+		delete(r.newestByName, NameOf(id))
 	}
 	delete(r.busy, id)
 	delete(r.changing, id)
 	delete(r.gone, id)
 	delete(r.limited, id)
-	delete(r.limitNews, id)
+	delete(r.limitUpdates, id)
 }
 
-// put records an entry, and reports whether that changed anything. The entry of an earlier
-// start, which may come late, changes nothing, and that of a later one ends the earlier. One
-// that doesn't tell its birth, of a worker that did, is another writer's: it ends the worker.
+// put adds or updates an entry, and reports whether that changed anything. The entry of an
+// earlier incarnation, which may arrive late, is ignored; that of a later one ends the earlier.
+// An entry without a start time, if the known incarnation has one, was written by another
+// program: it ends the known incarnation and adds nothing.
 func (r *Registry) put(worker Worker, now time.Time) bool {
 	name := NameOf(worker.ID)
-	if newest, known := r.names[name]; known && newest != worker.ID {
+	if newest, known := r.newestByName[name]; known && newest != worker.ID {
 		born := BornOf(worker.ID)
 		if born > 0 && born < BornOf(newest) {
 			return false
 		}
-		r.end(newest)
+		r.endIncarnation(newest)
 		if born == 0 {
 			return true
 		}
@@ -165,35 +169,35 @@
 	if exists && (known.listed() || now.Sub(known.goneAt) < forgetAfter) {
 		changed := known.worker != worker || !known.listed() || !known.doubtedUntil.IsZero()
 		if known.worker.Address != worker.Address {
-			delete(r.advisories, worker.ID) // another start of a worker that doesn't tell its birth
+			delete(r.noticeStates, worker.ID) // the address tells a restart if the worker doesn't tell its start time
 		}
 		known.worker = worker
 		known.goneAt, known.doubtedUntil = time.Time{}, time.Time{}
 		delete(r.gone, worker.ID)
 		if worker.Stage == known.changingStage {
-			known.changing = time.Time{}
+			known.changingUntil = time.Time{}
 		}
 		return changed
 	}
-	capacity := r.memory[worker.Service]
+	capacity := r.cacheCapacity[worker.Service]
 	if capacity == 0 {
-		capacity = unknownMemoryTokens
+		capacity = defaultCacheTokens
 	}
 	r.forget(worker.ID)
-	r.names[name] = worker.ID
-	r.workers[worker.ID] = &state{
+	r.newestByName[name] = worker.ID
+	r.workers[worker.ID] = &workerState{
 		worker: worker,
 		rank:   maphash.String(r.seed, worker.ID),
 		hash:   rendezvous.Hash(worker.ID),
 		remote: make(map[string]remoteLoad),
 		cache:  prefixcache.New(capacity),
-		// A worker that comes after the list was read has just started.
-		cacheKnown: r.read,
+		// A worker that is added after the first list has just started with an empty cache.
+		cacheKnown: r.listRead,
 	}
 	return true
 }
 
-// Get returns a worker of the list.
+// Get returns a listed worker.
 func (r *Registry) Get(id string) (Worker, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,15 +208,15 @@
 	return known.worker, true
 }
 
-// IsDraining reports whether a worker is known to end as planned.
+// IsDraining reports whether a worker is about to end as planned.
 func (r *Registry) IsDraining(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, exists := r.workers[id]
-	return exists && r.drains(known, time.Now())
+	return exists && r.isDraining(known, time.Now())
 }
 
-// Region is that of a worker, empty where it isn't known.
+// Region returns the region of a worker, empty if it isn't known.
 func (r *Registry) Region(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -223,7 +227,7 @@
 	return r.places.Region(known.worker.Zone)
 }
 
-// Count returns the number of workers listed.
+// Count returns the number of listed workers.
 func (r *Registry) Count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,13 +240,13 @@
 	return count
 }
 
-// CountDraining returns the number of listed workers that get no new requests.
+// CountDraining returns the number of listed workers that are draining.
 func (r *Registry) CountDraining() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count, now := 0, time.Now()
 	for _, known := range r.workers {
-		if known.listed() && r.drains(known, now) {
+		if known.listed() && r.isDraining(known, now) {
 			count++
 		}
 	}
--- a/internal/worker/notice.go
+++ b/internal/worker/notice.go
@@ -6,87 +6,89 @@
 	"github.com/rotisserie/eris"
 )
 
-// Notice is what the head of an answer says of whether its worker takes further requests.
+// Notice is what the header of an answer announces about whether the worker accepts further
+// requests.
 type Notice struct {
-	// Draining tells that the worker is about to end.
+	// Draining is set if the worker is about to end.
 	Draining bool
-	// Backoff is for how long the worker wants nothing from the node that it answered, zero
-	// where it doesn't say.
+	// Backoff is for how long the worker wants no requests from the node that it answered, zero
+	// if it doesn't ask for that.
 	Backoff time.Duration
-	// Malformed quotes what can't be read, empty where nothing of that kind was said.
+	// Malformed quotes a notice that can't be parsed, empty if there is none.
 	Malformed string
 }
 
-// NoticeState is what holds of one start of a worker by its own notices.
+// NoticeState is what holds for one incarnation of a worker by its notices.
 type NoticeState struct {
-	// DrainingSince is when this node first heard that the worker is about to end, zero where
-	// it hasn't.
+	// DrainingSince is when this node first heard that the worker is about to end, zero if it
+	// hasn't.
 	DrainingSince time.Time
-	// BackoffSince and BackoffUntil bound the time for which the worker wants nothing from
-	// this node, zero where it never asked for any.
+	// BackoffSince and BackoffUntil are the start and end of the pause for which the worker
+	// wants no requests from this node, zero if it never asked for one.
 	BackoffSince, BackoffUntil time.Time
 }
 
 // Draining reports whether the worker is about to end.
-func (a NoticeState) Draining(now time.Time) bool {
-	return !a.DrainingSince.IsZero() && now.Sub(a.DrainingSince) < drainingLife
+func (s NoticeState) Draining(now time.Time) bool {
+	return !s.DrainingSince.IsZero() && now.Sub(s.DrainingSince) < drainingTTL
 }
 
-// BackingOff reports whether the worker wants nothing from this node.
-func (a NoticeState) BackingOff(now time.Time) bool { return now.Before(a.BackoffUntil) }
+// BackingOff reports whether the worker wants no requests from this node.
+func (s NoticeState) BackingOff(now time.Time) bool { return now.Before(s.BackoffUntil) }
 
-// BackoffRemaining is for how much longer the worker wants nothing from this node.
-func (a NoticeState) BackoffRemaining(now time.Time) time.Duration {
-	return max(a.BackoffUntil.Sub(now), 0)
+// BackoffRemaining returns for how much longer the worker wants no requests from this node.
+func (s NoticeState) BackoffRemaining(now time.Time) time.Duration {
+	return max(s.BackoffUntil.Sub(now), 0)
 }
 
-// drainingLife is how long a worker counts as about to end. One that is listed for longer has
-// changed its mind, and says so again if it hasn't.
-const drainingLife = 10 * time.Minute
+// drainingTTL is how long an announcement to end counts. A worker that is listed for longer
+// hasn't ended after all, or announces it again.
+const drainingTTL = 10 * time.Minute
 
-// with adds a notice. Answers overtake each other, and one that doesn't mention the end or a
-// pause may have been made before another that does: so nothing takes a notice back, and of
-// several pauses the one that ends last holds.
-func (a NoticeState) with(said Notice, now time.Time) NoticeState {
-	if said.Draining && !a.Draining(now) {
-		a.DrainingSince = now
+// with returns the state after a further notice. Answers can overtake each other, so one
+// without a notice may be older than one with it. So no notice is ever revoked by a later
+// answer, and of several pauses the one that ends last holds.
+func (s NoticeState) with(notice Notice, now time.Time) NoticeState {
+	if notice.Draining && !s.Draining(now) {
+		s.DrainingSince = now
 	}
-	if until := now.Add(said.Backoff); said.Backoff > 0 && until.After(a.BackoffUntil) {
-		if !a.BackingOff(now) {
-			a.BackoffSince = now
+	if until := now.Add(notice.Backoff); notice.Backoff > 0 && until.After(s.BackoffUntil) {
+		if !s.BackingOff(now) {
+			s.BackoffSince = now
 		}
-		a.BackoffUntil = until
+		s.BackoffUntil = until
 	}
-	return a
+	return s
 }
 
-// Expired reports whether nothing holds any more.
-func (a NoticeState) Expired(now time.Time) bool { return !a.Draining(now) && !a.BackingOff(now) }
+// Expired reports whether the state has no effect any more.
+func (s NoticeState) Expired(now time.Time) bool { return !s.Draining(now) && !s.BackingOff(now) }
 
-// NoticeChange is a change of what holds for a worker by its notices.
+// NoticeChange is a change of a worker's NoticeState.
 type NoticeChange struct {
 	Worker Worker
-	// Before and After are what held and what holds.
+	// Before and After are the states before and after the change.
 	Before, After NoticeState
-	// Listed tells that the worker has an entry, and EntryDraining that it says so too.
+	// Listed is set if the worker is listed, and EntryDraining if its entry says that it is
+	// draining.
 	Listed, EntryDraining bool
 }
 
-// ObserveNotice takes in what a worker said in answer to this node, and reports whether that
-// changed anything.
-func (r *Registry) ObserveNotice(id string, said Notice, now time.Time) (NoticeChange, bool) {
-	said.Backoff = spread(said.Backoff)
+// ObserveNotice records the notice in an answer to a request of this node, and reports whether
+// it changed anything.
+func (r *Registry) ObserveNotice(id string, notice Notice, now time.Time) (NoticeChange, bool) {
+	notice.Backoff = addJitter(notice.Backoff)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.advisories[id]
-	after := before.with(said, now)
+	before := r.noticeStates[id]
+	after := before.with(notice, now)
 	if after == before {
 		return NoticeChange{}, false
 	}
-	r.dropAdvisories(now)
-	r.advisories[id] = after
+	r.dropExpiredNotices(now)
+	r.noticeStates[id] = after
 	if after.DrainingSince != before.DrainingSince {
-		r.drainingNews[id] = now.Add(drainingTold)
+		r.drainingUpdates[id] = now.Add(drainingBroadcastTime)
 		r.touch(id)
 	}
 	change := NoticeChange{Worker: Worker{ID: id}, Before: before, After: after}
@@ -99,78 +101,79 @@
 	return change, true
 }
 
-// drainingTold is for how long it is told on that a worker has announced its end, so that it is
-// told twice at rest.
-const drainingTold = 1200 * time.Millisecond
+// drainingBroadcastTime is how long a worker's announcement to end is included in snapshots:
+// long enough for two of the periodic messages that a small fleet sends each half a second.
+const drainingBroadcastTime = 1200 * time.Millisecond
 
-// tellDraining adds to a snapshot the workers that told this node of their end lately.
-func (r *Registry) tellDraining(snapshot *Snapshot, now time.Time) {
-	for id, until := range r.drainingNews {
+// addDraining adds the workers that announced their end to this node lately to a snapshot.
+func (r *Registry) addDraining(snapshot *Snapshot, now time.Time) {
+	for id, until := range r.drainingUpdates {
 		if now.After(until) {
-			delete(r.drainingNews, id)
+			delete(r.drainingUpdates, id)
 			continue
 		}
 		snapshot.Draining = append(snapshot.Draining, id)
 	}
 }
 
-// MergeDraining takes in which workers told another node of their end, and returns those that
-// this node didn't know of. It may not have read the list of workers yet.
+// MergeDraining records which workers announced their end to another node, and returns those
+// that this node didn't know to be draining. They need not be listed here: this node may not
+// have read the worker list yet.
 func (r *Registry) MergeDraining(ids []string, now time.Time) (unknown []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range ids {
-		before := r.advisories[id]
+		before := r.noticeStates[id]
 		after := before.with(Notice{Draining: true}, now)
 		if after != before {
-			r.advisories[id] = after
+			r.noticeStates[id] = after
 			unknown = append(unknown, id)
 		}
 	}
 	return unknown
 }
 
-// AnnouncedDraining names the workers that have announced their end.
+// AnnouncedDraining returns the ids of the workers that have announced their end.
 func (r *Registry) AnnouncedDraining() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	var draining []string
-	for id, advisory := range r.advisories {
-		if advisory.Draining(now) {
+	for id, state := range r.noticeStates {
+		if state.Draining(now) {
 			draining = append(draining, id)
 		}
 	}
 	return draining
 }
 
-// dropAdvisories forgets what is over. Advisories outlive the entries of their workers, which
-// may vanish and come back while the store is away.
-func (r *Registry) dropAdvisories(now time.Time) {
-	for id, advisory := range r.advisories {
-		if advisory.Expired(now) {
-			delete(r.advisories, id)
+// dropExpiredNotices deletes states without effect. Notice states outlive the entries of their
+// workers, which may disappear and come back while the store is unavailable.
+func (r *Registry) dropExpiredNotices(now time.Time) {
+	for id, state := range r.noticeStates {
+		if state.Expired(now) {
+			delete(r.noticeStates, id)
 		}
 	}
 }
 
-// The reasons why a worker gets nothing from this node.
+// These are the reasons why a worker gets no requests from this node.
 var (
-	ErrDraining = eris.New("the worker has announced its end")
-	ErrBackoff  = eris.New("the worker has asked to be left alone for a time")
-	ErrUnlisted = eris.New("the worker's entry is gone")
+	ErrDraining = eris.New("the worker is draining")
+	ErrBackoff  = eris.New("the worker has asked for a pause")
+	ErrUnlisted = eris.New("the worker is no longer listed")
 )
 
-// Admit returns why a worker must get nothing at all from this node now, and nil where it may.
-// Only its own notices count.
+// Admit returns the reason why a worker must not get any request from this node now, nil if it
+// may. Only the worker's own notices count.
 func (r *Registry) Admit(id string, now time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.admits(id, now)
+	return r.admit(id, now)
 }
 
-// AdmitCall is Admits for a request of a caller, which a worker must not get either once its
-// entry says that it is about to end, or is gone.
+// AdmitCall is Admit for a caller's request, which a worker must not get either if its entry is
+// gone or says that it is draining.
 func (r *Registry) AdmitCall(id string, now time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,44 +181,44 @@
 		switch {
 		case known.worker.Draining:
 			return ErrDraining
-		case known.isDoubted(now), !known.listed() && now.Sub(known.goneAt) >= lingerFor:
+		case known.isDoubted(now), !known.listed() && now.Sub(known.goneAt) >= lastResortFor:
 			return ErrUnlisted
 		}
 	}
-	return r.admits(id, now)
+	return r.admit(id, now)
 }
 
-func (r *Registry) admits(id string, now time.Time) error {
-	advisory := r.advisories[id]
-	if advisory.Draining(now) && now.Sub(advisory.DrainingSince) >= lingerFor {
+func (r *Registry) admit(id string, now time.Time) error {
+	state := r.noticeStates[id]
+	if state.Draining(now) && now.Sub(state.DrainingSince) >= lastResortFor {
 		return ErrDraining
 	}
-	if advisory.BackingOff(now) {
+	if state.BackingOff(now) {
 		return ErrBackoff
 	}
 	return nil
 }
 
-// IsBackingOff reports whether a worker wants nothing from this node now.
+// IsBackingOff reports whether a worker wants no requests from this node now.
 func (r *Registry) IsBackingOff(id string) bool { return r.NoticeState(id).BackingOff(time.Now()) }
 
-// UsableIn returns the time until one of the workers that can answer requests of a service takes
-// a further one from this node, zero where one does now or none is known to. Those excepted
-// don't count.
+// UsableIn returns the time until the first of the workers that can answer requests of a
+// service accepts another one from this node. It is zero if one does now, or if there is no
+// such worker. Workers in except don't count.
 func (r *Registry) UsableIn(service string, except map[string]bool, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.advisories) == 0 {
-		return 0 // not worth a look at each worker of a large fleet
+	if len(r.noticeStates) == 0 {
+		return 0 // saves looking at each worker of a large fleet
 	}
 	first, found := time.Duration(0), false
 	for id, known := range r.workers {
-		if known.worker.Service != service || known.worker.Stage == Prefill || except[id] || !r.stays(known, now) || known.isChanging(now) {
+		if known.worker.Service != service || known.worker.Stage == Prefill || except[id] || !r.isStaying(known, now) || known.isChanging(now) {
 			continue
 		}
-		wait := r.advisories[id].BackoffRemaining(now)
+		wait := r.noticeStates[id].BackoffRemaining(now)
 		if wait == 0 && !known.recovery.admits(known.load.Requests) {
-			wait = recoveryWait
+			wait = recoveryRetryAfter
 		}
 		if !found || wait < first {
 			first, found = wait, true
@@ -224,23 +227,23 @@
 	return first
 }
 
-// NoticeState returns what holds of a worker by its notices.
+// NoticeState returns what holds for a worker by its notices.
 func (r *Registry) NoticeState(id string) NoticeState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.advisories[id]
+	return r.noticeStates[id]
 }
 
-// CountNoticeStates returns how many workers are about to end, and how many want nothing from this
-// node now, by their notices.
+// CountNoticeStates returns how many workers have announced their end, and how many want no
+// requests from this node now.
 func (r *Registry) CountNoticeStates(now time.Time) (draining, backingOff int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, advisory := range r.advisories {
-		if advisory.Draining(now) {
+	for _, state := range r.noticeStates {
+		if state.Draining(now) {
 			draining++
 		}
-		if advisory.BackingOff(now) {
+		if state.BackingOff(now) {
 			backingOff++
 		}
 	}
