--- a/internal/cell/requests.go
+++ b/internal/cell/requests.go
@@ -296,7 +296,7 @@
 	candidate.InFlight++
 	candidate.Backlog.Add(f.rank, f.pending)
 	candidate.ReservedTokens += f.reserved
-	s.index.Placed(now, candidate.Slot, w.target.Prefix)
+	s.index.RecordPlacement(now, candidate.Slot, w.target.Prefix)
 	status, _ := m.control.Observed()
 	return Placed{Attempt: f.attempt, Ticket: engine.Ticket{
 		Attempt:     f.attempt,
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -93,7 +93,7 @@
 	slots      [placement.MaxEngines]*member
 
 	index   *placement.PrefixIndex
-	cycle   *placement.Cycle
+	cycle   *placement.Pipeline
 	limiter *admission.Limiter
 	lanes   map[string]*lane
 	waiting map[engine.Identifier]*waiting
@@ -125,7 +125,7 @@
 		pool:     options.Pool,
 		members:  map[string]*member{},
 		index:    index,
-		cycle:    placement.NewPolicyCycle(options.Policy, index),
+		cycle:    placement.NewPolicyPipeline(options.Policy, index),
 		limiter:  admission.NewLimiter(),
 		lanes:    map[string]*lane{},
 		waiting:  map[engine.Identifier]*waiting{},
@@ -181,7 +181,7 @@
 			m.candidate.MaxRunning = catalog.MaxRunningPerEngine(s.snapshot.Pool(s.pool))
 		}
 		m.control.SetFence(s.fence)
-		m.candidate.Rates = m.candidate.Rates.OrDefault()
+		m.candidate.Rates = m.candidate.Rates.WithDefaults()
 		m.machine = machine
 		s.members[machine.Name] = m
 		s.slots[slot] = m
@@ -190,7 +190,7 @@
 		s.rebuildCandidates()
 	}
 	if m.machine.Address != machine.Address {
-		s.index.Forget(m.candidate.Slot)
+		s.index.RemoveEngine(m.candidate.Slot)
 	}
 	m.machine = machine
 	m.listed = true
@@ -217,7 +217,7 @@
 		}
 		delete(s.members, m.machine.Name)
 		s.slots[m.candidate.Slot] = nil
-		s.index.Forget(m.candidate.Slot)
+		s.index.RemoveEngine(m.candidate.Slot)
 		s.order = slices.DeleteFunc(s.order, func(other *member) bool { return other == m })
 		s.rebuildCandidates()
 	}
@@ -240,7 +240,7 @@
 	m.control.Observe(now, status)
 	if seen && previous.Incarnation != status.Incarnation {
 		s.dropFlights(m)
-		s.index.Forget(m.candidate.Slot)
+		s.index.RemoveEngine(m.candidate.Slot)
 	}
 	s.learn(m, status)
 	if status.Running == 0 {
@@ -264,7 +264,7 @@
 		MixedStep:              time.Duration(status.Load.MixedStepMillis * float64(time.Millisecond)),
 	}
 	if reported.PrefillTokensPerSecond > 0 && reported.DecodeStep > 0 {
-		m.candidate.Rates = reported.OrDefault()
+		m.candidate.Rates = reported.WithDefaults()
 	}
 }
 
--- a/internal/placement/filters.go
+++ b/internal/placement/filters.go
@@ -47,32 +47,32 @@
 // Refusal implements Filter.
 func (NotExcluded) Refusal() result.Code { return result.RetriesExhausted }
 
-// HasRoom drops engines that run as many requests as they may. Waiting here
+// HasCapacity drops engines that run as many requests as they may. Waiting here
 // rather than in the engine keeps the order of classes in our hands.
-type HasRoom struct{}
+type HasCapacity struct{}
 
 // Keep implements Filter.
-func (HasRoom) Keep(_ *Request, candidate *Candidate, _ *Matches) bool {
+func (HasCapacity) Keep(_ *Request, candidate *Candidate, _ *Matches) bool {
 	return candidate.InFlight < candidate.MaxRunning
 }
 
 // Refusal implements Filter.
-func (HasRoom) Refusal() result.Code { return result.QueueFull }
+func (HasCapacity) Refusal() result.Code { return result.QueueFull }
 
-// HasPromptRoom drops engines that have prompts of the request's rank or above to
+// HasPrefillCapacity drops engines that have prompts of the request's rank or above to
 // read for some time already:
 // what waits here instead can still be put behind a more urgent request, be
 // refused in time, or find a free engine elsewhere. An engine that has read the
 // beginning of the prompt may have as much more ahead of it as that saves: to wait
 // there is no slower than to read it again elsewhere.
-type HasPromptRoom struct{}
+type HasPrefillCapacity struct{}
 
 // promptBacklog is how much prompt an engine is given ahead, in time. It covers
 // the way of a few reports and tickets, so that engines do not run dry.
 const promptBacklog = 1500 * time.Millisecond
 
 // Keep implements Filter.
-func (HasPromptRoom) Keep(request *Request, candidate *Candidate, matches *Matches) bool {
+func (HasPrefillCapacity) Keep(request *Request, candidate *Candidate, matches *Matches) bool {
 	ahead := candidate.Backlog.Ahead(request.Rank)
 	if ahead == 0 {
 		return true
@@ -82,4 +82,4 @@
 }
 
 // Refusal implements Filter.
-func (HasPromptRoom) Refusal() result.Code { return result.QueueFull }
+func (HasPrefillCapacity) Refusal() result.Code { return result.QueueFull }
--- a/internal/placement/pickers.go
+++ b/internal/placement/pickers.go
@@ -35,14 +35,14 @@
 	PolicyLeastLoaded Policy = "least-loaded"
 )
 
-// NewPolicyCycle returns the cycle of a policy, that of PolicyPredicted for any
+// NewPolicyPipeline returns the cycle of a policy, that of PolicyPredicted for any
 // other name.
-func NewPolicyCycle(policy Policy, index *PrefixIndex) *Cycle {
+func NewPolicyPipeline(policy Policy, index *PrefixIndex) *Pipeline {
 	switch policy {
 	case PolicyRoundRobin:
-		return NewCycle(DefaultFilters(), nil, &RoundRobin{}, nil)
+		return NewPipeline(DefaultFilters(), nil, &RoundRobin{}, nil)
 	case PolicyLeastLoaded:
-		return NewCycle(DefaultFilters(), []Scorer{InFlightOnly{}}, LowestCost{}, nil)
+		return NewPipeline(DefaultFilters(), []Scorer{InFlightOnly{}}, LowestCost{}, nil)
 	}
-	return NewDefaultCycle(index)
+	return NewDefaultPipeline(index)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -78,8 +78,8 @@
 	defaultMixedStep   = 50 * time.Millisecond
 )
 
-// OrDefault fills in what no report has told yet.
-func (r Rates) OrDefault() Rates {
+// WithDefaults fills in what no report has told yet.
+func (r Rates) WithDefaults() Rates {
 	if r.PrefillTokensPerSecond <= 0 {
 		r.PrefillTokensPerSecond = defaultPrefillRate
 	}
@@ -152,8 +152,8 @@
 	CachedTokens int
 }
 
-// Cycle places one request at a time.
-type Cycle struct {
+// Pipeline places one request at a time.
+type Pipeline struct {
 	filters []Filter
 	scorers []Scorer
 	picker  Picker
@@ -164,9 +164,9 @@
 	costs   []float64
 }
 
-// NewCycle returns a cycle. The index may be nil where no scorer needs it.
-func NewCycle(filters []Filter, scorers []Scorer, picker Picker, index *PrefixIndex) *Cycle {
-	return &Cycle{
+// NewPipeline returns a cycle. The index may be nil where no scorer needs it.
+func NewPipeline(filters []Filter, scorers []Scorer, picker Picker, index *PrefixIndex) *Pipeline {
+	return &Pipeline{
 		filters: filters,
 		scorers: scorers,
 		picker:  picker,
@@ -178,18 +178,18 @@
 
 // DefaultFilters returns the filters of every policy.
 func DefaultFilters() []Filter {
-	return []Filter{Serves{}, Available{}, NotExcluded{}, HasRoom{}, HasPromptRoom{}}
+	return []Filter{Serves{}, Available{}, NotExcluded{}, HasCapacity{}, HasPrefillCapacity{}}
 }
 
-// NewDefaultCycle returns the cycle that nodes use.
-func NewDefaultCycle(index *PrefixIndex) *Cycle {
+// NewDefaultPipeline returns the cycle that nodes use.
+func NewDefaultPipeline(index *PrefixIndex) *Pipeline {
 	scorers := []Scorer{PrefillDelay{}, DecodeSlowdown{}, MemoryPressure{}, ZoneDistance{}}
-	return NewCycle(DefaultFilters(), scorers, LowestCost{}, index)
+	return NewPipeline(DefaultFilters(), scorers, LowestCost{}, index)
 }
 
 // Place chooses an engine. The error names the filter that left none; with code
 // QueueFull it only means that every engine is full now.
-func (c *Cycle) Place(request *Request, candidates []*Candidate) (Decision, error) {
+func (c *Pipeline) Place(request *Request, candidates []*Candidate) (Decision, error) {
 	c.match(request, candidates)
 	if code := c.filter(request, candidates); code != result.OK {
 		return Decision{}, result.New(code, "none of %d engines can take a request for %s/%s now", len(candidates), request.Model, request.Version)
@@ -213,7 +213,7 @@
 
 // filter keeps the candidates that pass all filters. It returns the refusal of
 // the filter that the most promising candidate failed at.
-func (c *Cycle) filter(request *Request, candidates []*Candidate) result.Code {
+func (c *Pipeline) filter(request *Request, candidates []*Candidate) result.Code {
 	c.kept = c.kept[:0]
 	furthest, code := -1, result.NoEngine
 	for _, candidate := range candidates {
@@ -232,7 +232,7 @@
 	return code
 }
 
-func (c *Cycle) firstFailure(request *Request, candidate *Candidate) int {
+func (c *Pipeline) firstFailure(request *Request, candidate *Candidate) int {
 	for i, filter := range c.filters {
 		if !filter.Keep(request, candidate, &c.matches) {
 			return i
@@ -241,7 +241,7 @@
 	return -1
 }
 
-func (c *Cycle) match(request *Request, candidates []*Candidate) {
+func (c *Pipeline) match(request *Request, candidates []*Candidate) {
 	if c.index == nil {
 		return
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -19,7 +19,7 @@
 		Deployment:   engine.Deployment{Model: "m", Version: "v", Role: engine.RoleMixed, Adapters: []string{"lora"}},
 		MaxRunning:   4,
 		MemoryTokens: 100_000,
-		Rates:        Rates{}.OrDefault(),
+		Rates:        Rates{}.WithDefaults(),
 	}
 }
 
@@ -41,8 +41,8 @@
 		{"leaving", Available{}, func(_ *Request, c *Candidate) { c.Availability = Leaving }},
 		{"draining", Available{}, func(_ *Request, c *Candidate) { c.Availability = Draining }},
 		{"excluded", NotExcluded{}, func(r *Request, _ *Candidate) { r.Excluded = 1 }},
-		{"prompts pending", HasPromptRoom{}, func(_ *Request, c *Candidate) { c.Backlog.Add(0, 50_000) }},
-		{"full", HasRoom{}, func(_ *Request, c *Candidate) { c.InFlight = c.MaxRunning }},
+		{"prompts pending", HasPrefillCapacity{}, func(_ *Request, c *Candidate) { c.Backlog.Add(0, 50_000) }},
+		{"full", HasCapacity{}, func(_ *Request, c *Candidate) { c.InFlight = c.MaxRunning }},
 	}
 	for _, test := range cases {
 		r, c := request(), candidate(0)
@@ -64,11 +64,11 @@
 	r.PromptTokens = 40_000
 	c.Backlog.Add(0, 32_000)
 	var matches Matches
-	if (HasPromptRoom{}).Keep(r, c, &matches) {
+	if (HasPrefillCapacity{}).Keep(r, c, &matches) {
 		t.Error("a busy engine that has nothing of the prompt is kept")
 	}
 	matches[0] = 32_000 / prefix.BlockTokens
-	if !(HasPromptRoom{}).Keep(r, c, &matches) {
+	if !(HasPrefillCapacity{}).Keep(r, c, &matches) {
 		t.Error("the engine that reads the text is dropped")
 	}
 }
@@ -80,11 +80,11 @@
 	c.Backlog.Add(1, 50_000)
 	var matches Matches
 	r.Rank = 1
-	if (HasPromptRoom{}).Keep(r, c, &matches) {
+	if (HasPrefillCapacity{}).Keep(r, c, &matches) {
 		t.Error("an engine that is busy with the same rank is kept")
 	}
 	r.Rank = 2
-	if !(HasPromptRoom{}).Keep(r, c, &matches) {
+	if !(HasPrefillCapacity{}).Keep(r, c, &matches) {
 		t.Error("an engine that is busy with a lower rank is dropped")
 	}
 	if cost := (PrefillDelay{}).Cost(r, c, &matches); cost > 0.2 {
@@ -97,7 +97,7 @@
 	full.InFlight = full.MaxRunning
 	other := candidate(1)
 	other.Deployment.Model = "other"
-	cycle := NewDefaultCycle(NewPrefixIndex(10))
+	cycle := NewDefaultPipeline(NewPrefixIndex(10))
 	if _, err := cycle.Place(request(), []*Candidate{other, full}); result.CodeOf(err) != result.QueueFull {
 		t.Errorf("full engine: %v", err)
 	}
@@ -137,8 +137,8 @@
 func TestPlacementSticksToCachedPrefixUntilQueueCostsMore(t *testing.T) {
 	index := NewPrefixIndex(1000)
 	chain := []prefix.Hash{1, 2, 3}
-	index.Placed(0, 1, chain)
-	cycle := NewDefaultCycle(index)
+	index.RecordPlacement(0, 1, chain)
+	cycle := NewDefaultPipeline(index)
 	engines := []*Candidate{candidate(0), candidate(1)}
 	r := request()
 	r.Prefix = chain
@@ -182,8 +182,8 @@
 	index := NewPrefixIndex(100)
 	hot := []prefix.Hash{1, 2, 3}
 	for i := range 500 {
-		index.Placed(time.Duration(i), i%64, hot)
-		index.Placed(time.Duration(i), i%64, []prefix.Hash{prefix.Hash(1000 + i)})
+		index.RecordPlacement(time.Duration(i), i%64, hot)
+		index.RecordPlacement(time.Duration(i), i%64, []prefix.Hash{prefix.Hash(1000 + i)})
 	}
 	if index.Len() > 100 || len(index.order) > 200 {
 		t.Errorf("%d blocks and %d in order, capacity 100", index.Len(), len(index.order))
@@ -201,13 +201,13 @@
 		for j := range chains[i] {
 			chains[i][j] = prefix.Hash(i*1000 + j)
 		}
-		index.Placed(0, i%MaxEngines, chains[i])
+		index.RecordPlacement(0, i%MaxEngines, chains[i])
 	}
 	engines := make([]*Candidate, MaxEngines)
 	for slot := range engines {
 		engines[slot] = candidate(slot)
 	}
-	cycle := NewDefaultCycle(index)
+	cycle := NewDefaultPipeline(index)
 	r := request()
 	r.PromptTokens = 40 * prefix.BlockTokens
 	b.ReportAllocs()
--- a/internal/placement/prefixindex.go
+++ b/internal/placement/prefixindex.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Placed notes that an engine will have read the whole prompt.
-func (x *PrefixIndex) Placed(now time.Duration, slot int, chain []prefix.Hash) {
+// RecordPlacement notes that an engine will have read the whole prompt.
+func (x *PrefixIndex) RecordPlacement(now time.Duration, slot int, chain []prefix.Hash) {
 	for _, block := range chain {
 		x.add(now, slot, block)
 	}
@@ -88,7 +88,7 @@
 func (x *PrefixIndex) Apply(now time.Duration, slot int, page engine.CacheEvents) {
 	cursor := &x.cursors[slot]
 	if cursor.incarnation != page.Incarnation {
-		x.Forget(slot)
+		x.RemoveEngine(slot)
 		cursor.incarnation = page.Incarnation
 	}
 	cursor.next = page.Next
@@ -124,8 +124,8 @@
 	x.blocks[block] = known
 }
 
-// Forget drops all that is known of one engine.
-func (x *PrefixIndex) Forget(slot int) {
+// RemoveEngine drops all that is known of one engine.
+func (x *PrefixIndex) RemoveEngine(slot int) {
 	for block := range x.blocks {
 		x.removeBlock(slot, block)
 	}
