--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -33,7 +33,7 @@
 	path := pathOf(request)
 	route := table.Match(request.Host, path)
 	if route == nil {
-		return admission{}, h.refuseUnknown(result.New(result.NotFound, "no route in configuration version %d for host %q and path %q", table.Version, request.Host, path))
+		return admission{}, h.refuseUnknown(result.New(result.NotFound, "no route of version %d for host %q and path %q", table.Version, request.Host, path))
 	}
 	owner, failure := h.authenticate(table, route, request.Header)
 	return admission{route: route, tenant: owner}, failure
@@ -56,7 +56,7 @@
 	}
 	owner, known := table.Tenants.Owner(keys[0])
 	if !known {
-		return tenant.Tenant{}, h.refuseUnknown(result.New(result.Unauthenticated, "no tenant in configuration version %d has the request's API key", table.Version))
+		return tenant.Tenant{}, h.refuseUnknown(result.New(result.Unauthenticated, "no tenant of version %d has the request's API key", table.Version))
 	}
 	return owner, nil
 }
@@ -68,7 +68,7 @@
 		return nil
 	}
 	behind := h.configurationBehind()
-	return result.New(result.ConfigurationStale, "this node has configuration version %d, and heard %d ms ago of a newer one that it can't get", table.Version, behind.Milliseconds()).
+	return result.New(result.ConfigurationStale, "this node has version %d, and heard %d ms ago of a newer configuration that it can't get", table.Version, behind.Milliseconds()).
 		WithRetryAfter(staleRetryAfter)
 }
 
@@ -82,10 +82,10 @@
 	age, behind := h.configurationAge(), h.configurationBehind()
 	switch {
 	case behind > 0:
-		return result.New(result.ConfigurationStale, "%s; this node has lacked a newer configuration for %d ms", failure.Message, behind.Milliseconds()).
+		return result.New(result.ConfigurationStale, "%s; there has been a newer configuration for %d ms", failure.Message, behind.Milliseconds()).
 			WithRetryAfter(staleRetryAfter)
 	case age > staleAfter:
-		return result.New(result.ConfigurationStale, "%s; the configuration was confirmed %d ms ago and may be old", failure.Message, age.Milliseconds()).
+		return result.New(result.ConfigurationStale, "%s; it was confirmed %d ms ago and may be old", failure.Message, age.Milliseconds()).
 			WithRetryAfter(staleRetryAfter)
 	}
 	return failure
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -35,7 +35,7 @@
 		call.Charge = claim.Charge()
 		return nil
 	case ctx.Err() != nil:
-		return result.New(result.CallerGone, "the caller left before its quota was checked")
+		return result.New(result.CallerGone, "the caller left before its quota was known")
 	}
 	h.logOverQuota(call, claim, verdict)
 	return result.New(result.TenantQuota, "tenant %s is over its quota of %g %s a second, with a burst of %g",
--- a/internal/worker/notice.go
+++ b/internal/worker/notice.go
@@ -159,9 +159,9 @@
 
 // These are the reasons why a worker gets no requests from this node.
 var (
-	ErrDraining = eris.New("the worker is draining")
-	ErrBackoff  = eris.New("the worker has asked for a pause")
-	ErrUnlisted = eris.New("the worker is no longer listed")
+	ErrDraining = eris.New("the worker has announced its end")
+	ErrBackoff  = eris.New("the worker has asked to be left alone for a time")
+	ErrUnlisted = eris.New("the worker's entry is gone")
 )
 
 // Admit returns the reason why a worker must not get any request from this node now, nil if it
--- a/internal/workerconn/conn.go
+++ b/internal/workerconn/conn.go
@@ -156,10 +156,10 @@
 			return response, written, nil
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil || response.Close {
-			return nil, nil, &SendError{Cause: eris.New("received a truncated answer to another request")}
+			return nil, nil, &SendError{Cause: eris.New("the answer of another request came and broke off")}
 		}
 	}
-	return nil, nil, &SendError{Cause: eris.New("received only answers to other requests")}
+	return nil, nil, &SendError{Cause: eris.New("only answers of other requests came")}
 }
 
 // cause returns the reason why the context ended, if it did, rather than the read error that
