--- a/internal/group/host.go
+++ b/internal/group/host.go
@@ -51,7 +51,7 @@
 type acknowledgement struct{}
 
 // Factory makes the state machine and the watcher of a group on this node.
-type Factory func(groupID string, handle func() *Replica) (StateMachine, Leadership)
+type Factory func(groupID string, handle func() *Replica) (StateMachine, LeadershipListener)
 
 // Host holds the members that run on this node.
 type Host struct {
@@ -78,7 +78,7 @@
 	active    *Replica
 	record    Record
 	machine   StateMachine
-	watcher   Leadership
+	watcher   LeadershipListener
 	// prepared holds proposals that the table has not decided on.
 	prepared map[string]prepareRequest
 	order    []string
@@ -114,7 +114,7 @@
 		if request.Member != h.self {
 			return acknowledgement{}, wrongIncarnation(request.Member)
 		}
-		h.Obey(request.Record)
+		h.ApplyRecord(request.Record)
 		return acknowledgement{}, nil
 	})
 }
@@ -146,8 +146,8 @@
 	return active
 }
 
-// Machine returns the state machine of a group on this node, nil for none.
-func (h *Host) Machine(groupID string) StateMachine {
+// StateMachine returns the state machine of a group on this node, nil for none.
+func (h *Host) StateMachine(groupID string) StateMachine {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g := h.groups[groupID]; g != nil {
@@ -203,9 +203,9 @@
 	return nil
 }
 
-// Obey takes a record that the table has accepted: this node joins the epoch, or
+// ApplyRecord takes a record that the table has accepted: this node joins the epoch, or
 // leaves the group.
-func (h *Host) Obey(record Record) {
+func (h *Host) ApplyRecord(record Record) {
 	g, initial, former := h.adopt(record)
 	if g == nil {
 		return
--- a/internal/group/keeper.go
+++ b/internal/group/keeper.go
@@ -11,8 +11,8 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// View is what a keeper needs to know of the other nodes.
-type View interface {
+// Cluster is what a keeper needs to know of the other nodes.
+type Cluster interface {
 	// Candidates returns the nodes that may be members: alive and not leaving.
 	Candidates() []Member
 	// Known returns the highest epoch of a group that any node has spoken of, the
@@ -28,13 +28,13 @@
 	Wanted() []string
 }
 
-// Keeper makes groups exist and replaces members that are lost or leaving.
-type Keeper struct {
+// Manager makes groups exist and replaces members that are lost or leaving.
+type Manager struct {
 	self    Member
 	host    *Host
 	records records
 	client  *peer.Client
-	view    View
+	view    Cluster
 	log     logrus.FieldLogger
 	// forgetCommand returns the command that tells a group's state machine that
 	// its memory was lost with a majority.
@@ -76,20 +76,20 @@
 	patienceByRank   = 1000 * time.Millisecond
 )
 
-// NewKeeper returns the keeper of a node.
-func NewKeeper(self Member, host *Host, tableClient Table, client *peer.Client, view View, log logrus.FieldLogger,
-	forgetCommand func(string) ([]byte, error)) *Keeper {
-	return &Keeper{
+// NewManager returns the keeper of a node.
+func NewManager(self Member, host *Host, tableClient Table, client *peer.Client, view Cluster, log logrus.FieldLogger,
+	forgetCommand func(string) ([]byte, error)) *Manager {
+	return &Manager{
 		self: self, host: host, records: records{tableClient}, client: client, view: view, log: log,
 		forgetCommand: forgetCommand, since: map[string]need{},
 	}
 }
 
-func (k *Keeper) gone(member Member) bool { return k.view.Gone(member) }
+func (k *Manager) gone(member Member) bool { return k.view.Gone(member) }
 
 // Run keeps groups until ctx ends. Groups are looked after side by side: one
 // whose members are slow to answer does not hold up the others.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(checkEvery)
 	defer ticker.Stop()
 	var running sync.WaitGroup
@@ -123,7 +123,7 @@
 }
 
 // look checks one group and acts on a need that has lasted.
-func (k *Keeper) look(ctx context.Context, id string) {
+func (k *Manager) look(ctx context.Context, id string) {
 	k.catchUp(ctx, id)
 	found, patience := k.need(id)
 	if !k.lasted(id, found, patience) {
@@ -139,7 +139,7 @@
 
 // catchUp reads the table when others speak of a later epoch than this node
 // obeys.
-func (k *Keeper) catchUp(ctx context.Context, id string) {
+func (k *Manager) catchUp(ctx context.Context, id string) {
 	active := k.host.Replica(id)
 	if active == nil {
 		return
@@ -149,14 +149,14 @@
 		return
 	}
 	if record, err := k.records.get(ctx, id); err == nil {
-		k.host.Obey(record)
+		k.host.ApplyRecord(record)
 	}
 }
 
 // need decides whether a group's members should change, and how long this node
 // waits before it acts. Most groups have a living leader elsewhere, which must be
 // found out cheaply: every node looks at every group.
-func (k *Keeper) need(id string) (reason, time.Duration) {
+func (k *Manager) need(id string) (reason, time.Duration) {
 	active := k.host.Replica(id)
 	if active == nil {
 		return k.needOfOutsider(id)
@@ -170,7 +170,7 @@
 	return reasonNone, 0
 }
 
-func (k *Keeper) needOfOutsider(id string) (reason, time.Duration) {
+func (k *Manager) needOfOutsider(id string) (reason, time.Duration) {
 	epoch, leader, alive := k.view.Known(id)
 	switch {
 	case leader != "" && alive:
@@ -182,16 +182,16 @@
 }
 
 // rank is this node's place in the group's rendezvous order.
-func (k *Keeper) rank(id string) time.Duration {
+func (k *Manager) rank(id string) time.Duration {
 	return time.Duration(max(Rank(id, k.self.Node, k.view.Candidates()), 0))
 }
 
-func (k *Keeper) needOfLeader(id string, candidates []Member) (reason, time.Duration) {
+func (k *Manager) needOfLeader(id string, candidates []Member) (reason, time.Duration) {
 	record, ok := k.recordOf(id)
 	if !ok {
 		return reasonNone, 0
 	}
-	next := Choose(id, record.Members, candidates)
+	next := ChooseMembers(id, record.Members, candidates)
 	kept := 0
 	for _, member := range next {
 		if record.has(member.ID) {
@@ -207,7 +207,7 @@
 		return reasonLost, patienceLost
 	case len(next) > len(record.Members):
 		return reasonSpread, patienceLost
-	case Spread(k.respread(id, record, candidates)) > Spread(record.Members):
+	case ZoneCount(k.respread(id, record, candidates)) > ZoneCount(record.Members):
 		return reasonSpread, patienceSpread
 	}
 	return reasonNone, 0
@@ -215,7 +215,7 @@
 
 // respread returns members for better zones: one of two in the same zone makes
 // room.
-func (k *Keeper) respread(id string, record Record, candidates []Member) []Member {
+func (k *Manager) respread(id string, record Record, candidates []Member) []Member {
 	zones := map[string]bool{}
 	var keep []Member
 	for _, member := range record.Members {
@@ -224,10 +224,10 @@
 		}
 		zones[member.Zone] = true
 	}
-	return Choose(id, keep, candidates)
+	return ChooseMembers(id, keep, candidates)
 }
 
-func (k *Keeper) recordOf(id string) (Record, bool) {
+func (k *Manager) recordOf(id string) (Record, bool) {
 	for _, record := range k.host.Records() {
 		if record.Group == id {
 			return record, true
@@ -237,7 +237,7 @@
 }
 
 // lasted reports whether a need has been seen for as long as patience says.
-func (k *Keeper) lasted(id string, found reason, patience time.Duration) bool {
+func (k *Manager) lasted(id string, found reason, patience time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if found == reasonNone {
@@ -253,13 +253,13 @@
 }
 
 // act reads the table first: without it no epoch could begin, so none may end.
-func (k *Keeper) act(ctx context.Context, id string, found reason) error {
+func (k *Manager) act(ctx context.Context, id string, found reason) error {
 	record, err := k.records.get(ctx, id)
 	if err != nil {
 		return err
 	}
 	if active := k.host.Replica(id); record.has(k.self.ID) && (active == nil || active.Config().Epoch < record.Epoch) {
-		k.host.Obey(record) // this node missed the decision
+		k.host.ApplyRecord(record) // this node missed the decision
 		return nil
 	}
 	if found == reasonMissing && k.hasLeader(ctx, record) {
@@ -270,7 +270,7 @@
 	if found == reasonSpread {
 		current = k.respread(id, record, candidates)
 	}
-	next := Choose(id, current, candidates)
+	next := ChooseMembers(id, current, candidates)
 	if len(next) == 0 {
 		return result.New(result.PeerUnavailable, "no node can be a member of group %s", id)
 	}
@@ -278,7 +278,7 @@
 }
 
 // hasLeader asks a group's members whether one of them leads it.
-func (k *Keeper) hasLeader(ctx context.Context, record Record) bool {
+func (k *Manager) hasLeader(ctx context.Context, record Record) bool {
 	for _, member := range record.Members {
 		if member.ID == k.self.ID {
 			continue
--- a/internal/group/layout.go
+++ b/internal/group/layout.go
@@ -20,11 +20,11 @@
 	Zone    string           `json:"zone"`
 }
 
-// Choose returns the members that a group should have: the current ones that are
+// ChooseMembers returns the members that a group should have: the current ones that are
 // still among the candidates, and the others by rendezvous hashing (Thaler and
 // Ravishankar, 1998), zones without a member first. So few members move when
 // nodes come and go, and groups spread evenly.
-func Choose(groupID string, current []Member, candidates []Member) []Member {
+func ChooseMembers(groupID string, current []Member, candidates []Member) []Member {
 	available := map[replica.MemberID]bool{}
 	for _, candidate := range candidates {
 		available[candidate.ID] = true
@@ -78,8 +78,8 @@
 	return slices.IndexFunc(rendezvous(groupID, candidates), func(member Member) bool { return member.Node == node })
 }
 
-// Spread returns the number of zones that members stand in.
-func Spread(members []Member) int {
+// ZoneCount returns the number of zones that members stand in.
+func ZoneCount(members []Member) int {
 	zones := map[string]bool{}
 	for _, member := range members {
 		zones[member.Zone] = true
--- a/internal/group/layout_test.go
+++ b/internal/group/layout_test.go
@@ -28,9 +28,9 @@
 
 func TestChooseSpreadsOverZones(t *testing.T) {
 	for number := range 50 {
-		chosen := Choose(fmt.Sprint("group-", number), nil, candidates(12, 3))
-		if len(chosen) != Size || Spread(chosen) != 3 {
-			t.Fatalf("group %d stands in %d zones with %d members", number, Spread(chosen), len(chosen))
+		chosen := ChooseMembers(fmt.Sprint("group-", number), nil, candidates(12, 3))
+		if len(chosen) != Size || ZoneCount(chosen) != 3 {
+			t.Fatalf("group %d stands in %d zones with %d members", number, ZoneCount(chosen), len(chosen))
 		}
 	}
 }
@@ -39,8 +39,8 @@
 	all := candidates(30, 5)
 	for number := range 50 {
 		group := fmt.Sprint("group-", number)
-		before := Choose(group, nil, all)
-		after := Choose(group, before, without(all, before[0].ID))
+		before := ChooseMembers(group, nil, all)
+		after := ChooseMembers(group, before, without(all, before[0].ID))
 		kept := 0
 		for _, member := range after {
 			if member.ID == before[1].ID || member.ID == before[2].ID {
@@ -56,7 +56,7 @@
 func TestChooseSpreadsGroupsEvenly(t *testing.T) {
 	load := map[string]int{}
 	for number := range 116 {
-		for _, member := range Choose(fmt.Sprint("group-", number), nil, candidates(370, 19)) {
+		for _, member := range ChooseMembers(fmt.Sprint("group-", number), nil, candidates(370, 19)) {
 			load[member.Node]++
 		}
 	}
--- a/internal/group/reconfigure.go
+++ b/internal/group/reconfigure.go
@@ -23,7 +23,7 @@
 // hold; give the newest sealed state to a majority of the new members; let the
 // table decide; tell everybody. Every step may be repeated, and several nodes may
 // try at once: the table accepts one.
-func (k *Keeper) reconfigure(ctx context.Context, former Record, next []Member) error {
+func (k *Manager) reconfigure(ctx context.Context, former Record, next []Member) error {
 	ctx, cancel := context.WithTimeout(ctx, reconfigureTimeout)
 	defer cancel()
 	state, forced, err := k.sealEpoch(ctx, former)
@@ -52,7 +52,7 @@
 	}
 	k.log.WithFields(logrus.Fields{"group": record.Group, "epoch": record.Epoch, "members": nodeNames(next), "memory_lost": forced}).
 		Info("group has new members")
-	k.host.Obey(record)
+	k.host.ApplyRecord(record)
 	k.activateEpoch(ctx, former, record)
 	return nil
 }
@@ -77,7 +77,7 @@
 // last possible lease has lapsed. Where a majority can't be sealed but every
 // other member is proved gone, the epoch can't act either; its memory is lost,
 // which forced reports.
-func (k *Keeper) sealEpoch(ctx context.Context, former Record) (state replica.State, forced bool, err error) {
+func (k *Manager) sealEpoch(ctx context.Context, former Record) (state replica.State, forced bool, err error) {
 	if former.Epoch == 0 {
 		return replica.State{}, false, nil
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func (k *Keeper) sealMembers(ctx context.Context, former Record) []sealed {
+func (k *Manager) sealMembers(ctx context.Context, former Record) []sealed {
 	answers := make([]sealed, len(former.Members))
 	var group sync.WaitGroup
 	for i, member := range former.Members {
@@ -127,7 +127,7 @@
 	return answers
 }
 
-func (k *Keeper) sealMember(ctx context.Context, former Record, member Member) sealed {
+func (k *Manager) sealMember(ctx context.Context, former Record, member Member) sealed {
 	request := sealRequest{Group: former.Group, Epoch: former.Epoch, Member: member.ID}
 	var response sealResponse
 	var err error
@@ -144,7 +144,7 @@
 
 // prepareEpoch gives the state to the new members. A majority must have it: the
 // others start empty, can't win an election, and are brought up by the leader.
-func (k *Keeper) prepareEpoch(ctx context.Context, record Record, state replica.State) error {
+func (k *Manager) prepareEpoch(ctx context.Context, record Record, state replica.State) error {
 	errs := make([]error, len(record.Members))
 	var group sync.WaitGroup
 	for i, member := range record.Members {
@@ -179,7 +179,7 @@
 
 // activateEpoch tells old and new members of the table's decision. Who misses it
 // learns the epoch from the spread group record and reads the table.
-func (k *Keeper) activateEpoch(ctx context.Context, former, record Record) {
+func (k *Manager) activateEpoch(ctx context.Context, former, record Record) {
 	told := map[replica.MemberID]bool{k.self.ID: true}
 	for _, member := range append(append([]Member(nil), record.Members...), former.Members...) {
 		if told[member.ID] {
--- a/internal/group/replica.go
+++ b/internal/group/replica.go
@@ -27,9 +27,9 @@
 	Restore(data []byte) error
 }
 
-// Leadership is told when this node begins or ends to lead a group. Its methods
+// LeadershipListener is told when this node begins or ends to lead a group. Its methods
 // must not call the replica.
-type Leadership interface {
+type LeadershipListener interface {
 	// Lead is called when the lease of a new leadership holds.
 	Lead(fence engine.Fence)
 	// Follow is called when leadership has ended.
@@ -46,7 +46,7 @@
 type Replica struct {
 	id       replica.MemberID
 	machine  StateMachine
-	watcher  Leadership
+	watcher  LeadershipListener
 	send     func(replica.Message)
 	log      logrus.FieldLogger
 	origin   time.Time
@@ -70,7 +70,7 @@
 // startReplica starts a member. changed is called after the leader or the
 // leadership has changed.
 func startReplica(id replica.MemberID, config replica.Config, settings replica.Settings, initial replica.State, machine StateMachine,
-	watcher Leadership, send func(replica.Message), changed func(*Replica), log logrus.FieldLogger) *Replica {
+	watcher LeadershipListener, send func(replica.Message), changed func(*Replica), log logrus.FieldLogger) *Replica {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Replica{
 		id: id, machine: machine, watcher: watcher, send: send, origin: time.Now(), changed: changed, settings: settings,
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -193,7 +193,7 @@
 }
 
 // newMachine implements group.Factory.
-func (n *Node) newMachine(groupID string, handle func() *group.Replica) (group.StateMachine, group.Leadership) {
+func (n *Node) newMachine(groupID string, handle func() *group.Replica) (group.StateMachine, group.LeadershipListener) {
 	if strings.HasPrefix(groupID, ledger.GroupPrefix) {
 		m := ledger.NewMachine(handle, n.log)
 		n.mu.Lock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,7 +65,7 @@
 	manager  *rollout.Manager
 	rollout  *rollout.Service
 	host     *group.Host
-	keeper   *group.Keeper
+	keeper   *group.Manager
 	router   *group.Router
 	machines *machineWatcher
 	ledger   *ledger.Client
@@ -187,7 +187,7 @@
 	n.host = group.NewHost(n.self.ID, replica.DefaultSettings(), n.newMachine, n.client, n.log, n.addressOf, n.publishLeadership)
 	n.router = group.NewRouter(n.client, n)
 	n.ledger = ledger.NewClient(n.router, n.settings.Cluster.LedgerGroups)
-	n.keeper = group.NewKeeper(n.self, n.host, n.table, n.client, n, n.log, n.forgetCommand)
+	n.keeper = group.NewManager(n.self, n.host, n.table, n.client, n, n.log, n.forgetCommand)
 	n.manager.OnChange(n.catalogChanged)
 }
 
