--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -34,7 +34,7 @@
 	machine   Machine
 	listed    bool
 	candidate placement.Candidate
-	control   control.Engine
+	control   control.Reconciler
 	desired   control.Desired
 	drained   bool
 }
--- a/internal/control/engine.go
+++ b/internal/control/engine.go
@@ -31,8 +31,8 @@
 	Drained bool
 }
 
-// Engine tracks one engine under one fence.
-type Engine struct {
+// Reconciler tracks one engine under one fence.
+type Reconciler struct {
 	fence    engine.Fence
 	sequence uint64
 
@@ -50,7 +50,7 @@
 }
 
 // SetFence makes a new leader's fence current: all is to be claimed again.
-func (e *Engine) SetFence(fence engine.Fence) {
+func (e *Reconciler) SetFence(fence engine.Fence) {
 	if fence == e.fence {
 		return
 	}
@@ -63,7 +63,7 @@
 }
 
 // Observe takes a status report.
-func (e *Engine) Observe(now time.Duration, status engine.Status) {
+func (e *Reconciler) Observe(now time.Duration, status engine.Status) {
 	if status.Incarnation != e.observed.Incarnation {
 		// A new incarnation lost every order with the old one.
 		e.outstanding = nil
@@ -80,7 +80,7 @@
 }
 
 // settle drops the outstanding order when the engine reports its end.
-func (e *Engine) settle(status engine.Status) {
+func (e *Reconciler) settle(status engine.Status) {
 	if e.outstanding == nil || status.LastOrder != e.outstanding.ID {
 		return
 	}
@@ -94,7 +94,7 @@
 
 // Answered takes the outcome of sending an order. A refusal proves that the
 // order has no effect; any other failure leaves it outstanding.
-func (e *Engine) Answered(now time.Duration, order engine.Order, status engine.Status, err error) {
+func (e *Reconciler) Answered(now time.Duration, order engine.Order, status engine.Status, err error) {
 	if err == nil {
 		e.Observe(now, status)
 		return
@@ -110,26 +110,26 @@
 }
 
 // Observed returns the last status report, and false when there is none.
-func (e *Engine) Observed() (engine.Status, bool) { return e.observed, e.seen }
+func (e *Reconciler) Observed() (engine.Status, bool) { return e.observed, e.seen }
 
 // ReportAge returns the time since the last status report.
-func (e *Engine) ReportAge(now time.Duration) time.Duration { return now - e.observedAt }
+func (e *Reconciler) ReportAge(now time.Duration) time.Duration { return now - e.observedAt }
 
 // LastError returns the last difficulty met, empty when there is none.
-func (e *Engine) LastError() string { return e.lastError }
+func (e *Reconciler) LastError() string { return e.lastError }
 
 // Lost reports whether the engine has been silent for too long.
-func (e *Engine) Lost(now time.Duration) bool { return !e.seen || now-e.observedAt > LostAfter }
+func (e *Reconciler) Lost(now time.Duration) bool { return !e.seen || now-e.observedAt > LostAfter }
 
 // Known reports whether the engine was claimed under the current fence and read
 // since.
-func (e *Engine) Known() bool { return e.readAfterClaim && e.claimed == e.observed.Incarnation }
+func (e *Reconciler) Known() bool { return e.readAfterClaim && e.claimed == e.observed.Incarnation }
 
 // Changing reports whether a planned change is under way.
-func (e *Engine) Changing() bool { return e.changing }
+func (e *Reconciler) Changing() bool { return e.changing }
 
 // Availability tells whether the engine may get work.
-func (e *Engine) Availability(now time.Duration, desired Desired) placement.Availability {
+func (e *Reconciler) Availability(now time.Duration, desired Desired) placement.Availability {
 	switch {
 	case e.Lost(now):
 		return placement.Lost
@@ -148,7 +148,7 @@
 // AvailabilityUnled tells whether an engine may get work from a node that does
 // not lead: some leader has claimed it, and it reports no change under way. The
 // engine itself refuses what does not fit it any more.
-func (e *Engine) AvailabilityUnled(now time.Duration) placement.Availability {
+func (e *Reconciler) AvailabilityUnled(now time.Duration) placement.Availability {
 	switch {
 	case e.Lost(now):
 		return placement.Lost
@@ -166,7 +166,7 @@
 
 // Next returns the order to send now, if any. inFlight counts the attempts placed
 // and not finished; mayChange tells whether a planned change may begin.
-func (e *Engine) Next(now time.Duration, desired Desired, inFlight int, mayChange bool) (engine.Order, bool) {
+func (e *Reconciler) Next(now time.Duration, desired Desired, inFlight int, mayChange bool) (engine.Order, bool) {
 	if e.Lost(now) {
 		return engine.Order{}, false
 	}
@@ -185,7 +185,7 @@
 	return e.reconcile(desired, inFlight, mayChange)
 }
 
-func (e *Engine) reconcile(desired Desired, inFlight int, mayChange bool) (engine.Order, bool) {
+func (e *Reconciler) reconcile(desired Desired, inFlight int, mayChange bool) (engine.Order, bool) {
 	if e.matches(desired.Deployment) {
 		e.changing = false
 		return e.setDrain(desired.Drained)
@@ -208,7 +208,7 @@
 }
 
 // setDrain brings the engine's drain flag in line.
-func (e *Engine) setDrain(drained bool) (engine.Order, bool) {
+func (e *Reconciler) setDrain(drained bool) (engine.Order, bool) {
 	switch {
 	case drained && !e.observed.Draining:
 		return e.issue(engine.Order{Type: engine.OrderDrain}), true
@@ -218,7 +218,7 @@
 	return engine.Order{}, false
 }
 
-func (e *Engine) matches(target engine.Deployment) bool {
+func (e *Reconciler) matches(target engine.Deployment) bool {
 	if target.Model == "" {
 		return true
 	}
@@ -234,12 +234,12 @@
 }
 
 // NeedsLoad reports whether reaching the desired state loads weights.
-func (e *Engine) NeedsLoad(desired Desired) bool {
+func (e *Reconciler) NeedsLoad(desired Desired) bool {
 	return !e.matches(desired.Deployment) && e.bytesToLoad(desired) > 0
 }
 
 // bytesToLoad returns the size of the weights that are not there yet.
-func (e *Engine) bytesToLoad(desired Desired) uint64 {
+func (e *Reconciler) bytesToLoad(desired Desired) uint64 {
 	current, target := e.observed.Deployment, desired.Deployment
 	if current.Model == target.Model && current.Version == target.Version {
 		return 0
@@ -247,7 +247,7 @@
 	return desired.SizeBytes
 }
 
-func (e *Engine) issue(order engine.Order) engine.Order {
+func (e *Reconciler) issue(order engine.Order) engine.Order {
 	e.sequence++
 	order.ID = engine.NewIdentifier()
 	order.Fence = e.fence
--- a/internal/control/engine_test.go
+++ b/internal/control/engine_test.go
@@ -35,14 +35,14 @@
 	return &fake{status: engine.Status{Incarnation: "i1", Deployment: version1}}
 }
 
-func tracked(f *fake) *Engine {
-	e := &Engine{}
+func tracked(f *fake) *Reconciler {
+	e := &Reconciler{}
 	e.SetFence(7)
 	e.Observe(0, f.status)
 	return e
 }
 
-func next(t *testing.T, e *Engine, desired Desired, inFlight int, want engine.OrderType) engine.Order {
+func next(t *testing.T, e *Reconciler, desired Desired, inFlight int, want engine.OrderType) engine.Order {
 	t.Helper()
 	order, ok := e.Next(0, desired, inFlight, true)
 	if !ok || order.Type != want {
@@ -51,7 +51,7 @@
 	return order
 }
 
-func none(t *testing.T, e *Engine, desired Desired, inFlight int) {
+func none(t *testing.T, e *Reconciler, desired Desired, inFlight int) {
 	t.Helper()
 	if order, ok := e.Next(0, desired, inFlight, true); ok {
 		t.Fatalf("unexpected order %q", order.Type)
