--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -48,8 +48,8 @@
 	Claim *Claim `json:"claim,omitempty"`
 }
 
-// Machine is the ledger as a group's state machine, with the group's clock.
-type Machine struct {
+// ReplicatedLedger is the ledger as a group's state machine, with the group's clock.
+type ReplicatedLedger struct {
 	mu     sync.Mutex
 	ledger *Ledger
 	// ledAt and ledTime are the moment of the current leadership's start, in
@@ -61,35 +61,35 @@
 	log     logrus.FieldLogger
 }
 
-// NewMachine returns the machine of a group. handle returns the group's member on
+// NewReplicatedLedger returns the machine of a group. handle returns the group's member on
 // this node.
-func NewMachine(handle func() *group.Replica, log logrus.FieldLogger) *Machine {
-	return &Machine{ledger: New(), handle: handle, log: log}
+func NewReplicatedLedger(handle func() *group.Replica, log logrus.FieldLogger) *ReplicatedLedger {
+	return &ReplicatedLedger{ledger: New(), handle: handle, log: log}
 }
 
 // Apply implements group.StateMachine.
-func (m *Machine) Apply(data []byte) any {
+func (m *ReplicatedLedger) Apply(data []byte) any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Apply(data)
 }
 
 // Snapshot implements group.StateMachine.
-func (m *Machine) Snapshot() []byte {
+func (m *ReplicatedLedger) Snapshot() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Snapshot()
 }
 
 // Restore implements group.StateMachine.
-func (m *Machine) Restore(data []byte) error {
+func (m *ReplicatedLedger) Restore(data []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Restore(data)
 }
 
 // Lead implements group.Leadership.
-func (m *Machine) Lead(engine.Fence) {
+func (m *ReplicatedLedger) Lead(engine.Fence) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leading = true
@@ -98,14 +98,14 @@
 }
 
 // Follow implements group.Leadership.
-func (m *Machine) Follow() {
+func (m *ReplicatedLedger) Follow() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leading = false
 }
 
 // Len returns the number of live claims.
-func (m *Machine) Len() int {
+func (m *ReplicatedLedger) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Len()
@@ -113,7 +113,7 @@
 
 // stamp gives a command the group's time: it goes on from where the former
 // leader's last command left it, so it never runs fast and never goes back.
-func (m *Machine) stamp(command *Command) {
+func (m *ReplicatedLedger) stamp(command *Command) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	command.Time = m.now()
@@ -121,7 +121,7 @@
 }
 
 // execute replicates a command under this node's leadership.
-func (m *Machine) execute(ctx context.Context, command Command) (Outcome, error) {
+func (m *ReplicatedLedger) execute(ctx context.Context, command Command) (Outcome, error) {
 	r := m.handle()
 	if r == nil {
 		return Outcome{}, result.New(result.NotLeader, "this node is no member of the group")
@@ -143,9 +143,9 @@
 }
 
 // now returns the group's time. The caller holds the lock and leads.
-func (m *Machine) now() int64 { return m.ledTime + time.Since(m.ledAt).Milliseconds() }
+func (m *ReplicatedLedger) now() int64 { return m.ledTime + time.Since(m.ledAt).Milliseconds() }
 
-func (m *Machine) lookup(key string) (*Claim, error) {
+func (m *ReplicatedLedger) lookup(key string) (*Claim, error) {
 	r := m.handle()
 	if r == nil {
 		return nil, result.New(result.NotLeader, "this node is no member of the group")
@@ -167,7 +167,7 @@
 const tickEvery = 5 * time.Second
 
 // RunTicks lets time pass in the groups that this node leads, until ctx ends.
-func RunTicks(ctx context.Context, machines func() []*Machine) {
+func RunTicks(ctx context.Context, machines func() []*ReplicatedLedger) {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
 	for {
@@ -189,8 +189,8 @@
 	}
 }
 
-// ForgetCommand returns the command for a group that lost its memory.
-func ForgetCommand(longestWindow time.Duration) ([]byte, error) {
+// StateLossCommand returns the command for a group that lost its memory.
+func StateLossCommand(longestWindow time.Duration) ([]byte, error) {
 	return json.Marshal(Command{
 		Type:         CommandForget,
 		WindowMillis: longestWindow.Milliseconds(),
@@ -200,7 +200,7 @@
 
 // Register serves the ledger groups of a node. find returns the machine of a
 // group, nil when this node is no member.
-func Register(server *peer.Server, find func(groupID string) *Machine) {
+func Register(server *peer.Server, find func(groupID string) *ReplicatedLedger) {
 	peer.Handle(server, MethodCommand, func(ctx context.Context, _ peer.Identity, request commandRequest) (Outcome, error) {
 		m := find(request.Group)
 		if m == nil {
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -195,7 +195,7 @@
 // newMachine implements group.Factory.
 func (n *Node) newMachine(groupID string, handle func() *group.Replica) (group.StateMachine, group.LeadershipListener) {
 	if strings.HasPrefix(groupID, ledger.GroupPrefix) {
-		m := ledger.NewMachine(handle, n.log)
+		m := ledger.NewReplicatedLedger(handle, n.log)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.ledgers[groupID] = m
@@ -249,10 +249,10 @@
 	return services
 }
 
-func (n *Node) ledgerMachines() []*ledger.Machine {
+func (n *Node) ledgerMachines() []*ledger.ReplicatedLedger {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	list := make([]*ledger.Machine, 0, len(n.ledgers))
+	list := make([]*ledger.ReplicatedLedger, 0, len(n.ledgers))
 	for _, m := range n.ledgers {
 		list = append(list, m)
 	}
@@ -291,7 +291,7 @@
 
 func (n *Node) forgetCommand(groupID string) ([]byte, error) {
 	if strings.HasPrefix(groupID, ledger.GroupPrefix) {
-		return ledger.ForgetCommand(n.longestWindow())
+		return ledger.StateLossCommand(n.longestWindow())
 	}
 	return cell.NoCommand(), nil
 }
@@ -302,7 +302,7 @@
 	n.rollout.Register(n.peers)
 	n.host.Register(n.peers)
 	n.host.RegisterRouting(n.peers)
-	ledger.Register(n.peers, func(groupID string) *ledger.Machine {
+	ledger.Register(n.peers, func(groupID string) *ledger.ReplicatedLedger {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return n.ledgers[groupID]
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -77,7 +77,7 @@
 
 	mu      sync.Mutex
 	cells   map[string]*cell.Service
-	ledgers map[string]*ledger.Machine
+	ledgers map[string]*ledger.ReplicatedLedger
 
 	caughtUp atomic.Bool
 	stopping atomic.Bool
@@ -96,7 +96,7 @@
 		engines:  engine.NewClient(),
 		manager:  rollout.NewManager(),
 		cells:    map[string]*cell.Service{},
-		ledgers:  map[string]*ledger.Machine{},
+		ledgers:  map[string]*ledger.ReplicatedLedger{},
 	}
 	if err := n.listen(); err != nil {
 		return nil, err
