--- a/internal/cell/engines.go
+++ b/internal/cell/engines.go
@@ -22,13 +22,13 @@
 		return
 	}
 	demands := s.snapshot.Demands(s.pool)
-	members := make([]fleet.Member, 0, len(s.order))
+	members := make([]fleet.Engine, 0, len(s.order))
 	for _, m := range s.order {
 		if m.machine.Leaving {
 			continue
 		}
 		status, _ := m.control.Observed()
-		members = append(members, fleet.Member{Name: m.machine.Name, Serving: status.Deployment, Assigned: m.desired.Deployment})
+		members = append(members, fleet.Engine{Name: m.machine.Name, Serving: status.Deployment, Assigned: m.desired.Deployment})
 	}
 	assigned := fleet.Assign(members, demands)
 	for _, m := range s.order {
--- a/internal/fleet/assign.go
+++ b/internal/fleet/assign.go
@@ -9,8 +9,8 @@
 	"github.com/tinarch/tinarch/internal/engine"
 )
 
-// Member is an engine as assignment sees it.
-type Member struct {
+// Engine is an engine as assignment sees it.
+type Engine struct {
 	Name string
 	// Serving is what it serves now. Its zero value is nothing.
 	Serving engine.Deployment
@@ -21,13 +21,13 @@
 // Assign gives each engine a model version, in proportion to the demands'
 // shares, and moves as few engines as possible. Every demand gets an engine
 // while there are enough. Engines are in the order of their names in the result.
-func Assign(members []Member, demands []catalog.Demand) map[string]engine.Deployment {
+func Assign(members []Engine, demands []catalog.Demand) map[string]engine.Deployment {
 	assigned := make(map[string]engine.Deployment, len(members))
 	if len(demands) == 0 {
 		return assigned
 	}
 	quota := quotas(len(members), demands)
-	var free []Member
+	var free []Engine
 	for _, member := range sorted(members) {
 		i := keeps(member, demands, quota)
 		if i < 0 {
@@ -49,14 +49,14 @@
 	return assigned
 }
 
-func sorted(members []Member) []Member {
+func sorted(members []Engine) []Engine {
 	ordered := slices.Clone(members)
-	slices.SortFunc(ordered, func(left, right Member) int { return cmp.Compare(left.Name, right.Name) })
+	slices.SortFunc(ordered, func(left, right Engine) int { return cmp.Compare(left.Name, right.Name) })
 	return ordered
 }
 
 // keeps returns the demand that the engine already fulfils, -1 for none.
-func keeps(member Member, demands []catalog.Demand, quota []int) int {
+func keeps(member Engine, demands []catalog.Demand, quota []int) int {
 	for _, current := range []engine.Deployment{member.Assigned, member.Serving} {
 		for i, demand := range demands {
 			if quota[i] > 0 && current.Model == demand.Model && current.Version == demand.Version {
--- a/internal/fleet/assign_test.go
+++ b/internal/fleet/assign_test.go
@@ -7,8 +7,8 @@
 	"github.com/tinarch/tinarch/internal/catalog"
 )
 
-func members(count int) []Member {
-	list := make([]Member, count)
+func members(count int) []Engine {
+	list := make([]Engine, count)
 	for i := range list {
 		list[i].Name = fmt.Sprintf("engine-%02d", i)
 	}
