--- a/internal/cell/engines.go
+++ b/internal/cell/engines.go
@@ -112,8 +112,8 @@
 	s.nextLoadAt = max(now, s.nextLoadAt) + time.Duration(seconds*float64(time.Second))
 }
 
-// Answered takes the outcome of an order.
-func (s *State) Answered(now time.Duration, instruction Instruction, status engine.Status, err error) {
+// HandleOrderResult takes the outcome of an order.
+func (s *State) HandleOrderResult(now time.Duration, instruction Instruction, status engine.Status, err error) {
 	m := s.members[instruction.Engine]
 	if m == nil {
 		return
@@ -125,8 +125,8 @@
 	m.control.Answered(now, instruction.Order, status, err)
 }
 
-// Targets lists the engines to ask for their status.
-func (s *State) Targets() []Machine {
+// PollTargets lists the engines to ask for their status.
+func (s *State) PollTargets() []Machine {
 	targets := make([]Machine, 0, len(s.order))
 	for _, m := range s.order {
 		targets = append(targets, m.machine)
--- a/internal/cell/ordering.go
+++ b/internal/cell/ordering.go
@@ -51,7 +51,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.ordering, instruction.Engine)
-	s.state.Answered(s.now(), instruction, status, err)
+	s.state.HandleOrderResult(s.now(), instruction, status, err)
 	s.dispatch()
 }
 
--- a/internal/cell/polling.go
+++ b/internal/cell/polling.go
@@ -12,7 +12,7 @@
 		return // no member any more
 	}
 	s.mu.Lock()
-	targets := s.state.Targets()
+	targets := s.state.PollTargets()
 	skip := s.leading == 0 && s.now()%(statusEveryFollower) >= statusEvery
 	s.mu.Unlock()
 	if skip {
@@ -32,7 +32,7 @@
 
 func (s *Service) pollCacheEvents(ctx context.Context) {
 	s.mu.Lock()
-	targets := s.state.Targets()
+	targets := s.state.PollTargets()
 	leading := s.leading != 0
 	s.mu.Unlock()
 	if !leading {
--- a/internal/cell/registry.go
+++ b/internal/cell/registry.go
@@ -72,6 +72,6 @@
 	return slices.Sorted(maps.Keys(r.drained))
 }
 
-// NoCommand returns a command that changes nothing: a cell that lost its memory
+// NoOpCommand returns a command that changes nothing: a cell that lost its memory
 // reads its engines again, and operators repeat their drains.
-func NoCommand() []byte { return []byte("{}") }
+func NoOpCommand() []byte { return []byte("{}") }
--- a/internal/cell/service.go
+++ b/internal/cell/service.go
@@ -271,9 +271,9 @@
 	return s.state.Engines(s.now())
 }
 
-// OutrankedBy returns the highest fence that an engine has seen, when it is above
+// HigherFence returns the highest fence that an engine has seen, when it is above
 // that of this leadership, and zero otherwise.
-func (s *Service) OutrankedBy() engine.Fence {
+func (s *Service) HigherFence() engine.Fence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if highest := s.state.HighestFence(); s.leading != 0 && highest > s.leading {
@@ -294,7 +294,7 @@
 // engine.
 func (s *Service) Drain(ctx context.Context, name string, undo bool) (int, error) {
 	s.mu.Lock()
-	_, err := s.state.Find(name)
+	_, err := s.state.EngineInFlight(name)
 	s.mu.Unlock()
 	if err != nil {
 		return 0, err
@@ -317,7 +317,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.SetDrained(s.Drained())
-	return s.state.Find(name)
+	return s.state.EngineInFlight(name)
 }
 
 func (s *Service) expire(context.Context) {
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -356,8 +356,8 @@
 	}
 }
 
-// Find returns the number of attempts in flight on an engine.
-func (s *State) Find(name string) (inFlight int, err error) {
+// EngineInFlight returns the number of attempts in flight on an engine.
+func (s *State) EngineInFlight(name string) (inFlight int, err error) {
 	m := s.members[name]
 	if m == nil {
 		return 0, result.New(result.NotFound, "cell %s has no engine %q; see `tinarch engines`", s.name, name)
--- a/internal/cell/state_test.go
+++ b/internal/cell/state_test.go
@@ -74,7 +74,7 @@
 				status.Deployment = *instruction.Order.Target
 			}
 			b.statuses[instruction.Engine] = status
-			b.state.Answered(b.now, instruction, status, nil)
+			b.state.HandleOrderResult(b.now, instruction, status, nil)
 		}
 	}
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -198,7 +198,7 @@
 		for _, instruction := range c.state.Reconcile(c.sim.now) {
 			e := c.engines[instruction.Engine]
 			e.obey(instruction.Order)
-			c.state.Answered(c.sim.now, instruction, e.status, nil)
+			c.state.HandleOrderResult(c.sim.now, instruction, e.status, nil)
 		}
 	}
 }
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -152,7 +152,7 @@
 	if service == nil {
 		return 0
 	}
-	if outranking := service.OutrankedBy(); outranking > 0 {
+	if outranking := service.HigherFence(); outranking > 0 {
 		return replica.EpochOf(outranking) + 1
 	}
 	return 0
@@ -293,7 +293,7 @@
 	if strings.HasPrefix(groupID, ledger.GroupPrefix) {
 		return ledger.StateLossCommand(n.longestWindow())
 	}
-	return cell.NoCommand(), nil
+	return cell.NoOpCommand(), nil
 }
 
 // registerMethods serves the peer protocol.
