--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -60,7 +60,7 @@
 		class:        snapshot.ClassOf(tenant, kind).GetName(),
 		revision:     snapshot.Revision,
 		cells:        catalog.Cells(snapshot.Pool(kind.Pool)),
-		promptTokens: prefix.Tokens(len(prompt)),
+		promptTokens: prefix.EstimateTokens(len(prompt)),
 		outputTokens: request.OutputLimit(kind.MaxOutputTokens),
 		received:     received,
 		deadline:     received.Add(kind.Deadline),
--- a/internal/lab/engine/handlers.go
+++ b/internal/lab/engine/handlers.go
@@ -140,7 +140,7 @@
 		attempt:      ticket.Attempt,
 		priority:     ticket.Priority,
 		chain:        prefix.Chain(kvSeed, prompt),
-		promptTokens: max(prefix.Tokens(len(prompt)), 1),
+		promptTokens: max(prefix.EstimateTokens(len(prompt)), 1),
 		outputTokens: request.OutputLimit(defaultOutputTokens),
 	}
 	s := &stream{
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -20,8 +20,8 @@
 	BlockBytes = BlockTokens * BytesPerToken
 )
 
-// Tokens estimates the number of tokens in a text of the given length.
-func Tokens(bytes int) int { return (bytes + BytesPerToken - 1) / BytesPerToken }
+// EstimateTokens estimates the number of tokens in a text of the given length.
+func EstimateTokens(bytes int) int { return (bytes + BytesPerToken - 1) / BytesPerToken }
 
 // Hash identifies a prefix.
 type Hash = uint64
