--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -13,7 +13,7 @@
 	// which its keepers tell each other of it.
 	IdleTTL = 60 * time.Second
 	// inUseFor is for how long after a use the account's keepers tell each other of it.
-	inUseFor = 30 * time.Second
+	inUsePeriod = 30 * time.Second
 )
 
 // Spender is a process that uses accounts.
@@ -65,55 +65,55 @@
 type Keeper struct {
 	tolerance Tolerance
 	// since is from when on all use was reported here.
-	since    time.Time
-	accounts map[string]*account
+	reportsSince time.Time
+	accounts     map[string]*account
 	// heard is when each node's last report came, of whichever account.
-	heard map[string]time.Time
+	lastHeard map[string]time.Time
 }
 
 // NewKeeper returns a keeper that hears of all use from a time on.
 func NewKeeper(tolerance Tolerance, since time.Time) *Keeper {
 	return &Keeper{
-		tolerance: tolerance, since: since, accounts: make(map[string]*account), heard: make(map[string]time.Time),
+		tolerance: tolerance, reportsSince: since, accounts: make(map[string]*account), lastHeard: make(map[string]time.Time),
 	}
 }
 
 // Report takes in what a node has used. Keeps tells that this node is one of the account's
 // keepers, so that reports came here before.
-func (k *Keeper) Report(name string, from Spender, report Report, keeps bool, now time.Time) {
-	k.merge(k.account(name, report, keeps, now), from, report, now)
+func (k *Keeper) Report(name string, from Spender, report Report, isKeeper bool, now time.Time) {
+	k.mergeReport(k.account(name, report, isKeeper, now), from, report, now)
 }
 
 // Decide grants a request or refuses it.
-func (k *Keeper) Decide(ask DecisionRequest, keeps bool, now time.Time) Decision {
-	a := k.account(ask.Account, ask.Report, keeps, now)
-	s := k.merge(a, ask.From, ask.Report, now)
-	a.reserved, a.alone = 0, ask.Alone && k.cold(a, now)
-	if ask.Split {
-		a.reserved = k.silentShare(a, ask.From.Node, now)
+func (k *Keeper) Decide(request DecisionRequest, isKeeper bool, now time.Time) Decision {
+	a := k.account(request.Account, request.Report, isKeeper, now)
+	s := k.mergeReport(a, request.From, request.Report, now)
+	a.reserved, a.noOtherKeeper = 0, request.Alone && k.isCold(a, now)
+	if request.Split {
+		a.reserved = k.silentShare(a, request.From.Node, now)
 	}
-	decision := k.weigh(a, ask.Cost, ask.Patience, now)
+	decision := k.decide(a, request.Cost, request.Patience, now)
 	if decision.Granted {
-		s.counters.Taken += ask.Cost
-		k.spend(a, s, ask.Cost, now)
-		decision.Next, _ = k.shortest(a, ask.Cost, now)
+		s.counters.Taken += request.Cost
+		k.charge(a, s, request.Cost, now)
+		decision.Next, _ = k.soonest(a, request.Cost, now)
 	}
 	decision.Share = k.shareOf(a, s, now)
 	return decision
 }
 
 // account returns the account of a name, and takes in a newer configuration.
-func (k *Keeper) account(name string, report Report, keeps bool, now time.Time) *account {
+func (k *Keeper) account(name string, report Report, isKeeper bool, now time.Time) *account {
 	a, known := k.accounts[name]
 	if !known {
-		a = k.newAccount(report, keeps, now)
+		a = k.newAccount(report, isKeeper, now)
 		k.accounts[name] = a
 	}
 	if report.Version > a.version && report.Limit.Limited() {
-		k.fill(a, now)
+		k.refill(a, now)
 		a.limit, a.version = report.Limit, report.Version
 	}
-	k.fill(a, now)
+	k.refill(a, now)
 	return a
 }
 
@@ -121,7 +121,7 @@
 func (k *Keeper) NodeStopped(node string) {
 	for _, a := range k.accounts {
 		if s, known := a.spenders[node]; known {
-			s.gone = true
+			s.stopped = true
 		}
 	}
 }
@@ -129,25 +129,25 @@
 // ReportsMissed records that reports were missed until now: accounts hold only what is sure to
 // be left, and the next report of each node is what later ones are compared with.
 func (k *Keeper) ReportsMissed(now time.Time) {
-	k.since = now
+	k.reportsSince = now
 	for _, a := range k.accounts {
-		a.born = now
-		k.fill(a, now)
+		a.usageKnownSince = now
+		k.refill(a, now)
 		for i := range a.buckets {
-			a.buckets[i].level = min(a.buckets[i].level, k.coldLevel(a.limit))
+			a.buckets[i].level = min(a.buckets[i].level, k.coldStartLevel(a.limit))
 		}
 		for _, s := range a.spenders {
-			s.stale = true
+			s.skipNextCharge = true
 		}
 	}
 }
 
 // KeepersChanged records that the nodes that keep accounts have changed: this one keeps on with
 // those that it keeps still. New ones it knows from now on.
-func (k *Keeper) KeepersChanged(keeps func(name string) bool, now time.Time) {
-	k.since = now
+func (k *Keeper) KeepersChanged(isKeeper func(name string) bool, now time.Time) {
+	k.reportsSince = now
 	for name := range k.accounts {
-		if !keeps(name) {
+		if !isKeeper(name) {
 			delete(k.accounts, name)
 		}
 	}
@@ -159,7 +159,7 @@
 // KnownSince returns since when an account is known here.
 func (k *Keeper) KnownSince(name string, now time.Time) time.Time {
 	if a, known := k.accounts[name]; known {
-		return a.known
+		return a.created
 	}
 	return now
 }
@@ -168,7 +168,7 @@
 func (k *Keeper) InUse(now time.Time) map[string]Report {
 	used := make(map[string]Report)
 	for name, a := range k.accounts {
-		if now.Sub(a.used) <= inUseFor {
+		if now.Sub(a.lastUsed) <= inUsePeriod {
 			used[name] = Report{Limit: a.limit, Version: a.version}
 		}
 	}
@@ -177,22 +177,22 @@
 
 // Forget drops accounts and nodes that have been idle for long.
 func (k *Keeper) Forget(now time.Time) {
-	for node, heard := range k.heard {
+	for node, heard := range k.lastHeard {
 		if now.Sub(heard) > IdleTTL {
-			delete(k.heard, node)
+			delete(k.lastHeard, node)
 		}
 	}
 	for name, a := range k.accounts {
 		for node, s := range a.spenders {
-			if now.Sub(s.heard) > IdleTTL {
+			if now.Sub(s.lastReport) > IdleTTL {
 				delete(a.spenders, node)
 			}
 		}
-		idle := now.Sub(a.used) > IdleTTL
+		idle := now.Sub(a.lastUsed) > IdleTTL
 		if idle {
 			a.reserved = 0 // nothing is kept for so long
 		}
-		k.fill(a, now)
+		k.refill(a, now)
 		if idle && a.buckets[0].Level() >= a.limit.Burst {
 			delete(k.accounts, name)
 		}
--- a/internal/quota/keeper_test.go
+++ b/internal/quota/keeper_test.go
@@ -11,11 +11,11 @@
 )
 
 var (
-	origin    = time.Unix(1000, 0)
-	plenty    = Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 400}
-	thousand  = Limit{Rate: 1000, Burst: 1000, Unit: Tokens}
-	tenantA   = AccountName("a", Tokens)
-	warmSince = origin.Add(-time.Hour)
+	origin        = time.Unix(1000, 0)
+	testTolerance = Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 400}
+	thousand      = Limit{Rate: 1000, Burst: 1000, Unit: Tokens}
+	accountA      = AccountName("a", Tokens)
+	warmSince     = origin.Add(-time.Hour)
 )
 
 func at(seconds float64) time.Time {
@@ -35,23 +35,23 @@
 	meter *Meter
 }
 
-func newNode(number int) *node { return &node{spenderOf(number), NewMeter(plenty)} }
+func newNode(number int) *node { return &node{spenderOf(number), NewMeter(testTolerance)} }
 
 // ask asks a keeper and takes what it grants.
 func (n *node) ask(keeper *Keeper, limit Limit, cost float64, now time.Time) Decision {
-	decision := keeper.Decide(n.question(limit, cost, now), true, now)
+	decision := keeper.Decide(n.request(limit, cost, now), true, now)
 	if decision.Granted {
-		n.meter.Take(tenantA, cost, now)
+		n.meter.Take(accountA, cost, now)
 	}
 	return decision
 }
 
-func (n *node) question(limit Limit, cost float64, now time.Time) DecisionRequest {
-	return DecisionRequest{Account: tenantA, From: n.Spender, Report: n.meter.Begin(tenantA, limit, 1, now), Cost: cost}
+func (n *node) request(limit Limit, cost float64, now time.Time) DecisionRequest {
+	return DecisionRequest{Account: accountA, From: n.Spender, Report: n.meter.Begin(accountA, limit, 1, now), Cost: cost}
 }
 
-func (n *node) tell(keeper *Keeper, now time.Time) {
-	keeper.Report(tenantA, n.Spender, n.meter.Report(tenantA, now), true, now)
+func (n *node) report(keeper *Keeper, now time.Time) {
+	keeper.Report(accountA, n.Spender, n.meter.Report(accountA, now), true, now)
 }
 
 // spend asks for as much as the keeper grants at once, and returns that.
@@ -64,9 +64,9 @@
 }
 
 func TestBurstAndRateHoldOverAllNodes(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+	keeper := NewKeeper(testTolerance, warmSince)
 	first, second := newNode(1), newNode(2)
-	credit := plenty.MaxExcess(thousand) / creditPart
+	credit := testTolerance.MaxExcess(thousand) / earlyCreditDivisor
 	if spent := first.spend(keeper, thousand, 10, at(0)); spent < 1000 || spent > 1000+credit+10 {
 		t.Errorf("a burst of %v was granted, want 1000 and at most %v more", spent, credit)
 	}
@@ -81,7 +81,7 @@
 // TestLongUseAboveTheRate: a window allows the burst besides the rate, also to a tenant that
 // doesn't burst.
 func TestLongUseAboveTheRate(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
 	granted := 0.0
 	for step := range 1200 { // a minute of 1,200 a second
@@ -92,65 +92,65 @@
 	if perSecond := granted / 40; perSecond < 1000+0.8*1000/8 || perSecond > 1000+1000/8 {
 		t.Errorf("%v a second were granted, want nearly 1125", perSecond)
 	}
-	keeper = NewKeeper(plenty, at(0))
+	keeper = NewKeeper(testTolerance, at(0))
 	n = newNode(1)
 	spent := 0.0
 	for step := range 160 {
 		spent += n.spend(keeper, thousand, 10, at(float64(step)/20))
 	}
-	if most := 8*1000 + plenty.Slack/coldPart + plenty.MaxExcess(thousand)/creditPart + 10; spent > most {
+	if most := 8*1000 + testTolerance.Slack/coldStartDivisor + testTolerance.MaxExcess(thousand)/earlyCreditDivisor + 10; spent > most {
 		t.Errorf("a keeper that has just started grants %v in a window, at most %v", spent, most)
 	}
 }
 
 // TestOtherKeepersFollowByReports: also when reports are lost, repeated and overtaken.
-func TestOtherKeepersFollowByReports(t *testing.T) {
-	first, second := NewKeeper(plenty, warmSince), NewKeeper(plenty, warmSince)
+func TestReportsKeepOtherKeepersUpToDate(t *testing.T) {
+	first, second := NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
 	n.spend(first, thousand, 10, at(0))
-	old := n.meter.Report(tenantA, at(0))
+	old := n.meter.Report(accountA, at(0))
 	n.spend(first, thousand, 10, at(0.5))
-	n.tell(second, at(0.5))
-	n.tell(second, at(0.5))
-	second.Report(tenantA, n.Spender, old, true, at(0.5))
+	n.report(second, at(0.5))
+	n.report(second, at(0.5))
+	second.Report(accountA, n.Spender, old, true, at(0.5))
 	if decision := newNode(2).ask(second, thousand, 10, at(0.5)); decision.Granted {
 		t.Errorf("the second keeper grants what the first has: %+v", decision)
 	}
 }
 
-func TestReturnedCostsComeBack(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+func TestRefundedCostsAreAvailableAgain(t *testing.T) {
+	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
 	n.spend(keeper, thousand, 10, at(0))
-	n.meter.Refund(tenantA, 500)
-	n.tell(keeper, at(0))
+	n.meter.Refund(accountA, 500)
+	n.report(keeper, at(0))
 	if spent := newNode(2).spend(keeper, thousand, 10, at(0)); spent != 500 {
 		t.Errorf("%v granted of 500 that didn't run", spent)
 	}
 }
 
 // TestOlderReportTakesNothingBack: one that overtakes a newer one holds neither counter down.
-func TestOlderReportTakesNothingBack(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+func TestOlderReportIsIgnored(t *testing.T) {
+	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
 	n.spend(keeper, thousand, 10, at(0))
-	old := n.meter.Report(tenantA, at(0))
-	n.meter.Refund(tenantA, 500)
-	n.tell(keeper, at(0))
-	keeper.Report(tenantA, n.Spender, old, true, at(0))
+	old := n.meter.Report(accountA, at(0))
+	n.meter.Refund(accountA, 500)
+	n.report(keeper, at(0))
+	keeper.Report(accountA, n.Spender, old, true, at(0))
 	if spent := newNode(2).spend(keeper, thousand, 10, at(0)); spent != 500 {
 		t.Errorf("%v granted of 500 that didn't run, after an older report came", spent)
 	}
 }
 
 // TestGrantThatIsNotHeardIsVoid: a keeper that has granted and one that hasn't agree.
-func TestGrantThatIsNotHeardIsVoid(t *testing.T) {
-	granted, unaware := NewKeeper(plenty, warmSince), NewKeeper(plenty, warmSince)
+func TestUnansweredGrantIsRefunded(t *testing.T) {
+	granted, unaware := NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
-	granted.Decide(n.question(thousand, 300, at(0)), true, at(0)) // the answer is lost
-	n.meter.TakeAndRefund(tenantA, 300, at(0))
+	granted.Decide(n.request(thousand, 300, at(0)), true, at(0)) // the answer is lost
+	n.meter.TakeAndRefund(accountA, 300, at(0))
 	for _, keeper := range []*Keeper{granted, unaware} {
-		n.tell(keeper, at(0))
+		n.report(keeper, at(0))
 		if decision := newNode(2).ask(keeper, thousand, 10, at(0)); decision.Level != 1000 {
 			t.Errorf("the level is %v, want 1000", decision.Level)
 		}
@@ -159,9 +159,9 @@
 
 // TestRequestLargerThanABurst passes where the bucket is full, and is paid back.
 func TestRequestLargerThanABurst(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
-	large := 1000 + plenty.MaxExcess(thousand)/debtPart
+	large := 1000 + testTolerance.MaxExcess(thousand)/maxDebtDivisor
 	if decision := n.ask(keeper, thousand, large, at(0)); !decision.Granted {
 		t.Fatalf("refused: %+v", decision)
 	}
@@ -174,7 +174,7 @@
 	if decision := n.ask(keeper, thousand, large, at(3)); !decision.Granted {
 		t.Errorf("refused though the debt is paid: %+v", decision)
 	}
-	if decision := newNode(2).ask(NewKeeper(plenty, warmSince), thousand, large+1, at(0)); decision.Granted {
+	if decision := newNode(2).ask(NewKeeper(testTolerance, warmSince), thousand, large+1, at(0)); decision.Granted {
 		t.Errorf("a request passes whose debt the tolerance doesn't bear: %+v", decision)
 	}
 	single := Limit{Rate: 1, Unit: Requests}
@@ -185,9 +185,9 @@
 
 // TestColdKeeper: one that doesn't know what was used has no second burst to give.
 func TestColdKeeper(t *testing.T) {
-	keeper := NewKeeper(plenty, at(0))
+	keeper := NewKeeper(testTolerance, at(0))
 	n := newNode(1)
-	most := plenty.Slack/coldPart + plenty.MaxExcess(thousand)/creditPart + 10
+	most := testTolerance.Slack/coldStartDivisor + testTolerance.MaxExcess(thousand)/earlyCreditDivisor + 10
 	if spent := n.spend(keeper, thousand, 10, at(0)); spent > most {
 		t.Errorf("%v granted at the start, want at most %v", spent, most)
 	}
@@ -200,7 +200,7 @@
 	if decision := n.ask(keeper, thousand, 10, at(8)); decision.Cold {
 		t.Errorf("after a window: %+v", decision)
 	}
-	if decision := newNode(2).ask(NewKeeper(plenty, at(0)), thousand, 1000, at(5)); !decision.Granted {
+	if decision := newNode(2).ask(NewKeeper(testTolerance, at(0)), thousand, 1000, at(5)); !decision.Granted {
 		t.Errorf("an account that is first used long after the start isn't full: %+v", decision)
 	}
 }
@@ -220,9 +220,9 @@
 		{"a process older than the keeper", at(-1), 10 * time.Second, 1000},
 		{"a process that was forgotten", warmSince, IdleTTL, 1000},
 	} {
-		keeper := NewKeeper(plenty, c.since)
+		keeper := NewKeeper(testTolerance, c.since)
 		report := Report{Counters: used, Age: c.age, Limit: limit, Version: 1}
-		keeper.Report(tenantA, spenderOf(1), report, true, at(0))
+		keeper.Report(accountA, spenderOf(1), report, true, at(0))
 		if decision := newNode(2).ask(keeper, limit, 10, at(0)); decision.Level != c.want {
 			t.Errorf("%s: level %v, want %v", c.name, decision.Level, c.want)
 		}
@@ -231,13 +231,13 @@
 
 // TestUseAfterAPauseIsHeard: keepers forget a node that pauses for long, as each of many does
 // that share a tenant's few requests, and hear all that it uses next.
-func TestUseAfterAPauseIsHeard(t *testing.T) {
-	first, second := NewKeeper(plenty, warmSince), NewKeeper(plenty, warmSince)
+func TestUsageAfterAPauseIsCharged(t *testing.T) {
+	first, second := NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)
 	n, busy := newNode(1), newNode(2)
 	for step := range 3 {
 		now := at(70 * float64(step))
 		n.spend(first, thousand, 100, now)
-		n.tell(second, now)
+		n.report(second, now)
 		if decision := busy.ask(second, thousand, 200, now); decision.Granted {
 			t.Errorf("the second keeper grants what the first has after %d pauses: %+v", step, decision)
 		}
@@ -255,18 +255,18 @@
 // TestKeeperThatMissedReports: it gives no burst, and doesn't charge at once what others
 // granted meanwhile.
 func TestKeeperThatMissedReports(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
 	n.ask(keeper, thousand, 10, at(0))
-	n.meter.Take(tenantA, 20_000, at(20)) // granted by others
+	n.meter.Take(accountA, 20_000, at(20)) // granted by others
 	keeper.ReportsMissed(at(20))
-	n.tell(keeper, at(20))
+	n.report(keeper, at(20))
 	decision := n.ask(keeper, thousand, 10, at(20))
-	if decision.Level != plenty.Slack/coldPart || !decision.Cold {
+	if decision.Level != testTolerance.Slack/coldStartDivisor || !decision.Cold {
 		t.Errorf("%+v", decision)
 	}
-	n.meter.Take(tenantA, 100, at(20))
-	n.tell(keeper, at(20))
+	n.meter.Take(accountA, 100, at(20))
+	n.report(keeper, at(20))
 	if after := n.ask(keeper, thousand, 10, at(20)); after.Level != decision.Level-110 {
 		t.Errorf("level %v after 110 of %v were used", after.Level, decision.Level)
 	}
@@ -275,11 +275,11 @@
 // TestLateReportsDontBlockATenant: what others granted within the limit while a node was
 // out of hearing is owed only as far as a burst may have been spent twice.
 func TestLateReportsDontBlockATenant(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
 	n.ask(keeper, thousand, 10, at(0))
-	n.meter.Take(tenantA, 50_000, at(50))
-	n.tell(keeper, at(50))
+	n.meter.Take(accountA, 50_000, at(50))
+	n.report(keeper, at(50))
 	if decision := n.ask(keeper, thousand, 10, at(51)); !decision.Granted {
 		t.Errorf("%+v", decision)
 	}
@@ -287,25 +287,25 @@
 
 // TestNewKeeperOfAnAccount: a node that the ranking makes one knows nothing of it yet.
 func TestNewKeeperOfAnAccount(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+	keeper := NewKeeper(testTolerance, warmSince)
 	newNode(1).ask(keeper, thousand, 10, at(0))
 	keeper.KeepersChanged(func(string) bool { return true }, at(1))
 	if decision := newNode(1).ask(keeper, thousand, 10, at(1)); decision.Cold {
 		t.Errorf("an account that stays is forgotten: %+v", decision)
 	}
 	keeper.KeepersChanged(func(string) bool { return false }, at(1))
-	if decision := newNode(1).ask(keeper, thousand, 10, at(1)); !decision.Cold || decision.Level > plenty.Slack/coldPart {
+	if decision := newNode(1).ask(keeper, thousand, 10, at(1)); !decision.Cold || decision.Level > testTolerance.Slack/coldStartDivisor {
 		t.Errorf("a new keeper has a burst to give: %+v", decision)
 	}
 }
 
 func TestLowerLimitBinds(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
 	n.ask(keeper, thousand, 10, at(0))
 	lower := Limit{Rate: 100, Burst: 50, Unit: Tokens}
-	n.meter.Begin(tenantA, lower, 2, at(0))
-	n.tell(keeper, at(0))
+	n.meter.Begin(accountA, lower, 2, at(0))
+	n.report(keeper, at(0))
 	// A node of the older configuration asks.
 	if decision := newNode(2).ask(keeper, thousand, 1, at(0)); decision.Level > 50 || decision.Version != 2 {
 		t.Errorf("the older limit decides: %+v", decision)
@@ -314,61 +314,61 @@
 
 // TestHalvesStayAtTheLimit: keepers that can't hear each other leave the other half its
 // share, unless its processes have ended.
-func TestHalvesStayAtTheLimit(t *testing.T) {
-	left, right := NewKeeper(plenty, warmSince), NewKeeper(plenty, warmSince)
-	here, beyond := newNode(1), newNode(2)
+func TestPartitionedKeepersStayWithinTheLimit(t *testing.T) {
+	left, right := NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)
+	here, remote := newNode(1), newNode(2)
 	for second := range 10 {
 		now := at(float64(second))
 		here.ask(left, thousand, 300, now)
-		beyond.ask(right, thousand, 300, now)
-		here.tell(right, now)
-		beyond.tell(left, now)
+		remote.ask(right, thousand, 300, now)
+		here.report(right, now)
+		remote.report(left, now)
 	}
-	apart := func(n *node, keeper *Keeper, now time.Time) (granted float64) {
+	spendWhileSplit := func(n *node, keeper *Keeper, now time.Time) (granted float64) {
 		for {
-			question := n.question(thousand, 10, now)
+			question := n.request(thousand, 10, now)
 			question.Split = true
 			if !keeper.Decide(question, true, now).Granted {
 				return granted
 			}
 			granted += 10
-			n.meter.Take(tenantA, 10, now)
+			n.meter.Take(accountA, 10, now)
 		}
 	}
 	sum := 0.0
 	for step := range 80 {
 		now := at(12 + float64(step)/10)
-		sum += apart(here, left, now) + apart(beyond, right, now)
+		sum += spendWhileSplit(here, left, now) + spendWhileSplit(remote, right, now)
 	}
-	if allowed := 8*1000 + 1000 + plenty.MaxExcess(thousand); sum > allowed || sum < 8*1000*0.9 {
+	if allowed := 8*1000 + 1000 + testTolerance.MaxExcess(thousand); sum > allowed || sum < 8*1000*0.9 {
 		t.Errorf("two halves used %v in 8 s, at most %v is allowed", sum, allowed)
 	}
-	left.NodeStopped(beyond.Node)
-	if decision := left.Decide(DecisionRequest{Account: tenantA, From: here.Spender, Report: here.meter.Report(tenantA, at(21)), Cost: 1, Split: true}, true, at(21)); decision.Reserved != 0 {
+	left.NodeStopped(remote.Node)
+	if decision := left.Decide(DecisionRequest{Account: accountA, From: here.Spender, Report: here.meter.Report(accountA, at(21)), Cost: 1, Split: true}, true, at(21)); decision.Reserved != 0 {
 		t.Errorf("%v is kept for a process that has ended", decision.Reserved)
 	}
 }
 
 // TestHalvesShareTheTolerance: large requests leave a debt on either side, and come early.
-func TestHalvesShareTheTolerance(t *testing.T) {
-	for cost := 100.0; cost <= 1000+plenty.MaxExcess(thousand)/debtPart; cost += 50 {
-		keepers := []*Keeper{NewKeeper(plenty, warmSince), NewKeeper(plenty, warmSince)}
+func TestPartitionedKeepersShareTheTolerance(t *testing.T) {
+	for cost := 100.0; cost <= 1000+testTolerance.MaxExcess(thousand)/maxDebtDivisor; cost += 50 {
+		keepers := []*Keeper{NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)}
 		nodes := []*node{newNode(1), newNode(2)}
 		for _, keeper := range keepers {
 			for _, n := range nodes {
 				n.ask(keeper, thousand, 10, at(0))
-				n.tell(keepers[0], at(0))
-				n.tell(keepers[1], at(0))
+				n.report(keepers[0], at(0))
+				n.report(keepers[1], at(0))
 			}
 		}
 		var uses []use
 		for step := range 300 {
 			now := at(3 + float64(step)/20)
 			for i, n := range nodes {
-				question := n.question(thousand, cost, now)
+				question := n.request(thousand, cost, now)
 				question.Split = true
 				if keepers[i].Decide(question, true, now).Granted {
-					n.meter.Take(tenantA, cost, now)
+					n.meter.Take(accountA, cost, now)
 					uses = append(uses, use{now, cost})
 				}
 			}
@@ -376,18 +376,18 @@
 		if len(uses) == 0 && cost <= 800 {
 			t.Errorf("no request of %v is served", cost)
 		}
-		checkWindows(t, uses, 8*1000+1000+plenty.MaxExcess(thousand))
+		checkWindows(t, uses, 8*1000+1000+testTolerance.MaxExcess(thousand))
 	}
 }
 
 // TestSuccessorEndsAReservation: the process that comes after one at its address.
-func TestSuccessorEndsAReservation(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+func TestSuccessorEndsReservation(t *testing.T) {
+	keeper := NewKeeper(testTolerance, warmSince)
 	n, lost := newNode(1), newNode(2)
 	n.ask(keeper, thousand, 100, at(0))
 	lost.ask(keeper, thousand, 100, at(0))
 	ask := func(now time.Time) Decision {
-		question := n.question(thousand, 1, now)
+		question := n.request(thousand, 1, now)
 		question.Split = true
 		return keeper.Decide(question, true, now)
 	}
@@ -402,8 +402,8 @@
 	}
 }
 
-func TestRefusedAreToldWhenTheyCanBeServed(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+func TestRefusalsTellWhenToRetry(t *testing.T) {
+	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
 	n.spend(keeper, thousand, 10, at(0))
 	last := time.Duration(0)
@@ -430,18 +430,18 @@
 
 // TestSharesOfOldUseDontAddUp: a tenant that was alone on each of many nodes once hasn't
 // left each of them the whole allowance.
-func TestSharesOfOldUseDontAddUp(t *testing.T) {
+func TestOutdatedSharesAreIgnored(t *testing.T) {
 	const nodes = 10
 	sum := 0.0
 	for i := range nodes {
 		n := newNode(i)
-		n.meter.Begin(tenantA, thousand, 1, at(0))
-		n.meter.SetShare(tenantA, 1, at(20*float64(i)))
-		for n.meter.DecidePrivately(tenantA, nodes, 10, 0, at(20*nodes)).Granted {
+		n.meter.Begin(accountA, thousand, 1, at(0))
+		n.meter.SetShare(accountA, 1, at(20*float64(i)))
+		for n.meter.DecidePrivately(accountA, nodes, 10, 0, at(20*nodes)).Granted {
 			sum += 10
 		}
 	}
-	if most := plenty.MaxExcess(thousand) / privatePart; sum > most {
+	if most := testTolerance.MaxExcess(thousand) / privateDivisor; sum > most {
 		t.Errorf("%v used at once, at most %v may be", sum, most)
 	}
 }
@@ -455,16 +455,16 @@
 	sum := 0.0
 	for i := range nodes {
 		n := newNode(i)
-		n.meter.Begin(tenantA, thousand, 1, at(0))
+		n.meter.Begin(accountA, thousand, 1, at(0))
 		for step := range 80 {
-			if n.meter.DecidePrivately(tenantA, nodes, cost, draw.Float64(), at(float64(step)/10)).Granted {
+			if n.meter.DecidePrivately(accountA, nodes, cost, draw.Float64(), at(float64(step)/10)).Granted {
 				sum += cost
 			}
 		}
 	}
 	// A window holds twice the half: what was saved up and what comes back. The draws of
 	// this seed are within a tenth of that.
-	if most := 1.1 * plenty.MaxExcess(thousand); sum > most || sum == 0 {
+	if most := 1.1 * testTolerance.MaxExcess(thousand); sum > most || sum == 0 {
 		t.Errorf("%v used without a keeper in a window, at most %v is tolerated", sum, most)
 	}
 }
@@ -476,42 +476,42 @@
 	sum := 0.0
 	for i := range nodes {
 		n := newNode(i)
-		n.meter.Begin(tenantA, thousand, 1, at(0))
+		n.meter.Begin(accountA, thousand, 1, at(0))
 		if i > 0 {
-			n.meter.SetShare(tenantA, 1.0/nodes, at(0))
+			n.meter.SetShare(accountA, 1.0/nodes, at(0))
 		}
 		for step := range 80 {
-			for n.meter.DecidePrivately(tenantA, nodes, 10, 0, at(float64(step)/10)).Granted {
+			for n.meter.DecidePrivately(accountA, nodes, 10, 0, at(float64(step)/10)).Granted {
 				sum += 10
 			}
 		}
 	}
 	// A window holds what was saved up and what comes back.
-	if most := plenty.MaxExcess(thousand); sum > most || sum < plenty.MaxExcess(thousand)/privatePart {
+	if most := testTolerance.MaxExcess(thousand); sum > most || sum < testTolerance.MaxExcess(thousand)/privateDivisor {
 		t.Errorf("%v used, at most %v", sum, most)
 	}
 	n := newNode(1)
-	n.meter.Begin(tenantA, thousand, 1, at(0))
-	held := plenty.MaxExcess(thousand) / privatePart / nodes
-	if first := n.meter.DecidePrivately(tenantA, nodes, 500, 0.99*held/500, at(0)); !first.Granted || !first.First {
+	n.meter.Begin(accountA, thousand, 1, at(0))
+	held := testTolerance.MaxExcess(thousand) / privateDivisor / nodes
+	if first := n.meter.DecidePrivately(accountA, nodes, 500, 0.99*held/500, at(0)); !first.Granted || !first.First {
 		t.Errorf("a request that costs more than the allowance, by a draw for it: %+v", first)
 	}
-	if second := n.meter.DecidePrivately(tenantA, nodes, 500, 0, at(0)); second.Granted || second.First || second.Wait <= 0 {
+	if second := n.meter.DecidePrivately(accountA, nodes, 500, 0, at(0)); second.Granted || second.First || second.Wait <= 0 {
 		t.Errorf("and another: %+v", second)
 	}
-	if third := n.meter.DecidePrivately(tenantA, nodes, 500, 1.01*held/500, at(8)); third.Granted || third.Level != held {
+	if third := n.meter.DecidePrivately(accountA, nodes, 500, 1.01*held/500, at(8)); third.Granted || third.Level != held {
 		t.Errorf("by a draw against it: %+v", third)
 	}
-	if fourth := n.meter.DecidePrivately(tenantA, nodes, 10, 0, at(8)); fourth.Granted {
+	if fourth := n.meter.DecidePrivately(accountA, nodes, 10, 0, at(8)); fourth.Granted {
 		t.Errorf("a draw doesn't take what is held: %+v", fourth)
 	}
-	if !n.meter.SetShare(tenantA, 0.1, at(8)) || n.meter.SetShare(tenantA, 0.1, at(8)) {
+	if !n.meter.SetShare(accountA, 0.1, at(8)) || n.meter.SetShare(accountA, 0.1, at(8)) {
 		t.Error("being back isn't told once")
 	}
 }
 
 func TestIdleAccountsAreForgotten(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
 	n.ask(keeper, thousand, 10, at(0))
 	keeper.Forget(at(50))
@@ -528,12 +528,12 @@
 }
 
 // TestIdleAccountOfWhichAPartWasKept for nodes out of hearing is forgotten too.
-func TestIdleAccountOfWhichAPartWasKept(t *testing.T) {
-	keeper := NewKeeper(plenty, warmSince)
+func TestIdleAccountWithReservationIsForgotten(t *testing.T) {
+	keeper := NewKeeper(testTolerance, warmSince)
 	n, lost := newNode(1), newNode(2)
 	n.ask(keeper, thousand, 100, at(0))
 	lost.ask(keeper, thousand, 100, at(0))
-	question := n.question(thousand, 1, at(3))
+	question := n.request(thousand, 1, at(3))
 	question.Split = true
 	if decision := keeper.Decide(question, true, at(3)); decision.Reserved == 0 {
 		t.Fatalf("nothing is kept: %+v", decision)
@@ -557,14 +557,14 @@
 		draw := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		loss := rapid.Float64Range(0, 0.3).Draw(t, "loss")
 		demand := rapid.Float64Range(0.3, 6).Draw(t, "demand")
-		keepers := []*Keeper{NewKeeper(plenty, warmSince), NewKeeper(plenty, warmSince), NewKeeper(plenty, warmSince)}
+		keepers := []*Keeper{NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)}
 		nodes := []*node{newNode(1), newNode(2), newNode(3), newNode(4)}
 		var uses []use
 		const steps, step = 800, 0.025
 		for i := range steps {
 			now := at(float64(i) * step)
 			if draw.Float64() < 0.002 { // a keeper starts again
-				keepers[draw.IntN(len(keepers))] = NewKeeper(plenty, now)
+				keepers[draw.IntN(len(keepers))] = NewKeeper(testTolerance, now)
 			}
 			first := 0
 			if i/100%2 == 1 {
@@ -575,26 +575,26 @@
 					continue
 				}
 				cost := 5 + 40*draw.Float64()
-				decision := keepers[first].Decide(n.question(thousand, cost, now), true, now)
+				decision := keepers[first].Decide(n.request(thousand, cost, now), true, now)
 				switch {
 				case draw.Float64() < loss/3: // the answer is lost
-					n.meter.TakeAndRefund(tenantA, cost, now)
+					n.meter.TakeAndRefund(accountA, cost, now)
 				case decision.Granted && draw.Float64() < 0.05: // it didn't run
-					n.meter.TakeAndRefund(tenantA, cost, now)
+					n.meter.TakeAndRefund(accountA, cost, now)
 				case decision.Granted:
-					n.meter.Take(tenantA, cost, now)
+					n.meter.Take(accountA, cost, now)
 					uses = append(uses, use{now, cost})
 				}
 			}
 			for _, n := range nodes {
 				for _, keeper := range keepers {
 					if draw.Float64() >= loss {
-						n.tell(keeper, now)
+						n.report(keeper, now)
 					}
 				}
 			}
 		}
-		checkWindows(t, uses, 8*1000+1000+plenty.MaxExcess(thousand))
+		checkWindows(t, uses, 8*1000+1000+testTolerance.MaxExcess(thousand))
 	})
 }
 
@@ -607,7 +607,7 @@
 	begin, sum := 0, 0.0
 	for _, u := range uses {
 		sum += u.cost
-		for u.at.Sub(uses[begin].at) > plenty.Window {
+		for u.at.Sub(uses[begin].at) > testTolerance.Window {
 			sum -= uses[begin].cost
 			begin++
 		}
@@ -618,11 +618,11 @@
 }
 
 // TestTenantAtHalfItsRateIsNeverRefused by a keeper that hears of all use, late or not.
-func TestTenantAtHalfItsRateIsNeverRefused(t *testing.T) {
+func TestTenantBelowItsRateIsNeverRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
 		loss := rapid.Float64Range(0, 0.5).Draw(t, "loss")
-		keepers := []*Keeper{NewKeeper(plenty, warmSince), NewKeeper(plenty, warmSince)}
+		keepers := []*Keeper{NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)}
 		nodes := []*node{newNode(1), newNode(2), newNode(3)}
 		for i := range 800 {
 			now := at(float64(i) * 0.025)
@@ -633,7 +633,7 @@
 				}
 				for _, keeper := range keepers {
 					if draw.Float64() >= loss {
-						n.tell(keeper, now)
+						n.report(keeper, now)
 					}
 				}
 			}
@@ -642,13 +642,13 @@
 }
 
 // TestUseIsRepeatedForAWhile and no longer, and told at once only when it has changed.
-func TestUseIsRepeatedForAWhile(t *testing.T) {
+func TestReportsAreRepeatedForAWhile(t *testing.T) {
 	n := newNode(1)
-	n.meter.Begin(tenantA, thousand, 1, at(0))
+	n.meter.Begin(accountA, thousand, 1, at(0))
 	if changed := n.meter.Changed(); len(changed) != 0 {
 		t.Errorf("without a use %v have changed", changed)
 	}
-	n.meter.Take(tenantA, 10, at(0))
+	n.meter.Take(accountA, 10, at(0))
 	if changed, again := n.meter.Changed(), n.meter.Changed(); len(changed) != 1 || len(again) != 0 {
 		t.Errorf("changed: %v, then %v", changed, again)
 	}
@@ -658,7 +658,7 @@
 }
 
 // TestKeepersThatStartApartGrantOneColdPart behind a burst, each to the only node that reaches it.
-func TestKeepersThatStartApartGrantOneColdPart(t *testing.T) {
+func TestIsolatedColdKeepersShareOneColdStart(t *testing.T) {
 	tolerance, limit := Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 4}, Limit{Rate: 3, Burst: 4, Unit: Requests}
 	const step, killed, started, met = 0.01, 0.65, 0.8, 1.7
 	before := NewKeeper(tolerance, warmSince)
@@ -684,14 +684,14 @@
 			if now >= met {
 				keeper = keepers[0]
 				for _, other := range nodes {
-					other.tell(keeper, at(now))
+					other.report(keeper, at(now))
 				}
 			}
-			ask := n.question(limit, 1, at(now))
+			ask := n.request(limit, 1, at(now))
 			ask.Alone = now < met
 			for keeper.Decide(ask, true, at(now)).Granted {
-				n.meter.Take(tenantA, 1, at(now))
-				ask.Report = n.meter.Report(tenantA, at(now))
+				n.meter.Take(accountA, 1, at(now))
+				ask.Report = n.meter.Report(accountA, at(now))
 				spent++
 			}
 		}
--- a/internal/quota/meter.go
+++ b/internal/quota/meter.go
@@ -7,38 +7,38 @@
 
 // privatePart is the part of Tolerance.Over that nodes which reach no keeper may use
 // between them in a window: half.
-const privatePart = 2
+const privateDivisor = 2
 
 // repeatFor is for how long after a use it is reported again at rest, since a datagram may
 // be lost: twice. Of three datagrams one arrives in 99 of 100 cases though a fifth is lost.
-const repeatFor = 2 * time.Second
+const repeatPeriod = 2 * time.Second
 
 // pauseAfter is from when on a use counts as one after a pause. It is less than IdleLife, so
 // that keepers which have forgotten this node hear when it began again.
-const pauseAfter = IdleTTL / 2
+const minPause = IdleTTL / 2
 
 // Meter counts what this node has used of accounts, for its life. It is pure, and not safe
 // for concurrent use.
 type Meter struct {
 	tolerance Tolerance
-	accounts  map[string]*metered
+	accounts  map[string]*meteredAccount
 	// changed are the accounts to be reported.
 	changed map[string]bool
 }
 
 // meterLife is how long an account is kept without use: until all keepers have forgotten this
 // node's counters of it, which begin at zero then.
-const meterLife = 3 * IdleTTL
+const meterTTL = 3 * IdleTTL
 
 // metered is this node's use of one account.
-type metered struct {
+type meteredAccount struct {
 	counters Counters
 	limit    Limit
 	version  uint64
 	// begun is when the present use began, before its net then, and used when it last rose;
 	// asked is when a request was last asked for.
-	begun, used, asked time.Time
-	before             float64
+	useBegan, lastUsed, lastAsked time.Time
+	netBefore                     float64
 	// share is this node's part of the recent use as a keeper told it at shareAt, zero where
 	// none has.
 	share   float64
@@ -51,7 +51,7 @@
 
 // NewMeter returns a meter at zero.
 func NewMeter(tolerance Tolerance) *Meter {
-	return &Meter{tolerance: tolerance, accounts: make(map[string]*metered), changed: make(map[string]bool)}
+	return &Meter{tolerance: tolerance, accounts: make(map[string]*meteredAccount), changed: make(map[string]bool)}
 }
 
 // Begin returns what to report with an ask for an account, whose limit is that of a
@@ -59,12 +59,12 @@
 func (m *Meter) Begin(name string, limit Limit, version uint64, now time.Time) Report {
 	a, known := m.accounts[name]
 	if !known {
-		a = &metered{}
+		a = &meteredAccount{}
 		m.accounts[name] = a
 	}
-	a.asked = now
-	if now.Sub(a.used) > pauseAfter {
-		a.begun, a.before = now, a.counters.Net()
+	a.lastAsked = now
+	if now.Sub(a.lastUsed) > minPause {
+		a.useBegan, a.netBefore = now, a.counters.Net()
 	}
 	if version >= a.version {
 		a.limit, a.version = limit, version
@@ -78,7 +78,7 @@
 	if !known {
 		return Report{}
 	}
-	return Report{Counters: a.counters, Age: now.Sub(a.begun), Before: a.before, Limit: a.limit, Version: a.version}
+	return Report{Counters: a.counters, Age: now.Sub(a.useBegan), Before: a.netBefore, Limit: a.limit, Version: a.version}
 }
 
 // Reports returns what to report of accounts now.
@@ -94,7 +94,7 @@
 func (m *Meter) Take(name string, cost float64, now time.Time) {
 	if a, known := m.accounts[name]; known {
 		a.counters.Taken += cost
-		a.used = now
+		a.lastUsed = now
 		m.changed[name] = true
 	}
 }
@@ -116,14 +116,14 @@
 
 // SetShare takes in this node's share, as a keeper tells it. It reports whether the node got
 // along without a keeper before.
-func (m *Meter) SetShare(name string, share float64, now time.Time) (back bool) {
+func (m *Meter) SetShare(name string, share float64, now time.Time) (wasPrivate bool) {
 	a, known := m.accounts[name]
 	if !known {
 		return false
 	}
 	a.share, a.shareAt = share, now
-	back, a.private = a.private, false
-	return back
+	wasPrivate, a.private = a.private, false
+	return wasPrivate
 }
 
 // PrivateDecision is a decision without a keeper.
@@ -146,7 +146,7 @@
 	if !known {
 		return PrivateDecision{Wait: maxWait}
 	}
-	size := m.shareOf(a, nodes, now) * m.tolerance.MaxExcess(a.limit) / privatePart
+	size := m.shareOf(a, nodes, now) * m.tolerance.MaxExcess(a.limit) / privateDivisor
 	rate := size / m.tolerance.Window.Seconds()
 	if a.allowance.at.IsZero() {
 		a.allowance = NewBucket(size, now)
@@ -165,13 +165,13 @@
 		a.allowance.Spend(held)
 		decision.Granted = draw*cost < held
 	}
-	decision.Wait = waitFor(min(cost, size)-a.allowance.Level(), rate)
+	decision.Wait = refillTime(min(cost, size)-a.allowance.Level(), rate)
 	return decision
 }
 
 // shareOf is this node's part of the use, one of nodes where no keeper has told it within a
 // window: shares told at different times don't add up to one.
-func (m *Meter) shareOf(a *metered, nodes int, now time.Time) float64 {
+func (m *Meter) shareOf(a *meteredAccount, nodes int, now time.Time) float64 {
 	if a.share > 0 && now.Sub(a.shareAt) <= m.tolerance.Window {
 		return a.share
 	}
@@ -192,7 +192,7 @@
 // Forget drops the accounts that were neither used nor asked for in a long time.
 func (m *Meter) Forget(now time.Time) {
 	for name, a := range m.accounts {
-		if now.Sub(a.used) > meterLife && now.Sub(a.asked) > meterLife {
+		if now.Sub(a.lastUsed) > meterTTL && now.Sub(a.lastAsked) > meterTTL {
 			delete(m.accounts, name)
 			delete(m.changed, name)
 		}
@@ -203,7 +203,7 @@
 func (m *Meter) RecentlyUsed(now time.Time) []string {
 	var names []string
 	for name, a := range m.accounts {
-		if now.Sub(a.used) <= repeatFor {
+		if now.Sub(a.lastUsed) <= repeatPeriod {
 			names = append(names, name)
 		}
 	}
--- a/internal/quota/meter_test.go
+++ b/internal/quota/meter_test.go
@@ -24,11 +24,11 @@
 		grant(begin.Add(time.Duration(second) * time.Second))
 	}
 	used := begin.Add(9 * time.Second)
-	meter.Forget(used.Add(meterLife))
+	meter.Forget(used.Add(meterTTL))
 	if len(meter.accounts) != 1 {
 		t.Fatal("an account is forgotten that keepers may know")
 	}
-	after := used.Add(meterLife + time.Second)
+	after := used.Add(meterTTL + time.Second)
 	meter.Forget(after)
 	keeper.Forget(after)
 	if len(meter.accounts) != 0 {
--- a/internal/quota/silence.go
+++ b/internal/quota/silent.go
@@ -17,7 +17,7 @@
 	SilentAfter = 1100 * time.Millisecond
 	// reservedFor is for how long a silent node's share is kept for it. Most cuts end
 	// before, and a process that died has a successor.
-	reservedFor = 30 * time.Second
+	reservationPeriod = 30 * time.Second
 )
 
 // silentShare is the part of the use of nodes that are out of hearing, other than the one
@@ -25,15 +25,15 @@
 func (k *Keeper) silentShare(a *account, asker string, now time.Time) float64 {
 	sum := 0.0
 	for node, s := range a.spenders {
-		silence := now.Sub(k.heard[node])
-		if node == asker || s.gone || silence <= SilentAfter || silence > reservedFor {
-			s.lostShare = 0
+		silence := now.Sub(k.lastHeard[node])
+		if node == asker || s.stopped || silence <= SilentAfter || silence > reservationPeriod {
+			s.shareWhenSilent = 0
 			continue
 		}
-		if s.lostShare == 0 {
-			s.lostShare = k.shareOf(a, s, now)
+		if s.shareWhenSilent == 0 {
+			s.shareWhenSilent = k.shareOf(a, s, now)
 		}
-		sum += s.lostShare
+		sum += s.shareWhenSilent
 	}
 	return min(sum, maxReserved)
 }
@@ -49,15 +49,15 @@
 
 // SilentNodes returns the nodes with recent use of an account that weren't heard for a time, as
 // those that may have to be probed.
-func (k *Keeper) SilentNodes(name string, quiet time.Duration, now time.Time) []netip.AddrPort {
+func (k *Keeper) SilentNodes(name string, minSilence time.Duration, now time.Time) []netip.AddrPort {
 	a, known := k.accounts[name]
 	if !known {
 		return nil
 	}
 	var addresses []netip.AddrPort
 	for node, s := range a.spenders {
-		silence := now.Sub(k.heard[node])
-		if !s.gone && silence >= quiet && silence <= reservedFor {
+		silence := now.Sub(k.lastHeard[node])
+		if !s.stopped && silence >= minSilence && silence <= reservationPeriod {
 			addresses = append(addresses, s.address)
 		}
 	}
--- a/internal/quota/stall_test.go
+++ b/internal/quota/stall_test.go
@@ -15,9 +15,9 @@
 	nodes   []*node
 	keepers []*Keeper
 	// stalled is until when a node does nothing, and late what it takes in then.
-	stalled []time.Time
-	late    [][]func(now time.Time)
-	sent    []time.Time
+	stalledUntil []time.Time
+	delayed      [][]func(now time.Time)
+	sent         []time.Time
 }
 
 const (
@@ -29,25 +29,25 @@
 )
 
 func newFleet(seed uint64) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, seed)), stalled: make([]time.Time, fleetNodes), late: make([][]func(time.Time), fleetNodes)}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, seed)), stalledUntil: make([]time.Time, fleetNodes), delayed: make([][]func(time.Time), fleetNodes)}
 	for number := range fleetNodes {
 		n := newNode(number)
-		n.meter = NewMeter(tolerated)
+		n.meter = NewMeter(workerTolerance)
 		f.nodes = append(f.nodes, n)
 	}
 	for range 3 {
-		f.keepers = append(f.keepers, NewKeeper(tolerated, warmSince))
+		f.keepers = append(f.keepers, NewKeeper(workerTolerance, warmSince))
 	}
 	return f
 }
 
 // deliver has a keeper take something in, now or when it goes on.
-func (f *fleet) deliver(keeper int, now time.Time, taken func(now time.Time)) (atOnce bool) {
-	if now.Before(f.stalled[keeper]) {
-		f.late[keeper] = append(f.late[keeper], taken)
+func (f *fleet) deliver(keeper int, now time.Time, handle func(now time.Time)) (atOnce bool) {
+	if now.Before(f.stalledUntil[keeper]) {
+		f.delayed[keeper] = append(f.delayed[keeper], handle)
 		return false
 	}
-	taken(now)
+	handle(now)
 	return true
 }
 
@@ -55,7 +55,7 @@
 func (f *fleet) ask(number int, now time.Time) {
 	n := f.nodes[number]
 	asked := DecisionRequest{
-		Account: tenantA, From: n.Spender, Report: n.meter.Begin(tenantA, ofWorker, 1, now), Cost: 1, Patience: time.Second,
+		Account: accountA, From: n.Spender, Report: n.meter.Begin(accountA, workerLimit, 1, now), Cost: 1, Patience: time.Second,
 	}
 	silent := false
 	for k, keeper := range f.keepers {
@@ -67,36 +67,36 @@
 		if !decision.Granted && decision.Cold {
 			continue
 		}
-		n.meter.SetShare(tenantA, decision.Share, now)
-		f.settle(n, decision.Granted, silent, now.Add(decision.Delay), now)
+		n.meter.SetShare(accountA, decision.Share, now)
+		f.recordOutcome(n, decision.Granted, silent, now.Add(decision.Delay), now)
 		return
 	}
-	private := n.meter.DecidePrivately(tenantA, fleetNodes, 1, f.random.Float64(), now)
-	f.settle(n, private.Granted, silent, now, now)
+	private := n.meter.DecidePrivately(accountA, fleetNodes, 1, f.random.Float64(), now)
+	f.recordOutcome(n, private.Granted, silent, now, now)
 }
 
-func (f *fleet) settle(n *node, granted, silent bool, turn, now time.Time) {
+func (f *fleet) recordOutcome(n *node, granted, silent bool, turn, now time.Time) {
 	switch {
 	case granted:
-		n.meter.Take(tenantA, 1, now)
+		n.meter.Take(accountA, 1, now)
 		f.sent = append(f.sent, turn)
 	case silent:
-		n.meter.TakeAndRefund(tenantA, 1, now)
+		n.meter.TakeAndRefund(accountA, 1, now)
 	}
 }
 
 // step plays some milliseconds: stalls, requests, reports.
 func (f *fleet) step(now time.Time) {
 	for number, n := range f.nodes {
-		if now.Before(f.stalled[number]) {
+		if now.Before(f.stalledUntil[number]) {
 			continue
 		}
-		for _, taken := range f.late[number] {
+		for _, taken := range f.delayed[number] {
 			taken(now)
 		}
-		f.late[number] = nil
+		f.delayed[number] = nil
 		if f.random.Float64() < fleetStep.Seconds()/stallEvery.Seconds() {
-			f.stalled[number] = now.Add(time.Duration(f.random.Int64N(int64(longestStall))))
+			f.stalledUntil[number] = now.Add(time.Duration(f.random.Int64N(int64(longestStall))))
 			continue
 		}
 		if f.random.Float64() < 0.02 { // four requests a second
@@ -105,9 +105,9 @@
 		if len(n.meter.Changed()) == 0 {
 			continue
 		}
-		report := n.meter.Report(tenantA, now)
+		report := n.meter.Report(accountA, now)
 		for k, keeper := range f.keepers {
-			f.deliver(k, now, func(at time.Time) { keeper.Report(tenantA, n.Spender, report, true, at) })
+			f.deliver(k, now, func(at time.Time) { keeper.Report(accountA, n.Spender, report, true, at) })
 		}
 	}
 }
@@ -125,20 +125,20 @@
 		slices.SortFunc(f.sent, time.Time.Compare)
 		first := 0
 		for last, now := range f.sent {
-			for now.Sub(f.sent[first]) >= tolerated.Window {
+			for now.Sub(f.sent[first]) >= workerTolerance.Window {
 				first++
 			}
 			most = max(most, last-first+1)
 		}
 		sum += len(f.sent)
 	}
-	allowed := ofWorker.Rate*tolerated.Window.Seconds()*1.5 + tolerated.Slack
+	allowed := workerLimit.Rate*workerTolerance.Window.Seconds()*1.5 + workerTolerance.Slack
 	perSecond := float64(sum) / 20 / span
 	if float64(most) > allowed {
-		t.Errorf("%d requests were sent in %v, %v are allowed", most, tolerated.Window, allowed)
+		t.Errorf("%d requests were sent in %v, %v are allowed", most, workerTolerance.Window, allowed)
 	}
-	if perSecond < 0.9*ofWorker.Rate || perSecond > 1.1*ofWorker.Rate {
-		t.Errorf("%v requests a second were sent, %v are taken", perSecond, ofWorker.Rate)
+	if perSecond < 0.9*workerLimit.Rate || perSecond > 1.1*workerLimit.Rate {
+		t.Errorf("%v requests a second were sent, %v are taken", perSecond, workerLimit.Rate)
 	}
 	t.Logf("at most %d requests in a window (%v are allowed), %v a second", most, allowed, perSecond)
 }
