--- a/internal/quarantine/book.go
+++ b/internal/quarantine/detector.go
@@ -13,11 +13,11 @@
 	// it, for it to be quarantined where nothing else explains their ends. One or two happen
 	// by chance: a worker that ends takes all that it runs along, and what ran beside is sent
 	// on together.
-	enoughCrashes = 3
+	minCrashes = 3
 	// certainCrashes is the number of ends from which it is quarantined though another
 	// request was at each of them too, or all were at one address, or the answer had begun:
 	// the promise is that it reaches three more workers after the third at most.
-	certainCrashes = 5
+	conclusiveCrashes = 5
 	// maxQuarantined bounds the requests that are quarantined at a time: where more seem to
 	// crash their workers, the workers are at fault, and refusing all would end the service.
 	maxQuarantined = 64
@@ -32,7 +32,7 @@
 	quarantinedFor = 24 * time.Hour
 	// settleTime is how long the nodes take at most to hear what each of them ran at a worker
 	// that has ended: a look at it (lookPatience) and the way between two regions.
-	settleTime = 60 * time.Millisecond
+	settlePeriod = 60 * time.Millisecond
 )
 
 // trialAfter is for how long after its last crash a quarantined request is given to no
@@ -40,7 +40,7 @@
 // back, and than an operator takes to go back to a version of them that bears it. Then one
 // run shows whether it is borne. Each costs a worker where it isn't, so there are no more
 // than the three that the promise leaves.
-var trialAfter = [...]time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour}
+var trialDelays = [...]time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour}
 
 // Crash is the end of a worker that ran a request.
 type Crash struct {
@@ -118,11 +118,11 @@
 type entry struct {
 	Record
 	// changed is when the record last changed here, and crashed when a crash was added.
-	changed, crashed time.Time
+	changedAt, lastCrashAt time.Time
 	// stored is what the store is known to hold of it, nil where it holds nothing, and storedAt
 	// the store's version that wrote it.
-	stored   *Record
-	storedAt uint64
+	stored        *Record
+	storedVersion uint64
 }
 
 // Detector holds what a node knows of requests under which workers ended. It is pure: time is
@@ -133,72 +133,72 @@
 	byWorker map[string][]Fingerprint
 	// grave are those with enoughCrashes or more: few, even where a rack's loss has made
 	// thousands suspected.
-	grave map[Fingerprint]*entry
+	candidates map[Fingerprint]*entry
 	// judged are those that the last judgement has quarantined.
-	judged map[Fingerprint]bool
+	lastQuarantined map[Fingerprint]bool
 }
 
 // NewDetector returns an empty book.
 func NewDetector() *Detector {
 	return &Detector{
-		entries: make(map[Fingerprint]*entry), byWorker: make(map[string][]Fingerprint), grave: make(map[Fingerprint]*entry),
+		entries: make(map[Fingerprint]*entry), byWorker: make(map[string][]Fingerprint), candidates: make(map[Fingerprint]*entry),
 	}
 }
 
 // Status tells how a request is to be treated.
-func (b *Detector) Status(request Fingerprint, now time.Time) Status {
-	known, exists := b.entries[request]
+func (d *Detector) Status(request Fingerprint, now time.Time) Status {
+	known, exists := d.entries[request]
 	if !exists {
 		return Status{}
 	}
-	standing := Status{Crashes: known.CountedCrashes()}
-	if settling := settleTime - now.Sub(known.crashed); settling > 0 && standing.Crashes >= enoughCrashes {
-		standing.Settling = settling
-		return standing
+	status := Status{Crashes: known.CountedCrashes()}
+	if settling := settlePeriod - now.Sub(known.lastCrashAt); settling > 0 && status.Crashes >= minCrashes {
+		status.Settling = settling
+		return status
 	}
 	if known.Quarantined {
-		standing.Quarantined, standing.Left = true, known.untilTrial(now)
-		standing.TrialDue = standing.Left <= 0
+		status.Quarantined, status.Left = true, known.untilTrial(now)
+		status.TrialDue = status.Left <= 0
 	}
-	return standing
+	return status
 }
 
 // untilTrial is the time until a trial is due, or until the request is let go.
 func (e *entry) untilTrial(now time.Time) time.Duration {
 	span := quarantinedFor
-	if next := max(e.CountedCrashes()-enoughCrashes, 0); next < len(trialAfter) {
-		span = trialAfter[next]
+	if next := max(e.CountedCrashes()-minCrashes, 0); next < len(trialDelays) {
+		span = trialDelays[next]
 	}
-	return span - now.Sub(e.crashed)
+	return span - now.Sub(e.lastCrashAt)
 }
 
 // Crashed records that a worker ended that ran these requests. It returns the records that
 // have changed.
-func (b *Detector) Crashed(crash Crash, ran []Fingerprint, now time.Time) []Record {
-	var told []Record
+func (d *Detector) Crashed(crash Crash, ran []Fingerprint, now time.Time) []Record {
+	var records []Record
 	for _, request := range ran {
-		told = append(told, Record{Fingerprint: request, Crashes: []Crash{crash}})
+		records = append(records, Record{Fingerprint: request, Crashes: []Crash{crash}})
 	}
-	return b.Merge(told, now)
+	return d.Merge(records, now)
 }
 
 // Merge joins records from elsewhere with those known. It returns the ones that have
 // changed.
-func (b *Detector) Merge(told []Record, now time.Time) []Record {
+func (d *Detector) Merge(records []Record, now time.Time) []Record {
 	var changed []Record
-	for _, record := range told {
-		if known, exists := b.entries[record.Fingerprint]; exists && known.covers(record) {
+	for _, record := range records {
+		if known, exists := d.entries[record.Fingerprint]; exists && known.covers(record) {
 			continue
 		}
-		changed = append(changed, b.join(record, now))
+		changed = append(changed, d.mergeRecord(record, now))
 	}
 	return changed
 }
 
 // join adds what a record tells.
-func (b *Detector) join(told Record, now time.Time) Record {
-	known := b.entry(told.Fingerprint)
-	for _, crash := range told.Crashes {
+func (d *Detector) mergeRecord(record Record, now time.Time) Record {
+	known := d.entry(record.Fingerprint)
+	for _, crash := range record.Crashes {
 		at, found := known.find(crash.Worker)
 		switch {
 		case found:
@@ -206,86 +206,86 @@
 			known.Crashes[at].Answering = known.Crashes[at].Answering && crash.Answering
 		default:
 			known.Crashes = slices.Insert(known.Crashes, at, crash)
-			known.crashed = now
-			b.byWorker[crash.Worker] = append(b.byWorker[crash.Worker], told.Fingerprint)
+			known.lastCrashAt = now
+			d.byWorker[crash.Worker] = append(d.byWorker[crash.Worker], record.Fingerprint)
 		}
 	}
-	b.trim(known)
-	known.Quarantined = known.Quarantined || told.Quarantined
-	known.changed = now
-	b.weigh(known)
-	return known.copied()
+	d.trim(known)
+	known.Quarantined = known.Quarantined || record.Quarantined
+	known.changedAt = now
+	d.updateCandidate(known)
+	return known.clone()
 }
 
 // weigh keeps grave up to date.
-func (b *Detector) weigh(known *entry) {
-	if known.CountedCrashes() >= enoughCrashes {
-		b.grave[known.Fingerprint] = known
+func (d *Detector) updateCandidate(known *entry) {
+	if known.CountedCrashes() >= minCrashes {
+		d.candidates[known.Fingerprint] = known
 		return
 	}
-	delete(b.grave, known.Fingerprint)
+	delete(d.candidates, known.Fingerprint)
 	known.Quarantined = false
 }
 
 // copied returns a record that shares nothing with the entry.
-func (e *entry) copied() Record {
+func (e *entry) clone() Record {
 	return Record{Fingerprint: e.Fingerprint, Crashes: slices.Clone(e.Crashes), Quarantined: e.Quarantined}
 }
 
-func (b *Detector) entry(request Fingerprint) *entry {
-	known, exists := b.entries[request]
+func (d *Detector) entry(request Fingerprint) *entry {
+	known, exists := d.entries[request]
 	if !exists {
-		b.makeRoom()
+		d.evict()
 		known = &entry{Record: Record{Fingerprint: request}}
-		b.entries[request] = known
+		d.entries[request] = known
 	}
 	return known
 }
 
 // makeRoom forgets an eighth of the requests where there are too many: those with the fewest
 // crashes, of these the ones that have not changed for longest.
-func (b *Detector) makeRoom() {
-	if len(b.entries) < maxRecords {
+func (d *Detector) evict() {
+	if len(d.entries) < maxRecords {
 		return
 	}
-	byWorth := slices.SortedFunc(maps.Values(b.entries), compareWorth)
-	for _, known := range byWorth[:maxRecords/8] {
-		b.forget(known)
+	inOrder := slices.SortedFunc(maps.Values(d.entries), compareEvictionOrder)
+	for _, known := range inOrder[:maxRecords/8] {
+		d.remove(known)
 	}
 }
 
-func compareWorth(left, right *entry) int {
+func compareEvictionOrder(left, right *entry) int {
 	switch {
 	case left.Quarantined && !right.Quarantined:
 		return 1
 	case right.Quarantined && !left.Quarantined:
 		return -1
 	}
-	return cmp.Or(cmp.Compare(left.CountedCrashes(), right.CountedCrashes()), left.changed.Compare(right.changed))
+	return cmp.Or(cmp.Compare(left.CountedCrashes(), right.CountedCrashes()), left.changedAt.Compare(right.changedAt))
 }
 
-func (b *Detector) forget(known *entry) {
+func (d *Detector) remove(known *entry) {
 	for _, crash := range known.Crashes {
-		b.unlink(known.Fingerprint, crash.Worker)
+		d.unlink(known.Fingerprint, crash.Worker)
 	}
-	delete(b.entries, known.Fingerprint)
-	delete(b.grave, known.Fingerprint)
+	delete(d.entries, known.Fingerprint)
+	delete(d.candidates, known.Fingerprint)
 }
 
-func (b *Detector) unlink(request Fingerprint, worker string) {
-	left := slices.DeleteFunc(b.byWorker[worker], func(other Fingerprint) bool { return other == request })
+func (d *Detector) unlink(request Fingerprint, worker string) {
+	left := slices.DeleteFunc(d.byWorker[worker], func(other Fingerprint) bool { return other == request })
 	if len(left) == 0 {
-		delete(b.byWorker, worker)
+		delete(d.byWorker, worker)
 		return
 	}
-	b.byWorker[worker] = left
+	d.byWorker[worker] = left
 }
 
 // trim forgets crashes of a request that has too many, cleared ones first.
-func (b *Detector) trim(known *entry) {
+func (d *Detector) trim(known *entry) {
 	for len(known.Crashes) > maxCrashes {
 		at := max(slices.IndexFunc(known.Crashes, func(c Crash) bool { return c.Cleared }), 0)
-		b.unlink(known.Fingerprint, known.Crashes[at].Worker)
+		d.unlink(known.Fingerprint, known.Crashes[at].Worker)
 		known.Crashes = slices.Delete(known.Crashes, at, at+1)
 	}
 }
@@ -293,30 +293,30 @@
 // Clear records that none of a request's crashes so far is its doing: a worker ran it to
 // an end and lives, or an operator says so. It returns the record, false where nothing has
 // changed.
-func (b *Detector) Clear(request Fingerprint, now time.Time) (Record, bool) {
-	known, exists := b.entries[request]
+func (d *Detector) Clear(request Fingerprint, now time.Time) (Record, bool) {
+	known, exists := d.entries[request]
 	if !exists || known.CountedCrashes() == 0 {
 		return Record{}, false
 	}
 	for at := range known.Crashes {
 		known.Crashes[at].Cleared = true
 	}
-	known.changed = now
-	b.weigh(known)
-	return known.copied(), true
+	known.changedAt = now
+	d.updateCandidate(known)
+	return known.clone(), true
 }
 
 // Release lets a request go that an operator has cleared, and all that ran beside it: what
 // it explained counts against no other.
-func (b *Detector) Release(request Fingerprint, now time.Time) []Record {
-	known, exists := b.entries[request]
+func (d *Detector) Release(request Fingerprint, now time.Time) []Record {
+	known, exists := d.entries[request]
 	if !exists {
 		return nil
 	}
 	var changed []Record
-	for _, crash := range known.copied().Crashes {
+	for _, crash := range known.clone().Crashes {
 		if !crash.Cleared {
-			changed = append(changed, b.ClearWorker(crash.Worker, now)...)
+			changed = append(changed, d.ClearWorker(crash.Worker, now)...)
 		}
 	}
 	return changed
@@ -324,36 +324,36 @@
 
 // ClearWorker has a worker's end count against nobody, since it lives or its end is explained. It
 // returns the records that have changed.
-func (b *Detector) ClearWorker(worker string, now time.Time) []Record {
-	var told []Record
-	for _, request := range b.byWorker[worker] {
-		told = append(told, Record{Fingerprint: request, Crashes: []Crash{{Worker: worker, Cleared: true}}})
+func (d *Detector) ClearWorker(worker string, now time.Time) []Record {
+	var records []Record
+	for _, request := range d.byWorker[worker] {
+		records = append(records, Record{Fingerprint: request, Crashes: []Crash{{Worker: worker, Cleared: true}}})
 	}
-	return b.Merge(told, now)
+	return d.Merge(records, now)
 }
 
 // Expire forgets what is old, and returns the records that were in the store.
-func (b *Detector) Expire(now time.Time) []Record {
+func (d *Detector) Expire(now time.Time) []Record {
 	var stored []Record
-	for _, known := range b.entries {
+	for _, known := range d.entries {
 		life := suspectedFor
 		if known.Quarantined {
 			life = quarantinedFor
 		}
-		if now.Sub(known.changed) < life {
+		if now.Sub(known.changedAt) < life {
 			continue
 		}
 		if known.stored != nil {
-			stored = append(stored, known.copied())
+			stored = append(stored, known.clone())
 		}
-		b.forget(known)
+		d.remove(known)
 	}
 	return stored
 }
 
 // Counts tells how many requests are suspected and how many quarantined.
-func (b *Detector) Counts() (suspected, quarantined int) {
-	for _, known := range b.entries {
+func (d *Detector) Counts() (suspected, quarantined int) {
+	for _, known := range d.entries {
 		switch {
 		case known.Quarantined:
 			quarantined++
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/evaluate.go
@@ -19,67 +19,67 @@
 //
 // What was quarantined before stays so while that still holds, whatever else is suspected
 // by now: of two requests that explain each other's crashes, the one that was proved first.
-func (b *Detector) Evaluate() Changes {
+func (d *Detector) Evaluate() Changes {
 	before := make(map[Fingerprint]bool)
-	for request, known := range b.grave {
+	for request, known := range d.candidates {
 		before[request] = known.Quarantined
 		known.Quarantined = false
 	}
-	count := b.quarantine(maxQuarantined, func(known *entry) bool { return before[known.Fingerprint] })
-	b.quarantine(maxQuarantined-count, func(*entry) bool { return true })
-	return b.changes()
+	count := d.quarantine(maxQuarantined, func(known *entry) bool { return before[known.Fingerprint] })
+	d.quarantine(maxQuarantined-count, func(*entry) bool { return true })
+	return d.compareWithLast()
 }
 
 // quarantine quarantines requests of some kind, up to a number, the worst first. It returns
 // how many.
-func (b *Detector) quarantine(most int, of func(known *entry) bool) int {
-	for count := range most {
-		worst := b.worst(of)
+func (d *Detector) quarantine(limit int, matches func(known *entry) bool) int {
+	for count := range limit {
+		worst := d.worst(matches)
 		if worst == nil {
 			return count
 		}
 		worst.Quarantined = true
 	}
-	return most
+	return limit
 }
 
 // changes compares the judgement with the one before.
-func (b *Detector) changes() Changes {
-	var judgement Changes
-	judged := make(map[Fingerprint]bool)
-	for request, known := range b.grave {
+func (d *Detector) compareWithLast() Changes {
+	var changes Changes
+	nowQuarantined := make(map[Fingerprint]bool)
+	for request, known := range d.candidates {
 		if !known.Quarantined {
 			continue
 		}
-		judged[request] = true
-		if !b.judged[request] {
-			judgement.Quarantined = append(judgement.Quarantined, known.copied())
+		nowQuarantined[request] = true
+		if !d.lastQuarantined[request] {
+			changes.Quarantined = append(changes.Quarantined, known.clone())
 		}
 	}
-	for request := range b.judged {
-		if known, exists := b.entries[request]; exists && !judged[request] {
-			judgement.Released = append(judgement.Released, known.copied())
+	for request := range d.lastQuarantined {
+		if known, exists := d.entries[request]; exists && !nowQuarantined[request] {
+			changes.Released = append(changes.Released, known.clone())
 		}
 	}
-	b.judged = judged
-	return judgement
+	d.lastQuarantined = nowQuarantined
+	return changes
 }
 
 // worst returns the request of some kind with the most unexplained crashes, of those that
 // are to be quarantined and aren't yet, nil where there is none.
-func (b *Detector) worst(of func(known *entry) bool) *entry {
+func (d *Detector) worst(matches func(known *entry) bool) *entry {
 	var worst *entry
 	most := 0
-	for _, known := range b.grave {
-		if known.Quarantined || !of(known) {
+	for _, known := range d.candidates {
+		if known.Quarantined || !matches(known) {
 			continue
 		}
-		blame := b.blame(known)
-		if !b.isProved(known, blame) {
+		blamed := d.blamedCrashes(known)
+		if !d.hasEnoughEvidence(known, blamed) {
 			continue
 		}
-		if len(blame) > most || len(blame) == most && known.Fingerprint.less(worst.Fingerprint) {
-			worst, most = known, len(blame)
+		if len(blamed) > most || len(blamed) == most && known.Fingerprint.less(worst.Fingerprint) {
+			worst, most = known, len(blamed)
 		}
 	}
 	return worst
@@ -87,36 +87,36 @@
 
 // blame returns the crashes that count against a request: those that no quarantined request
 // was at.
-func (b *Detector) blame(known *entry) []Crash {
-	var blame []Crash
+func (d *Detector) blamedCrashes(known *entry) []Crash {
+	var blamed []Crash
 	for _, crash := range known.Crashes {
-		if !crash.Cleared && !b.isExplained(crash.Worker) {
-			blame = append(blame, crash)
+		if !crash.Cleared && !d.isExplained(crash.Worker) {
+			blamed = append(blamed, crash)
 		}
 	}
-	return blame
+	return blamed
 }
 
 // isExplained reports whether a quarantined request was at a worker's end.
-func (b *Detector) isExplained(worker string) bool {
-	return slices.ContainsFunc(b.byWorker[worker], func(request Fingerprint) bool {
-		other := b.entries[request]
-		return other.Quarantined && other.counts(worker)
+func (d *Detector) isExplained(worker string) bool {
+	return slices.ContainsFunc(d.byWorker[worker], func(request Fingerprint) bool {
+		other := d.entries[request]
+		return other.Quarantined && other.countsAgainst(worker)
 	})
 }
 
 // counts reports whether a worker's end counts against a request.
-func (e *entry) counts(worker string) bool {
+func (e *entry) countsAgainst(worker string) bool {
 	at, found := e.find(worker)
 	return found && !e.Crashes[at].Cleared
 }
 
 // isProved reports whether the crashes that count against a request are enough.
-func (b *Detector) isProved(known *entry, blame []Crash) bool {
-	if len(blame) >= certainCrashes {
+func (d *Detector) hasEnoughEvidence(known *entry, blamed []Crash) bool {
+	if len(blamed) >= conclusiveCrashes {
 		return true
 	}
-	return unanswered(blame) >= enoughCrashes && !sameAddress(blame) && !b.hasRival(known, blame)
+	return unanswered(blamed) >= minCrashes && !sameAddress(blamed) && !d.hasEqualSuspect(known, blamed)
 }
 
 // unanswered counts the crashes of workers that had not begun to answer.
@@ -138,12 +138,12 @@
 
 // hasRival reports whether another request that is still suspected was at all these
 // crashes.
-func (b *Detector) hasRival(known *entry, blame []Crash) bool {
-	return slices.ContainsFunc(b.byWorker[blame[0].Worker], func(request Fingerprint) bool {
-		other := b.entries[request]
+func (d *Detector) hasEqualSuspect(known *entry, blamed []Crash) bool {
+	return slices.ContainsFunc(d.byWorker[blamed[0].Worker], func(request Fingerprint) bool {
+		other := d.entries[request]
 		if other == known || other.Quarantined {
 			return false
 		}
-		return !slices.ContainsFunc(blame, func(c Crash) bool { return !other.counts(c.Worker) })
+		return !slices.ContainsFunc(blamed, func(c Crash) bool { return !other.countsAgainst(c.Worker) })
 	})
 }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -8,7 +8,7 @@
 var sample = Content{Method: "POST", Host: "h", Target: "/a/b?c", Tenant: "t", Body: []byte("body")}
 
 // TestFingerprintTellsContentsApart, also where the fields joined read the same.
-func TestFingerprintTellsContentsApart(t *testing.T) {
+func TestFingerprintDiffersWithContent(t *testing.T) {
 	same := sample
 	same.Body = bytes.Clone(sample.Body)
 	if same.Fingerprint() != sample.Fingerprint() {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestFingerprintIsReadAsWritten(t *testing.T) {
+func TestFingerprintRoundTrip(t *testing.T) {
 	read, err := ParseFingerprint(sample.Fingerprint().String())
 	if err != nil || read != sample.Fingerprint() {
 		t.Errorf("%v, %v", read, err)
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/manager.go
@@ -14,12 +14,12 @@
 const (
 	// tellings is how often a change is told, since datagrams may be lost, and tellEvery the
 	// time between two.
-	tellings  = 3
-	tellEvery = 150 * time.Millisecond
+	broadcastRepeats  = 3
+	broadcastInterval = 150 * time.Millisecond
 	// worthSaving is the number of crashes from which a request is told to all nodes and
 	// kept in the store. One crash says nearly nothing, and each end of a worker makes as
 	// many of them as it ran requests.
-	worthSaving = 2
+	sharedCrashes = 2
 )
 
 // Where a change comes from, in the log; changes that other nodes tell name the node.
@@ -30,10 +30,10 @@
 )
 
 // telling is a record that others are still to be told.
-type telling struct {
-	record Record
-	left   int
-	due    time.Time
+type pendingBroadcast struct {
+	record  Record
+	repeats int
+	due     time.Time
 }
 
 // Manager keeps a node's book: it takes in what this node sees, other nodes tell and the
@@ -41,191 +41,191 @@
 type Manager struct {
 	log logrus.FieldLogger
 	// alone keepers belong to a node that tells others nothing.
-	alone bool
+	local bool
 	// refused counts the tries of quarantined requests.
 	refused prometheus.Counter
 	// chosen reports whether this node is the one that gives a request its trials.
-	chosen func(request Fingerprint) bool
+	runsTrials func(request Fingerprint) bool
 	// toTell and toSave are sent to when there may be something new to be told or saved.
-	toTell, toSave chan struct{}
+	dueSignal, unsavedSignal chan struct{}
 
-	mu     sync.Mutex
-	book   *Detector
-	untold map[Fingerprint]*telling
+	mu       sync.Mutex
+	detector *Detector
+	pending  map[Fingerprint]*pendingBroadcast
 	// tried is when this node last let a quarantined request through.
-	tried map[Fingerprint]time.Time
+	lastTrial map[Fingerprint]time.Time
 }
 
 // NewManager returns a keeper that knows nothing.
-func NewManager(chosen func(request Fingerprint) bool, log logrus.FieldLogger) *Manager {
+func NewManager(runsTrials func(request Fingerprint) bool, log logrus.FieldLogger) *Manager {
 	return &Manager{
-		log: log, chosen: chosen,
+		log: log, runsTrials: runsTrials,
 		refused: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "tinarch_quarantine_refused_total", Help: "Tries of quarantined requests.",
 		}),
-		toTell: make(chan struct{}, 1), toSave: make(chan struct{}, 1),
-		book: NewDetector(), untold: make(map[Fingerprint]*telling), tried: make(map[Fingerprint]time.Time),
+		dueSignal: make(chan struct{}, 1), unsavedSignal: make(chan struct{}, 1),
+		detector: NewDetector(), pending: make(map[Fingerprint]*pendingBroadcast), lastTrial: make(map[Fingerprint]time.Time),
 	}
 }
 
 // NewLocalManager returns a keeper of a node that tells others nothing, and gives all trials
 // itself.
 func NewLocalManager(log logrus.FieldLogger) *Manager {
-	k := NewManager(func(Fingerprint) bool { return true }, log)
-	k.alone = true
-	return k
+	m := NewManager(func(Fingerprint) bool { return true }, log)
+	m.local = true
+	return m
 }
 
 // DueSignal gives a token when Due may have records.
-func (k *Manager) DueSignal() <-chan struct{} { return k.toTell }
+func (m *Manager) DueSignal() <-chan struct{} { return m.dueSignal }
 
 // UnsavedSignal gives a token when Unsaved may have records.
-func (k *Manager) UnsavedSignal() <-chan struct{} { return k.toSave }
+func (m *Manager) UnsavedSignal() <-chan struct{} { return m.unsavedSignal }
 
 // Standing tells how a request is to be treated. It lets a quarantined request through for
 // a trial, once, where one is due and this node is chosen for it.
-func (k *Manager) Standing(request Fingerprint, now time.Time) Status {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	standing := k.book.Status(request, now)
-	if !standing.Quarantined {
-		return standing
+func (m *Manager) Standing(request Fingerprint, now time.Time) Status {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	status := m.detector.Status(request, now)
+	if !status.Quarantined {
+		return status
 	}
-	if standing.TrialDue && now.Sub(k.tried[request]) >= trialAfter[0] && k.chosen(request) {
-		k.tried[request] = now
-		standing.Quarantined = false
-		k.log.WithFields(logrus.Fields{"fingerprint": request.String(), "crashes": standing.Crashes}).
+	if status.TrialDue && now.Sub(m.lastTrial[request]) >= trialDelays[0] && m.runsTrials(request) {
+		m.lastTrial[request] = now
+		status.Quarantined = false
+		m.log.WithFields(logrus.Fields{"fingerprint": request.String(), "crashes": status.Crashes}).
 			Warn("a quarantined request is let through for a trial")
-		return standing
+		return status
 	}
-	k.refused.Inc()
-	return standing
+	m.refused.Inc()
+	return status
 }
 
 // Crashed records that a worker ended that ran these requests.
-func (k *Manager) Crashed(crashes map[Fingerprint]Crash, now time.Time) {
-	told := make([]Record, 0, len(crashes))
+func (m *Manager) Crashed(crashes map[Fingerprint]Crash, now time.Time) {
+	records := make([]Record, 0, len(crashes))
 	for request, crash := range crashes {
-		told = append(told, Record{Fingerprint: request, Crashes: []Crash{crash}})
+		records = append(records, Record{Fingerprint: request, Crashes: []Crash{crash}})
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.changed(k.book.Merge(told, now), sourceOwn, now)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.recordChanges(m.detector.Merge(records, now), sourceOwn, now)
 }
 
 // Survived records that a worker ran a request to an end and lives.
-func (k *Manager) Survived(request Fingerprint, now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if record, changed := k.book.Clear(request, now); changed {
-		k.log.WithField("fingerprint", request.String()).Info("a request is no longer suspected: a worker has run it")
-		k.changed([]Record{record}, sourceOwn, now)
+func (m *Manager) Survived(request Fingerprint, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if record, changed := m.detector.Clear(request, now); changed {
+		m.log.WithField("fingerprint", request.String()).Info("a request is no longer suspected: a worker has run it")
+		m.recordChanges([]Record{record}, sourceOwn, now)
 	}
 }
 
 // Lives records that a worker answers that was taken for ended.
-func (k *Manager) Lives(worker string, now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if records := k.book.ClearWorker(worker, now); len(records) > 0 {
-		k.log.WithFields(logrus.Fields{"worker": worker, "requests": len(records)}).Warn("a worker lives that was taken for ended")
-		k.changed(records, sourceOwn, now)
+func (m *Manager) Lives(worker string, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if records := m.detector.ClearWorker(worker, now); len(records) > 0 {
+		m.log.WithFields(logrus.Fields{"worker": worker, "requests": len(records)}).Warn("a worker lives that was taken for ended")
+		m.recordChanges(records, sourceOwn, now)
 	}
 }
 
 // Receive takes in what another node tells. It returns the records that have changed by it and
 // that every node is to know.
-func (k *Manager) Receive(node string, records []Record) []Record {
+func (m *Manager) Receive(node string, records []Record) []Record {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	ordered := make([]Record, 0, len(records))
 	for _, record := range records {
 		ordered = append(ordered, record.Sorted())
 	}
-	changed := k.book.Merge(ordered, now)
-	k.changed(changed, "node "+node, now)
+	changed := m.detector.Merge(ordered, now)
+	m.recordChanges(changed, "node "+node, now)
 	return slices.DeleteFunc(changed, func(r Record) bool { return !IsShared(r) })
 }
 
 // changed judges anew, logs what has come of it, and has the records told that this node
 // itself has changed.
-func (k *Manager) changed(records []Record, source string, now time.Time) {
+func (m *Manager) recordChanges(records []Record, source string, now time.Time) {
 	if len(records) == 0 {
 		return
 	}
-	k.judge(source)
+	m.evaluate(source)
 	for _, record := range records {
-		if record.CountedCrashes() >= worthSaving {
-			k.logRecord(record, source, "request suspected: workers end under it")
+		if record.CountedCrashes() >= sharedCrashes {
+			m.logRecord(record, source, "request suspected: workers end under it")
 		}
-		if source == sourceOwn && !k.alone {
-			k.untold[record.Fingerprint] = &telling{record: record, left: tellings, due: now}
+		if source == sourceOwn && !m.local {
+			m.pending[record.Fingerprint] = &pendingBroadcast{record: record, repeats: broadcastRepeats, due: now}
 		}
 	}
-	notify(k.toTell)
-	notify(k.toSave)
+	signal(m.dueSignal)
+	signal(m.unsavedSignal)
 }
 
-func notify(waiting chan<- struct{}) {
+func signal(waiting chan<- struct{}) {
 	select {
 	case waiting <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Manager) judge(source string) {
-	judgement := k.book.Evaluate()
-	for _, record := range judgement.Quarantined {
-		k.logRecord(record, source, "request quarantined")
+func (m *Manager) evaluate(source string) {
+	changes := m.detector.Evaluate()
+	for _, record := range changes.Quarantined {
+		m.logRecord(record, source, "request quarantined")
 	}
-	for _, record := range judgement.Released {
-		k.logRecord(record, source, "request released from quarantine")
+	for _, record := range changes.Released {
+		m.logRecord(record, source, "request released from quarantine")
 	}
 }
 
-func (k *Manager) logRecord(record Record, source, message string) {
+func (m *Manager) logRecord(record Record, source, message string) {
 	var workers []string
 	for _, crash := range record.Crashes {
 		if !crash.Cleared {
 			workers = append(workers, crash.Worker)
 		}
 	}
-	k.log.WithFields(logrus.Fields{
+	m.log.WithFields(logrus.Fields{
 		"fingerprint": record.Fingerprint.String(), "crashes": len(workers), "workers": workers, "source": source,
 	}).Warn(message)
 }
 
 // Due returns the records that others are to be told now, and the time until there may be
 // more.
-func (k *Manager) Due(now time.Time) (records []Record, wait time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) Due(now time.Time) (records []Record, wait time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	wait = time.Minute
-	for request, told := range k.untold {
-		if now.Before(told.due) {
-			wait = min(wait, told.due.Sub(now))
+	for request, pending := range m.pending {
+		if now.Before(pending.due) {
+			wait = min(wait, pending.due.Sub(now))
 			continue
 		}
-		records = append(records, told.record)
-		told.left--
-		told.due = now.Add(tellEvery)
-		wait = min(wait, tellEvery)
-		if told.left == 0 {
-			delete(k.untold, request)
+		records = append(records, pending.record)
+		pending.repeats--
+		pending.due = now.Add(broadcastInterval)
+		wait = min(wait, broadcastInterval)
+		if pending.repeats == 0 {
+			delete(m.pending, request)
 		}
 	}
 	return records, wait
 }
 
 // Shared returns the records that every node is to know.
-func (k *Manager) Shared() []Record {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) Shared() []Record {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var shared []Record
-	for _, known := range k.book.entries {
-		if known.CountedCrashes() >= worthSaving {
-			shared = append(shared, known.copied())
+	for _, known := range m.detector.entries {
+		if known.CountedCrashes() >= sharedCrashes {
+			shared = append(shared, known.clone())
 		}
 	}
 	return shared
@@ -233,95 +233,95 @@
 
 // IsShared reports whether a record is one that every node is to know: it has several
 // crashes, or had and is cleared.
-func IsShared(record Record) bool { return len(record.Crashes) >= worthSaving }
+func IsShared(record Record) bool { return len(record.Crashes) >= sharedCrashes }
 
 // Unsaved returns the records that the store doesn't hold and is to.
-func (k *Manager) Unsaved() []Record {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) Unsaved() []Record {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var unsaved []Record
-	for _, known := range k.book.entries {
-		if known.stored == nil && known.CountedCrashes() < worthSaving {
+	for _, known := range m.detector.entries {
+		if known.stored == nil && known.CountedCrashes() < sharedCrashes {
 			continue
 		}
 		if known.stored == nil || !known.stored.covers(known.Record) || known.Quarantined && !known.stored.Quarantined {
-			unsaved = append(unsaved, known.copied())
+			unsaved = append(unsaved, known.clone())
 		}
 	}
 	return unsaved
 }
 
 // Stored takes in a record that the store holds since one of its versions.
-func (k *Manager) Stored(record Record, version uint64, now time.Time) {
+func (m *Manager) Stored(record Record, version uint64, now time.Time) {
 	record = record.Sorted()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.changed(k.book.Merge([]Record{record}, now), sourceStore, now)
-	known := k.book.entry(record.Fingerprint)
-	if version >= known.storedAt {
-		known.stored, known.storedAt = &record, version
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.recordChanges(m.detector.Merge([]Record{record}, now), sourceStore, now)
+	known := m.detector.entry(record.Fingerprint)
+	if version >= known.storedVersion {
+		known.stored, known.storedVersion = &record, version
 	}
 }
 
 // Removed takes in that the store holds a request no more as of a version: an operator has
 // released it, or it has been there for long enough. What was written after that stays.
-func (k *Manager) Removed(request Fingerprint, version uint64, now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	known, exists := k.book.entries[request]
-	if !exists || known.stored == nil || known.storedAt > version {
+func (m *Manager) Removed(request Fingerprint, version uint64, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	known, exists := m.detector.entries[request]
+	if !exists || known.stored == nil || known.storedVersion > version {
 		return
 	}
 	known.stored = nil
-	records := k.book.Release(request, now)
-	k.log.WithField("fingerprint", request.String()).Warn("a request was taken out of the store's quarantine")
-	k.changed(records, sourceStore, now)
+	records := m.detector.Release(request, now)
+	m.log.WithField("fingerprint", request.String()).Warn("a request was taken out of the store's quarantine")
+	m.recordChanges(records, sourceStore, now)
 }
 
 // SyncStored takes in which requests the store holds as of a version: those that it held
 // before and holds no more were removed.
-func (k *Manager) SyncStored(held map[Fingerprint]bool, version uint64, now time.Time) {
-	k.mu.Lock()
+func (m *Manager) SyncStored(held map[Fingerprint]bool, version uint64, now time.Time) {
+	m.mu.Lock()
 	var removed []Fingerprint
-	for request, known := range k.book.entries {
+	for request, known := range m.detector.entries {
 		if known.stored != nil && !held[request] {
 			removed = append(removed, request)
 		}
 	}
-	k.mu.Unlock()
+	m.mu.Unlock()
 	for _, request := range removed {
-		k.Removed(request, version, now)
+		m.Removed(request, version, now)
 	}
 }
 
 // StoreRestored takes in which requests the store holds after it came back from a copy. Those that it
 // lacks were lost, not released: they are to be saved again.
-func (k *Manager) StoreRestored(held map[Fingerprint]bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) StoreRestored(held map[Fingerprint]bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	lost := 0
-	for request, known := range k.book.entries {
+	for request, known := range m.detector.entries {
 		if known.stored != nil && !held[request] {
 			known.stored = nil
 			lost++
 		}
 	}
 	if lost > 0 {
-		k.log.WithField("requests", lost).Warn("the restored store lacks requests of the quarantine; they are saved again")
-		notify(k.toSave)
+		m.log.WithField("requests", lost).Warn("the restored store lacks requests of the quarantine; they are saved again")
+		signal(m.unsavedSignal)
 	}
 }
 
 // Expire forgets what is old. It returns the requests that the store still holds of it.
-func (k *Manager) Expire(now time.Time) []Fingerprint {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	maps.DeleteFunc(k.tried, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) > quarantinedFor })
+func (m *Manager) Expire(now time.Time) []Fingerprint {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	maps.DeleteFunc(m.lastTrial, func(_ Fingerprint, at time.Time) bool { return now.Sub(at) > quarantinedFor })
 	var stored []Fingerprint
-	for _, record := range k.book.Expire(now) {
+	for _, record := range m.detector.Expire(now) {
 		stored = append(stored, record.Fingerprint)
 	}
-	k.judge(sourceAge)
+	m.evaluate(sourceAge)
 	slices.SortFunc(stored, func(a, b Fingerprint) int {
 		if a.less(b) {
 			return -1
@@ -332,23 +332,23 @@
 }
 
 // Register has a registry tell what a keeper knows.
-func (k *Manager) Register(registry prometheus.Registerer) {
+func (m *Manager) Register(registry prometheus.Registerer) {
 	gauge := func(name, help string, of func() int) {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return float64(of()) }))
 	}
 	gauge("tinarch_quarantine_suspected", "Requests under which a worker has ended that nothing explains yet.", func() int {
-		suspected, _ := k.counts()
+		suspected, _ := m.counts()
 		return suspected
 	})
 	gauge("tinarch_quarantine_requests", "Requests that are given to no worker, since workers end under them.", func() int {
-		_, quarantined := k.counts()
+		_, quarantined := m.counts()
 		return quarantined
 	})
-	registry.MustRegister(k.refused)
+	registry.MustRegister(m.refused)
 }
 
-func (k *Manager) counts() (suspected, quarantined int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.book.Counts()
+func (m *Manager) counts() (suspected, quarantined int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.detector.Counts()
 }
