--- a/internal/tablerelay/board.go
+++ b/internal/tablerelay/coordinator.go
@@ -27,27 +27,27 @@
 	Freshness = 1500 * time.Millisecond
 	// takeover is how long the word counts for the second in the ranking, and each place
 	// adds step: the first confirms its word each 0.7 seconds (tablefeed).
-	takeover = 920 * time.Millisecond
-	step     = 145 * time.Millisecond
+	firstTakeoverDelay = 920 * time.Millisecond
+	rankDelay          = 145 * time.Millisecond
 	// pullAfter is the age of a word from which a node asks others for a newer one: again
 	// after pullEvery, and in a large fleet less often each time up to longestPull, at which
 	// it still gets one before its own is too old. While the store is down no node has any,
 	// and all would ask.
-	pullAfter   = 800 * time.Millisecond
-	pullEvery   = 100 * time.Millisecond
-	longestPull = 400 * time.Millisecond
+	requestAge         = 800 * time.Millisecond
+	requestInterval    = 100 * time.Millisecond
+	maxRequestInterval = 400 * time.Millisecond
 	// callPause is the longest pause of the first nodes between calls to a store that
 	// fails, and laterPause that of the others in a fleet of up to laterFleet nodes: these
 	// hear from the first when it is back. Each call to it is paid for, also while it is
 	// down; in a larger fleet the others together call no more often.
-	callPause  = 800 * time.Millisecond
-	laterPause = 4 * time.Second
-	laterFleet = 60
+	firstMaxBackoff   = 800 * time.Millisecond
+	laterMaxBackoff   = 4 * time.Second
+	laterBackoffNodes = 60
 	// tellingPlaces is how many nodes of each zone of a large fleet tell all others of what
 	// they read: these take over from each other one by one. Any other that has to read for
 	// itself, since no word reaches it, answers those that ask it only. Would it tell all, a
 	// thousand nodes that miss a word would send each other a million, and miss the next.
-	tellingPlaces = 3
+	broadcastRanks = 3
 )
 
 // Announcement is what a node says of a table that some node reads at the store.
@@ -77,7 +77,7 @@
 	Nodes() int
 	Large() bool
 	// SpreadWords and SpreadNews tell all other nodes.
-	SpreadWords(words []Announcement)
+	SpreadWords(announcements []Announcement)
 	SpreadNews(news tablefeed.News)
 	// AskWords asks some nodes for their words.
 	AskWords(table string)
@@ -95,20 +95,20 @@
 type Coordinator struct {
 	fleet Fleet
 	// copies is nil where tables are read at the store only.
-	copies Fetcher
+	fetcher Fetcher
 
 	mu    sync.Mutex
 	feeds map[string]*tablefeed.Feed
 	// words holds what other nodes say, by table and reader.
-	words map[string]map[string]tablefeed.Confirmation
+	announced map[string]map[string]tablefeed.Confirmation
 	// pulls are the questions for words, by table.
-	pulls map[string]pull
-	lags  lags
+	requests map[string]request
+	lags     lags
 }
 
 // pull is when words on a table were asked for last, and the least time until they may be
 // again.
-type pull struct {
+type request struct {
 	at    time.Time
 	pause time.Duration
 }
@@ -117,47 +117,47 @@
 func New(fleet Fleet) *Coordinator {
 	return &Coordinator{
 		fleet: fleet, feeds: make(map[string]*tablefeed.Feed),
-		words: make(map[string]map[string]tablefeed.Confirmation), pulls: make(map[string]pull), lags: newLags(),
+		announced: make(map[string]map[string]tablefeed.Confirmation), requests: make(map[string]request), lags: newLags(),
 	}
 }
 
 // SetFetcher has the feeds get tables from other nodes. It is called before they run.
-func (b *Coordinator) SetFetcher(copies Fetcher) { b.copies = copies }
+func (c *Coordinator) SetFetcher(fetcher Fetcher) { c.fetcher = fetcher }
 
 // FetchTable implements tablefeed.Others.
-func (b *Coordinator) FetchTable(ctx context.Context, table string) (tablefeed.Transfer, error) {
-	if b.copies == nil {
+func (c *Coordinator) FetchTable(ctx context.Context, table string) (tablefeed.Transfer, error) {
+	if c.fetcher == nil {
 		return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 	}
-	return b.copies.Copy(ctx, table)
+	return c.fetcher.Copy(ctx, table)
 }
 
 // FetchChanges implements tablefeed.Others.
-func (b *Coordinator) FetchChanges(ctx context.Context, table string, after tablefeed.Version) (tablefeed.Transfer, error) {
-	if b.copies == nil {
+func (c *Coordinator) FetchChanges(ctx context.Context, table string, after tablefeed.Version) (tablefeed.Transfer, error) {
+	if c.fetcher == nil {
 		return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 	}
-	return b.copies.Missed(ctx, table, after, b.holders(table, after, time.Now()))
+	return c.fetcher.Missed(ctx, table, after, c.holders(table, after, time.Now()))
 }
 
 // HasChangeAfter implements tablefeed.Others.
-func (b *Coordinator) HasChangeAfter(table string, after tablefeed.Version, now time.Time) bool {
-	return len(b.holders(table, after, now)) > 0
+func (c *Coordinator) HasChangeAfter(table string, after tablefeed.Version, now time.Time) bool {
+	return len(c.holders(table, after, now)) > 0
 }
 
 // holders returns the nodes whose words tell of a change after a version, the one heard last
 // first.
-func (b *Coordinator) holders(table string, after tablefeed.Version, now time.Time) []netip.AddrPort {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *Coordinator) holders(table string, after tablefeed.Version, now time.Time) []netip.AddrPort {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var readers []string
-	for reader, word := range b.words[table] {
-		if word.Changed > after && now.Sub(word.At) < Freshness {
+	for reader, confirmation := range c.announced[table] {
+		if confirmation.Changed > after && now.Sub(confirmation.At) < Freshness {
 			readers = append(readers, reader)
 		}
 	}
 	slices.SortFunc(readers, func(left, right string) int {
-		return b.words[table][right].At.Compare(b.words[table][left].At)
+		return c.announced[table][right].At.Compare(c.announced[table][left].At)
 	})
 	var holders []netip.AddrPort
 	for _, reader := range readers {
@@ -169,72 +169,72 @@
 }
 
 // Add has a feed take part.
-func (b *Coordinator) Add(table string, feed *tablefeed.Feed) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.feeds[table] = feed
+func (c *Coordinator) Add(table string, feed *tablefeed.Feed) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.feeds[table] = feed
 }
 
 // Words returns what this node has to say: on the tables that it reads at the store,
 // and whose last confirmation still counts.
-func (b *Coordinator) Words(now time.Time) []Announcement {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var words []Announcement
-	for table, feed := range b.feeds {
-		if word, own := feed.Word(); own && now.Sub(word.At) < Freshness {
-			words = append(words, render(table, word, b.fleet.Address(), now))
+func (c *Coordinator) Words(now time.Time) []Announcement {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var announcements []Announcement
+	for table, feed := range c.feeds {
+		if confirmation, own := feed.Word(); own && now.Sub(confirmation.At) < Freshness {
+			announcements = append(announcements, announce(table, confirmation, c.fleet.Address(), now))
 		}
 	}
-	return words
+	return announcements
 }
 
 // Known returns all words that this node knows and that still count, its own included.
-func (b *Coordinator) Known(now time.Time) []Announcement {
-	known := b.Words(now)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for table, heard := range b.words {
-		for reader, word := range heard {
-			if now.Sub(word.At) < Freshness {
-				known = append(known, render(table, word, reader, now))
+func (c *Coordinator) Known(now time.Time) []Announcement {
+	known := c.Words(now)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for table, byReader := range c.announced {
+		for reader, confirmation := range byReader {
+			if now.Sub(confirmation.At) < Freshness {
+				known = append(known, announce(table, confirmation, reader, now))
 			}
 		}
 	}
 	return known
 }
 
-func render(table string, word tablefeed.Confirmation, reader string, now time.Time) Announcement {
+func announce(table string, confirmation tablefeed.Confirmation, reader string, now time.Time) Announcement {
 	return Announcement{
-		Table: table, Changed: word.Changed, Confirmed: word.Confirmed,
-		AgeMillis: now.Sub(word.At).Milliseconds(), Reader: reader,
+		Table: table, Changed: confirmation.Changed, Confirmed: confirmation.Confirmed,
+		AgeMillis: now.Sub(confirmation.At).Milliseconds(), Reader: reader,
 	}
 }
 
 // Take records words, which may have come through other nodes.
-func (b *Coordinator) Take(words []Announcement, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, said := range words {
-		feed, followed := b.feeds[said.Table]
-		if !followed || said.Reader == b.fleet.Address() {
+func (c *Coordinator) Take(announcements []Announcement, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, announced := range announcements {
+		feed, followed := c.feeds[announced.Table]
+		if !followed || announced.Reader == c.fleet.Address() {
 			continue
 		}
-		if b.words[said.Table] == nil {
-			b.words[said.Table] = make(map[string]tablefeed.Confirmation)
+		if c.announced[announced.Table] == nil {
+			c.announced[announced.Table] = make(map[string]tablefeed.Confirmation)
 		}
-		before := b.words[said.Table][said.Reader]
-		word := tablefeed.Confirmation{
-			Changed: said.Changed, Confirmed: said.Confirmed,
-			At: now.Add(-time.Duration(said.AgeMillis) * time.Millisecond),
+		before := c.announced[announced.Table][announced.Reader]
+		confirmation := tablefeed.Confirmation{
+			Changed: announced.Changed, Confirmed: announced.Confirmed,
+			At: now.Add(-time.Duration(announced.AgeMillis) * time.Millisecond),
 		}
-		if !newer(word, before) {
+		if !isNewer(confirmation, before) {
 			continue
 		}
-		b.words[said.Table][said.Reader] = word
+		c.announced[announced.Table][announced.Reader] = confirmation
 		held, _ := feed.Word()
-		b.lags.heard(said, held.Confirmed, now)
-		if word.Changed > before.Changed || b.endsPause(feed, said, word, now) {
+		c.lags.observe(announced, held.Confirmed, now)
+		if confirmation.Changed > before.Changed || c.endsBackoff(feed, announced, confirmation, now) {
 			feed.Wake()
 		}
 	}
@@ -242,66 +242,66 @@
 
 // endsPause reports whether a word lets a feed follow another node again whose calls to the
 // store failed. One that can't rely on the word would only call again.
-func (b *Coordinator) endsPause(feed *tablefeed.Feed, said Announcement, word tablefeed.Confirmation, now time.Time) bool {
+func (c *Coordinator) endsBackoff(feed *tablefeed.Feed, announced Announcement, confirmation tablefeed.Confirmation, now time.Time) bool {
 	held, _ := feed.Word()
-	follows := word.Changed <= held.Confirmed // else it would have to ask for the changes
-	return follows && now.Sub(held.At) >= Freshness && now.Sub(word.At) < b.TakeoverDelay(said.Table)
+	follows := confirmation.Changed <= held.Confirmed // else it would have to ask for the changes
+	return follows && now.Sub(held.At) >= Freshness && now.Sub(confirmation.At) < c.TakeoverDelay(announced.Table)
 }
 
 // TakeNews gives changes that another node got from the store to the feed.
-func (b *Coordinator) TakeNews(news tablefeed.News) {
-	b.mu.Lock()
-	feed, followed := b.feeds[news.Table]
-	b.mu.Unlock()
+func (c *Coordinator) TakeNews(news tablefeed.News) {
+	c.mu.Lock()
+	feed, followed := c.feeds[news.Table]
+	c.mu.Unlock()
 	if followed {
 		feed.Offer(news)
 	}
 }
 
 // TakeoverDelay implements tablefeed.Others.
-func (b *Coordinator) TakeoverDelay(table string) time.Duration {
-	return patience(b.fleet.Place(table))
+func (c *Coordinator) TakeoverDelay(table string) time.Duration {
+	return takeoverDelay(c.fleet.Place(table))
 }
 
-func patience(place int) time.Duration {
-	if place == 0 {
+func takeoverDelay(rank int) time.Duration {
+	if rank == 0 {
 		return 0
 	}
-	return takeover + min(time.Duration(place-1)*step, Freshness-takeover)
+	return firstTakeoverDelay + min(time.Duration(rank-1)*rankDelay, Freshness-firstTakeoverDelay)
 }
 
 // MaxBackoff implements tablefeed.Others.
-func (b *Coordinator) MaxBackoff(table string) time.Duration {
-	if b.TakeoverDelay(table) < Freshness {
-		return callPause
+func (c *Coordinator) MaxBackoff(table string) time.Duration {
+	if c.TakeoverDelay(table) < Freshness {
+		return firstMaxBackoff
 	}
-	return laterPause * time.Duration(max(b.fleet.Nodes(), laterFleet)) / laterFleet
+	return laterMaxBackoff * time.Duration(max(c.fleet.Nodes(), laterBackoffNodes)) / laterBackoffNodes
 }
 
 // LatestConfirmation implements tablefeed.Others.
-func (b *Coordinator) LatestConfirmation(table string, now time.Time, reads bool) (tablefeed.Confirmation, bool) {
-	newest, found := b.newest(table, now, reads)
-	if now.Sub(newest.At) >= pullAfter && (!reads || b.TakeoverDelay(table) > 0) && b.mayPull(table, now) {
-		b.fleet.AskWords(table)
+func (c *Coordinator) LatestConfirmation(table string, now time.Time, isReader bool) (tablefeed.Confirmation, bool) {
+	newest, found := c.newest(table, now, isReader)
+	if now.Sub(newest.At) >= requestAge && (!isReader || c.TakeoverDelay(table) > 0) && c.mayRequest(table, now) {
+		c.fleet.AskWords(table)
 	}
 	return newest, found
 }
 
 // newest returns the word of the newest version, where this node reads among those of nodes
 // that come before it.
-func (b *Coordinator) newest(table string, now time.Time, reads bool) (newest tablefeed.Confirmation, found bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for reader, word := range b.words[table] {
-		if now.Sub(word.At) >= Freshness {
-			delete(b.words[table], reader)
+func (c *Coordinator) newest(table string, now time.Time, isReader bool) (newest tablefeed.Confirmation, found bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for reader, confirmation := range c.announced[table] {
+		if now.Sub(confirmation.At) >= Freshness {
+			delete(c.announced[table], reader)
 			continue
 		}
-		if reads && !b.fleet.Outranks(table, reader) {
+		if isReader && !c.fleet.Outranks(table, reader) {
 			continue
 		}
-		if !found || newer(word, newest) {
-			newest, found = word, true
+		if !found || isNewer(confirmation, newest) {
+			newest, found = confirmation, true
 		}
 	}
 	return newest, found
@@ -309,7 +309,7 @@
 
 // newer compares versions, and times where these are the same: an age may be wrong by the
 // time for which the word lay in a buffer.
-func newer(left, right tablefeed.Confirmation) bool {
+func isNewer(left, right tablefeed.Confirmation) bool {
 	if left.Confirmed != right.Confirmed {
 		return left.Confirmed > right.Confirmed
 	}
@@ -317,41 +317,41 @@
 }
 
 // mayPull reports whether words on a table may be asked for, and records that they are.
-func (b *Coordinator) mayPull(table string, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	last := b.pulls[table]
+func (c *Coordinator) mayRequest(table string, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	last := c.requests[table]
 	since := now.Sub(last.at)
 	if since < last.pause {
 		return false
 	}
-	if since >= 2*longestPull {
+	if since >= 2*maxRequestInterval {
 		last.pause = 0 // it was not needed for a while
 	}
-	pause := pullEvery
-	if b.fleet.Large() {
-		pause = min(max(2*last.pause, pullEvery), longestPull)
+	pause := requestInterval
+	if c.fleet.Large() {
+		pause = min(max(2*last.pause, requestInterval), maxRequestInterval)
 	}
-	b.pulls[table] = pull{at: now, pause: pause}
+	c.requests[table] = request{at: now, pause: pause}
 	return true
 }
 
 // BroadcastConfirmations implements tablefeed.Others.
-func (b *Coordinator) BroadcastConfirmations() {
-	words := slices.DeleteFunc(b.Words(time.Now()), func(w Announcement) bool { return !b.tells(w.Table) })
-	if len(words) > 0 {
-		b.fleet.SpreadWords(words)
+func (c *Coordinator) BroadcastConfirmations() {
+	announcements := slices.DeleteFunc(c.Words(time.Now()), func(a Announcement) bool { return !c.broadcasts(a.Table) })
+	if len(announcements) > 0 {
+		c.fleet.SpreadWords(announcements)
 	}
 }
 
 // BroadcastNews implements tablefeed.Others.
-func (b *Coordinator) BroadcastNews(news tablefeed.News) {
-	if b.tells(news.Table) {
-		b.fleet.SpreadNews(news)
+func (c *Coordinator) BroadcastNews(news tablefeed.News) {
+	if c.broadcasts(news.Table) {
+		c.fleet.SpreadNews(news)
 	}
 }
 
 // tells reports whether this node tells all others of what it reads of a table.
-func (b *Coordinator) tells(table string) bool {
-	return !b.fleet.Large() || b.fleet.Place(table) <= tellingPlaces
+func (c *Coordinator) broadcasts(table string) bool {
+	return !c.fleet.Large() || c.fleet.Place(table) <= broadcastRanks
 }
--- a/internal/tablerelay/lag.go
+++ b/internal/tablerelay/lag.go
@@ -10,7 +10,7 @@
 
 // lagLogged is how long a node may lack a change that others have told of before it is
 // logged. Changes that fit in no datagram are fetched in less.
-const lagLogged = 500 * time.Millisecond
+const lagLogThreshold = 500 * time.Millisecond
 
 // Lag is a change of a table that this node has heard of and doesn't hold.
 type Lag struct {
@@ -33,25 +33,25 @@
 }
 
 // heard compares a word with the version up to which this node holds a table.
-func (l *lags) heard(said Announcement, held tablefeed.Version, now time.Time) {
-	lag, open := l.open[said.Table]
+func (l *lags) observe(announced Announcement, held tablefeed.Version, now time.Time) {
+	lag, open := l.open[announced.Table]
 	if open && held >= lag.Version {
-		l.end(said.Table, lag, held, now)
+		l.end(announced.Table, lag, held, now)
 		open = false
 	}
-	if said.Changed <= held {
+	if announced.Changed <= held {
 		return
 	}
 	if !open {
 		lag = Lag{Since: now}
 	}
-	if said.Changed > lag.Version {
-		lag.Version, lag.Reader = said.Changed, said.Reader
+	if announced.Changed > lag.Version {
+		lag.Version, lag.Reader = announced.Changed, announced.Reader
 	}
-	l.open[said.Table] = lag
-	if now.Sub(lag.Since) >= lagLogged && !l.logged[said.Table] {
-		l.logged[said.Table] = true
-		l.line(said.Table, lag, held, now).Warn("another node holds a newer version of a table")
+	l.open[announced.Table] = lag
+	if now.Sub(lag.Since) >= lagLogThreshold && !l.logged[announced.Table] {
+		l.logged[announced.Table] = true
+		l.entry(announced.Table, lag, held, now).Warn("another node holds a newer version of a table")
 	}
 }
 
@@ -59,28 +59,28 @@
 	delete(l.open, table)
 	if l.logged[table] {
 		delete(l.logged, table)
-		l.line(table, lag, held, now).Info("a newer version of a table has come")
+		l.entry(table, lag, held, now).Info("a newer version of a table has come")
 	}
 }
 
-func (l *lags) line(table string, lag Lag, held tablefeed.Version, now time.Time) *logrus.Entry {
+func (l *lags) entry(table string, lag Lag, held tablefeed.Version, now time.Time) *logrus.Entry {
 	return l.log.WithFields(logrus.Fields{
 		"table": table, "version": held, "newer": lag.Version, "reader": lag.Reader, "behind_ms": now.Sub(lag.Since).Milliseconds(),
 	})
 }
 
 // SetLog has the board log the tables that lack changes. It is called before words come.
-func (b *Coordinator) SetLog(log *logrus.Logger) { b.lags.log = log }
+func (c *Coordinator) SetLog(log *logrus.Logger) { c.lags.log = log }
 
 // Lag returns the change of a table that this node has heard of and doesn't hold, false where
 // there is none.
-func (b *Coordinator) Lag(table string) (Lag, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	lag, open := b.lags.open[table]
+func (c *Coordinator) Lag(table string) (Lag, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	lag, open := c.lags.open[table]
 	if !open {
 		return Lag{}, false
 	}
-	held, _ := b.feeds[table].Word()
+	held, _ := c.feeds[table].Word()
 	return lag, lag.Version > held.Confirmed
 }
