--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -6,40 +6,45 @@
 	"time"
 )
 
-// The parts of Tolerance that a lack of reports may cost.
+// Divisors that bound how much of the tolerance is spent where usage reports are missing.
 const (
-	// coldPart is what a keeper that doesn't know the use before it began to keep an
-	// account begins with: a fourth of the slack.
+	// coldStartDivisor sets the level at which a keeper starts an account whose earlier usage
+	// it doesn't know: a fourth of Tolerance.Slack.
 	coldStartDivisor = 4
-	// coldKeepers is how many may begin together, and share that until they hear each other.
+	// coldStartKeepers is how many keepers of an account may start at the same time. Until they
+	// hear each other, they share the cold-start level.
 	coldStartKeepers = 3
-	// floorPart bounds the debt that late reports leave: what was used out of a keeper's
-	// hearing was granted by others within the limit, and isn't owed a second time.
+	// debtFloorDivisor bounds the debt that late reports can cause, to a fourth of
+	// Tolerance.MaxExcess. Usage that this keeper didn't hear of in time was granted by other
+	// keepers within the limit, so the tenant doesn't owe it again in full.
 	debtFloorDivisor = 4
 )
 
-// account is what is known of one tenant's use.
+// account is the state of one tenant's quota at a keeper.
 type account struct {
 	limit   Limit
 	version uint64
-	// buckets are those of burstParts.
+	// buckets has one token bucket for each of burstFractions.
 	buckets [len(burstFractions)]Bucket
-	// born is from when on the use is known, and known when the account was made here.
+	// usageKnownSince is the time from which on all usage has been reported to this keeper;
+	// created is when this keeper made the account.
 	usageKnownSince, created time.Time
-	// promised is the cost of refused requests that were told when to come back.
+	// promised is the total cost of refused requests that were told a time to retry and may
+	// still return.
 	promised Bucket
 	spenders map[string]*spender
-	// total is the recent use of all.
+	// total is the recent usage of all nodes.
 	total recentUse
-	// used is when use was last heard of.
+	// lastUsed is when usage was last reported or granted.
 	lastUsed time.Time
-	// reserved is the part of the limit that is kept for nodes out of hearing.
+	// reserved is the fraction of the limit that is held back for silent nodes.
 	reserved float64
-	// alone tells that others may have begun to keep the account just as this keeper has.
+	// noOtherKeeper means that this keeper is cold and has heard of no other keeper of the
+	// account since it started. Others may have started in the same way and grant as well.
 	noOtherKeeper bool
 }
 
-// fill brings the account's levels to a time.
+// refill refills the account's buckets up to now.
 func (k *Keeper) refill(a *account, now time.Time) {
 	for i := range a.buckets {
 		rate, size := k.bucketRateAndSize(a, i)
@@ -47,8 +52,9 @@
 	}
 }
 
-// newAccount holds what is sure to be left: something at the time from which on all use
-// was reported here, and what has come back since.
+// newAccount returns an account that starts at the cold-start level. If this node was already a
+// keeper of the account (isKeeper), all usage since reportsSince would have been reported here,
+// so the bucket has refilled since then.
 func (k *Keeper) newAccount(report Report, isKeeper bool, now time.Time) *account {
 	usageKnownSince := now
 	if isKeeper {
@@ -68,27 +74,29 @@
 	return min(limit.Burst, k.tolerance.Slack/coldStartDivisor)
 }
 
-// spender is what is known of one node's use of an account.
+// spender is the state of one node's usage of an account.
 type spender struct {
 	address    netip.AddrPort
 	counters   Counters
 	recent     recentUse
 	lastReport time.Time
-	// gone tells that the process has ended.
+	// stopped means that the process has ended.
 	stopped bool
-	// stale tells that reports may have been missed, so that the next isn't charged.
+	// skipNextCharge means that reports may have been missed: the next report only sets the
+	// counters that later ones are compared with, and isn't charged.
 	skipNextCharge bool
-	// lostShare is its part of the recent use when it fell out of hearing, zero while it
-	// is heard.
+	// shareWhenSilent is the node's share of the recent usage when it became silent, zero while
+	// it is heard.
 	shareWhenSilent float64
 }
 
-// merge charges the account with what a report tells beyond those before it.
+// mergeReport charges the account with the usage that a report adds to earlier reports of the
+// same node.
 func (k *Keeper) mergeReport(a *account, from Spender, report Report, now time.Time) *spender {
 	s, known := a.spenders[from.Node]
 	if !known {
 		s = &spender{address: from.Address, skipNextCharge: !a.observesWholeUse(report, now)}
-		s.counters.Taken = report.Before // what was used before the pause is long paid
+		s.counters.Taken = report.Before // usage before the pause has been refilled long ago
 		a.supersede(from)
 		a.spenders[from.Node] = s
 	}
@@ -103,7 +111,8 @@
 	if increase != 0 {
 		before := a.buckets
 		k.charge(a, s, increase, now)
-		// Turns that another keeper has given ahead are no debt of late reports: all are owed.
+		// Turns that another keeper has granted ahead of time are owed in full, so they lower
+		// the floor.
 		floor := -k.tolerance.MaxExcess(a.limit)/debtFloorDivisor - a.limit.Rate*k.tolerance.Ahead.Seconds()
 		for i := range a.buckets {
 			a.buckets[i].level = max(a.buckets[i].level, min(before[i].level, floor))
@@ -112,13 +121,14 @@
 	return s
 }
 
-// hearsAll reports whether all of the present use that a report tells was while this keeper
-// knew the account. Else its counters are only what later ones are compared with.
+// observesWholeUse reports whether the usage period that a report covers began after this
+// keeper began to know the account. If not, its counters only serve as the baseline for later
+// reports.
 func (a *account) observesWholeUse(report Report, now time.Time) bool {
 	return report.Age < IdleTTL && !now.Add(-report.Age).Before(a.usageKnownSince)
 }
 
-// supersede marks the processes that had the address before as ended.
+// supersede marks earlier processes at the same address as stopped.
 func (a *account) supersede(newer Spender) {
 	for _, s := range a.spenders {
 		if s.address == newer.Address {
@@ -136,7 +146,7 @@
 	a.lastUsed = now
 }
 
-// recentUse is a use that decays with a window.
+// recentUse is a sum of usage that decays exponentially; the window is its time constant.
 type recentUse struct {
 	amount float64
 	at     time.Time
--- a/internal/quota/decide.go
+++ b/internal/quota/decide.go
@@ -5,38 +5,41 @@
 	"time"
 )
 
-// The parts of Tolerance.Over that single requests may cost.
+// Divisors that bound how much of Tolerance.MaxExcess a single request may use.
 const (
-	// creditPart is by how much a request may come before the bucket holds it, since a
-	// caller counts by the times at which it sends: an eighth.
+	// earlyCreditDivisor lets a request pass a little before the bucket holds its cost, up to
+	// an eighth of MaxExcess: callers that pace themselves to the limit count from the time at
+	// which they send.
 	earlyCreditDivisor = 8
-	// debtPart bounds the debt that a request leaves which costs more than a burst: half.
+	// maxDebtDivisor bounds the debt that a request larger than the burst may leave, to half of
+	// MaxExcess.
 	maxDebtDivisor = 2
 )
 
-// burstParts are the parts of a limit's burst of which the buckets of an account hold one
-// each. What a bucket lacks in size, it has in rate, so that a window holds the same: a
-// tenant that bursts is served out of the first, one that wants more than its rate for long
-// out of the last, and either way all buckets are charged.
+// burstFractions gives the bucket sizes of an account, as fractions of the limit's burst. A
+// smaller bucket has a correspondingly higher rate, so that over a window every bucket allows
+// the same total. The first bucket serves tenants that send in bursts, the last one tenants
+// that stay above their rate for long; each request is charged to all of them.
 var burstFractions = [...]float64{1, 1.0 / 2, 1.0 / 8}
 
-// The times that an answer tells.
+// Bounds of the times in a decision.
 const (
-	// coldFor is how long a keeper says at most that it doesn't know what was used before.
-	// As a rule it is until the burst has come back, a second or two; limits with a burst of
-	// hours would else have each refusal asked of all keepers.
+	// maxColdPeriod bounds how long a keeper reports itself as cold. Usually it does so only
+	// until the burst has refilled, a second or two. For limits whose burst takes hours to
+	// refill, every refusal would otherwise be repeated at all keepers.
 	maxColdPeriod = IdleTTL
-	// maxWait bounds what a refused request is told to wait; who asks many times the
-	// limit isn't better served by more.
+	// maxWait bounds the retry time that a refused request is told. A longer one wouldn't help
+	// callers that send many times their limit.
 	maxWait = 8 * time.Second
-	// longestWait bounds the time that is worked out until a request can be served: beyond, it
-	// is as good as never.
+	// maxComputedWait caps the computed time until a request can be served; anything longer
+	// counts as never.
 	maxComputedWait = time.Hour
-	// minWait is the least time: below it, asking costs more than the wait.
+	// minWait is the shortest retry time: retrying sooner costs more than the wait.
 	minWait = 50 * time.Millisecond
 )
 
-// shape is the rate and the size of one of the account's buckets, without what is reserved.
+// bucketRateAndSize returns the rate and size of one of the account's buckets, less the
+// reserved fraction.
 func (k *Keeper) bucketRateAndSize(a *account, bucket int) (rate, size float64) {
 	size = a.limit.Burst * burstFractions[bucket]
 	rate = a.limit.Rate
@@ -46,14 +49,16 @@
 	return rate * (1 - a.reserved), size * (1 - a.reserved)
 }
 
-// usable reports whether one of the account's buckets may decide. The first may always;
-// the others need all use of a window known, since nothing tells which of them granted it.
+// mayDecide reports whether one of the account's buckets may grant requests. The first one
+// always may. The others need the usage of a whole window to be known, because reports don't
+// say which bucket granted a request.
 func (k *Keeper) mayDecide(a *account, bucket int, now time.Time) bool {
 	return bucket == 0 || k.tolerance.Window > 0 && now.Sub(a.usageKnownSince) >= k.tolerance.Window
 }
 
-// weigh decides by the account's levels alone. A request that may wait is granted as far
-// ahead: its turn is charged now, so that nobody who comes later is served before it.
+// decide decides on a request by the levels of the account's buckets. A request that can wait
+// long enough is granted a turn in the future, which is charged at once, so that no later
+// request is served before it.
 func (k *Keeper) decide(a *account, cost float64, patience time.Duration, now time.Time) Decision {
 	k.refill(a, now)
 	wait, nearest := k.soonest(a, cost, now)
@@ -71,14 +76,15 @@
 	return decision
 }
 
-// nearest is the bucket that holds a cost soonest.
+// soonestBucket is the bucket of an account that can serve a cost first.
 type soonestBucket struct {
-	// short is by how much it falls short of the cost, and rate what comes back in a second.
+	// shortfall is the amount that the bucket lacks to serve the cost; rate is its refill per
+	// second.
 	shortfall, rate, level float64
 }
 
-// shortest returns the time until one of the account's buckets holds a cost, zero where one
-// does, and that bucket.
+// soonest returns the time until one of the account's buckets can serve a cost, zero if one can
+// now, and that bucket.
 func (k *Keeper) soonest(a *account, cost float64, now time.Time) (time.Duration, soonestBucket) {
 	found := soonestBucket{shortfall: math.Inf(1), level: a.buckets[0].Level()}
 	for i := range a.buckets {
@@ -98,9 +104,9 @@
 	return time.Duration(seconds * float64(time.Second)), found
 }
 
-// lacks is by how much a bucket falls short of a cost. It fits where the debt that it
-// leaves is borne: one larger than a burst may leave one in the first bucket. Of what the
-// tolerance bears, a part is kept for nodes out of hearing as of the limit.
+// shortfall returns how much a bucket lacks to serve a cost, and whether it may serve it at
+// all. A token cost larger than the burst may leave a debt in the first bucket, as far as the
+// tolerance covers it. The reserved fraction reduces the tolerance as well as the limit.
 func (k *Keeper) shortfall(a *account, bucket int, cost float64) (amount float64, fits bool) {
 	maxExcess := k.tolerance.MaxExcess(a.limit) * (1 - a.reserved)
 	_, size := k.bucketRateAndSize(a, bucket)
@@ -114,7 +120,8 @@
 	return amount, a.limit.Unit != Tokens || cost-size <= maxExcess/maxDebtDivisor
 }
 
-// promise returns when a refused cost can be served, after those refused before it.
+// promiseRetry returns the time after which a refused request can be served, given the earlier
+// refused requests that will return first.
 func (k *Keeper) promiseRetry(a *account, shortfall, rate, cost float64, now time.Time) time.Duration {
 	if rate <= 0 {
 		return maxWait
@@ -125,20 +132,21 @@
 	return refillTime(shortfall+before, rate)
 }
 
-// waitFor is the time in which an amount comes back.
+// refillTime returns the time in which amount is refilled, within minWait and maxWait.
 func refillTime(amount, rate float64) time.Duration {
 	seconds := min(amount/rate, maxWait.Seconds())
 	return max(time.Duration(seconds*float64(time.Second)), minWait)
 }
 
-// AddJitter lengthens a wait by up to an eighth, so that callers who were refused together
-// don't come back together. Draw is from 0 to 1.
+// AddJitter lengthens a wait by up to an eighth, so that callers refused at the same time don't
+// retry at the same time. draw is a random number in [0, 1).
 func AddJitter(wait time.Duration, draw float64) time.Duration {
 	const jitterDivisor = 8
 	return wait + time.Duration(draw*float64(wait)/jitterDivisor)
 }
 
-// cold reports whether use before the account's time may still count.
+// isCold reports whether usage that this keeper doesn't know of may still count against the
+// limit.
 func (k *Keeper) isCold(a *account, now time.Time) bool {
 	age := now.Sub(a.usageKnownSince)
 	return age < k.tolerance.Window || age < maxColdPeriod && a.limit.Rate*age.Seconds() < a.limit.Burst
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -7,84 +7,87 @@
 	"time"
 )
 
-// How long use is kept.
+// Periods for which usage is kept.
 const (
-	// IdleTTL is when an account or a node's counters are forgotten: twice the time for
-	// which its keepers tell each other of it.
+	// IdleTTL is the time without usage after which an account, or the counters of a node, are
+	// dropped: twice the time for which keepers exchange them.
 	IdleTTL = 60 * time.Second
-	// inUseFor is for how long after a use the account's keepers tell each other of it.
+	// inUsePeriod is how long after the last usage of an account its keepers keep exchanging
+	// it.
 	inUsePeriod = 30 * time.Second
 )
 
-// Spender is a process that uses accounts.
+// Spender is a process whose requests are charged to accounts.
 type Spender struct {
-	// Node is its incarnation.
+	// Node is the process's incarnation.
 	Node    string
 	Address netip.AddrPort
 }
 
-// DecisionRequest asks a keeper for a request's cost.
+// DecisionRequest asks a keeper whether a request may be charged to an account.
 type DecisionRequest struct {
 	Account string
 	From    Spender
-	// Report holds the asker's counters without the request.
+	// Report holds the asking node's counters without this request.
 	Report Report
 	Cost   float64
-	// Patience is for how long the request may wait for its turn.
+	// Patience is how long the request may wait for its turn.
 	Patience time.Duration
-	// Split tells that another keeper of the account is out of hearing and may grant too.
+	// Split means that another keeper of the account is silent and may be granting too, as in a
+	// network partition.
 	Split bool
-	// Alone tells that no other keeper of the account was heard since this one began.
+	// Alone means that no other keeper of the account has been heard since this one started.
 	Alone bool
 }
 
-// Decision is a keeper's answer.
+// Decision is a keeper's answer to a DecisionRequest.
 type Decision struct {
 	Granted bool
-	// Cold tells that the keeper doesn't know what was used before it began, so that
-	// another may know better than to refuse.
+	// Cold means that the keeper doesn't know the usage before it started. Its refusals are not
+	// final: another keeper may know better.
 	Cold bool
-	// Level is what the bucket held that came nearest to the request, before it.
+	// Level is the level, before this request, of the bucket that could serve it soonest.
 	Level float64
-	// Wait is when a refused request can be served, given those refused before it.
+	// Wait is the time until a refused request can be served, after those refused earlier.
 	Wait time.Duration
-	// Delay is when a request that was granted has its turn, which nobody else is given, and
-	// Next when a further one of the same cost would be served at once.
+	// Delay is the time until the turn of a granted request; no other request gets the same
+	// turn. Next is the time until another request of the same cost would be served at once.
 	Delay, Next time.Duration
-	// Share is the asker's part of the recent use, up to 1.
+	// Share is the asking node's share of the recent usage, at most 1.
 	Share float64
-	// Reserved is the part of the limit that is kept for nodes out of hearing.
+	// Reserved is the fraction of the limit that is held back for silent nodes.
 	Reserved float64
-	// Limit and Version are those decided by.
+	// Limit and Version are the limit that was applied and its configuration version.
 	Limit   Limit
 	Version uint64
 }
 
-// Keeper decides what nodes may use of accounts. It is pure, and not safe for concurrent
-// use.
+// Keeper decides which requests may be charged to accounts. Each account has a few keepers,
+// which all nodes report their usage to; see docs/design/quotas.md. A Keeper does no I/O and
+// takes the time as an argument. It is not safe for concurrent use.
 type Keeper struct {
 	tolerance Tolerance
-	// since is from when on all use was reported here.
+	// reportsSince is the time from which on all usage was reported here.
 	reportsSince time.Time
 	accounts     map[string]*account
-	// heard is when each node's last report came, of whichever account.
+	// lastHeard is the time of each node's last report, for any account.
 	lastHeard map[string]time.Time
 }
 
-// NewKeeper returns a keeper that hears of all use from a time on.
+// NewKeeper returns a keeper to which all usage is reported from a time on.
 func NewKeeper(tolerance Tolerance, since time.Time) *Keeper {
 	return &Keeper{
 		tolerance: tolerance, reportsSince: since, accounts: make(map[string]*account), lastHeard: make(map[string]time.Time),
 	}
 }
 
-// Report takes in what a node has used. Keeps tells that this node is one of the account's
-// keepers, so that reports came here before.
+// Report merges a node's report of its usage. isKeeper means that this node already was one of
+// the account's keepers, so that earlier reports were sent here as well.
 func (k *Keeper) Report(name string, from Spender, report Report, isKeeper bool, now time.Time) {
 	k.mergeReport(k.account(name, report, isKeeper, now), from, report, now)
 }
 
-// Decide grants a request or refuses it.
+// Decide grants or refuses a request, and charges it if granted.
 func (k *Keeper) Decide(request DecisionRequest, isKeeper bool, now time.Time) Decision {
 	a := k.account(request.Account, request.Report, isKeeper, now)
 	s := k.mergeReport(a, request.From, request.Report, now)
@@ -102,7 +105,7 @@
 	return decision
 }
 
-// account returns the account of a name, and takes in a newer configuration.
+// account returns the named account, creating it if needed, and applies a newer limit.
 func (k *Keeper) account(name string, report Report, isKeeper bool, now time.Time) *account {
 	a, known := k.accounts[name]
 	if !known {
@@ -117,7 +120,8 @@
 	return a
 }
 
-// NodeStopped records that a process has ended as planned.
+// NodeStopped records that a process has shut down as planned, so that nothing is reserved for
+// it.
 func (k *Keeper) NodeStopped(node string) {
 	for _, a := range k.accounts {
 		if s, known := a.spenders[node]; known {
@@ -126,8 +130,9 @@
 	}
 }
 
-// ReportsMissed records that reports were missed until now: accounts hold only what is sure to
-// be left, and the next report of each node is what later ones are compared with.
+// ReportsMissed records that reports may have been missed until now, because this process stood
+// still or heard no other node. It lowers all accounts to the cold-start level, and uses the
+// next report of each node only as the baseline for later ones.
 func (k *Keeper) ReportsMissed(now time.Time) {
 	k.reportsSince = now
 	for _, a := range k.accounts {
@@ -142,8 +147,9 @@
 	}
 }
 
-// KeepersChanged records that the nodes that keep accounts have changed: this one keeps on with
-// those that it keeps still. New ones it knows from now on.
+// KeepersChanged records that accounts have been assigned to other keepers. It drops the
+// accounts that this node no longer keeps; accounts newly assigned to it are unknown before
+// now.
 func (k *Keeper) KeepersChanged(isKeeper func(name string) bool, now time.Time) {
 	k.reportsSince = now
 	for name := range k.accounts {
@@ -153,10 +159,10 @@
 	}
 }
 
-// Accounts returns the names of the accounts that are known here.
+// Accounts returns the names of all known accounts.
 func (k *Keeper) Accounts() []string { return slices.Collect(maps.Keys(k.accounts)) }
 
-// KnownSince returns since when an account is known here.
+// KnownSince returns the time at which this keeper created an account, or now if it has none.
 func (k *Keeper) KnownSince(name string, now time.Time) time.Time {
 	if a, known := k.accounts[name]; known {
 		return a.created
@@ -164,7 +170,7 @@
 	return now
 }
 
-// InUse returns the accounts that were used lately, with limit and version.
+// InUse returns the recently used accounts with their limits and configuration versions.
 func (k *Keeper) InUse(now time.Time) map[string]Report {
 	used := make(map[string]Report)
 	for name, a := range k.accounts {
@@ -175,7 +181,7 @@
 	return used
 }
 
-// Forget drops accounts and nodes that have been idle for long.
+// Forget drops accounts and nodes that have been idle for IdleTTL.
 func (k *Keeper) Forget(now time.Time) {
 	for node, heard := range k.lastHeard {
 		if now.Sub(heard) > IdleTTL {
@@ -190,7 +196,7 @@
 		}
 		idle := now.Sub(a.lastUsed) > IdleTTL
 		if idle {
-			a.reserved = 0 // nothing is kept for so long
+			a.reserved = 0 // reservations never last as long as IdleTTL
 		}
 		k.refill(a, now)
 		if idle && a.buckets[0].Level() >= a.limit.Burst {
--- a/internal/quota/meter.go
+++ b/internal/quota/meter.go
@@ -5,57 +5,59 @@
 	"time"
 )
 
-// privatePart is the part of Tolerance.Over that nodes which reach no keeper may use
-// between them in a window: half.
+// privateDivisor bounds what nodes that reach no keeper may use together in a window, to half
+// of Tolerance.MaxExcess.
 const privateDivisor = 2
 
-// repeatFor is for how long after a use it is reported again at rest, since a datagram may
-// be lost: twice. Of three datagrams one arrives in 99 of 100 cases though a fifth is lost.
+// repeatPeriod is how long after usage its report is repeated in the periodic messages, because
+// datagrams may be lost. That makes two repetitions; of three datagrams at least one arrives in
+// 99 of 100 cases, even if a fifth of all are lost.
 const repeatPeriod = 2 * time.Second
 
-// pauseAfter is from when on a use counts as one after a pause. It is less than IdleLife, so
-// that keepers which have forgotten this node hear when it began again.
+// minPause is the gap after which usage counts as a new period of use. It is shorter than
+// IdleTTL, so that keepers that have dropped this node's counters learn from Report.Age that
+// the period is new to them, and charge all of it.
 const minPause = IdleTTL / 2
 
-// Meter counts what this node has used of accounts, for its life. It is pure, and not safe
-// for concurrent use.
+// Meter counts what this node has charged to accounts since the process started. It does no I/O
+// and takes the time as an argument. It is not safe for concurrent use.
 type Meter struct {
 	tolerance Tolerance
 	accounts  map[string]*meteredAccount
-	// changed are the accounts to be reported.
+	// changed holds the accounts to be reported.
 	changed map[string]bool
 }
 
-// meterLife is how long an account is kept without use: until all keepers have forgotten this
-// node's counters of it, which begin at zero then.
+// meterTTL is how long an unused account is kept. By then all keepers have dropped this node's
+// counters for it, so they can start at zero again.
 const meterTTL = 3 * IdleTTL
 
-// metered is this node's use of one account.
+// meteredAccount is this node's usage of one account.
 type meteredAccount struct {
 	counters Counters
 	limit    Limit
 	version  uint64
-	// begun is when the present use began, before its net then, and used when it last rose;
-	// asked is when a request was last asked for.
+	// useBegan is the start of the current period of use, and netBefore the net usage at that
+	// time. lastUsed is the time of the last charge, and lastAsked that of the last Begin.
 	useBegan, lastUsed, lastAsked time.Time
 	netBefore                     float64
-	// share is this node's part of the recent use as a keeper told it at shareAt, zero where
+	// share is this node's share of the recent usage that a keeper reported at shareAt, zero if
 	// none has.
 	share   float64
 	shareAt time.Time
-	// allowance is what may be used without a keeper.
+	// allowance is what this node may use without a keeper.
 	allowance Bucket
-	// private tells that no keeper answered last.
+	// private means that no keeper answered the last request.
 	private bool
 }
 
-// NewMeter returns a meter at zero.
+// NewMeter returns a meter without any usage.
 func NewMeter(tolerance Tolerance) *Meter {
 	return &Meter{tolerance: tolerance, accounts: make(map[string]*meteredAccount), changed: make(map[string]bool)}
 }
 
-// Begin returns what to report with an ask for an account, whose limit is that of a
-// version of the configuration.
+// Begin returns the report to send with a request for a decision. limit is the account's limit
+// in the given configuration version.
 func (m *Meter) Begin(name string, limit Limit, version uint64, now time.Time) Report {
 	a, known := m.accounts[name]
 	if !known {
@@ -72,7 +74,7 @@
 	return m.Report(name, now)
 }
 
-// Report returns what to report of an account now.
+// Report returns the current report for an account.
 func (m *Meter) Report(name string, now time.Time) Report {
 	a, known := m.accounts[name]
 	if !known {
@@ -81,7 +83,7 @@
 	return Report{Counters: a.counters, Age: now.Sub(a.useBegan), Before: a.netBefore, Limit: a.limit, Version: a.version}
 }
 
-// Reports returns what to report of accounts now.
+// Reports returns the current reports for several accounts.
 func (m *Meter) Reports(names []string, now time.Time) map[string]Report {
 	reports := make(map[string]Report, len(names))
 	for _, name := range names {
@@ -90,7 +92,7 @@
 	return reports
 }
 
-// Take counts a cost as used.
+// Take adds a cost to the usage of an account.
 func (m *Meter) Take(name string, cost float64, now time.Time) {
 	if a, known := m.accounts[name]; known {
 		a.counters.Taken += cost
@@ -99,7 +101,7 @@
 	}
 }
 
-// Refund counts a cost that was taken as not used.
+// Refund records that a cost counted by Take was not used after all.
 func (m *Meter) Refund(name string, cost float64) {
 	if a, known := m.accounts[name]; known {
 		a.counters.Returned += cost
@@ -107,15 +109,16 @@
 	}
 }
 
-// TakeAndRefund counts a cost as taken and returned, since a keeper that didn't answer may have
-// granted it.
+// TakeAndRefund counts a cost as both taken and returned. It is for requests to a keeper that
+// didn't answer: the keeper may have granted and charged the cost, and Merge then cancels the
+// charge.
 func (m *Meter) TakeAndRefund(name string, cost float64, now time.Time) {
 	m.Take(name, cost, now)
 	m.Refund(name, cost)
 }
 
-// SetShare takes in this node's share, as a keeper tells it. It reports whether the node got
-// along without a keeper before.
+// SetShare records this node's share of the usage as reported by a keeper. It returns whether
+// the previous decision was made without a keeper.
 func (m *Meter) SetShare(name string, share float64, now time.Time) (wasPrivate bool) {
 	a, known := m.accounts[name]
 	if !known {
@@ -126,21 +129,21 @@
 	return wasPrivate
 }
 
-// PrivateDecision is a decision without a keeper.
+// PrivateDecision is a decision that this node made without a keeper.
 type PrivateDecision struct {
 	Granted bool
-	// First tells that keepers answered before.
+	// First means that the previous decision was made by a keeper.
 	First bool
-	// Level is what the allowance held.
+	// Level is the level of the allowance before the decision.
 	Level float64
 	Wait  time.Duration
 }
 
-// DecidePrivately decides on a cost that no keeper has answered for. The allowance is this node's
-// share of half of what may be used past the limit in a window. A request that costs more
-// than the allowance ever holds passes by a draw from 0 to 1, as probably as it is held, and
-// takes what is held either way: a debt at each of many nodes would be more than all of them
-// may use.
+// DecidePrivately decides on a request that no keeper has answered. The allowance is this
+// node's share of half of MaxExcess per window. A request that costs more than the allowance
+// can ever hold is granted at random, with probability level/cost (draw is a random number in
+// [0, 1)), and empties the allowance either way. Letting it leave a debt instead would let many
+// nodes together use more than the tolerance.
 func (m *Meter) DecidePrivately(name string, nodes int, cost, draw float64, now time.Time) PrivateDecision {
 	a, known := m.accounts[name]
 	if !known {
@@ -169,8 +172,9 @@
 	return decision
 }
 
-// shareOf is this node's part of the use, one of nodes where no keeper has told it within a
-// window: shares told at different times don't add up to one.
+// shareOf returns this node's share of the usage of an account. Without a report from a keeper
+// in the last window it is an equal share among nodes: shares reported at different times don't
+// add up to one.
 func (m *Meter) shareOf(a *meteredAccount, nodes int, now time.Time) float64 {
 	if a.share > 0 && now.Sub(a.shareAt) <= m.tolerance.Window {
 		return a.share
@@ -178,7 +182,7 @@
 	return 1 / float64(max(nodes, 1))
 }
 
-// Changed returns the accounts that have changed since the last call.
+// Changed returns the accounts whose usage has changed since the last call.
 func (m *Meter) Changed() []string {
 	names := make([]string, 0, len(m.changed))
 	for name := range m.changed {
@@ -189,7 +193,7 @@
 	return names
 }
 
-// Forget drops the accounts that were neither used nor asked for in a long time.
+// Forget drops the accounts without usage or requests for meterTTL.
 func (m *Meter) Forget(now time.Time) {
 	for name, a := range m.accounts {
 		if now.Sub(a.lastUsed) > meterTTL && now.Sub(a.lastAsked) > meterTTL {
@@ -199,7 +203,7 @@
 	}
 }
 
-// RecentlyUsed returns the accounts that are to be reported at rest.
+// RecentlyUsed returns the accounts whose reports are to be repeated in the periodic message.
 func (m *Meter) RecentlyUsed(now time.Time) []string {
 	var names []string
 	for name, a := range m.accounts {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,34 +1,36 @@
-// Package quota keeps tenants within what they may use: a rate and a burst that hold over
-// all nodes together. It is pure: time is an argument. docs/design/quotas.md tells who
-// decides, where the accounts live, and what a failure costs.
+// Package quota limits what tenants may use by a rate and a burst that hold across all nodes
+// together. A few nodes, the keepers of a tenant's account, decide on requests; every node
+// reports its usage to all of them. The package does no I/O and takes the time as an argument.
+// docs/design/quotas.md describes which nodes decide, where accounts are kept, and what
+// failures cost.
 package quota
 
 import "time"
 
-// Unit is what a limit counts.
+// Unit is the unit in which a limit is counted.
 type Unit string
 
-// The units.
+// Units of limits.
 const (
 	Requests Unit = "requests"
 	Tokens   Unit = "tokens"
 )
 
-// Limit is what a tenant may use, over all nodes together. The zero Limit is none.
+// Limit is what a tenant may use across all nodes. The zero Limit means no limit.
 type Limit struct {
-	// Rate comes back in a second, and Burst is the most that is saved up, both in Unit.
+	// Rate is the refill per second, and Burst the most that can be saved up, both in Unit.
 	Rate, Burst float64
 	Unit        Unit
-	// DefaultTokens is the cost of a request that doesn't tell its tokens, where tokens are
-	// counted.
+	// DefaultTokens is the cost of a request that doesn't declare its tokens, where Unit is
+	// Tokens.
 	DefaultTokens int
 }
 
-// Limited reports whether there is a limit at all.
+// Limited reports whether l limits anything.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
-// Cost is what a request counts: tokens is the sum of those that it declares, zero where
-// it declares none.
+// Cost returns the cost of a request; tokens is the number of tokens that it declares, zero if
+// none.
 func (l Limit) Cost(tokens int) float64 {
 	switch {
 	case l.Unit != Tokens:
@@ -39,19 +41,19 @@
 	return float64(l.DefaultTokens)
 }
 
-// Tolerance is by how much the operators let all nodes together exceed a limit in any
-// window: a share of what it allows there, and a fixed count in the unit of the limit.
-// It pays for what nodes use that can't hear each other.
+// Tolerance is how far all nodes together may exceed a limit in any window: a fraction of what
+// the limit allows there (Overshoot), plus a fixed amount in the unit of the limit (Slack). It
+// covers usage by nodes that can't reach each other.
 type Tolerance struct {
 	Window    time.Duration
 	Overshoot float64
 	Slack     float64
-	// Ahead is how far ahead turns are given to requests that can wait; none are where it is
-	// zero.
+	// Ahead is how far in the future turns are granted to requests that can wait. If zero, none
+	// are.
 	Ahead time.Duration
 }
 
-// MaxExcess is what may be used past a limit in a window.
+// MaxExcess returns how much may be used beyond a limit in a window.
 func (t Tolerance) MaxExcess(limit Limit) float64 {
 	return t.Overshoot*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
 }
--- a/internal/quota/request.go
+++ b/internal/quota/request.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// ChargeRequest is a request of a tenant that is to be charged.
+// ChargeRequest asks to charge a tenant's request to the tenant's account.
 type ChargeRequest struct {
 	Tenant string
-	// Limit is the tenant's by the configuration of Version.
+	// Limit is the tenant's limit in configuration version Version.
 	Limit   Limit
 	Version uint64
 	Cost    float64
-	// Patience is for how long the request may wait for its turn. Without any it is served at
-	// once or refused.
+	// Patience is how long the request may wait for its turn. If zero, it is granted at once or
+	// refused.
 	Patience time.Duration
 }
 
-// Charge returns what the claim's tenant is charged.
+// Charge returns the charge to the tenant's account.
 func (c ChargeRequest) Charge() Charge {
 	return Charge{Account: AccountName(c.Tenant, c.Limit.Unit), Cost: c.Cost}
 }
 
-// Charge is what a request has cost an account. The zero Charge is none.
+// Charge is an amount charged to an account. The zero Charge charges nothing.
 type Charge struct {
 	Account string
 	Cost    float64
@@ -28,27 +28,26 @@
 // None reports whether nothing was charged.
 func (c Charge) None() bool { return c.Account == "" }
 
-// Outcome is what became of a claim.
+// Outcome is the result of a ChargeRequest, whether a keeper or this node decided.
 type Outcome struct {
 	Granted bool
-	// Private tells that no keeper answered, so that this node's own allowance decided.
+	// Private means that no keeper answered, so this node decided by its own allowance.
 	Private bool
-	// Keeper is the address of the keeper that decided, empty where none did.
+	// Keeper is the address of the keeper that decided, empty if none did.
 	Keeper string
-	// Level is what the account, or the allowance, held.
+	// Level is the level of the account's bucket, or of the allowance, before the request.
 	Level float64
-	// Reserved is the part of the limit that the keeper holds back for nodes that it can't
-	// hear.
+	// Reserved is the fraction of the limit that the keeper holds back for silent nodes.
 	Reserved float64
-	// Version is that of the configuration that decided.
+	// Version is the configuration version of the applied limit.
 	Version uint64
-	// RetryAfter is when a refused request can be served.
+	// RetryAfter is the time until a refused request can be served.
 	RetryAfter time.Duration
-	// Delay is when a request that was granted has its turn, and Next when a further one
+	// Delay is the time until the turn of a granted request. Next is the time until another one
 	// would be served at once, as far as the keeper knows.
 	Delay, Next time.Duration
-	// Asked and Unanswered count the keepers.
+	// Asked and Unanswered are the numbers of keepers that were asked and that didn't answer.
 	Asked, Unanswered int
-	// Took is how long the answer took.
+	// Took is the time until the decision.
 	Took time.Duration
 }
--- a/internal/quota/silent.go
+++ b/internal/quota/silent.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// The figures of nodes out of hearing.
+// Bounds for the handling of silent nodes, from which no message arrives.
 const (
-	// maxReserved leaves something to nodes that begin to use an account while others are
-	// out of hearing: the overshoot that is commonly tolerated.
+	// maxReserved leaves a tenth of the limit to nodes that begin to use an account while
+	// others are silent, as much as the overshoot that is commonly tolerated.
 	maxReserved = 0.9
-	// SilentAfter is when a node counts as out of hearing: two of the reports of a keeper at
-	// rest, or two of the answers to such a keeper's probes, may be lost. In that time two
-	// halves that have lost each other may use the limit twice: hardly more than is
-	// tolerated where the burst is a second's rate and the overshoot a tenth in 8 s.
+	// SilentAfter is the time without a message after which a node counts as silent. Two
+	// consecutive periodic reports of a keeper, or two answers to its probes, may be lost
+	// before that. For this long, two halves of a partitioned fleet may each use the whole
+	// limit; where the burst equals one second at the rate and the overshoot is a tenth over 8
+	// s, that is hardly more than is tolerated.
 	SilentAfter = 1100 * time.Millisecond
-	// reservedFor is for how long a silent node's share is kept for it. Most cuts end
-	// before, and a process that died has a successor.
+	// reservationPeriod is how long the share of a silent node is held back. Most partitions
+	// end sooner, and a process that died has been replaced by then.
 	reservationPeriod = 30 * time.Second
 )
 
-// silentShare is the part of the use of nodes that are out of hearing, other than the one
+// silentShare returns the share of recent usage that belongs to silent nodes, without the node
 // that asks.
 func (k *Keeper) silentShare(a *account, asker string, now time.Time) float64 {
 	sum := 0.0
@@ -38,7 +39,7 @@
 	return min(sum, maxReserved)
 }
 
-// shareOf is a node's part of the recent use.
+// shareOf returns a node's share of the recent usage of an account.
 func (k *Keeper) shareOf(a *account, s *spender, now time.Time) float64 {
 	total := a.total.decay(k.tolerance.Window, now)
 	if total <= 0 {
@@ -47,8 +48,8 @@
 	return min(s.recent.decay(k.tolerance.Window, now)/total, 1)
 }
 
-// SilentNodes returns the nodes with recent use of an account that weren't heard for a time, as
-// those that may have to be probed.
+// SilentNodes returns the addresses of nodes with recent usage of an account from which nothing
+// was heard for at least minSilence. They may have to be probed.
 func (k *Keeper) SilentNodes(name string, minSilence time.Duration, now time.Time) []netip.AddrPort {
 	a, known := k.accounts[name]
 	if !known {
