--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -7,73 +7,79 @@
 	"time"
 )
 
-// The figures of the judgement.
+// Parameters of the evaluation.
 const (
-	// enoughCrashes is how many workers must have ended under a request, before they answered
-	// it, for it to be quarantined where nothing else explains their ends. One or two happen
-	// by chance: a worker that ends takes all that it runs along, and what ran beside is sent
-	// on together.
+	// minCrashes is the number of workers that must have crashed while running a request,
+	// before they began to answer it, for the request to be quarantined where no other request
+	// explains the crashes. One or two happen by chance: a worker that crashes takes all its
+	// requests along, and requests that ran on it side by side may be sent on together to the
+	// next worker.
 	minCrashes = 3
-	// certainCrashes is the number of ends from which it is quarantined though another
-	// request was at each of them too, or all were at one address, or the answer had begun:
-	// the promise is that it reaches three more workers after the third at most.
+	// conclusiveCrashes is the number of crashes from which a request is quarantined even if
+	// another request was present at each of them, all were at one address, or the answers had
+	// begun. With it, a request reaches at most three more workers after its third crash,
+	// trials included.
 	conclusiveCrashes = 5
-	// maxQuarantined bounds the requests that are quarantined at a time: where more seem to
-	// crash their workers, the workers are at fault, and refusing all would end the service.
+	// maxQuarantined bounds the requests in quarantine at a time. If more than that seem to
+	// crash their workers, the workers are at fault, and refusing all the requests would end
+	// the service.
 	maxQuarantined = 64
-	// maxCrashes bounds the ends that are remembered of one request.
+	// maxCrashes bounds the crashes kept for one request.
 	maxCrashes = 16
-	// maxRecords bounds the requests that are remembered, those with the fewest ends going
-	// first: some hundred bytes each.
+	// maxRecords bounds the requests that are kept, at some hundred bytes each. Those with the
+	// fewest crashes are evicted first.
 	maxRecords = 4096
-	// suspectedFor is how long a request is remembered that isn't quarantined, and
-	// quarantinedFor one that is: then it is given to workers again, and can end three.
+	// suspectedFor is how long a request that isn't quarantined is kept, and quarantinedFor how
+	// long one that is. After that it may reach workers again, and crash three more.
 	suspectedFor   = time.Hour
 	quarantinedFor = 24 * time.Hour
-	// settleTime is how long the nodes take at most to hear what each of them ran at a worker
-	// that has ended: a look at it (lookPatience) and the way between two regions.
+	// settlePeriod is the longest time until all nodes know what each of them was running on a
+	// crashed worker: the check of the worker (lookPatience in package dispatch) and the
+	// latency between two regions.
 	settlePeriod = 60 * time.Millisecond
 )
 
-// trialAfter is for how long after its last crash a quarantined request is given to no
-// worker, by the crashes that it has above enoughCrashes: longer than workers take to be
-// back, and than an operator takes to go back to a version of them that bears it. Then one
-// run shows whether it is borne. Each costs a worker where it isn't, so there are no more
-// than the three that the promise leaves.
+// trialDelays is how long after its last crash a quarantined request is kept from workers
+// before a trial, by the number of its crashes above minCrashes. The delays are longer than
+// workers take to restart, and than an operator takes to roll back to a version that can run
+// the request. A trial runs the request once to see whether it still crashes its worker. Each
+// failed trial costs a worker, so there are no more than the three that the guarantee of
+// conclusiveCrashes allows.
 var trialDelays = [...]time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour}
 
-// Crash is the end of a worker that ran a request.
+// Crash is the crash of a worker that was running a request.
 type Crash struct {
-	// Worker is its id, which none after it has, and Address where it was.
+	// Worker is the worker's id, which is never reused, and Address its address.
 	Worker  string `json:"w"`
 	Address string `json:"a"`
-	// Answering tells that the worker had begun to answer the request.
+	// Answering means that the worker had begun to answer the request.
 	Answering bool `json:"o,omitempty"`
-	// Cleared crashes are known not to be the request's doing.
+	// Cleared means that the request is known not to have caused the crash.
 	Cleared bool `json:"x,omitempty"`
 }
 
-// Record is what is known of a request. Records of the same request from several nodes are
-// joined: the crashes are those of all, one is cleared that is cleared in any, and the
-// worker was answering only where it was in all. Its names are
-// short since nodes tell it to each other.
+// Record holds what is known of a request. Records of the same request from several nodes are
+// merged: the result has the crashes of all of them, a crash is cleared if it is in any, and
+// Answering only if it is in all. The JSON names are short because nodes send records to each
+// other in datagrams.
 type Record struct {
 	Fingerprint Fingerprint `json:"f"`
-	// Crashes are ordered by worker.
+	// Crashes are sorted by worker.
 	Crashes []Crash `json:"c"`
-	// Quarantined is the judgement of the node that tells it. It gives way to one's own, but
-	// decides which of two requests came first that explain each other's crashes.
+	// Quarantined is the result of the sending node's evaluation. The receiving node evaluates
+	// the record itself, but uses Quarantined to tell which of two requests was quarantined
+	// first, if each explains the other's crashes.
 	Quarantined bool `json:"q,omitempty"`
 }
 
-// Sorted returns a record that came from elsewhere with its crashes in order.
+// Sorted returns a copy of a record from elsewhere with its crashes sorted.
 func (r Record) Sorted() Record {
 	crashes := slices.Clone(r.Crashes)
 	slices.SortFunc(crashes, func(a, b Crash) int { return cmp.Compare(a.Worker, b.Worker) })
 	return Record{Fingerprint: r.Fingerprint, Crashes: crashes[:min(len(crashes), maxCrashes)], Quarantined: r.Quarantined}
 }
 
-// CountedCrashes is the number of crashes that aren't cleared.
+// CountedCrashes returns the number of crashes that aren't cleared.
 func (r Record) CountedCrashes() int {
 	count := 0
 	for _, crash := range r.Crashes {
@@ -84,7 +90,7 @@
 	return count
 }
 
-// covers reports whether a record holds all crashes that another does, as it does.
+// covers reports whether merging other into r would change nothing.
 func (r Record) covers(other Record) bool {
 	for _, crash := range other.Crashes {
 		at, found := r.find(crash.Worker)
@@ -99,53 +105,55 @@
 	return slices.BinarySearchFunc(r.Crashes, worker, func(c Crash, worker string) int { return cmp.Compare(c.Worker, worker) })
 }
 
-// Status is how a request is to be treated.
+// Status tells whether a request may be sent to a worker now.
 type Status struct {
-	// Crashes is the number of workers that ended under it and count.
+	// Crashes is the number of crashes that count against the request.
 	Crashes int
-	// Quarantined requests are given to no worker.
+	// Quarantined requests must not be sent to any worker.
 	Quarantined bool
-	// TrialDue tells that one run may show whether it still crashes its worker, and Left when
-	// that is next so, or else the request is let go.
+	// TrialDue means that the request may run once to see whether it still crashes its worker.
+	// Left is the time until the next trial is due, or until the quarantine ends.
 	TrialDue bool
 	Left     time.Duration
-	// Settling is for how long a request waits whose last crash is so young that others may
-	// still be told of it: only then is it known what else was there.
+	// Settling is how long the request has to wait because its last crash is so recent that
+	// reports from other nodes may still be on their way. Only then is it known which other
+	// requests were running on the crashed worker.
 	Settling time.Duration
 }
 
-// entry is a record with what only this node knows of it.
+// entry is a record with the state that only this node has for it.
 type entry struct {
 	Record
-	// changed is when the record last changed here, and crashed when a crash was added.
+	// changedAt is when the record last changed here, and lastCrashAt when a crash was last
+	// added.
 	changedAt, lastCrashAt time.Time
-	// stored is what the store is known to hold of it, nil where it holds nothing, and storedAt
-	// the store's version that wrote it.
+	// stored is the record as the store is known to hold it, nil if it holds none, and
+	// storedVersion the version of the store that wrote it.
 	stored        *Record
 	storedVersion uint64
 }
 
-// Detector holds what a node knows of requests under which workers ended. It is pure: time is
-// an argument.
+// Detector holds the crashes that a node knows of and finds the requests that cause them. It
+// does no I/O and takes the time as an argument.
 type Detector struct {
 	entries map[Fingerprint]*entry
-	// byWorker holds the requests that ran at a worker when it ended.
+	// byWorker holds the requests that were running on each crashed worker.
 	byWorker map[string][]Fingerprint
-	// grave are those with enoughCrashes or more: few, even where a rack's loss has made
-	// thousands suspected.
+	// candidates are the entries with minCrashes or more counted crashes. They are few, even
+	// after the loss of a rack, which makes thousands of requests suspected.
 	candidates map[Fingerprint]*entry
-	// judged are those that the last judgement has quarantined.
+	// lastQuarantined are the requests that the last evaluation quarantined.
 	lastQuarantined map[Fingerprint]bool
 }
 
-// NewDetector returns an empty book.
+// NewDetector returns a detector that knows of no crashes.
 func NewDetector() *Detector {
 	return &Detector{
 		entries: make(map[Fingerprint]*entry), byWorker: make(map[string][]Fingerprint), candidates: make(map[Fingerprint]*entry),
 	}
 }
 
-// Status tells how a request is to be treated.
+// Status returns the status of a request.
 func (d *Detector) Status(request Fingerprint, now time.Time) Status {
 	known, exists := d.entries[request]
 	if !exists {
@@ -163,7 +171,7 @@
 	return status
 }
 
-// untilTrial is the time until a trial is due, or until the request is let go.
+// untilTrial returns the time until a trial is due, or until the quarantine ends.
 func (e *entry) untilTrial(now time.Time) time.Duration {
 	span := quarantinedFor
 	if next := max(e.CountedCrashes()-minCrashes, 0); next < len(trialDelays) {
@@ -172,8 +180,8 @@
 	return span - now.Sub(e.lastCrashAt)
 }
 
-// Crashed records that a worker ended that ran these requests. It returns the records that
-// have changed.
+// Crashed records the crash of a worker and the requests that it was running. It returns the
+// records that have changed.
 func (d *Detector) Crashed(crash Crash, ran []Fingerprint, now time.Time) []Record {
 	var records []Record
 	for _, request := range ran {
@@ -182,7 +190,7 @@
 	return d.Merge(records, now)
 }
 
-// Merge joins records from elsewhere with those known. It returns the ones that have
+// Merge merges records from elsewhere into the known ones. It returns the records that have
 // changed.
 func (d *Detector) Merge(records []Record, now time.Time) []Record {
 	var changed []Record
@@ -195,7 +203,7 @@
 	return changed
 }
 
-// join adds what a record tells.
+// mergeRecord adds the crashes of a record to the entry of its request.
 func (d *Detector) mergeRecord(record Record, now time.Time) Record {
 	known := d.entry(record.Fingerprint)
 	for _, crash := range record.Crashes {
@@ -217,7 +225,7 @@
 	return known.clone()
 }
 
-// weigh keeps grave up to date.
+// updateCandidate keeps candidates up to date.
 func (d *Detector) updateCandidate(known *entry) {
 	if known.CountedCrashes() >= minCrashes {
 		d.candidates[known.Fingerprint] = known
@@ -227,7 +235,7 @@
 	known.Quarantined = false
 }
 
-// copied returns a record that shares nothing with the entry.
+// clone returns a copy of the entry's record.
 func (e *entry) clone() Record {
 	return Record{Fingerprint: e.Fingerprint, Crashes: slices.Clone(e.Crashes), Quarantined: e.Quarantined}
 }
@@ -242,8 +250,8 @@
 	return known
 }
 
-// makeRoom forgets an eighth of the requests where there are too many: those with the fewest
-// crashes, of these the ones that have not changed for longest.
+// evict removes an eighth of the entries if there are too many: those with the fewest crashes,
+// and among these the ones that have not changed for the longest time.
 func (d *Detector) evict() {
 	if len(d.entries) < maxRecords {
 		return
@@ -281,7 +289,7 @@
 	d.byWorker[worker] = left
 }
 
-// trim forgets crashes of a request that has too many, cleared ones first.
+// trim removes crashes of a request that has more than maxCrashes, cleared ones first.
 func (d *Detector) trim(known *entry) {
 	for len(known.Crashes) > maxCrashes {
 		at := max(slices.IndexFunc(known.Crashes, func(c Crash) bool { return c.Cleared }), 0)
@@ -290,9 +298,9 @@
 	}
 }
 
-// Clear records that none of a request's crashes so far is its doing: a worker ran it to
-// an end and lives, or an operator says so. It returns the record, false where nothing has
-// changed.
+// Clear records that a request caused none of its crashes so far, because a worker ran it to
+// completion and is alive, or because an operator says so. It returns the record, and false if
+// nothing has changed.
 func (d *Detector) Clear(request Fingerprint, now time.Time) (Record, bool) {
 	known, exists := d.entries[request]
 	if !exists || known.CountedCrashes() == 0 {
@@ -306,8 +314,8 @@
 	return known.clone(), true
 }
 
-// Release lets a request go that an operator has cleared, and all that ran beside it: what
-// it explained counts against no other.
+// Release releases a request that an operator has cleared. The crashes that it explained no
+// longer count against any request, so those that ran beside it are released as well.
 func (d *Detector) Release(request Fingerprint, now time.Time) []Record {
 	known, exists := d.entries[request]
 	if !exists {
@@ -322,8 +330,8 @@
 	return changed
 }
 
-// ClearWorker has a worker's end count against nobody, since it lives or its end is explained. It
-// returns the records that have changed.
+// ClearWorker clears a worker's crash for all requests, because the worker is alive or its end
+// has been explained. It returns the records that have changed.
 func (d *Detector) ClearWorker(worker string, now time.Time) []Record {
 	var records []Record
 	for _, request := range d.byWorker[worker] {
@@ -332,7 +340,7 @@
 	return d.Merge(records, now)
 }
 
-// Expire forgets what is old, and returns the records that were in the store.
+// Expire removes old entries, and returns the records among them that are in the store.
 func (d *Detector) Expire(now time.Time) []Record {
 	var stored []Record
 	for _, known := range d.entries {
@@ -351,7 +359,7 @@
 	return stored
 }
 
-// Counts tells how many requests are suspected and how many quarantined.
+// Counts returns the numbers of suspected and of quarantined requests.
 func (d *Detector) Counts() (suspected, quarantined int) {
 	for _, known := range d.entries {
 		switch {
--- a/internal/quarantine/evaluate.go
+++ b/internal/quarantine/evaluate.go
@@ -2,23 +2,24 @@
 
 import "slices"
 
-// Changes tells what a new judgement has changed.
+// Changes are the requests that an evaluation has newly quarantined and released.
 type Changes struct {
 	Quarantined, Released []Record
 }
 
-// Evaluate works out anew which requests are quarantined, from what is known now: a report that
-// comes late may show that another request explains the same crashes.
+// Evaluate decides anew which requests are quarantined, by all that is known now: a late report
+// may show that another request explains the same crashes.
 //
-// A worker that ends takes all that it runs along, so that one crash says little of any of
-// these requests, and those that ran beside each other may be sent on together to the next
-// worker. So a request is quarantined only where three workers have ended under it, without
-// a piece of an answer, since it last ran to an end, and no other request that is still
-// suspected was at all of these ends. What a quarantined request was at counts against no
-// other. All nodes that know the same crashes judge alike.
+// A worker that crashes takes all its requests along, so a single crash says little about any
+// of them, and requests that ran side by side may be sent on together to the next worker. A
+// request is therefore quarantined only if three workers have crashed before they began to
+// answer it, since it last ran to completion, and no other suspected request was present at all
+// of these crashes. A crash at which a quarantined request was present counts against no other
+// request. All nodes that know the same crashes come to the same result.
 //
-// What was quarantined before stays so while that still holds, whatever else is suspected
-// by now: of two requests that explain each other's crashes, the one that was proved first.
+// A request that was quarantined before stays so as long as these conditions hold, whatever
+// else has become suspected meanwhile: of two requests that explain each other's crashes, the
+// one that was quarantined first remains.
 func (d *Detector) Evaluate() Changes {
 	before := make(map[Fingerprint]bool)
 	for request, known := range d.candidates {
@@ -30,8 +31,8 @@
 	return d.compareWithLast()
 }
 
-// quarantine quarantines requests of some kind, up to a number, the worst first. It returns
-// how many.
+// quarantine quarantines up to limit of the matching requests, those with the most unexplained
+// crashes first. It returns their number.
 func (d *Detector) quarantine(limit int, matches func(known *entry) bool) int {
 	for count := range limit {
 		worst := d.worst(matches)
@@ -43,7 +44,7 @@
 	return limit
 }
 
-// changes compares the judgement with the one before.
+// compareWithLast returns the differences to the last evaluation.
 func (d *Detector) compareWithLast() Changes {
 	var changes Changes
 	nowQuarantined := make(map[Fingerprint]bool)
@@ -65,8 +66,8 @@
 	return changes
 }
 
-// worst returns the request of some kind with the most unexplained crashes, of those that
-// are to be quarantined and aren't yet, nil where there is none.
+// worst returns the matching request with the most unexplained crashes among those that meet
+// the conditions and aren't quarantined yet, or nil.
 func (d *Detector) worst(matches func(known *entry) bool) *entry {
 	var worst *entry
 	most := 0
@@ -85,8 +86,8 @@
 	return worst
 }
 
-// blame returns the crashes that count against a request: those that no quarantined request
-// was at.
+// blamedCrashes returns the crashes that count against a request: those at which no quarantined
+// request was present.
 func (d *Detector) blamedCrashes(known *entry) []Crash {
 	var blamed []Crash
 	for _, crash := range known.Crashes {
@@ -97,7 +98,7 @@
 	return blamed
 }
 
-// isExplained reports whether a quarantined request was at a worker's end.
+// isExplained reports whether a quarantined request was present at the crash of a worker.
 func (d *Detector) isExplained(worker string) bool {
 	return slices.ContainsFunc(d.byWorker[worker], func(request Fingerprint) bool {
 		other := d.entries[request]
@@ -105,13 +106,14 @@
 	})
 }
 
-// counts reports whether a worker's end counts against a request.
+// countsAgainst reports whether the crash of a worker counts against a request.
 func (e *entry) countsAgainst(worker string) bool {
 	at, found := e.find(worker)
 	return found && !e.Crashes[at].Cleared
 }
 
-// isProved reports whether the crashes that count against a request are enough.
+// hasEnoughEvidence reports whether the crashes that count against a request suffice to
+// quarantine it.
 func (d *Detector) hasEnoughEvidence(known *entry, blamed []Crash) bool {
 	if len(blamed) >= conclusiveCrashes {
 		return true
@@ -119,7 +121,7 @@
 	return unanswered(blamed) >= minCrashes && !sameAddress(blamed) && !d.hasEqualSuspect(known, blamed)
 }
 
-// unanswered counts the crashes of workers that had not begun to answer.
+// unanswered counts the crashes of workers that had not begun to answer the request.
 func unanswered(crashes []Crash) int {
 	count := 0
 	for _, crash := range crashes {
@@ -130,13 +132,13 @@
 	return count
 }
 
-// sameAddress reports whether all crashes were at one address: the machine there may be at
+// sameAddress reports whether all crashes were at one address, where the machine may be at
 // fault.
 func sameAddress(crashes []Crash) bool {
 	return !slices.ContainsFunc(crashes, func(c Crash) bool { return c.Address != crashes[0].Address })
 }
 
-// hasRival reports whether another request that is still suspected was at all these
+// hasEqualSuspect reports whether another suspected request was present at all of these
 // crashes.
 func (d *Detector) hasEqualSuspect(known *entry, blamed []Crash) bool {
 	return slices.ContainsFunc(d.byWorker[blamed[0].Worker], func(request Fingerprint) bool {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -11,23 +11,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// Fingerprint names what a request asks for, whatever its id: requests with the same
+// Fingerprint identifies what a request asks for, independent of its id: requests with the same
 // fingerprint make a worker do the same work.
 type Fingerprint [16]byte
 
-// Content is what makes two requests the same.
+// Content holds the parts of a request that its fingerprint covers.
 type Content struct {
 	Method string
 	Host   string
 	// Target is the path and query.
 	Target string
-	// Tenant is whose request it is, empty where callers aren't told apart.
+	// Tenant is the request's tenant, empty where callers aren't told apart.
 	Tenant string
 	Body   []byte
 }
 
-// Fingerprint returns the content's name: the first half of a SHA-256 over all fields, so
-// that nobody can make up another request with the same name.
+// Fingerprint returns the first half of a SHA-256 over all fields. That is long enough that
+// nobody can construct another request with the same fingerprint.
 func (c Content) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
@@ -39,7 +39,7 @@
 	return Fingerprint(hash.Sum(nil)[:len(Fingerprint{})])
 }
 
-// String renders a fingerprint in hexadecimal.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -55,7 +55,7 @@
 // less orders fingerprints.
 func (f Fingerprint) less(other Fingerprint) bool { return bytes.Compare(f[:], other[:]) < 0 }
 
-// ParseFingerprint reads what String renders.
+// ParseFingerprint parses the result of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(Fingerprint{}) {
--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -10,53 +10,56 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The figures of what a node tells others.
+// Parameters of the messages to other nodes.
 const (
-	// tellings is how often a change is told, since datagrams may be lost, and tellEvery the
-	// time between two.
+	// broadcastRepeats is how many times a change is sent to the other nodes, because datagrams
+	// may be lost; broadcastInterval is the time between two of them.
 	broadcastRepeats  = 3
 	broadcastInterval = 150 * time.Millisecond
-	// worthSaving is the number of crashes from which a request is told to all nodes and
-	// kept in the store. One crash says nearly nothing, and each end of a worker makes as
-	// many of them as it ran requests.
+	// sharedCrashes is the number of crashes from which a request is shared with all nodes and
+	// saved in the store. A single crash says next to nothing, and every crash of a worker adds
+	// one to each of the requests that it was running.
 	sharedCrashes = 2
 )
 
-// Where a change comes from, in the log; changes that other nodes tell name the node.
+// Sources of a change in the log. Changes received from another node have the node's name.
 const (
 	sourceOwn   = "own"
 	sourceStore = "store"
 	sourceAge   = "age"
 )
 
-// telling is a record that others are still to be told.
+// pendingBroadcast is a record that is still to be sent to other nodes.
 type pendingBroadcast struct {
 	record  Record
 	repeats int
 	due     time.Time
 }
 
-// Manager keeps a node's book: it takes in what this node sees, other nodes tell and the
-// store holds, and knows what is still to be told and saved. It is safe for concurrent use.
+// Manager keeps a node's Detector up to date with what this node observes, what other nodes
+// report and what the store holds, and knows which records are still to be sent and saved. It
+// is safe for concurrent use.
 type Manager struct {
 	log logrus.FieldLogger
-	// alone keepers belong to a node that tells others nothing.
+	// local means that this node sends nothing to other nodes.
 	local bool
-	// refused counts the tries of quarantined requests.
+	// refused counts the tries of quarantined requests that were refused.
 	refused prometheus.Counter
-	// chosen reports whether this node is the one that gives a request its trials.
+	// runsTrials reports whether this node is the one that runs the trials of a request.
 	runsTrials func(request Fingerprint) bool
-	// toTell and toSave are sent to when there may be something new to be told or saved.
+	// dueSignal and unsavedSignal receive a value when there may be new records to send or
+	// save.
 	dueSignal, unsavedSignal chan struct{}
 
 	mu       sync.Mutex
 	detector *Detector
 	pending  map[Fingerprint]*pendingBroadcast
-	// tried is when this node last let a quarantined request through.
+	// lastTrial is when this node last let each quarantined request through.
 	lastTrial map[Fingerprint]time.Time
 }
 
-// NewManager returns a keeper that knows nothing.
+// NewManager returns a manager that knows of no crashes. runsTrials reports whether this node
+// runs the trials of a request.
 func NewManager(runsTrials func(request Fingerprint) bool, log logrus.FieldLogger) *Manager {
 	return &Manager{
 		log: log, runsTrials: runsTrials,
@@ -68,22 +71,22 @@
 	}
 }
 
-// NewLocalManager returns a keeper of a node that tells others nothing, and gives all trials
-// itself.
+// NewLocalManager returns a manager for a node that sends nothing to other nodes, and runs all
+// trials itself.
 func NewLocalManager(log logrus.FieldLogger) *Manager {
 	m := NewManager(func(Fingerprint) bool { return true }, log)
 	m.local = true
 	return m
 }
 
-// DueSignal gives a token when Due may have records.
+// DueSignal returns a channel that receives a value when Due may have records.
 func (m *Manager) DueSignal() <-chan struct{} { return m.dueSignal }
 
-// UnsavedSignal gives a token when Unsaved may have records.
+// UnsavedSignal returns a channel that receives a value when Unsaved may have records.
 func (m *Manager) UnsavedSignal() <-chan struct{} { return m.unsavedSignal }
 
-// Standing tells how a request is to be treated. It lets a quarantined request through for
-// a trial, once, where one is due and this node is chosen for it.
+// Standing returns the status of a request. If a trial of a quarantined request is due and this
+// node runs its trials, the request is let through once.
 func (m *Manager) Standing(request Fingerprint, now time.Time) Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,7 +105,7 @@
 	return status
 }
 
-// Crashed records that a worker ended that ran these requests.
+// Crashed records the requests that were running on crashed workers.
 func (m *Manager) Crashed(crashes map[Fingerprint]Crash, now time.Time) {
 	records := make([]Record, 0, len(crashes))
 	for request, crash := range crashes {
@@ -113,7 +116,7 @@
 	m.recordChanges(m.detector.Merge(records, now), sourceOwn, now)
 }
 
-// Survived records that a worker ran a request to an end and lives.
+// Survived records that a worker ran a request to completion and is alive.
 func (m *Manager) Survived(request Fingerprint, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -123,7 +126,7 @@
 	}
 }
 
-// Lives records that a worker answers that was taken for ended.
+// Lives records that a worker that was taken for crashed is alive.
 func (m *Manager) Lives(worker string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,8 +136,8 @@
 	}
 }
 
-// Receive takes in what another node tells. It returns the records that have changed by it and
-// that every node is to know.
+// Receive merges records from another node. It returns those that have changed and are shared
+// with all nodes.
 func (m *Manager) Receive(node string, records []Record) []Record {
 	now := time.Now()
 	m.mu.Lock()
@@ -148,8 +151,8 @@
 	return slices.DeleteFunc(changed, func(r Record) bool { return !IsShared(r) })
 }
 
-// changed judges anew, logs what has come of it, and has the records told that this node
-// itself has changed.
+// recordChanges evaluates the requests anew after a change, logs the result, and schedules the
+// records that this node itself has changed to be sent to the others.
 func (m *Manager) recordChanges(records []Record, source string, now time.Time) {
 	if len(records) == 0 {
 		return
@@ -196,8 +199,8 @@
 	}).Warn(message)
 }
 
-// Due returns the records that others are to be told now, and the time until there may be
-// more.
+// Due returns the records that are to be sent to other nodes now, and the time until there may
+// be more.
 func (m *Manager) Due(now time.Time) (records []Record, wait time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -218,7 +221,7 @@
 	return records, wait
 }
 
-// Shared returns the records that every node is to know.
+// Shared returns the records that are shared with all nodes.
 func (m *Manager) Shared() []Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -231,11 +234,11 @@
 	return shared
 }
 
-// IsShared reports whether a record is one that every node is to know: it has several
-// crashes, or had and is cleared.
+// IsShared reports whether a record is shared with all nodes: it has at least sharedCrashes
+// crashes, cleared ones included.
 func IsShared(record Record) bool { return len(record.Crashes) >= sharedCrashes }
 
-// Unsaved returns the records that the store doesn't hold and is to.
+// Unsaved returns the records that are to be saved in the store and aren't yet.
 func (m *Manager) Unsaved() []Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -251,7 +254,7 @@
 	return unsaved
 }
 
-// Stored takes in a record that the store holds since one of its versions.
+// Stored records that the store holds a record, written at a version of the store.
 func (m *Manager) Stored(record Record, version uint64, now time.Time) {
 	record = record.Sorted()
 	m.mu.Lock()
@@ -263,8 +266,8 @@
 	}
 }
 
-// Removed takes in that the store holds a request no more as of a version: an operator has
-// released it, or it has been there for long enough. What was written after that stays.
+// Removed records that the store no longer holds a request as of a version: an operator has
+// released it, or it has expired. A record written after that version stays.
 func (m *Manager) Removed(request Fingerprint, version uint64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -278,8 +281,8 @@
 	m.recordChanges(records, sourceStore, now)
 }
 
-// SyncStored takes in which requests the store holds as of a version: those that it held
-// before and holds no more were removed.
+// SyncStored takes the complete set of requests that the store holds as of a version. Requests
+// that it held before and no longer holds have been removed.
 func (m *Manager) SyncStored(held map[Fingerprint]bool, version uint64, now time.Time) {
 	m.mu.Lock()
 	var removed []Fingerprint
@@ -294,8 +297,8 @@
 	}
 }
 
-// StoreRestored takes in which requests the store holds after it came back from a copy. Those that it
-// lacks were lost, not released: they are to be saved again.
+// StoreRestored takes the set of requests that the store holds after it was restored from a
+// backup. Requests that are missing from it were lost, not released, so they are saved again.
 func (m *Manager) StoreRestored(held map[Fingerprint]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -312,7 +315,7 @@
 	}
 }
 
-// Expire forgets what is old. It returns the requests that the store still holds of it.
+// Expire removes old records. It returns the requests among them that the store still holds.
 func (m *Manager) Expire(now time.Time) []Fingerprint {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -331,7 +334,7 @@
 	return stored
 }
 
-// Register has a registry tell what a keeper knows.
+// Register registers the manager's metrics.
 func (m *Manager) Register(registry prometheus.Registerer) {
 	gauge := func(name, help string, of func() int) {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return float64(of()) }))
