--- a/internal/tablefeed/copy.go
+++ b/internal/tablefeed/copy.go
@@ -6,32 +6,32 @@
 	"sync"
 )
 
-// maxRecent is how many changes a copy keeps at least, and half of those at most, to be told
-// on: those of some seconds in which a large fleet's workers are replaced. A node that missed
-// more gets the whole table.
+// minRecentChanges is the number of changes that a copy keeps for other nodes; it keeps up to
+// twice as many before it discards the oldest. That covers some seconds in which the workers of
+// a large fleet are replaced. A node that missed more gets the whole table.
 const minRecentChanges = 2000
 
-// Transfer is what one node gives another of a table.
+// Transfer is what one node sends another of a table.
 type Transfer struct {
-	// Whole tells that Rows are the whole table, else they are changes in order.
+	// Whole means that Rows are the whole table; otherwise they are changes in order.
 	Whole        bool
 	Rows         []Row
 	Confirmation Confirmation
 }
 
-// Copy holds the rows of a table as the store gave them, so that other nodes get them here.
-// It is safe for concurrent use.
+// Copy holds the rows and recent changes of a table, to be sent to other nodes. It is safe for
+// concurrent use.
 type Copy struct {
 	mu   sync.Mutex
 	rows map[string]Row
-	// recent are the changes after version since, in order.
+	// recentChanges are the changes after version recentSince, in order.
 	recentChanges []Row
 	recentSince   Version
 	version       Version
 	loaded        bool
 }
 
-// Reset gives all rows.
+// Reset replaces all rows.
 func (c *Copy) Reset(rows []Row, version Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,8 +42,8 @@
 	c.recentChanges, c.recentSince, c.version, c.loaded = nil, version, version, true
 }
 
-// review returns rows that a store gives in an era, those replaced that are held from an earlier
-// era and outlive them, and the keys of these.
+// reconcile returns the rows that the store returned in an era, with those replaced for which a
+// newer row is held from an earlier era, and the keys of the replaced rows.
 func (c *Copy) reconcile(rows []Row, era uint64, isHeldNewer func(held, given Row) bool) (reconciled []Row, kept []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +66,7 @@
 	return reconciled, kept
 }
 
-// Apply gives changed rows.
+// Apply applies changed rows.
 func (c *Copy) Apply(rows []Row, version Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 	c.recentChanges, c.version = append(c.recentChanges, rows...), version
 	if over := len(c.recentChanges) - minRecentChanges; over > minRecentChanges {
-		// Seldom, since all that is kept is copied.
-		// Rows of one version stay together.
+		// Discarding copies all remaining changes, so it is done seldom. Rows of the same
+		// version stay together.
 		last := c.recentChanges[over-1].Version
 		for over < len(c.recentChanges) && c.recentChanges[over].Version == last {
 			over++
@@ -90,7 +90,7 @@
 	}
 }
 
-// Whole returns all rows and the version that they are of, false where nothing is known.
+// Whole returns all rows and their version, and false if nothing is known.
 func (c *Copy) Whole() (rows []Row, version Version, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +101,7 @@
 	return rows, c.version, c.loaded
 }
 
-// Since returns the changes after a version, false where some of them aren't kept any more.
+// Since returns the changes after a version, and false if some of them have been discarded.
 func (c *Copy) Since(after Version) (rows []Row, version Version, kept bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tablefeed/follow.go
+++ b/internal/tablefeed/follow.go
@@ -7,8 +7,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// relies follows the table through other nodes for a moment. It reports false where
-// the store must be asked.
+// followPeers follows the table through other nodes for a moment. It returns false if the store
+// must be asked.
 func (f *Feed) followPeers(ctx context.Context) bool {
 	if f.peers == nil {
 		return false
@@ -43,9 +43,9 @@
 	return true
 }
 
-// waits lets a moment pass while the store isn't to be called after a failure, or the last
-// confirmation is so young that another node may still be the one to call it. It reports
-// false where this node is.
+// awaitPeers waits a moment if the feed backs off from the store, or if the last confirmation
+// is so recent that another node may still be the one to call the store. It returns false if
+// this node is to call it.
 func (f *Feed) awaitPeers(ctx context.Context, now time.Time) bool {
 	if f.waitOutBackoff(ctx) {
 		return true
@@ -59,8 +59,8 @@
 	return false
 }
 
-// follow takes over another node's word of the same version or a newer one, unless it tells
-// of a change that this one doesn't know yet.
+// adoptConfirmation adopts another node's confirmation of the same or a newer version. It
+// returns false if the confirmation includes a change that this node doesn't have yet.
 func (f *Feed) adoptConfirmation(confirmation Confirmation) bool {
 	if confirmation.Changed > f.confirmation.Confirmed {
 		return false
@@ -74,8 +74,8 @@
 	return true
 }
 
-// applyNews applies the news that have come: those that begin at or before what is
-// known. Others tell of changes before them that were missed.
+// applyNews applies the received news that start at or before the held version. News that start
+// later leave a gap; other nodes' confirmations tell of the changes that are missing.
 func (f *Feed) applyNews() {
 	f.collectNews()
 	for _, news := range f.pendingNews {
@@ -86,7 +86,7 @@
 	f.pendingNews = nil
 }
 
-// collectNews takes the news that have come, but for those of versions that are known.
+// collectNews collects the received news of versions that aren't held yet.
 func (f *Feed) collectNews() {
 	for {
 		select {
--- a/internal/tablefeed/longpoll.go
+++ b/internal/tablefeed/longpoll.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// changes are what the store answers to a call for them.
+// changesAnswer is the store's answer to a call for changes.
 type changesAnswer struct {
 	rows    []Row
 	version Version
 	err     error
 }
 
-// call asks the store for the changes after a version. It is given up where other nodes tell
-// of one meanwhile and the store doesn't: its way to this node may be slow or silent.
+// callStore asks the store for the changes after a version. The call is abandoned if other
+// nodes meanwhile announce a change that the store doesn't answer with: the connection from the
+// store to this node may be slow or dead.
 func (f *Feed) callStore(ctx context.Context, after Version, hold time.Duration) ([]Row, Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, longPollTime+callGrace)
 	defer cancel()
@@ -24,7 +25,8 @@
 	}()
 	var overtaken <-chan time.Time
 	for {
-		// Before the first wait too: what was known before the call wakes nobody again.
+		// Check before the first wait too: changes announced before the call don't wake the
+		// feed again.
 		if overtaken == nil && f.isOvertaken(after) {
 			overtaken = time.After(overtakenDelay)
 		}
--- a/internal/tablefeed/tablefeed.go
+++ b/internal/tablefeed/tablefeed.go
@@ -1,7 +1,8 @@
-// Package tablefeed follows tables of the platform's store: it reads a table
-// whole, then its changes, and starts again where the store has forgotten them. It
-// never goes back to an older version of a table. Where other nodes follow the same
-// table, it takes the changes from them while their word is fresh.
+// Package tablefeed keeps a copy of a table of the platform's store up to date. It reads the
+// whole table, then its changes by long polling, and the whole table again if the store has
+// discarded the changes since then. It never goes back to an older version of a table. If other
+// nodes follow the same table, it takes the changes from them for as long as their
+// confirmations are fresh.
 package tablefeed
 
 import (
@@ -16,16 +17,17 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ErrNoCopy tells that no other node is to be asked for a table, or none has it.
+// ErrNoCopy means that no other node is to be asked for a table, or that none has it.
 var ErrNoCopy = eris.New("no other node gives a copy of the table")
 
-// errOvertaken tells that other nodes know of a change with which the store doesn't answer.
+// errOvertaken means that other nodes know of a change, but the store has not answered the call
+// for it.
 var errOvertaken = eris.New("other nodes know of a change that the store hasn't answered with")
 
-// ErrHistoryGone tells that the changes after a version are forgotten.
+// ErrHistoryGone means that the store no longer has the changes since a version.
 var ErrHistoryGone = eris.New("the store has forgotten the changes since that version")
 
-// olderError tells that the store gave an older version of a table than is held.
+// olderError means that the store returned an older version of a table than this node holds.
 type olderError struct {
 	Table         string
 	Version, Held Version
@@ -40,56 +42,57 @@
 	Key     string
 	Value   []byte
 	Version Version
-	// Gone tells that the row was removed.
+	// Gone means that the row was deleted.
 	Gone bool
 }
 
-// Store is the part of the platform's store that a feed needs.
+// Store is the interface to the platform's store.
 type Store interface {
-	// Read returns all rows of a table as of one version.
+	// Read returns all rows of a table as of a single version.
 	Read(ctx context.Context, table string) ([]Row, Version, error)
-	// Changes waits until a table has changed after a version, no longer than
-	// patience, and returns the changed rows in order. It may return none.
+	// Changes waits up to patience for a change of a table after a version, and returns the
+	// changed rows in order. It may return none.
 	Changes(ctx context.Context, table string, after Version, patience time.Duration) ([]Row, Version, error)
 }
 
-// Consumer takes what a table holds.
+// Consumer receives the contents of a table.
 type Consumer interface {
-	// Reset gives all rows.
+	// Reset replaces all rows.
 	Reset(rows []Row, version Version)
-	// Apply gives changed rows.
+	// Apply applies changed rows.
 	Apply(rows []Row, version Version)
 }
 
-// Reconciler is a Consumer that can tell which of two states of a row is the newer one by their
-// content. A store that has come back from a copy gives old rows until they are written again.
+// Reconciler is a Consumer that can tell by their content which of two states of a row is
+// newer. A store that was restored from a backup returns old rows until they are written again.
 type Reconciler interface {
 	Consumer
-	// IsHeldNewer reports whether a row that was held before the store came back is newer than
-	// the one that it gives now, which is Gone where it gives none.
+	// IsHeldNewer reports whether a row held from before the restore is newer than the row that
+	// the store returns now, which is Gone if it returns none.
 	IsHeldNewer(held, given Row) bool
 }
 
-// Confirmation is what is known of a table's version.
+// Confirmation is what the store has confirmed of a table's version.
 type Confirmation struct {
-	// Changed is the version of the last change of the table, and Confirmed the
-	// newest one up to which there is no other.
+	// Changed is the version of the last change of the table; Confirmed is the newest version
+	// up to which there is no later change.
 	Changed, Confirmed Version
 	// At is when the store confirmed that.
 	At time.Time
 }
 
-// Source is the way by which rows came.
+// Source is where rows came from.
 type Source string
 
-// The ways.
+// Sources of rows: the store, a News broadcast, or a transfer from another node.
 const (
 	FromStore Source = "store"
 	FromNews  Source = "news"
 	FromNode  Source = "another node"
 )
 
-// News are the changes of a table between two versions.
+// News are the changes of a table between two versions, as one node broadcasts them to the
+// others.
 type News struct {
 	Table          string
 	After, Version Version
@@ -98,108 +101,112 @@
 
 // Peers are the other nodes that follow the same tables.
 type Peers interface {
-	// LatestConfirmation returns the newest fresh word of another node on a table, false where there is
-	// none. For a node that reads at the store, it is one of a node that is to do so rather.
+	// LatestConfirmation returns the newest fresh confirmation of a table by another node, and
+	// false if there is none. If this node reads the table at the store (isReader), only nodes
+	// that outrank it as readers are considered.
 	LatestConfirmation(table string, now time.Time, isReader bool) (Confirmation, bool)
 	// HasChangeAfter reports whether another node has a change of a table after a version.
 	HasChangeAfter(table string, after Version, now time.Time) bool
-	// TakeoverDelay is how long after the last confirmation this node waits for another's
-	// word before it calls the store itself, zero where it is the one to do so.
+	// TakeoverDelay is how long after the last confirmation this node waits for one from
+	// another node before it calls the store itself, zero if it is the first in rank.
 	TakeoverDelay(table string) time.Duration
-	// MaxBackoff is the longest pause between calls to a store that fails.
+	// MaxBackoff is the longest pause between calls to a failing store.
 	MaxBackoff(table string) time.Duration
-	// BroadcastConfirmations tells other nodes that the store has confirmed a word of this one.
+	// BroadcastConfirmations sends this node's own confirmations to the other nodes.
 	BroadcastConfirmations()
-	// BroadcastNews tells other nodes of changes that this one got from the store.
+	// BroadcastNews sends changes that this node read at the store to the other nodes.
 	BroadcastNews(news News)
-	// FetchTable returns a whole table as another node holds it. It may wait for a node that is
-	// itself about to get it. ErrNoCopy tells that this node is to read it at the store.
+	// FetchTable returns a whole table from another node. It may wait for a node that is itself
+	// about to get it. ErrNoCopy means that this node is to read it at the store.
 	FetchTable(ctx context.Context, table string) (Transfer, error)
-	// FetchChanges returns the changes of a table after a version, or the whole table, as another
-	// node holds it.
+	// FetchChanges returns the changes of a table after a version, or the whole table, from
+	// another node.
 	FetchChanges(ctx context.Context, table string, after Version) (Transfer, error)
 }
 
-// The figures of a feed.
+// Timing and sizes of a feed.
 const (
-	// patience is how long the store holds a call while nothing changes.
+	// longPollTime is how long the store holds a call open while nothing changes.
 	longPollTime = 700 * time.Millisecond
 	takeoverPoll = 100 * time.Millisecond
-	// firstShare is the part of the longest pause that is made after a first failure.
+	// firstBackoffDivisor makes the backoff after the first failure a fourth of the longest
+	// one.
 	firstBackoffDivisor = 4
-	maxSoloBackoff      = 800 * time.Millisecond // of a node that follows alone
-	// slowCall is added to patience before a call is given up.
+	maxSoloBackoff      = 800 * time.Millisecond // of a node that follows the table without peers
+	// callGrace is how long after longPollTime a call is abandoned.
 	callGrace = 1200 * time.Millisecond
-	// lateAnswer is how long after its patience an answer may tell of this moment:
-	// one that comes later has waited somewhere.
+	// maxAnswerDelay is how long after longPollTime an answer still counts as confirmed on
+	// arrival. A later one was delayed on its way, so its confirmation is dated back to this
+	// limit.
 	maxAnswerDelay = 100 * time.Millisecond
-	// overtakenAfter is how much later than another node this one may have a change from the
-	// store before it takes it from the other.
+	// overtakenDelay is how much later than another node this node may get a change from the
+	// store before it takes the change from that node instead.
 	overtakenDelay = 200 * time.Millisecond
-	// newsDelay is how long a node waits for news of a change that it has heard of
-	// before it asks the store.
+	// newsDelay is how long a node that has heard of a change waits for its news before it asks
+	// for the change.
 	newsDelay = 60 * time.Millisecond
-	// pauseLook is the time between two looks for other nodes' words while calls to the store
-	// pause.
+	// backoffPoll is the interval at which other nodes' confirmations are checked while this
+	// node backs off from the store.
 	backoffPoll = 200 * time.Millisecond
-	// shortest is the shortest wait for a newer word.
+	// minWait is the shortest wait for a newer confirmation.
 	minWait = 20 * time.Millisecond
-	// changePause is left between a change and the next call: when a fleet of workers
-	// starts, they write their entries one by one. A change of fullChange rows or more has
-	// longestChangePause, since each is told to all nodes: two a second of a thousand rows
-	// cost them less than ten of two hundred, and two seconds are allowed.
+	// minChangePause is the pause between a change and the next call. When a fleet of workers
+	// starts, they write their entries one by one, and the pause lets several changes come at
+	// once. A change of fullChangeRows or more is followed by maxChangePause, because each
+	// change is sent to all nodes: two changes of a thousand rows per second cost them less
+	// than ten of two hundred. Changes may take two seconds to reach all nodes.
 	minChangePause = 50 * time.Millisecond
 	maxChangePause = 500 * time.Millisecond
 	fullChangeRows = 200
-	// maxNews bounds the news that wait to be applied.
+	// newsBuffer is the capacity for news that wait to be applied.
 	newsBuffer = 64
-	// olderEvery is the least time between two lines on answers that were not taken.
+	// olderLogInterval is the shortest time between two log lines on ignored answers.
 	olderLogInterval = time.Second
 )
 
-// Feed follows one table.
+// Feed follows one table. The fields above mu belong to the goroutine of Run, except for copy
+// and the channels, which are safe for concurrent use.
 type Feed struct {
 	store    Store
 	table    string
 	consumer Consumer
 	peers    Peers
-	// copied holds the table for other nodes.
+	// copy serves the table to other nodes.
 	copy      Copy
 	log       *logrus.Logger
 	storeLost bool
 	backoff   time.Duration
-	// olderLogged is when an answer that was not taken was logged.
+	// olderLogged is when an ignored answer was last logged.
 	olderLogged time.Time
-	// callAfter is when the store may be called again after a call that failed.
+	// retryAt is when the store may be called again after a failed call.
 	retryAt time.Time
-	// rested is how long the feed has rested since its last call to the store.
+	// pausedFor is how long the feed has paused since its last call to the store.
 	pausedFor time.Duration
-	// forgotten is the version after which the store has forgotten the changes, zero where
-	// they can be asked for.
+	// historyGoneAfter is the version whose later changes the store has discarded, zero if it
+	// still has them.
 	historyGoneAfter Version
-	// relying tells that the last word was another node's, and acting that this node
-	// calls the store, for others too.
+	// followsPeer means that the last confirmation was another node's. isReader means that this
+	// node reads the table at the store, for the others too. Both are false at the start.
 	followsPeer, isReader bool
-	// behindSince is since when another node knows of a newer change, zero where none
-	// does.
+	// behindSince is since when another node has known of a change that this node lacks, zero
+	// if there is none.
 	behindSince time.Time
 	news        chan News
-	// unapplied are news that came during a call to the store.
+	// pendingNews are news that arrived during a call to the store.
 	pendingNews []News
 	wake        chan struct{}
 
 	mu sync.Mutex
-	// changed is closed when the word changes, and replaced.
+	// changed is closed and replaced when the confirmation changes.
 	changed      chan struct{}
 	confirmation Confirmation
-	// own tells that the store itself gave the word to this node, which reads for others
-	// too.
+	// own means that the store gave the confirmation to this node as a reader.
 	own bool
-	// source is the way by which the last rows came.
+	// source is where the last rows came from.
 	source Source
 }
 
-// New returns a feed of a table. others may be nil.
+// New returns a feed of a table. peers may be nil.
 func New(store Store, table string, consumer Consumer, peers Peers, log *logrus.Logger) *Feed {
 	return &Feed{
 		store: store, table: table, consumer: consumer, peers: peers, log: log, storeLost: true,
@@ -208,22 +215,22 @@
 	}
 }
 
-// Word returns what is known of the table's version, and whether this node has it
-// from the store itself. It is safe for concurrent use with Run.
+// Word returns the latest confirmation of the table, and whether this node got it from the
+// store itself as a reader. It is safe for concurrent use with Run.
 func (f *Feed) Word() (confirmation Confirmation, own bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmation, f.own
 }
 
-// Source returns the way by which the last rows came. It is safe for concurrent use with Run.
+// Source returns where the last rows came from. It is safe for concurrent use with Run.
 func (f *Feed) Source() Source {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.source
 }
 
-// Offer gives changes that another node got from the store. It never blocks.
+// Offer passes changes that another node read at the store to the feed. It never blocks.
 func (f *Feed) Offer(news News) {
 	select {
 	case f.news <- news:
@@ -232,7 +239,7 @@
 	}
 }
 
-// Wake tells that another node knows of a change. It never blocks.
+// Wake tells the feed that another node knows of a change. It never blocks.
 func (f *Feed) Wake() {
 	select {
 	case f.wake <- struct{}{}:
@@ -240,8 +247,8 @@
 	}
 }
 
-// Woken gives a token when another node knows of a change. It is for one who waits to call
-// Run.
+// Woken returns a channel that receives a value when Wake is called. It is for callers that
+// wait before they call Run.
 func (f *Feed) Woken() <-chan struct{} { return f.wake }
 
 // Run follows the table until ctx ends.
@@ -282,7 +289,7 @@
 	}
 }
 
-// set records a word; only Run's goroutine does.
+// set records a confirmation. Only Run's goroutine calls it.
 func (f *Feed) set(confirmation Confirmation, own bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -291,8 +298,8 @@
 	f.changed = make(chan struct{})
 }
 
-// Changed is closed when more is known of the table than now. It is safe for concurrent use
-// with Run.
+// Changed returns a channel that is closed when the confirmation next changes. It is safe for
+// concurrent use with Run.
 func (f *Feed) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -319,7 +326,8 @@
 func (f *Feed) pollChanges(ctx context.Context) error {
 	start := time.Now()
 	after := f.confirmation.Confirmed
-	// The time between two confirmations stays the same: others wait for them.
+	// Subtracting the pause keeps the interval between confirmations constant, on which other
+	// nodes rely.
 	hold := longPollTime - f.pausedFor
 	f.pausedFor = 0
 	rows, version, err := f.callStore(ctx, after, hold)
@@ -344,7 +352,7 @@
 		return nil
 	}
 	if len(rows) > 0 {
-		// Nothing changed between before and after.
+		// Nothing changed between lastChange and after, so the news may start at lastChange.
 		f.peers.BroadcastNews(News{Table: f.table, After: lastChange, Version: version, Rows: rows})
 	}
 	f.peers.BroadcastConfirmations()
@@ -355,13 +363,13 @@
 	return nil
 }
 
-// pauseAfter is what is left between a change of so many rows and the next call.
+// changePauseFor returns the pause between a change of a number of rows and the next call.
 func changePauseFor(rows int) time.Duration {
 	full := min(float64(rows)/fullChangeRows, 1)
 	return minChangePause + time.Duration(full*float64(maxChangePause-minChangePause))
 }
 
-// rest waits for a time, whatever wakes the feed.
+// sleep waits for a time even if the feed is woken.
 func (f *Feed) sleep(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -387,7 +395,7 @@
 	}
 }
 
-// failed logs the first failure of a row of them, and pauses longer after each.
+// callFailed logs the first of consecutive failures, and increases the backoff with each.
 func (f *Feed) callFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -405,7 +413,7 @@
 	f.retryAt = time.Now().Add(f.backoff/2 + rand.N(f.backoff))
 }
 
-// logOlder logs that an answer was not taken, at most once in olderEvery.
+// logOlder logs that an older answer was ignored, at most once per olderLogInterval.
 func (f *Feed) logOlder(err error) {
 	var older olderError
 	if !errors.As(err, &older) || time.Since(f.olderLogged) < olderLogInterval {
@@ -416,9 +424,9 @@
 		Warn("an answer of the store was not taken: it is older than what is held")
 }
 
-// pauses lets a moment of the pause after a failed call pass. It reports false where there is
-// none. The pause puts off calls to the store only: a feed that slept through it would hear
-// of no change that other nodes tell of.
+// waitOutBackoff waits for part of the backoff after a failed call. It returns false if there
+// is none left. Only calls to the store are delayed: a feed that slept through the backoff
+// would miss changes that other nodes announce meanwhile.
 func (f *Feed) waitOutBackoff(ctx context.Context) bool {
 	left := time.Until(f.retryAt)
 	if left <= 0 {
--- a/internal/tablefeed/transfer.go
+++ b/internal/tablefeed/transfer.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// begin gets the whole table: from another node where one has it, or else at the store.
+// readFirst gets the whole table from another node that has it, or else from the store.
 func (f *Feed) readFirst(ctx context.Context) error {
 	if f.peers != nil {
 		transfer, err := f.peers.FetchTable(ctx, f.table)
@@ -18,8 +18,9 @@
 	return f.readStore(ctx)
 }
 
-// readAgain makes up for a forgotten history: from another node that holds something newer, or
-// else at the store, and at once where the others wait for this node to do so.
+// readAfterGap gets the table after the store has discarded the changes that this node needs:
+// from another node that holds a newer version, or else from the store. The node that others
+// wait for reads at the store at once.
 func (f *Feed) readAfterGap(ctx context.Context) error {
 	if f.peers != nil && f.peers.TakeoverDelay(f.table) > 0 && f.fetchMissed(ctx) {
 		return nil
@@ -27,8 +28,8 @@
 	return f.readStore(ctx)
 }
 
-// missed gets changes that other nodes know of from one of them. It reports false where the
-// store must be asked.
+// fetchMissed fetches changes that other nodes know of from one of them. It returns false if
+// the store must be asked.
 func (f *Feed) fetchMissed(ctx context.Context) bool {
 	transfer, err := f.peers.FetchChanges(ctx, f.table, f.confirmation.Confirmed)
 	if err != nil || !f.applyTransfer(transfer) {
@@ -38,15 +39,15 @@
 	return true
 }
 
-// takeOver takes what another node holds, unless it is older than what is known. The store
-// didn't confirm it to this node, so no other node relies on it here. Changes may be none:
-// then the other one knows that there are none up to a later version.
+// applyTransfer applies what another node sent, unless it is older than what this node holds.
+// The store didn't confirm it to this node, so other nodes must not rely on this node for it. A
+// transfer without rows means that there were no changes up to a later version.
 func (f *Feed) applyTransfer(transfer Transfer) bool {
 	if transfer.Confirmation.Confirmed < f.confirmation.Confirmed || !transfer.Whole && transfer.Confirmation.Confirmed == f.confirmation.Confirmed {
 		return false
 	}
 	if transfer.Confirmation.At.Before(f.confirmation.At) {
-		transfer.Confirmation.At = f.confirmation.At // with these rows the table is no older than it was without
+		transfer.Confirmation.At = f.confirmation.At // with these rows, the table is as fresh as before at least
 	}
 	switch {
 	case transfer.Whole:
@@ -64,8 +65,8 @@
 	return true
 }
 
-// reset and apply hand rows on. Other nodes get them here before this one tells that it has
-// them, so that none is told of a version and given an older one.
+// reset replaces all rows. Like apply, it updates copy before the confirmation: a node that
+// hears of a version must be able to get it here.
 func (f *Feed) reset(rows []Row, confirmation Confirmation, own bool, source Source) {
 	f.setSource(source)
 	rows = f.reconcile(rows, confirmation.Changed.Era())
@@ -76,8 +77,8 @@
 	f.consumer.Reset(rows, confirmation.Changed)
 }
 
-// review replaces rows that a restored store gives by newer ones that are held from an earlier
-// era.
+// reconcile replaces rows of a restored store by the held ones from an earlier era that are
+// newer.
 func (f *Feed) reconcile(rows []Row, era uint64) []Row {
 	reconciler, ok := f.consumer.(Reconciler)
 	if !ok {
@@ -106,8 +107,8 @@
 	f.source = source
 }
 
-// Held returns what this node holds of the table: the changes after a version where it knows
-// all of them, or the whole table. It reports false where nothing is known. It is safe for
+// Held returns what this node holds of the table: the changes after a version if it has all of
+// them, or else the whole table. It returns false if it holds nothing. It is safe for
 // concurrent use with Run.
 func (f *Feed) Held(after Version) (Transfer, bool) {
 	confirmation, _ := f.Word()
@@ -118,7 +119,7 @@
 	return Transfer{Whole: true, Rows: rows, Confirmation: confirmation.asOf(version)}, known
 }
 
-// asOf is the word that goes with rows of a version, which may have come just after it.
+// asOf returns the confirmation for rows of a version, which may have arrived just after c.
 func (c Confirmation) asOf(version Version) Confirmation {
 	return Confirmation{Changed: version, Confirmed: max(version, c.Confirmed), At: c.At}
 }
