--- a/internal/tablerelay/coordinator.go
+++ b/internal/tablerelay/coordinator.go
@@ -1,14 +1,14 @@
-// Package tablerelay lets nodes follow a table of the platform's store through one
-// another, so that few of them call the store and the others hear of a change from
-// these. A node that reads a table at the store tells the others up to which version the
-// store has confirmed it, and when. A node relies on such a word while it is fresh, and
-// reads at the store itself as soon as it isn't: those ranked first a little sooner, so that
-// not all call at the same moment. The ranking decides only who reads: a node that reads
-// goes on until one that comes before it does. What is newer is told by versions, which the
-// store orders, whoever says it: the store may turn away any node.
+// Package tablerelay lets nodes follow a table of the platform's store through one another, so
+// that few of them call the store and the others hear of changes from these. A node that reads
+// a table at the store announces to the others up to which version the store has confirmed it,
+// and when. The others rely on such an announcement while it is fresh, and read at the store
+// themselves as soon as it isn't: those that rank higher a little sooner, so that not all call
+// at the same moment. The ranking only decides who reads: a reader goes on until a node that
+// outranks it reads. Which state is newer is decided by the store's versions alone, whichever
+// node announces them, since the store may refuse any node.
 //
-// Guarantee: what a node that relies on another holds of a table is at most
-// Freshness older than what the store held, plus the time of one call to it.
+// Guarantee: what a node that relies on another holds of a table is at most Freshness older
+// than what the store held, plus the time of one call to the store.
 package tablerelay
 
 import (
@@ -22,98 +22,103 @@
 )
 
 const (
-	// Freshness is how long after the store's confirmation a word counts at most: three
-	// quarters of the two seconds in which changes have to be known.
+	// Freshness is how long after the store's confirmation an announcement may be relied on:
+	// three quarters of the two seconds in which all nodes must know of a change.
 	Freshness = 1500 * time.Millisecond
-	// takeover is how long the word counts for the second in the ranking, and each place
-	// adds step: the first confirms its word each 0.7 seconds (tablefeed).
+	// firstTakeoverDelay is the age of a confirmation at which the second node in rank starts
+	// to read; each further rank adds rankDelay. The first one confirms a table every 0.7
+	// seconds (the long poll of package tablefeed).
 	firstTakeoverDelay = 920 * time.Millisecond
 	rankDelay          = 145 * time.Millisecond
-	// pullAfter is the age of a word from which a node asks others for a newer one: again
-	// after pullEvery, and in a large fleet less often each time up to longestPull, at which
-	// it still gets one before its own is too old. While the store is down no node has any,
-	// and all would ask.
+	// requestAge is the age of a confirmation from which a node requests a newer one from
+	// others. It repeats the request after requestInterval; in a large fleet the interval grows
+	// up to maxRequestInterval, which still yields an answer before the own confirmation is too
+	// old. While the store is down, no node has a newer one and all of them would ask.
 	requestAge         = 800 * time.Millisecond
 	requestInterval    = 100 * time.Millisecond
 	maxRequestInterval = 400 * time.Millisecond
-	// callPause is the longest pause of the first nodes between calls to a store that
-	// fails, and laterPause that of the others in a fleet of up to laterFleet nodes: these
-	// hear from the first when it is back. Each call to it is paid for, also while it is
-	// down; in a larger fleet the others together call no more often.
+	// firstMaxBackoff is the longest pause of the first nodes in rank between calls to a
+	// failing store. laterMaxBackoff is that of the others in a fleet of up to
+	// laterBackoffNodes nodes; they hear from the first ones when the store is back. Each call
+	// costs money, even while the store is down, so in a larger fleet the backoff grows with
+	// the number of nodes: the others together call no more often.
 	firstMaxBackoff   = 800 * time.Millisecond
 	laterMaxBackoff   = 4 * time.Second
 	laterBackoffNodes = 60
-	// tellingPlaces is how many nodes of each zone of a large fleet tell all others of what
-	// they read: these take over from each other one by one. Any other that has to read for
-	// itself, since no word reaches it, answers those that ask it only. Would it tell all, a
-	// thousand nodes that miss a word would send each other a million, and miss the next.
+	// broadcastRanks is how many nodes of each zone of a large fleet broadcast what they read;
+	// they take over from each other one at a time. Any other node that has to read because no
+	// announcement reaches it only answers the nodes that ask it. If it broadcast as well, a
+	// thousand nodes that miss an announcement would send each other a million messages, and
+	// miss the next one too.
 	broadcastRanks = 3
 )
 
-// Announcement is what a node says of a table that some node reads at the store.
+// Announcement is a confirmation of a table that a reader, a node that reads the table at the
+// store, announces to the other nodes.
 type Announcement struct {
 	Table string `json:"n"`
 	// Changed is the version of the last change of the table.
 	Changed tablefeed.Version `json:"c"`
-	// Confirmed is the newest version up to which there is no other change.
+	// Confirmed is the newest version up to which there is no later change.
 	Confirmed tablefeed.Version `json:"v"`
-	// AgeMillis is the time since the store confirmed it.
+	// AgeMillis is the time since the store confirmed that.
 	AgeMillis int64 `json:"a"`
-	// Reader is the address of the node that the store confirmed it to.
+	// Reader is the address of the node to which the store confirmed it.
 	Reader string `json:"r"`
 }
 
-// Fleet is the other nodes.
+// Fleet gives access to the other nodes and this node's rank among them.
 type Fleet interface {
-	// Address names this node in words.
+	// Address identifies this node as a reader in announcements.
 	Address() string
-	// Outranks reports whether another node comes before this one among those that read
-	// a table at the store.
+	// Outranks reports whether another node ranks higher than this one as a reader of a table.
 	Outranks(table, reader string) bool
-	// Place is this node's place among them, 0 the first.
+	// Place is this node's rank as a reader of a table, starting at 0.
 	Place(table string) int
-	// Nodes is how many nodes there are, and Large whether they are too many for each to tell
-	// all others.
+	// Nodes is the number of nodes; Large reports whether they are too many for each to
+	// broadcast.
 	Nodes() int
 	Large() bool
-	// SpreadWords and SpreadNews tell all other nodes.
+	// SpreadWords and SpreadNews send to all other nodes.
 	SpreadWords(announcements []Announcement)
 	SpreadNews(news tablefeed.News)
-	// AskWords asks some nodes for their words.
+	// AskWords asks some nodes for their announcements.
 	AskWords(table string)
 }
 
-// Fetcher gets tables from other nodes.
+// Fetcher fetches tables from other nodes.
 type Fetcher interface {
-	// Copy and Missed are as in tablefeed.Others.
+	// Copy is Peers.FetchTable, and Missed is Peers.FetchChanges, of package tablefeed.
 	Copy(ctx context.Context, table string) (tablefeed.Transfer, error)
 	// holders are nodes that hold a change after that version.
 	Missed(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Transfer, error)
 }
 
-// Coordinator holds the words of the nodes on all tables. It is safe for concurrent use.
+// Coordinator holds the announcements of all nodes and decides by them which node reads a table
+// at the store and whom the others rely on. It implements tablefeed.Peers. It is safe for
+// concurrent use.
 type Coordinator struct {
 	fleet Fleet
-	// copies is nil where tables are read at the store only.
+	// fetcher is nil where tables are read at the store only.
 	fetcher Fetcher
 
 	mu    sync.Mutex
 	feeds map[string]*tablefeed.Feed
-	// words holds what other nodes say, by table and reader.
+	// announced holds the other nodes' confirmations by table and reader.
 	announced map[string]map[string]tablefeed.Confirmation
-	// pulls are the questions for words, by table.
+	// requests holds the last request for announcements by table.
 	requests map[string]request
 	lags     lags
 }
 
-// pull is when words on a table were asked for last, and the least time until they may be
-// again.
+// request is the time of the last request for announcements of a table, and the shortest pause
+// until the next one.
 type request struct {
 	at    time.Time
 	pause time.Duration
 }
 
-// New returns a board.
+// New returns a coordinator without feeds.
 func New(fleet Fleet) *Coordinator {
 	return &Coordinator{
 		fleet: fleet, feeds: make(map[string]*tablefeed.Feed),
@@ -121,10 +126,10 @@
 	}
 }
 
-// SetFetcher has the feeds get tables from other nodes. It is called before they run.
+// SetFetcher lets feeds fetch tables from other nodes. It must be called before they run.
 func (c *Coordinator) SetFetcher(fetcher Fetcher) { c.fetcher = fetcher }
 
-// FetchTable implements tablefeed.Others.
+// FetchTable implements tablefeed.Peers.
 func (c *Coordinator) FetchTable(ctx context.Context, table string) (tablefeed.Transfer, error) {
 	if c.fetcher == nil {
 		return tablefeed.Transfer{}, tablefeed.ErrNoCopy
@@ -132,7 +137,7 @@
 	return c.fetcher.Copy(ctx, table)
 }
 
-// FetchChanges implements tablefeed.Others.
+// FetchChanges implements tablefeed.Peers.
 func (c *Coordinator) FetchChanges(ctx context.Context, table string, after tablefeed.Version) (tablefeed.Transfer, error) {
 	if c.fetcher == nil {
 		return tablefeed.Transfer{}, tablefeed.ErrNoCopy
@@ -140,13 +145,13 @@
 	return c.fetcher.Missed(ctx, table, after, c.holders(table, after, time.Now()))
 }
 
-// HasChangeAfter implements tablefeed.Others.
+// HasChangeAfter implements tablefeed.Peers.
 func (c *Coordinator) HasChangeAfter(table string, after tablefeed.Version, now time.Time) bool {
 	return len(c.holders(table, after, now)) > 0
 }
 
-// holders returns the nodes whose words tell of a change after a version, the one heard last
-// first.
+// holders returns the nodes that have announced a change after a version, the one with the
+// latest confirmation first.
 func (c *Coordinator) holders(table string, after tablefeed.Version, now time.Time) []netip.AddrPort {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,15 +173,15 @@
 	return holders
 }
 
-// Add has a feed take part.
+// Add adds the feed of a table.
 func (c *Coordinator) Add(table string, feed *tablefeed.Feed) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.feeds[table] = feed
 }
 
-// Words returns what this node has to say: on the tables that it reads at the store,
-// and whose last confirmation still counts.
+// Words returns this node's own announcements: those of tables that it reads at the store, and
+// whose last confirmation is fresh.
 func (c *Coordinator) Words(now time.Time) []Announcement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +194,7 @@
 	return announcements
 }
 
-// Known returns all words that this node knows and that still count, its own included.
+// Known returns all fresh announcements that this node knows, its own included.
 func (c *Coordinator) Known(now time.Time) []Announcement {
 	known := c.Words(now)
 	c.mu.Lock()
@@ -211,7 +216,7 @@
 	}
 }
 
-// Take records words, which may have come through other nodes.
+// Take records announcements, which may have been relayed by other nodes.
 func (c *Coordinator) Take(announcements []Announcement, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,15 +245,16 @@
 	}
 }
 
-// endsPause reports whether a word lets a feed follow another node again whose calls to the
-// store failed. One that can't rely on the word would only call again.
+// endsBackoff reports whether an announcement allows a feed whose calls to the store failed to
+// follow another node again. A feed that can't rely on the announcement would only call the
+// store again.
 func (c *Coordinator) endsBackoff(feed *tablefeed.Feed, announced Announcement, confirmation tablefeed.Confirmation, now time.Time) bool {
 	held, _ := feed.Word()
-	follows := confirmation.Changed <= held.Confirmed // else it would have to ask for the changes
+	follows := confirmation.Changed <= held.Confirmed // otherwise the feed would have to fetch the changes first
 	return follows && now.Sub(held.At) >= Freshness && now.Sub(confirmation.At) < c.TakeoverDelay(announced.Table)
 }
 
-// TakeNews gives changes that another node got from the store to the feed.
+// TakeNews passes changes that another node read at the store to the feed of their table.
 func (c *Coordinator) TakeNews(news tablefeed.News) {
 	c.mu.Lock()
 	feed, followed := c.feeds[news.Table]
@@ -258,7 +264,7 @@
 	}
 }
 
-// TakeoverDelay implements tablefeed.Others.
+// TakeoverDelay implements tablefeed.Peers.
 func (c *Coordinator) TakeoverDelay(table string) time.Duration {
 	return takeoverDelay(c.fleet.Place(table))
 }
@@ -270,7 +276,7 @@
 	return firstTakeoverDelay + min(time.Duration(rank-1)*rankDelay, Freshness-firstTakeoverDelay)
 }
 
-// MaxBackoff implements tablefeed.Others.
+// MaxBackoff implements tablefeed.Peers.
 func (c *Coordinator) MaxBackoff(table string) time.Duration {
 	if c.TakeoverDelay(table) < Freshness {
 		return firstMaxBackoff
@@ -278,7 +284,7 @@
 	return laterMaxBackoff * time.Duration(max(c.fleet.Nodes(), laterBackoffNodes)) / laterBackoffNodes
 }
 
-// LatestConfirmation implements tablefeed.Others.
+// LatestConfirmation implements tablefeed.Peers.
 func (c *Coordinator) LatestConfirmation(table string, now time.Time, isReader bool) (tablefeed.Confirmation, bool) {
 	newest, found := c.newest(table, now, isReader)
 	if now.Sub(newest.At) >= requestAge && (!isReader || c.TakeoverDelay(table) > 0) && c.mayRequest(table, now) {
@@ -287,8 +293,8 @@
 	return newest, found
 }
 
-// newest returns the word of the newest version, where this node reads among those of nodes
-// that come before it.
+// newest returns the fresh confirmation of the newest version. If this node is a reader, only
+// nodes that outrank it are considered.
 func (c *Coordinator) newest(table string, now time.Time, isReader bool) (newest tablefeed.Confirmation, found bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -307,8 +313,8 @@
 	return newest, found
 }
 
-// newer compares versions, and times where these are the same: an age may be wrong by the
-// time for which the word lay in a buffer.
+// isNewer compares versions, and times only for equal versions: an age doesn't include the time
+// that an announcement spent in a buffer.
 func isNewer(left, right tablefeed.Confirmation) bool {
 	if left.Confirmed != right.Confirmed {
 		return left.Confirmed > right.Confirmed
@@ -316,7 +322,8 @@
 	return left.At.After(right.At)
 }
 
-// mayPull reports whether words on a table may be asked for, and records that they are.
+// mayRequest reports whether announcements of a table may be requested now, and if so records
+// the request.
 func (c *Coordinator) mayRequest(table string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -326,7 +333,7 @@
 		return false
 	}
 	if since >= 2*maxRequestInterval {
-		last.pause = 0 // it was not needed for a while
+		last.pause = 0 // no request was needed for a while
 	}
 	pause := requestInterval
 	if c.fleet.Large() {
@@ -336,7 +343,7 @@
 	return true
 }
 
-// BroadcastConfirmations implements tablefeed.Others.
+// BroadcastConfirmations implements tablefeed.Peers.
 func (c *Coordinator) BroadcastConfirmations() {
 	announcements := slices.DeleteFunc(c.Words(time.Now()), func(a Announcement) bool { return !c.broadcasts(a.Table) })
 	if len(announcements) > 0 {
@@ -344,14 +351,14 @@
 	}
 }
 
-// BroadcastNews implements tablefeed.Others.
+// BroadcastNews implements tablefeed.Peers.
 func (c *Coordinator) BroadcastNews(news tablefeed.News) {
 	if c.broadcasts(news.Table) {
 		c.fleet.SpreadNews(news)
 	}
 }
 
-// tells reports whether this node tells all others of what it reads of a table.
+// broadcasts reports whether this node broadcasts what it reads of a table.
 func (c *Coordinator) broadcasts(table string) bool {
 	return !c.fleet.Large() || c.fleet.Place(table) <= broadcastRanks
 }
--- a/internal/tablerelay/lag.go
+++ b/internal/tablerelay/lag.go
@@ -8,20 +8,22 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// lagLogged is how long a node may lack a change that others have told of before it is
-// logged. Changes that fit in no datagram are fetched in less.
+// lagLogThreshold is how long a node may lack an announced change before it is logged. Changes
+// that are too large for a datagram are fetched in less time.
 const lagLogThreshold = 500 * time.Millisecond
 
-// Lag is a change of a table that this node has heard of and doesn't hold.
+// Lag is a change of a table that has been announced to this node, but that it doesn't hold
+// yet.
 type Lag struct {
-	// Since is when it was heard of first.
+	// Since is when the first missing change was announced.
 	Since time.Time
-	// Version is that of the newest such change, and Reader the node that told of it.
+	// Version is the version of the newest missing change, and Reader the node that announced
+	// it.
 	Version tablefeed.Version
 	Reader  string
 }
 
-// lags notes which tables lack changes. Its owner guards it.
+// lags tracks the tables that lack changes. The owner's mutex guards it.
 type lags struct {
 	log    *logrus.Logger
 	open   map[string]Lag
@@ -32,7 +34,7 @@
 	return lags{log: logrus.StandardLogger(), open: make(map[string]Lag), logged: make(map[string]bool)}
 }
 
-// heard compares a word with the version up to which this node holds a table.
+// observe compares an announcement with the version that this node holds of the table.
 func (l *lags) observe(announced Announcement, held tablefeed.Version, now time.Time) {
 	lag, open := l.open[announced.Table]
 	if open && held >= lag.Version {
@@ -69,10 +71,11 @@
 	})
 }
 
-// SetLog has the board log the tables that lack changes. It is called before words come.
+// SetLog sets the logger for tables that lack changes. It must be called before announcements
+// arrive.
 func (c *Coordinator) SetLog(log *logrus.Logger) { c.lags.log = log }
 
-// Lag returns the change of a table that this node has heard of and doesn't hold, false where
+// Lag returns the announced change of a table that this node doesn't hold yet, and false if
 // there is none.
 func (c *Coordinator) Lag(table string) (Lag, bool) {
 	c.mu.Lock()
