--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -59,7 +59,7 @@
 func ParseFingerprint(text string) (Fingerprint, error) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(Fingerprint{}) {
-		return Fingerprint{}, eris.Errorf("fingerprint %q isn't of %d hexadecimal digits", text, 2*len(Fingerprint{}))
+		return Fingerprint{}, eris.Errorf("fingerprint %q doesn't have %d hexadecimal digits", text, 2*len(Fingerprint{}))
 	}
 	return Fingerprint(decoded), nil
 }
--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -131,7 +131,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if records := m.detector.ClearWorker(worker, now); len(records) > 0 {
-		m.log.WithFields(logrus.Fields{"worker": worker, "requests": len(records)}).Warn("a worker lives that was taken for ended")
+		m.log.WithFields(logrus.Fields{"worker": worker, "requests": len(records)}).Warn("a worker that was taken for crashed is alive")
 		m.recordChanges(records, sourceOwn, now)
 	}
 }
