--- a/internal/tablefeed/tablefeed.go
+++ b/internal/tablefeed/tablefeed.go
@@ -18,14 +18,14 @@
 )
 
 // ErrNoCopy means that no other node is to be asked for a table, or that none has it.
-var ErrNoCopy = eris.New("no other node gives a copy of the table")
+var ErrNoCopy = eris.New("no other node provided a copy of the table")
 
 // errOvertaken means that other nodes know of a change, but the store has not answered the call
 // for it.
-var errOvertaken = eris.New("other nodes know of a change that the store hasn't answered with")
+var errOvertaken = eris.New("other nodes know of a change that the store hasn't returned")
 
 // ErrHistoryGone means that the store no longer has the changes since a version.
-var ErrHistoryGone = eris.New("the store has forgotten the changes since that version")
+var ErrHistoryGone = eris.New("the store no longer has the changes since that version")
 
 // olderError means that the store returned an older version of a table than this node holds.
 type olderError struct {
@@ -34,7 +34,7 @@
 }
 
 func (e olderError) Error() string {
-	return fmt.Sprintf("the store gave version %d of table %s, older than %d, which is held", e.Version, e.Table, e.Held)
+	return fmt.Sprintf("the store returned version %d of table %s, older than the held version %d", e.Version, e.Table, e.Held)
 }
 
 // Row is one row of a table.
@@ -421,7 +421,7 @@
 	}
 	f.olderLogged = time.Now()
 	f.log.WithFields(logrus.Fields{"table": f.table, "version": older.Version, "held": older.Held, "age_ms": time.Since(f.confirmation.At).Milliseconds()}).
-		Warn("an answer of the store was not taken: it is older than what is held")
+		Warn("ignored an answer of the store: it is older than the held version")
 }
 
 // waitOutBackoff waits for part of the backoff after a failed call. It returns false if there
--- a/internal/tablefeed/transfer.go
+++ b/internal/tablefeed/transfer.go
@@ -87,7 +87,7 @@
 	reconciled, kept := f.copy.reconcile(rows, era, reconciler.IsHeldNewer)
 	if len(kept) > 0 {
 		f.log.WithFields(logrus.Fields{"table": f.table, "era": era, "rows": len(kept), "first": kept[0]}).
-			Warn("rows of before are kept: the restored store has older ones")
+			Warn("kept rows from before the restore: the restored store has older ones")
 	}
 	return reconciled
 }
