--- a/internal/tablerelay/lag.go
+++ b/internal/tablerelay/lag.go
@@ -61,7 +61,7 @@
 	delete(l.open, table)
 	if l.logged[table] {
 		delete(l.logged, table)
-		l.entry(table, lag, held, now).Info("a newer version of a table has come")
+		l.entry(table, lag, held, now).Info("received the newer version of a table")
 	}
 }
 
