--- a/internal/tableshare/client.go
+++ b/internal/tableshare/client.go
@@ -102,7 +102,7 @@
 		return tablefeed.Transfer{}, err
 	}
 	if confirmation.Confirmed <= wanted.after {
-		return tablefeed.Transfer{}, eris.Errorf("the node gave version %d, not newer than %d", confirmation.Confirmed, wanted.after)
+		return tablefeed.Transfer{}, eris.Errorf("the node sent version %d, which isn't newer than %d", confirmation.Confirmed, wanted.after)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
 	if err != nil {
@@ -127,7 +127,7 @@
 	confirmed, confirmedErr := strconv.ParseUint(header.Get(headerConfirmed), decimal, 64)
 	age, ageErr := strconv.ParseInt(header.Get(headerAge), decimal, 64)
 	if changedErr != nil || confirmedErr != nil || ageErr != nil || age < 0 || confirmed < changed {
-		return tablefeed.Confirmation{}, eris.New("the node doesn't tell which version its copy has")
+		return tablefeed.Confirmation{}, eris.New("the node's response has no valid version and age")
 	}
 	return tablefeed.Confirmation{
 		Changed: tablefeed.Version(changed), Confirmed: tablefeed.Version(confirmed),
