--- a/internal/quota/keeper_test.go
+++ b/internal/quota/keeper_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// node is an asker with one meter.
+// node is a node with a meter that sends requests to keepers.
 type node struct {
 	Spender
 	meter *Meter
@@ -37,7 +37,7 @@
 
 func newNode(number int) *node { return &node{spenderOf(number), NewMeter(testTolerance)} }
 
-// ask asks a keeper and takes what it grants.
+// ask sends a request to a keeper and counts what it grants.
 func (n *node) ask(keeper *Keeper, limit Limit, cost float64, now time.Time) Decision {
 	decision := keeper.Decide(n.request(limit, cost, now), true, now)
 	if decision.Granted {
@@ -54,7 +54,7 @@
 	keeper.Report(accountA, n.Spender, n.meter.Report(accountA, now), true, now)
 }
 
-// spend asks for as much as the keeper grants at once, and returns that.
+// spend sends requests until the keeper refuses one, and returns the total granted.
 func (n *node) spend(keeper *Keeper, limit Limit, cost float64, now time.Time) float64 {
 	spent := 0.0
 	for n.ask(keeper, limit, cost, now).Granted {
@@ -71,26 +71,26 @@
 		t.Errorf("a burst of %v was granted, want 1000 and at most %v more", spent, credit)
 	}
 	if spent := second.spend(keeper, thousand, 10, at(0)); spent != 0 {
-		t.Errorf("another node was granted %v of a burst that is spent", spent)
+		t.Errorf("another node was granted %v though the burst is used up", spent)
 	}
 	if spent := second.spend(keeper, thousand, 10, at(0.5)); spent < 490 || spent > 510 {
-		t.Errorf("%v came back in half a second, want 500", spent)
+		t.Errorf("%v was refilled in half a second, want 500", spent)
 	}
 }
 
-// TestLongUseAboveTheRate: a window allows the burst besides the rate, also to a tenant that
-// doesn't burst.
+// TestLongUseAboveTheRate checks that a tenant that never sends bursts may still use a window's
+// rate plus the burst.
 func TestLongUseAboveTheRate(t *testing.T) {
 	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
 	granted := 0.0
-	for step := range 1200 { // a minute of 1,200 a second
+	for step := range 1200 { // a minute at 1,200 tokens per second
 		if n.ask(keeper, thousand, 60, at(float64(step)/20)).Granted && step >= 400 {
 			granted += 60
 		}
 	}
 	if perSecond := granted / 40; perSecond < 1000+0.8*1000/8 || perSecond > 1000+1000/8 {
-		t.Errorf("%v a second were granted, want nearly 1125", perSecond)
+		t.Errorf("%v per second was granted, want nearly 1125", perSecond)
 	}
 	keeper = NewKeeper(testTolerance, at(0))
 	n = newNode(1)
@@ -99,11 +99,11 @@
 		spent += n.spend(keeper, thousand, 10, at(float64(step)/20))
 	}
 	if most := 8*1000 + testTolerance.Slack/coldStartDivisor + testTolerance.MaxExcess(thousand)/earlyCreditDivisor + 10; spent > most {
-		t.Errorf("a keeper that has just started grants %v in a window, at most %v", spent, most)
+		t.Errorf("a keeper that has just started granted %v in a window, want at most %v", spent, most)
 	}
 }
 
-// TestOtherKeepersFollowByReports: also when reports are lost, repeated and overtaken.
+// TestReportsKeepOtherKeepersUpToDate checks this with duplicated and reordered reports too.
 func TestReportsKeepOtherKeepersUpToDate(t *testing.T) {
 	first, second := NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
@@ -114,7 +114,7 @@
 	n.report(second, at(0.5))
 	second.Report(accountA, n.Spender, old, true, at(0.5))
 	if decision := newNode(2).ask(second, thousand, 10, at(0.5)); decision.Granted {
-		t.Errorf("the second keeper grants what the first has: %+v", decision)
+		t.Errorf("the second keeper granted what the first already has: %+v", decision)
 	}
 }
 
@@ -125,11 +125,11 @@
 	n.meter.Refund(accountA, 500)
 	n.report(keeper, at(0))
 	if spent := newNode(2).spend(keeper, thousand, 10, at(0)); spent != 500 {
-		t.Errorf("%v granted of 500 that didn't run", spent)
+		t.Errorf("%v was granted after a refund of 500", spent)
 	}
 }
 
-// TestOlderReportTakesNothingBack: one that overtakes a newer one holds neither counter down.
+// TestOlderReportIsIgnored: a report that arrives after a newer one must not lower any counter.
 func TestOlderReportIsIgnored(t *testing.T) {
 	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
@@ -139,11 +139,12 @@
 	n.report(keeper, at(0))
 	keeper.Report(accountA, n.Spender, old, true, at(0))
 	if spent := newNode(2).spend(keeper, thousand, 10, at(0)); spent != 500 {
-		t.Errorf("%v granted of 500 that didn't run, after an older report came", spent)
+		t.Errorf("%v was granted after a refund of 500 and an older report", spent)
 	}
 }
 
-// TestGrantThatIsNotHeardIsVoid: a keeper that has granted and one that hasn't agree.
+// TestUnansweredGrantIsRefunded: if the answer to a request is lost, a keeper that granted it
+// and one that never saw it must end up with the same level.
 func TestUnansweredGrantIsRefunded(t *testing.T) {
 	granted, unaware := NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
@@ -152,12 +153,13 @@
 	for _, keeper := range []*Keeper{granted, unaware} {
 		n.report(keeper, at(0))
 		if decision := newNode(2).ask(keeper, thousand, 10, at(0)); decision.Level != 1000 {
-			t.Errorf("the level is %v, want 1000", decision.Level)
+			t.Errorf("level %v, want 1000", decision.Level)
 		}
 	}
 }
 
-// TestRequestLargerThanABurst passes where the bucket is full, and is paid back.
+// TestRequestLargerThanABurst checks that such a request passes if the bucket is full, and that
+// its debt must be refilled before the next one passes.
 func TestRequestLargerThanABurst(t *testing.T) {
 	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
@@ -166,33 +168,33 @@
 		t.Fatalf("refused: %+v", decision)
 	}
 	if decision := n.ask(keeper, thousand, 10, at(0.3)); decision.Granted {
-		t.Errorf("a small one passes in debt: %+v", decision)
+		t.Errorf("a small request was granted while the bucket is in debt: %+v", decision)
 	}
 	if decision := n.ask(keeper, thousand, large, at(1)); decision.Granted {
 		t.Errorf("granted again after a second: %+v", decision)
 	}
 	if decision := n.ask(keeper, thousand, large, at(3)); !decision.Granted {
-		t.Errorf("refused though the debt is paid: %+v", decision)
+		t.Errorf("refused though the debt has been refilled: %+v", decision)
 	}
 	if decision := newNode(2).ask(NewKeeper(testTolerance, warmSince), thousand, large+1, at(0)); decision.Granted {
-		t.Errorf("a request passes whose debt the tolerance doesn't bear: %+v", decision)
+		t.Errorf("a request was granted whose debt exceeds the tolerance: %+v", decision)
 	}
 	single := Limit{Rate: 1, Unit: Requests}
 	if decision := newNode(3).ask(NewKeeper(Tolerance{Window: time.Second}, warmSince), single, 1, at(0)); !decision.Granted {
-		t.Errorf("a limit of one request a second without a burst serves none: %+v", decision)
+		t.Errorf("refused at a limit of one request a second without a burst: %+v", decision)
 	}
 }
 
-// TestColdKeeper: one that doesn't know what was used has no second burst to give.
+// TestColdKeeper: a keeper that doesn't know earlier usage must not grant a second burst.
 func TestColdKeeper(t *testing.T) {
 	keeper := NewKeeper(testTolerance, at(0))
 	n := newNode(1)
 	most := testTolerance.Slack/coldStartDivisor + testTolerance.MaxExcess(thousand)/earlyCreditDivisor + 10
 	if spent := n.spend(keeper, thousand, 10, at(0)); spent > most {
-		t.Errorf("%v granted at the start, want at most %v", spent, most)
+		t.Errorf("%v was granted by a cold keeper, want at most %v", spent, most)
 	}
 	if decision := n.ask(keeper, thousand, 10, at(0)); !decision.Cold {
-		t.Error("the keeper doesn't say that it is cold")
+		t.Error("Cold is false for a keeper that has just started")
 	}
 	if decision := n.ask(keeper, thousand, 10, at(2)); !decision.Granted || decision.Level != 1000 {
 		t.Errorf("after two seconds: %+v", decision)
@@ -205,8 +207,8 @@
 	}
 }
 
-// TestFirstReportOfCounters: what was used before the keeper knew the account isn't
-// charged, and what was used since is.
+// TestFirstReportOfCounters: usage from before the keeper knew the account isn't charged, later
+// usage is.
 func TestFirstReportOfCounters(t *testing.T) {
 	limit := thousand
 	used := Counters{Taken: 800}
@@ -229,8 +231,9 @@
 	}
 }
 
-// TestUseAfterAPauseIsHeard: keepers forget a node that pauses for long, as each of many does
-// that share a tenant's few requests, and hear all that it uses next.
+// TestUsageAfterAPauseIsCharged: keepers drop the counters of a node that pauses for long,
+// which is common where many nodes share a tenant's few requests. All that it uses afterwards
+// must be charged.
 func TestUsageAfterAPauseIsCharged(t *testing.T) {
 	first, second := NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)
 	n, busy := newNode(1), newNode(2)
@@ -239,7 +242,7 @@
 		n.spend(first, thousand, 100, now)
 		n.report(second, now)
 		if decision := busy.ask(second, thousand, 200, now); decision.Granted {
-			t.Errorf("the second keeper grants what the first has after %d pauses: %+v", step, decision)
+			t.Errorf("after %d pauses, the second keeper granted what the first already has: %+v", step, decision)
 		}
 		for second := range 70 {
 			now = now.Add(time.Second)
@@ -252,8 +255,8 @@
 	}
 }
 
-// TestKeeperThatMissedReports: it gives no burst, and doesn't charge at once what others
-// granted meanwhile.
+// TestKeeperThatMissedReports: the keeper must not grant a full burst afterwards, and must not
+// charge at once what other keepers granted meanwhile.
 func TestKeeperThatMissedReports(t *testing.T) {
 	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
@@ -272,8 +275,9 @@
 	}
 }
 
-// TestLateReportsDontBlockATenant: what others granted within the limit while a node was
-// out of hearing is owed only as far as a burst may have been spent twice.
+// TestLateReportsDontBlockATenant: usage that other keepers granted within the limit while a
+// node was silent may only cause a bounded debt, as large as a burst that may have been granted
+// twice.
 func TestLateReportsDontBlockATenant(t *testing.T) {
 	keeper := NewKeeper(testTolerance, warmSince)
 	n := newNode(1)
@@ -285,17 +289,17 @@
 	}
 }
 
-// TestNewKeeperOfAnAccount: a node that the ranking makes one knows nothing of it yet.
+// TestNewKeeperOfAnAccount: a node that becomes a keeper of an account knows no earlier usage.
 func TestNewKeeperOfAnAccount(t *testing.T) {
 	keeper := NewKeeper(testTolerance, warmSince)
 	newNode(1).ask(keeper, thousand, 10, at(0))
 	keeper.KeepersChanged(func(string) bool { return true }, at(1))
 	if decision := newNode(1).ask(keeper, thousand, 10, at(1)); decision.Cold {
-		t.Errorf("an account that stays is forgotten: %+v", decision)
+		t.Errorf("an account that this node still keeps was dropped: %+v", decision)
 	}
 	keeper.KeepersChanged(func(string) bool { return false }, at(1))
 	if decision := newNode(1).ask(keeper, thousand, 10, at(1)); !decision.Cold || decision.Level > testTolerance.Slack/coldStartDivisor {
-		t.Errorf("a new keeper has a burst to give: %+v", decision)
+		t.Errorf("a new keeper granted a full burst: %+v", decision)
 	}
 }
 
@@ -306,14 +310,14 @@
 	lower := Limit{Rate: 100, Burst: 50, Unit: Tokens}
 	n.meter.Begin(accountA, lower, 2, at(0))
 	n.report(keeper, at(0))
-	// A node of the older configuration asks.
+	// The asking node still has the older configuration.
 	if decision := newNode(2).ask(keeper, thousand, 1, at(0)); decision.Level > 50 || decision.Version != 2 {
-		t.Errorf("the older limit decides: %+v", decision)
+		t.Errorf("the older limit was applied: %+v", decision)
 	}
 }
 
-// TestHalvesStayAtTheLimit: keepers that can't hear each other leave the other half its
-// share, unless its processes have ended.
+// TestPartitionedKeepersStayWithinTheLimit: keepers on either side of a partition hold back the
+// share of the nodes on the other side, unless these have stopped.
 func TestPartitionedKeepersStayWithinTheLimit(t *testing.T) {
 	left, right := NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)
 	here, remote := newNode(1), newNode(2)
@@ -341,15 +345,16 @@
 		sum += spendWhileSplit(here, left, now) + spendWhileSplit(remote, right, now)
 	}
 	if allowed := 8*1000 + 1000 + testTolerance.MaxExcess(thousand); sum > allowed || sum < 8*1000*0.9 {
-		t.Errorf("two halves used %v in 8 s, at most %v is allowed", sum, allowed)
+		t.Errorf("two partitions used %v in 8 s, want at most %v and at least 0.9 of the rate", sum, allowed)
 	}
 	left.NodeStopped(remote.Node)
 	if decision := left.Decide(DecisionRequest{Account: accountA, From: here.Spender, Report: here.meter.Report(accountA, at(21)), Cost: 1, Split: true}, true, at(21)); decision.Reserved != 0 {
-		t.Errorf("%v is kept for a process that has ended", decision.Reserved)
+		t.Errorf("%v is reserved for a process that has stopped", decision.Reserved)
 	}
 }
 
-// TestHalvesShareTheTolerance: large requests leave a debt on either side, and come early.
+// TestPartitionedKeepersShareTheTolerance: on both sides of a partition, large requests leave a
+// debt and requests pass a little early; together they must stay within the tolerance.
 func TestPartitionedKeepersShareTheTolerance(t *testing.T) {
 	for cost := 100.0; cost <= 1000+testTolerance.MaxExcess(thousand)/maxDebtDivisor; cost += 50 {
 		keepers := []*Keeper{NewKeeper(testTolerance, warmSince), NewKeeper(testTolerance, warmSince)}
@@ -374,13 +379,14 @@
 			}
 		}
 		if len(uses) == 0 && cost <= 800 {
-			t.Errorf("no request of %v is served", cost)
+			t.Errorf("no request of %v was granted", cost)
 		}
 		checkWindows(t, uses, 8*1000+1000+testTolerance.MaxExcess(thousand))
 	}
 }
 
-// TestSuccessorEndsAReservation: the process that comes after one at its address.
+// TestSuccessorEndsReservation: a new process at the same address ends the reservation for the
+// previous one.
 func TestSuccessorEndsReservation(t *testing.T) {
 	keeper := NewKeeper(testTolerance, warmSince)
 	n, lost := newNode(1), newNode(2)
@@ -392,13 +398,13 @@
 		return keeper.Decide(question, true, now)
 	}
 	if decision := ask(at(3)); decision.Reserved < 0.4 {
-		t.Errorf("%v is kept for a node that is out of hearing", decision.Reserved)
+		t.Errorf("%v is reserved for a silent node, want at least 0.4", decision.Reserved)
 	}
 	successor := newNode(2)
 	successor.Node = "successor"
 	successor.ask(keeper, thousand, 1, at(3))
 	if decision := ask(at(3)); decision.Reserved != 0 {
-		t.Errorf("%v is kept for a node that has a successor", decision.Reserved)
+		t.Errorf("%v is reserved for a node that has a successor", decision.Reserved)
 	}
 }
 
@@ -410,26 +416,27 @@
 	for range 20 {
 		decision := n.ask(keeper, thousand, 100, at(0))
 		if decision.Granted || decision.Wait < last {
-			t.Fatalf("%+v after a wait of %v", decision, last)
+			t.Fatalf("%+v after a retry time of %v", decision, last)
 		}
 		last = decision.Wait
 	}
 	if last < 1900*time.Millisecond || last > 2100*time.Millisecond {
-		t.Errorf("the last of twenty is told to wait %v", last)
+		t.Errorf("the last of twenty has a retry time of %v, want two seconds", last)
 	}
 	for range 500 {
 		last = n.ask(keeper, thousand, 100, at(0)).Wait
 	}
 	if last > maxWait {
-		t.Errorf("told to wait %v", last)
+		t.Errorf("retry time %v, want at most maxWait", last)
 	}
 	if got := AddJitter(time.Second, 1); got != 1125*time.Millisecond {
-		t.Errorf("a second is spread to %v", got)
+		t.Errorf("a second with full jitter is %v", got)
 	}
 }
 
-// TestSharesOfOldUseDontAddUp: a tenant that was alone on each of many nodes once hasn't
-// left each of them the whole allowance.
+// TestOutdatedSharesAreIgnored: a tenant may have used each of many nodes alone at different
+// times. Each of these nodes then has a share of 1, and together they must not use the whole
+// allowance several times.
 func TestOutdatedSharesAreIgnored(t *testing.T) {
 	const nodes = 10
 	sum := 0.0
@@ -442,13 +449,13 @@
 		}
 	}
 	if most := testTolerance.MaxExcess(thousand) / privateDivisor; sum > most {
-		t.Errorf("%v used at once, at most %v may be", sum, most)
+		t.Errorf("%v used at once, want at most %v", sum, most)
 	}
 }
 
-// TestPrivateAllowanceOfLargeRequests: nodes that reach no keeper stay together within the
-// tolerance also where each request costs many times what one of them may use in a window,
-// and where each is tried until it is served.
+// TestPrivateAllowanceOfLargeRequests: nodes that reach no keeper must together stay within the
+// tolerance even if each request costs many times a node's allowance per window, and is retried
+// until it passes.
 func TestPrivateAllowanceOfLargeRequests(t *testing.T) {
 	const nodes, cost = 70, 500
 	draw := rand.New(rand.NewPCG(1, 3))
@@ -462,15 +469,15 @@
 			}
 		}
 	}
-	// A window holds twice the half: what was saved up and what comes back. The draws of
-	// this seed are within a tenth of that.
+	// A window allows twice the saved-up half of MaxExcess: what was saved up and what is
+	// refilled. With this seed, the random draws stay within a tenth of that.
 	if most := 1.1 * testTolerance.MaxExcess(thousand); sum > most || sum == 0 {
-		t.Errorf("%v used without a keeper in a window, at most %v is tolerated", sum, most)
+		t.Errorf("%v used without a keeper in a window, want at most %v and more than 0", sum, most)
 	}
 }
 
-// TestPrivateAllowance: nodes that reach no keeper use together half of what may be used
-// past the limit, and what comes back.
+// TestPrivateAllowance: nodes that reach no keeper may together use half of MaxExcess at once,
+// plus what is refilled.
 func TestPrivateAllowance(t *testing.T) {
 	const nodes = 10
 	sum := 0.0
@@ -486,27 +493,27 @@
 			}
 		}
 	}
-	// A window holds what was saved up and what comes back.
+	// A window allows what was saved up and what is refilled.
 	if most := testTolerance.MaxExcess(thousand); sum > most || sum < testTolerance.MaxExcess(thousand)/privateDivisor {
-		t.Errorf("%v used, at most %v", sum, most)
+		t.Errorf("%v used, want at most %v and at least half of that", sum, most)
 	}
 	n := newNode(1)
 	n.meter.Begin(accountA, thousand, 1, at(0))
 	held := testTolerance.MaxExcess(thousand) / privateDivisor / nodes
 	if first := n.meter.DecidePrivately(accountA, nodes, 500, 0.99*held/500, at(0)); !first.Granted || !first.First {
-		t.Errorf("a request that costs more than the allowance, by a draw for it: %+v", first)
+		t.Errorf("request larger than the allowance, draw below its probability: %+v", first)
 	}
 	if second := n.meter.DecidePrivately(accountA, nodes, 500, 0, at(0)); second.Granted || second.First || second.Wait <= 0 {
-		t.Errorf("and another: %+v", second)
+		t.Errorf("another such request with an empty allowance: %+v", second)
 	}
 	if third := n.meter.DecidePrivately(accountA, nodes, 500, 1.01*held/500, at(8)); third.Granted || third.Level != held {
-		t.Errorf("by a draw against it: %+v", third)
+		t.Errorf("request larger than the allowance, draw above its probability: %+v", third)
 	}
 	if fourth := n.meter.DecidePrivately(accountA, nodes, 10, 0, at(8)); fourth.Granted {
-		t.Errorf("a draw doesn't take what is held: %+v", fourth)
+		t.Errorf("the draw left the allowance as it was: %+v", fourth)
 	}
 	if !n.meter.SetShare(accountA, 0.1, at(8)) || n.meter.SetShare(accountA, 0.1, at(8)) {
-		t.Error("being back isn't told once")
+		t.Error("SetShare must return true only after a private decision")
 	}
 }
 
@@ -523,11 +530,12 @@
 		t.Errorf("%d accounts", len(keeper.accounts))
 	}
 	if decision := n.ask(keeper, thousand, 10, at(70)); decision.Level != 1000 {
-		t.Errorf("an old use is charged again: %+v", decision)
+		t.Errorf("old usage was charged again: %+v", decision)
 	}
 }
 
-// TestIdleAccountOfWhichAPartWasKept for nodes out of hearing is forgotten too.
+// TestIdleAccountWithReservationIsForgotten: a reservation for silent nodes must not keep an
+// idle account from being dropped.
 func TestIdleAccountWithReservationIsForgotten(t *testing.T) {
 	keeper := NewKeeper(testTolerance, warmSince)
 	n, lost := newNode(1), newNode(2)
@@ -536,22 +544,22 @@
 	question := n.request(thousand, 1, at(3))
 	question.Split = true
 	if decision := keeper.Decide(question, true, at(3)); decision.Reserved == 0 {
-		t.Fatalf("nothing is kept: %+v", decision)
+		t.Fatalf("nothing is reserved: %+v", decision)
 	}
 	keeper.Forget(at(3 + 2*IdleTTL.Seconds()))
 	if len(keeper.accounts) != 0 {
-		t.Errorf("%d accounts are left", len(keeper.accounts))
+		t.Errorf("%d accounts left", len(keeper.accounts))
 	}
 }
 
-// use is what ran at a time.
+// use is a granted cost and the time at which it ran.
 type use struct {
 	at   time.Time
 	cost float64
 }
 
-// TestNoWindowHoldsMoreThanIsTolerated: whatever reports are lost, whichever keeper is
-// asked, answers lost and requests given back.
+// TestNoWindowHoldsMoreThanIsTolerated: no window may exceed limit and tolerance, whichever
+// keeper is asked and whatever reports and answers are lost or requests refunded.
 func TestNoWindowHoldsMoreThanIsTolerated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -563,7 +571,7 @@
 		const steps, step = 800, 0.025
 		for i := range steps {
 			now := at(float64(i) * step)
-			if draw.Float64() < 0.002 { // a keeper starts again
+			if draw.Float64() < 0.002 { // a keeper restarts
 				keepers[draw.IntN(len(keepers))] = NewKeeper(testTolerance, now)
 			}
 			first := 0
@@ -598,7 +606,7 @@
 	})
 }
 
-// failer is a test, or a trial of one.
+// failer is a *testing.T or a *rapid.T.
 type failer interface {
 	Fatalf(format string, args ...any)
 }
@@ -612,12 +620,13 @@
 			begin++
 		}
 		if sum > allowed {
-			t.Fatalf("%v used in the window to %v, %v allowed", sum, u.at.Sub(origin), allowed)
+			t.Fatalf("%v used in the window up to %v, want at most %v", sum, u.at.Sub(origin), allowed)
 		}
 	}
 }
 
-// TestTenantAtHalfItsRateIsNeverRefused by a keeper that hears of all use, late or not.
+// TestTenantBelowItsRateIsNeverRefused by a keeper that receives all usage, even if late. The
+// tenant uses about half its rate.
 func TestTenantBelowItsRateIsNeverRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
@@ -627,7 +636,7 @@
 		for i := range 800 {
 			now := at(float64(i) * 0.025)
 			for _, n := range nodes {
-				cost := 8 * draw.Float64() // 480 a second of 1000
+				cost := 8 * draw.Float64() // 480 tokens a second of 1,000
 				if decision := n.ask(keepers[draw.IntN(2)], thousand, cost, now); !decision.Granted {
 					t.Fatalf("refused at %v: %+v", now.Sub(origin), decision)
 				}
@@ -641,12 +650,13 @@
 	})
 }
 
-// TestUseIsRepeatedForAWhile and no longer, and told at once only when it has changed.
+// TestReportsAreRepeatedForAWhile: a report is sent at once only if its usage has changed, and
+// is repeated for repeatPeriod.
 func TestReportsAreRepeatedForAWhile(t *testing.T) {
 	n := newNode(1)
 	n.meter.Begin(accountA, thousand, 1, at(0))
 	if changed := n.meter.Changed(); len(changed) != 0 {
-		t.Errorf("without a use %v have changed", changed)
+		t.Errorf("%v have changed without usage", changed)
 	}
 	n.meter.Take(accountA, 10, at(0))
 	if changed, again := n.meter.Changed(), n.meter.Changed(); len(changed) != 1 || len(again) != 0 {
@@ -657,7 +667,8 @@
 	}
 }
 
-// TestKeepersThatStartApartGrantOneColdPart behind a burst, each to the only node that reaches it.
+// TestIsolatedColdKeepersShareOneColdStart: after a burst, three keepers start at the same
+// time, each reached by one node only. Together they must grant one cold-start level.
 func TestIsolatedColdKeepersShareOneColdStart(t *testing.T) {
 	tolerance, limit := Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 4}, Limit{Rate: 3, Burst: 4, Unit: Requests}
 	const step, killed, started, met = 0.01, 0.65, 0.8, 1.7
@@ -697,6 +708,6 @@
 		}
 	}
 	if most := limit.Rate*tolerance.Window.Seconds() + limit.Burst + tolerance.MaxExcess(limit); spent > most {
-		t.Errorf("%v were granted in a window, and %v may be", spent, most)
+		t.Errorf("%v granted in a window, want at most %v", spent, most)
 	}
 }
--- a/internal/quota/meter_test.go
+++ b/internal/quota/meter_test.go
@@ -26,15 +26,15 @@
 	used := begin.Add(9 * time.Second)
 	meter.Forget(used.Add(meterTTL))
 	if len(meter.accounts) != 1 {
-		t.Fatal("an account is forgotten that keepers may know")
+		t.Fatal("an account was dropped that keepers may still know")
 	}
 	after := used.Add(meterTTL + time.Second)
 	meter.Forget(after)
 	keeper.Forget(after)
 	if len(meter.accounts) != 0 {
-		t.Error("an account that nobody uses is kept for ever")
+		t.Error("an unused account was not dropped")
 	}
 	if !grant(after) || grant(after) {
-		t.Error("after a long pause one request is granted at once, and one only")
+		t.Error("after a long pause, exactly one request must be granted at once")
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -22,6 +22,6 @@
 func TestToleranceGrowsWithTheLimit(t *testing.T) {
 	tolerance := Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 50}
 	if got := tolerance.MaxExcess(Limit{Rate: 100, Burst: 200}); got != 150 {
-		t.Errorf("%v may be used past the limit, want 150", got)
+		t.Errorf("MaxExcess is %v, want 150", got)
 	}
 }
--- a/internal/quota/stall_test.go
+++ b/internal/quota/stall_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// fleet plays nodes that ask three of them for turns at one worker, while single ones stall: a
-// stalled keeper takes in asks and reports when it goes on, and who waits for its answer asks the
-// next one.
+// fleet simulates nodes that ask three of them for turns at one worker, while single nodes
+// stall. A stalled keeper handles requests and reports when it resumes; a node that gets no
+// answer asks the next keeper.
 type fleet struct {
 	random  *rand.Rand
 	nodes   []*node
 	keepers []*Keeper
-	// stalled is until when a node does nothing, and late what it takes in then.
+	// stalledUntil is when each stalled node resumes, and delayed what it then handles.
 	stalledUntil []time.Time
 	delayed      [][]func(now time.Time)
 	sent         []time.Time
@@ -22,7 +22,8 @@
 
 const (
 	fleetNodes = 6
-	// stallEvery is the mean time between two stalls of one node, and longestStall bounds them.
+	// stallEvery is the mean time between two stalls of a node, longestStall the maximum length
+	// of one.
 	stallEvery   = 2 * time.Second
 	longestStall = 400 * time.Millisecond
 	fleetStep    = 5 * time.Millisecond
@@ -41,7 +42,7 @@
 	return f
 }
 
-// deliver has a keeper take something in, now or when it goes on.
+// deliver has a keeper handle a message, now or when it resumes.
 func (f *fleet) deliver(keeper int, now time.Time, handle func(now time.Time)) (atOnce bool) {
 	if now.Before(f.stalledUntil[keeper]) {
 		f.delayed[keeper] = append(f.delayed[keeper], handle)
@@ -51,7 +52,7 @@
 	return true
 }
 
-// ask has a node ask for a turn, and notes when its request is sent.
+// ask requests a turn for a node, and records when the request is sent.
 func (f *fleet) ask(number int, now time.Time) {
 	n := f.nodes[number]
 	asked := DecisionRequest{
@@ -85,7 +86,7 @@
 	}
 }
 
-// step plays some milliseconds: stalls, requests, reports.
+// step simulates fleetStep: stalls, requests and reports.
 func (f *fleet) step(now time.Time) {
 	for number, n := range f.nodes {
 		if now.Before(f.stalledUntil[number]) {
@@ -112,8 +113,8 @@
 	}
 }
 
-// TestTurnsHoldWhileNodesStall: on slow machines answers are late, and keepers that were asked in
-// vain grant what another one has granted as well.
+// TestTurnsHoldWhileNodesStall: on slow machines answers are late, and a keeper that was asked
+// in vain later grants a turn that another keeper has granted as well.
 func TestTurnsHoldWhileNodesStall(t *testing.T) {
 	const span = 120
 	most, sum := 0, 0
@@ -135,10 +136,10 @@
 	allowed := workerLimit.Rate*workerTolerance.Window.Seconds()*1.5 + workerTolerance.Slack
 	perSecond := float64(sum) / 20 / span
 	if float64(most) > allowed {
-		t.Errorf("%d requests were sent in %v, %v are allowed", most, workerTolerance.Window, allowed)
+		t.Errorf("%d requests were sent in %v, want at most %v", most, workerTolerance.Window, allowed)
 	}
 	if perSecond < 0.9*workerLimit.Rate || perSecond > 1.1*workerLimit.Rate {
-		t.Errorf("%v requests a second were sent, %v are taken", perSecond, workerLimit.Rate)
+		t.Errorf("%v requests per second were sent, limit %v", perSecond, workerLimit.Rate)
 	}
 	t.Logf("at most %d requests in a window (%v are allowed), %v a second", most, allowed, perSecond)
 }
--- a/internal/quota/turns_test.go
+++ b/internal/quota/turns_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// The limit of a worker in need, and what it bears beyond it.
+// workerLimit is the rate limit that a worker declares, and workerTolerance how far it may be
+// exceeded.
 var (
 	workerLimit     = Limit{Rate: 2.2, Burst: 1, Unit: Requests}
 	workerTolerance = Tolerance{Window: 4 * time.Second, Overshoot: 0.5, Slack: 5, Ahead: 4 * time.Second}
 )
 
-// turn asks for one request that may wait.
+// requestTurn sends one request that may wait until a time.
 func requestTurn(k *Keeper, from *node, patience, now time.Time) Decision {
 	report := from.meter.Begin(accountA, workerLimit, 1, now)
 	decision := k.Decide(DecisionRequest{
@@ -23,8 +24,8 @@
 	return decision
 }
 
-// TestTurnsAreGivenInOrderAtTheRate: who waits has a turn of its own, which none that comes later
-// is served before, and all that a limit allows is used.
+// TestTurnsAreGrantedInOrderAtTheRate: a request that waits has its own turn, no later request
+// gets an earlier one, and the limit is fully used.
 func TestTurnsAreGrantedInOrderAtTheRate(t *testing.T) {
 	keeper := NewKeeper(workerTolerance, warmSince)
 	nodes := []*node{newNode(1), newNode(2), newNode(3)}
@@ -35,12 +36,12 @@
 		if decision.Granted {
 			turns = append(turns, now.Add(decision.Delay))
 		} else if decision.Wait <= 0 {
-			t.Fatal("a refusal doesn't tell when to come back")
+			t.Fatal("a refusal has no retry time")
 		}
 	}
 	for i := range turns[1:] {
 		if turns[i+1].Before(turns[i]) {
-			t.Fatalf("turn %d comes before the one that was given earlier", i+1)
+			t.Fatalf("turn %d is before the one granted earlier", i+1)
 		}
 	}
 	first := 0
@@ -49,15 +50,14 @@
 			first++
 		}
 		if count := last - first + 1; float64(count) > workerLimit.Rate*4+workerLimit.Burst+workerTolerance.MaxExcess(workerLimit)/earlyCreditDivisor+1 {
-			t.Fatalf("%d turns in 4 s, %v a second are taken", count, workerLimit.Rate)
+			t.Fatalf("%d turns in 4 s, limit %v per second", count, workerLimit.Rate)
 		}
 	}
 	if used := float64(len(turns)) / 40; used < 0.95*workerLimit.Rate {
-		t.Errorf("%v requests a second of %v", used, workerLimit.Rate)
+		t.Errorf("%v requests per second were granted, limit %v", used, workerLimit.Rate)
 	}
 }
 
-// TestNextTellsWhenAFurtherRequestPasses.
 func TestNextTellsWhenAFurtherRequestPasses(t *testing.T) {
 	keeper := NewKeeper(workerTolerance, warmSince)
 	n := newNode(1)
@@ -69,32 +69,31 @@
 		t.Fatalf("%+v", decision)
 	}
 	if got := requestTurn(keeper, n, at(0), at(0).Add(decision.Next-time.Millisecond)); got.Granted {
-		t.Error("a request passes before the time that was told")
+		t.Error("a request was granted before Next")
 	}
 	if got := requestTurn(keeper, n, at(0), at(0).Add(decision.Next+time.Millisecond)); !got.Granted {
-		t.Error("no request passes at the time that was told")
+		t.Error("no request was granted at Next")
 	}
 }
 
-// TestTurnThatIsGivenBackIsSomebodyElses.
 func TestRefundedTurnGoesToAnotherRequest(t *testing.T) {
 	keeper := NewKeeper(workerTolerance, warmSince)
 	first, second := newNode(1), newNode(2)
 	for requestTurn(keeper, first, at(0), at(0)).Granted {
 	}
 	if !requestTurn(keeper, first, at(2), at(0)).Granted {
-		t.Fatal("no turn within two seconds")
+		t.Fatal("no turn was granted within two seconds")
 	}
 	before := requestTurn(keeper, second, at(0), at(0)).Level
 	first.meter.Refund(accountA, 1)
 	first.report(keeper, at(0))
 	if after := requestTurn(keeper, second, at(0), at(0)).Level; after <= before {
-		t.Errorf("the level is %v, was %v", after, before)
+		t.Errorf("level %v after a refund, %v before", after, before)
 	}
 }
 
-// TestTurnsHoldWhicheverKeeperIsAsked: an answer that is late has another keeper asked, which was
-// told of the turns that the first has given ahead.
+// TestTurnsStayAtTheRateWithAnyKeeper: if an answer is late, another keeper is asked, which has
+// been told of the turns that the first one granted ahead of time.
 func TestTurnsStayAtTheRateWithAnyKeeper(t *testing.T) {
 	keepers := []*Keeper{NewKeeper(workerTolerance, warmSince), NewKeeper(workerTolerance, warmSince), NewKeeper(workerTolerance, warmSince)}
 	n := newNode(1)
@@ -110,6 +109,6 @@
 		}
 	}
 	if perSecond := float64(granted) / span; perSecond > 1.1*workerLimit.Rate {
-		t.Errorf("%v turns a second are given, %v are taken", perSecond, workerLimit.Rate)
+		t.Errorf("%v turns per second were granted, limit %v", perSecond, workerLimit.Rate)
 	}
 }
