--- a/internal/quarantine/detector_test.go
+++ b/internal/quarantine/detector_test.go
@@ -15,10 +15,11 @@
 
 func request(name string) Fingerprint { return Content{Target: name}.Fingerprint() }
 
-// at is the end of a worker at an address of its own.
+// crashOf is the crash of a worker at an address of its own.
 func crashOf(worker string) Crash { return Crash{Worker: worker, Address: "address of " + worker} }
 
-// crash has workers end under requests, one after the other, and judges.
+// crash records crashes of workers, each while it was running the named requests, and
+// evaluates.
 func (d *Detector) crash(now time.Time, workers []string, names ...string) {
 	for _, worker := range workers {
 		var ran []Fingerprint
@@ -30,7 +31,7 @@
 	d.Evaluate()
 }
 
-// isQuarantined looks once all has settled.
+// isQuarantined reports whether a request is quarantined once its last crash has settled.
 func (d *Detector) isQuarantined(name string, now time.Time) bool {
 	return d.Status(request(name), now.Add(settlePeriod)).Quarantined
 }
@@ -47,11 +48,11 @@
 		t.Error("not quarantined after three crashes")
 	}
 	if got := d.Status(request("other"), start); got != (Status{}) {
-		t.Errorf("another request stands as %+v", got)
+		t.Errorf("another request has the status %+v", got)
 	}
 }
 
-// TestSameEndCountsOnce, however many nodes tell of it.
+// TestSameCrashCountsOnce, however many nodes report it.
 func TestSameCrashCountsOnce(t *testing.T) {
 	d := NewDetector()
 	for range 5 {
@@ -62,7 +63,8 @@
 	}
 }
 
-// TestRunToAnEndClears, though it is told late and in another order.
+// TestCompletedRunClears: a completed run must also clear crashes that are reported after it,
+// while crashes from then on count.
 func TestCompletedRunClears(t *testing.T) {
 	d := NewDetector()
 	d.crash(start, []string{"w1", "w2", "w3"}, "a")
@@ -75,11 +77,11 @@
 	other.Merge([]Record{cleared}, start)
 	other.crash(start, []string{"w1", "w2", "w3"}, "a")
 	if got := other.Status(request("a"), start).Crashes; got != 0 {
-		t.Errorf("%d crashes count that are told after they were cleared", got)
+		t.Errorf("%d crashes count that were reported after they were cleared", got)
 	}
 	d.crash(start, []string{"w4", "w5"}, "a")
 	if d.isQuarantined("a", start) {
-		t.Error("crashes of before count again")
+		t.Error("cleared crashes count again")
 	}
 	d.crash(start, []string{"w6"}, "a")
 	if !d.isQuarantined("a", start) {
@@ -87,57 +89,59 @@
 	}
 }
 
-// TestNeighboursAreNotBlamed: what was at the same ends as a request that was at one more
-// is innocent, and so is what was at some of them.
+// TestNeighboursAreNotBlamed: requests that were present only at crashes that another,
+// quarantined request explains must not be quarantined.
 func TestNeighboursAreNotBlamed(t *testing.T) {
 	d := NewDetector()
 	d.crash(start, []string{"w1"}, "poison", "twice", "thrice", "once")
 	d.crash(start, []string{"w2"}, "poison", "twice", "thrice")
 	d.crash(start, []string{"w3"}, "poison", "thrice")
 	if d.isQuarantined("poison", start) || d.isQuarantined("thrice", start) {
-		t.Error("one of two that were at the same three ends is quarantined: either may have done it")
+		t.Error("one of two requests present at the same three crashes is quarantined, though either may have caused them")
 	}
 	d.crash(start, []string{"w4"}, "poison")
 	if !d.isQuarantined("poison", start) {
-		t.Error("four ends, of which nothing else explains the last, aren't enough")
+		t.Error("not quarantined after four crashes, the last of which no other request explains")
 	}
 	for _, name := range []string{"once", "twice", "thrice"} {
 		if d.isQuarantined(name, start) {
 			t.Errorf("%q is quarantined, though another request explains all its crashes", name)
 		}
 	}
-	// Its crashes beside the other one count no more, so that it can be unlucky again.
+	// The crashes that the other request explains no longer count, so two further crashes
+	// aren't enough.
 	d.crash(start, []string{"w5", "w6"}, "thrice")
 	if d.isQuarantined("thrice", start) {
 		t.Error("explained crashes count")
 	}
 }
 
-// TestTwoThatAreAlwaysTogetherAreStopped in the end: no more than two workers further.
+// TestRequestsThatAlwaysRunTogetherAreQuarantined after two more crashes at most, though
+// nothing tells which of them is at fault.
 func TestRequestsThatAlwaysRunTogetherAreQuarantined(t *testing.T) {
 	d := NewDetector()
 	d.crash(start, []string{"w1", "w2", "w3", "w4", "w5"}, "a", "b")
 	if !d.isQuarantined("a", start) && !d.isQuarantined("b", start) {
-		t.Error("neither is quarantined after five ends")
+		t.Error("neither request is quarantined after five crashes")
 	}
 }
 
-// TestLateReportExonerates: a report that comes after the judgement shows that another
-// request was at all ends too.
+// TestLateReportClearsInnocentRequest: a report that arrives after the evaluation shows that
+// another request was present at all the crashes too.
 func TestLateReportClearsInnocentRequest(t *testing.T) {
 	d := NewDetector()
 	d.crash(start, []string{"w1", "w2", "w3"}, "innocent")
 	d.crash(start, []string{"w1", "w2"}, "poison")
 	if standing := d.Status(request("innocent"), start); standing.Quarantined || standing.Settling != settlePeriod {
-		t.Errorf("before all can have been told it stands as %+v", standing)
+		t.Errorf("status before the last crash has settled: %+v", standing)
 	}
 	d.crash(start, []string{"w3", "w4"}, "poison")
 	if d.isQuarantined("innocent", start) || !d.isQuarantined("poison", start) {
-		t.Error("the wrong one is quarantined")
+		t.Error("the innocent request is quarantined, or the other one is not")
 	}
 }
 
-// TestMachineThatEndsAllIsToBlame, not the request that it gets each time.
+// TestMachineThatCrashesAllWorkersIsToBlame, not the request that is sent there each time.
 func TestMachineThatCrashesAllWorkersIsToBlame(t *testing.T) {
 	d := NewDetector()
 	for _, worker := range []string{"w1", "w2", "w3", "w4"} {
@@ -145,22 +149,22 @@
 	}
 	d.Evaluate()
 	if d.isQuarantined("a", start) {
-		t.Error("quarantined for four ends at one address")
+		t.Error("quarantined after four crashes at one address")
 	}
 	d.Crashed(Crash{Worker: "w5", Address: "the same"}, []Fingerprint{request("a")}, start)
 	d.Evaluate()
 	if !d.isQuarantined("a", start) {
-		t.Error("five ends aren't enough")
+		t.Error("not quarantined after five crashes")
 	}
 }
 
-// TestAnswersWeighAgainstBlame: what had been answering is less likely to have ended its
-// worker.
+// TestBegunAnswersNeedMoreCrashes: a request whose answer had begun is less likely to have
+// crashed its worker.
 func TestBegunAnswersNeedMoreCrashes(t *testing.T) {
 	d := NewDetector()
 	for count, worker := range []string{"w1", "w2", "w3", "w4", "w5"} {
 		if d.isQuarantined("a", start) {
-			t.Errorf("quarantined after %d ends while it was answered", count)
+			t.Errorf("quarantined after %d crashes while it was being answered", count)
 		}
 		crash := crashOf(worker)
 		crash.Answering = true
@@ -168,11 +172,10 @@
 		d.Evaluate()
 	}
 	if !d.isQuarantined("a", start) {
-		t.Error("five ends aren't enough")
+		t.Error("not quarantined after five crashes")
 	}
 }
 
-// TestWorkerThatLivesCountsAgainstNobody.
 func TestLivingWorkerCountsAgainstNoRequest(t *testing.T) {
 	d := NewDetector()
 	d.crash(start, []string{"w1", "w2", "w3"}, "a")
@@ -180,11 +183,12 @@
 	d.ClearWorker("w1", start)
 	d.Evaluate()
 	if d.isQuarantined("a", start) || d.Status(request("b"), start).Crashes != 0 {
-		t.Error("the end of a worker that lives counts")
+		t.Error("the crash of a worker that is alive counts")
 	}
 }
 
-// TestReleaseLetsNeighboursGo: what a released request explained doesn't fall on others.
+// TestReleaseAlsoReleasesNeighbours: crashes that a released request explained must not count
+// against others.
 func TestReleaseAlsoReleasesNeighbours(t *testing.T) {
 	d := NewDetector()
 	d.crash(start, []string{"w1", "w2", "w3"}, "poison", "beside")
@@ -196,7 +200,7 @@
 	}
 }
 
-// TestTrialsComeRarely, and no more than three.
+// TestTrialsComeRarely: there are at most three trials in a day.
 func TestTrialsComeRarely(t *testing.T) {
 	d := NewDetector()
 	d.crash(start, []string{"w1", "w2", "w3"}, "a")
@@ -219,15 +223,15 @@
 	d.crash(start, []string{"w1", "w2", "w3"}, "poison")
 	d.Expire(start.Add(suspectedFor))
 	if d.Status(request("once"), start).Crashes != 0 || !d.isQuarantined("poison", start) {
-		t.Error("a suspicion outlasts its time, or a quarantine doesn't last")
+		t.Error("a suspected request did not expire, or a quarantined one did")
 	}
 	d.Expire(start.Add(quarantinedFor))
 	if len(d.entries) != 0 || len(d.byWorker) != 0 {
-		t.Errorf("%d requests and %d workers are left", len(d.entries), len(d.byWorker))
+		t.Errorf("%d requests and %d workers left", len(d.entries), len(d.byWorker))
 	}
 }
 
-// TestBookIsBounded, and what has been proved stays.
+// TestDetectorIsBounded: evictions must spare the quarantined requests.
 func TestDetectorIsBounded(t *testing.T) {
 	d := NewDetector()
 	d.crash(start, []string{"w1", "w2", "w3"}, "poison")
@@ -238,18 +242,18 @@
 		d.Crashed(crashOf(fmt.Sprint("x", number)), []Fingerprint{request("poison")}, start)
 	}
 	if len(d.entries) > maxRecords || len(d.byWorker) > maxRecords+maxCrashes {
-		t.Errorf("%d requests, %d workers", len(d.entries), len(d.byWorker))
+		t.Errorf("%d requests and %d workers are kept", len(d.entries), len(d.byWorker))
 	}
 	if got := len(d.entries[request("poison")].Crashes); got > maxCrashes {
-		t.Errorf("%d crashes of one request", got)
+		t.Errorf("%d crashes of one request are kept", got)
 	}
 	if !d.isQuarantined("poison", start) {
-		t.Error("the quarantined request was forgotten")
+		t.Error("the quarantined request was evicted")
 	}
 }
 
-// TestCrashingFleetIsNotRefused: where all seem to crash their workers, the workers are at
-// fault.
+// TestCrashingFleetIsNotRefused: if all requests seem to crash their workers, the workers are
+// at fault.
 func TestCrashingFleetIsNotRefused(t *testing.T) {
 	d := NewDetector()
 	for number := range 4 * maxQuarantined {
@@ -261,8 +265,8 @@
 	}
 }
 
-// TestOrderOfReportsDoesNotMatter: nodes that are told the same, in whatever order and
-// however often, know and judge the same.
+// TestOrderOfReportsDoesNotMatter: nodes that receive the same reports, in any order and any
+// number of times, must hold the same records and quarantine the same requests.
 func TestOrderOfReportsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []Record
@@ -286,7 +290,7 @@
 		for number := range 4 {
 			name := fmt.Sprint(number + 1)
 			if left.isQuarantined(name, start) != right.isQuarantined(name, start) {
-				t.Fatalf("request %s is judged differently", name)
+				t.Fatalf("request %s is quarantined at one node only", name)
 			}
 			if known, exists := left.entries[request(name)]; exists {
 				if difference := cmp.Diff(known.Record, right.entries[request(name)].Record); difference != "" {
@@ -297,7 +301,8 @@
 	})
 }
 
-// TestNewNodeJudgesAsOthersDo, which saw one crash after the other: it is told all at once.
+// TestNewNodeAgreesWithOthers: a new node receives all crashes at once, the others saw them one
+// after the other.
 func TestNewNodeAgreesWithOthers(t *testing.T) {
 	old := NewDetector()
 	old.crash(start, []string{"w1", "w2", "w3"}, "poison", "beside")
@@ -314,11 +319,12 @@
 		}
 	}
 	if !added.isQuarantined("poison", start) {
-		t.Error("the request that was proved first is free")
+		t.Error("the request that was quarantined first is not quarantined at the new node")
 	}
 }
 
-// BenchmarkJudge measures a judgement while thousands are suspected, after the loss of a rack.
+// BenchmarkJudge measures an evaluation while thousands of requests are suspected, after the
+// loss of a rack.
 func BenchmarkJudge(b *testing.B) {
 	d := NewDetector()
 	for number := range maxRecords {
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -7,7 +7,7 @@
 
 var sample = Content{Method: "POST", Host: "h", Target: "/a/b?c", Tenant: "t", Body: []byte("body")}
 
-// TestFingerprintTellsContentsApart, also where the fields joined read the same.
+// TestFingerprintDiffersWithContent, even where the concatenated fields are equal.
 func TestFingerprintDiffersWithContent(t *testing.T) {
 	same := sample
 	same.Body = bytes.Clone(sample.Body)
@@ -43,8 +43,8 @@
 	}
 }
 
-// BenchmarkFingerprint measures what each request costs its node, with the mean body of the
-// longest prompts (17 kB).
+// BenchmarkFingerprint measures the cost of each request at its node, with the mean body size
+// of the longest prompts (17 kB).
 func BenchmarkFingerprint(b *testing.B) {
 	content := sample
 	content.Body = make([]byte, 17_000)
--- a/internal/quarantine/manager_test.go
+++ b/internal/quarantine/manager_test.go
@@ -8,21 +8,21 @@
 	"github.com/sirupsen/logrus"
 )
 
-// newTestKeeper returns a keeper of a node that gives trials, or doesn't.
+// newTestManager returns a manager for a node that runs the trials of all requests, or of none.
 func newTestManager(runsTrials bool) *Manager {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return NewManager(func(Fingerprint) bool { return runsTrials }, log)
 }
 
-// crash has the keeper's node see ends of workers under a request.
+// crash records crashes of workers, each while it was running the named request.
 func (m *Manager) crash(now time.Time, name string, workers ...string) {
 	for _, worker := range workers {
 		m.Crashed(map[Fingerprint]Crash{request(name): crashOf(worker)}, now)
 	}
 }
 
-// TestChangesAreToldSeveralTimes, and no oftener.
+// TestChangesAreSentSeveralTimes: a change is sent broadcastRepeats times, and then no more.
 func TestChangesAreSentSeveralTimes(t *testing.T) {
 	m := newTestManager(true)
 	m.crash(start, "a", "w1")
@@ -31,15 +31,15 @@
 		records, wait := m.Due(start.Add(time.Duration(step) * broadcastInterval / 4))
 		sent += len(records)
 		if len(records) > 0 && wait > broadcastInterval {
-			t.Errorf("%v until it is told again", wait)
+			t.Errorf("%v until it is sent again", wait)
 		}
 	}
 	if sent != broadcastRepeats {
-		t.Errorf("told %d times", sent)
+		t.Errorf("sent %d times", sent)
 	}
 }
 
-// TestWhatOthersToldIsNotToldAgain: messages of a fleet would multiply.
+// TestReceivedRecordsAreNotSentAgain: otherwise the messages of a fleet would multiply.
 func TestReceivedRecordsAreNotSentAgain(t *testing.T) {
 	m := newTestManager(true)
 	record := Record{Fingerprint: request("a"), Crashes: []Crash{crashOf("w2"), crashOf("w1")}}
@@ -47,38 +47,39 @@
 		t.Errorf("%d records have changed", len(changed))
 	}
 	if changed := m.Receive("other", []Record{record}); len(changed) != 0 {
-		t.Error("what is known has changed")
+		t.Error("a known record has changed again")
 	}
 	if records, _ := m.Due(start.Add(time.Hour)); len(records) != 0 {
-		t.Errorf("%d records are told", len(records))
+		t.Errorf("%d received records are sent again", len(records))
 	}
 }
 
-// TestStoreIsToHoldWhatSeveralWorkersEndedUnder, until it does, and anew where more is known.
+// TestRequestsWithSeveralCrashesAreSaved, and saved again when more is known of them.
 func TestRequestsWithSeveralCrashesAreSaved(t *testing.T) {
 	m := newTestManager(true)
 	m.crash(start, "a", "w1")
 	if len(m.Unsaved()) != 0 {
-		t.Error("one crash is to be saved")
+		t.Error("a request with one crash is to be saved")
 	}
 	for _, worker := range []string{"w2", "w3"} {
 		m.crash(start, "a", worker)
 		unsaved := m.Unsaved()
 		if len(unsaved) != 1 {
-			t.Fatalf("%d records are to be saved after the end of %s", len(unsaved), worker)
+			t.Fatalf("%d records are to be saved after the crash of %s", len(unsaved), worker)
 		}
 		m.Stored(unsaved[0], 1, start)
 		if len(m.Unsaved()) != 0 {
-			t.Error("what is stored is to be saved")
+			t.Error("a stored record is to be saved again")
 		}
 	}
 	m.Survived(request("a"), start)
 	if unsaved := m.Unsaved(); len(unsaved) != 1 || unsaved[0].CountedCrashes() != 0 {
-		t.Error("that it was cleared is not to be saved")
+		t.Error("a cleared record is not to be saved")
 	}
 }
 
-// TestRowThatIsTakenAwayReleases, whether the change is seen or the table read anew.
+// TestRemovedRowReleasesRequest, whether the node sees the change or reads the whole table
+// again.
 func TestRemovedRowReleasesRequest(t *testing.T) {
 	for _, reread := range []bool{false, true} {
 		m := newTestManager(true)
@@ -86,7 +87,7 @@
 		m.Stored(m.Unsaved()[0], 5, start)
 		m.SyncStored(map[Fingerprint]bool{request("a"): true}, 6, start)
 		if !m.Standing(request("a"), start.Add(settlePeriod)).Quarantined {
-			t.Fatal("it isn't quarantined")
+			t.Fatal("not quarantined")
 		}
 		if reread {
 			m.SyncStored(nil, 7, start)
@@ -94,12 +95,12 @@
 			m.Removed(request("a"), 7, start)
 		}
 		if m.Standing(request("a"), start.Add(settlePeriod)).Quarantined {
-			t.Errorf("still quarantined; table read anew: %v", reread)
+			t.Errorf("still quarantined; table read again: %v", reread)
 		}
 	}
 }
 
-// TestOlderTableReleasesNothing: it was read before the row was written.
+// TestOlderTableVersionReleasesNothing: it was read before the row was written.
 func TestOlderTableVersionReleasesNothing(t *testing.T) {
 	m := newTestManager(true)
 	m.crash(start, "a", "w1", "w2", "w3")
@@ -107,21 +108,22 @@
 	m.SyncStored(nil, 4, start)
 	m.Removed(request("a"), 4, start)
 	if !m.Standing(request("a"), start.Add(settlePeriod)).Quarantined {
-		t.Error("a table as it was before the row was written has released the request")
+		t.Error("a table version from before the row was written has released the request")
 	}
 }
 
-// TestUnsavedSurvivesAnEmptyTable: the store didn't hold it yet.
+// TestUnsavedSurvivesAnEmptyTable: a request that has not been saved yet must not be taken for
+// a released one.
 func TestUnsavedSurvivesAnEmptyTable(t *testing.T) {
 	m := newTestManager(true)
 	m.crash(start, "a", "w1", "w2", "w3")
 	m.SyncStored(nil, 9, start)
 	if !m.Standing(request("a"), start.Add(settlePeriod)).Quarantined || len(m.Unsaved()) != 1 {
-		t.Error("what the store doesn't hold yet was taken for released")
+		t.Error("a request that has not been saved yet was taken for released")
 	}
 }
 
-// TestOneNodeGivesATrial, once each time.
+// TestOneNodeRunsATrial, once each time that one is due.
 func TestOneNodeRunsATrial(t *testing.T) {
 	due := start.Add(trialDelays[0])
 	for _, runsTrials := range []bool{true, false} {
@@ -134,12 +136,12 @@
 			}
 		}
 		if want := map[bool]int{true: 1, false: 0}[runsTrials]; passed != want {
-			t.Errorf("chosen %v: let through %d times, want %d", runsTrials, passed, want)
+			t.Errorf("node runs trials %v: let through %d times, want %d", runsTrials, passed, want)
 		}
 	}
 }
 
-// TestTrialThatIsBorneEndsTheQuarantine at every node that is told.
+// TestSuccessfulTrialEndsTheQuarantine at all nodes that receive the result.
 func TestSuccessfulTrialEndsTheQuarantine(t *testing.T) {
 	m, other := newTestManager(true), newTestManager(false)
 	m.crash(start, "a", "w1", "w2", "w3")
