--- a/internal/tablefeed/copy_test.go
+++ b/internal/tablefeed/copy_test.go
@@ -5,19 +5,20 @@
 	"testing"
 )
 
-// TestCopyGivesAllChangesOrNone: what it doesn't keep any more it doesn't leave out.
+// TestCopyReturnsAllChangesOrNone: a copy that has discarded some of the changes must say so
+// instead of returning the rest.
 func TestCopyReturnsAllChangesOrNone(t *testing.T) {
 	var c Copy
 	if _, _, known := c.Whole(); known {
-		t.Error("an empty copy is taken for a table")
+		t.Error("an empty copy returns a table")
 	}
 	if _, _, kept := c.Since(1); kept {
-		t.Error("an empty copy gives changes")
+		t.Error("an empty copy returns changes")
 	}
 	c.Reset([]Row{{Key: "a", Version: 3}}, 10)
 	const changes = minRecentChanges + 500
 	for i := range changes {
-		version := Version(11 + i/2) // two rows a version
+		version := Version(11 + i/2) // two rows per version
 		c.Apply([]Row{{Key: fmt.Sprint(i), Version: version}}, version)
 	}
 	newest := Version(11 + (changes-1)/2)
@@ -34,10 +35,10 @@
 		}
 	}
 	if rows, _, _ := c.Whole(); len(rows) != changes+1 {
-		t.Errorf("%d rows", len(rows))
+		t.Errorf("%d rows, want one per change and the first one", len(rows))
 	}
 	c.Apply([]Row{{Key: "a", Gone: true, Version: newest + 1}}, newest+1)
 	if rows, _, _ := c.Whole(); len(rows) != changes {
-		t.Errorf("%d rows after one is gone", len(rows))
+		t.Errorf("%d rows after one was deleted", len(rows))
 	}
 }
--- a/internal/tablefeed/tablefeed_test.go
+++ b/internal/tablefeed/tablefeed_test.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// step is one answer of a scripted store.
+// scriptedCall is a call that a scripted store expects, and its answer.
 type scriptedCall struct {
 	call    string
 	rows    []Row
@@ -21,7 +21,7 @@
 	err     error
 }
 
-// scripted answers by a script, and ends the feed after it.
+// scriptedStore answers by a script, and stops the feed at its end.
 type scriptedStore struct {
 	t        *testing.T
 	steps    []scriptedCall
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestNeverGoesBack: a stale read after a forgotten history is asked again.
+// TestNeverReturnsToAnOlderVersion: a stale read after the store has discarded its history must
+// be repeated.
 func TestNeverReturnsToAnOlderVersion(t *testing.T) {
 	got := play(t,
 		scriptedCall{call: "read", version: 5},
@@ -100,7 +101,7 @@
 	}
 }
 
-// silent answers nothing, as a store does after it has lost an answer on a connection.
+// silentStore doesn't answer, like a store whose answer was lost on a connection.
 type silentStore struct{ timeouts chan time.Duration }
 
 func (s *silentStore) Read(context.Context, string) ([]Row, Version, error) { return nil, 1, nil }
@@ -112,9 +113,9 @@
 	return nil, 0, ctx.Err()
 }
 
-// TestSilentStoreIsAskedAgainSoon: after the store was silent for seconds, a
-// configuration must be in force within seconds of its return; a call of eight
-// seconds that was lost in between hid it.
+// TestUnansweredCallTimesOutSoon: when the store returns after seconds without answers, a
+// configuration must be in force within seconds. A call with a timeout of eight seconds whose
+// answer was lost delayed it.
 func TestUnansweredCallTimesOutSoon(t *testing.T) {
 	const longest = 2 * time.Second
 	ctx, cancel := context.WithCancel(context.Background())
@@ -124,14 +125,14 @@
 	ended := make(chan struct{})
 	go func() { New(store, "table", &scriptedStore{}, nil, log).Run(ctx); close(ended) }()
 	if timeout := <-store.timeouts; timeout > longest {
-		t.Errorf("a silent call is given %v", timeout)
+		t.Errorf("timeout %v of a call for changes", timeout)
 	}
 	cancel()
 	<-ended
 }
 
-// held records for how long the store is to hold each call for changes, and has a large one
-// at first.
+// holdRecorder records how long the store is asked to hold each call for changes. It answers
+// the first one with a large change.
 type holdRecorder struct {
 	holds  []time.Duration
 	cancel context.CancelFunc
@@ -150,7 +151,7 @@
 	return nil, after + 1, nil
 }
 
-// acting is a fleet in which this node is the one that calls the store.
+// readerPeers are peers for which this node is the one that calls the store.
 type readerPeers struct{}
 
 func (readerPeers) LatestConfirmation(string, time.Time, bool) (Confirmation, bool) {
@@ -168,8 +169,9 @@
 	return Transfer{}, ErrNoCopy
 }
 
-// TestOthersHearAsOftenAfterALargeChange: they wait for the next confirmation, and would take
-// over where the pause came on top of the time for which the store holds a call.
+// TestConfirmationIntervalStaysAfterLargeChange: other nodes wait for the next confirmation.
+// They would take over from this node if the pause after a large change came on top of the long
+// poll.
 func TestConfirmationIntervalStaysAfterLargeChange(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	log := logrus.New()
@@ -181,7 +183,7 @@
 	}
 }
 
-// copying is a fleet in which another node holds the table as of a version.
+// copyPeers are peers of which one holds the table at a version.
 type copyPeers struct {
 	readerPeers
 	version Version
@@ -191,8 +193,9 @@
 	return Transfer{Whole: true, Confirmation: Confirmation{Changed: c.version, Confirmed: c.version, At: time.Now()}}, nil
 }
 
-// TestForgottenHistoryIsNotMadeUpForByAnOldCopy: the store would have forgotten what comes
-// after the copy too, and the next call would end the same way.
+// TestOldCopyDoesNotReplaceMissingHistory: a copy of the version for which the store has
+// discarded the changes, or of an older one, doesn't help, because the next call would fail in
+// the same way.
 func TestOldCopyDoesNotReplaceMissingHistory(t *testing.T) {
 	for version, want := range map[Version][]string{
 		5: {"reset to 5 with 0", "reset to 9 with 1"},
@@ -212,7 +215,7 @@
 	}
 }
 
-// refusing is a store that answers the first read only.
+// refusingStore answers the first read only, and refuses all other calls.
 type refusingStore struct{ refused chan struct{} }
 
 func (r *refusingStore) Read(context.Context, string) ([]Row, Version, error) { return nil, 1, nil }
@@ -225,8 +228,8 @@
 	return nil, 0, errors.New("turned away")
 }
 
-// telling is a fleet in which another node has changes from some time on, and a pause after
-// failed calls is long.
+// changePeers are peers of which one has changes from some time on; the backoff after failed
+// calls is long.
 type changePeers struct {
 	readerPeers
 	started chan struct{}
@@ -252,14 +255,14 @@
 	return Transfer{Rows: []Row{{Key: "k"}}, Confirmation: Confirmation{Changed: 7, Confirmed: 7, At: time.Now()}}, nil
 }
 
-// applied tells when changes are applied.
+// applyRecorder reports when changes are applied.
 type applyRecorder struct{ done chan Version }
 
 func (applyRecorder) Reset([]Row, Version) {}
 
 func (a applyRecorder) Apply(_ []Row, version Version) { a.done <- version }
 
-// expect waits until changes are applied, and fails unless they are of a version.
+// expect waits until changes are applied, and checks their version.
 func (a applyRecorder) expect(t *testing.T, want Version) {
 	t.Helper()
 	select {
@@ -268,13 +271,13 @@
 			t.Errorf("version %d was applied", version)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("the node hears nothing of what others tell")
+		t.Error("no changes were applied")
 	}
 }
 
-// TestNodeThatTheStoreTurnsAwayFollowsOthers in the pause between its calls, though no news
-// reaches it: in a large fleet the pause is a minute, and a configuration is to be in force
-// within seconds.
+// TestRefusedNodeFollowsOthers during its backoff from the store, even if no news reaches it:
+// in a large fleet the backoff is a minute, while a configuration must be in force within
+// seconds.
 func TestRefusedNodeFollowsOthers(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -288,8 +291,8 @@
 	consumer.expect(t, 7)
 }
 
-// speaking is a fleet in which another node's word has an age, and this node waits for others
-// for a second.
+// confirmingPeers are peers of which one has a confirmation of a given age; this node's
+// takeover delay is a second.
 type confirmingPeers struct {
 	readerPeers
 	age time.Duration
@@ -301,7 +304,7 @@
 	return Confirmation{Changed: 1, Confirmed: 1, At: now.Add(-f.age)}, true
 }
 
-// TestNodeReadsWhereWordsAreTooOldForIt, and not before.
+// TestNodeReadsAtStoreWhenConfirmationsAreOld, and not before.
 func TestNodeReadsAtStoreWhenConfirmationsAreOld(t *testing.T) {
 	for age, want := range map[time.Duration]bool{0: false, time.Second: true} {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*takeoverPoll+time.Second)
@@ -318,12 +321,12 @@
 		<-ended
 		cancel()
 		if len(store.timeouts) > 0 && !want {
-			t.Error("the store is called although another node's word is fresh")
+			t.Error("the store was called although another node's confirmation is fresh")
 		}
 	}
 }
 
-// mute is a store that answers the first read only, and tells why calls for changes end.
+// muteStore answers the first read only, and reports why calls for changes end.
 type muteStore struct {
 	called chan struct{}
 	ended  chan error
@@ -338,7 +341,8 @@
 	return nil, 0, ctx.Err()
 }
 
-// newMute returns a feed of a mute store in a fleet that tells of a change from some time on.
+// newMuteFeed returns a feed of a muteStore, with peers of which one has changes from some time
+// on.
 func newMuteFeed() (*muteStore, *changePeers, applyRecorder, *Feed) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -347,7 +351,8 @@
 	return store, fleet, consumer, New(store, "table", consumer, fleet, log)
 }
 
-// TestCallThatTheStoreDoesNotAnswerHidesNoChange of which another node tells.
+// TestCallThatTheStoreDoesNotAnswerHidesNoChange: a call that hangs must not delay a change
+// that another node announces.
 func TestCallThatTheStoreDoesNotAnswerHidesNoChange(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -357,7 +362,7 @@
 	close(fleet.started)
 	feed.Wake()
 	if err := <-store.ended; !errors.Is(err, context.Canceled) {
-		t.Errorf("the call ended with %v: it was waited for", err)
+		t.Errorf("the call ended with %v, want it canceled", err)
 	}
 	if version := <-consumer.done; version != 7 {
 		t.Errorf("version %d was applied", version)
@@ -372,12 +377,12 @@
 	go feed.Run(ctx)
 	<-store.called
 	if err := <-store.ended; !errors.Is(err, context.Canceled) {
-		t.Errorf("the call ended with %v: it was waited for", err)
+		t.Errorf("the call ended with %v, want it canceled", err)
 	}
 }
 
-// starting is a fleet in which a node that starts gets version 5 from another one, and then
-// waits for a newer copy in vain.
+// startPeers are peers from which a starting node gets version 5, and then waits for a newer
+// copy in vain.
 type startPeers struct {
 	readerPeers
 	fetched bool
@@ -407,7 +412,7 @@
 	}
 }
 
-// forgetful is a store that answers the first read only, and has forgotten all changes.
+// forgetfulStore answers the first read only, and has discarded all changes.
 type forgetfulStore struct {
 	refusingStore
 	read bool
@@ -429,7 +434,7 @@
 	return nil, 1, nil
 }
 
-// TestNodeWithoutHistoryFollowsOthers while the store doesn't let it read the table again.
+// TestNodeWithoutHistoryFollowsOthers while the store refuses to let it read the table again.
 func TestNodeWithoutHistoryFollowsOthers(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
