--- a/internal/tablerelay/coordinator_test.go
+++ b/internal/tablerelay/coordinator_test.go
@@ -18,7 +18,7 @@
 
 var origin = time.Unix(0, 0)
 
-// fleet is a node's view of the others: those with a lower name come before it.
+// fleet is a node's view of the other nodes: those with a lower name outrank it.
 type fleet struct {
 	self           string
 	rank           int
@@ -52,21 +52,21 @@
 		after time.Duration
 		want  bool
 	}{
-		"of a node before it":                     {"a", false, 0, true},
-		"of a node after it":                      {"z", false, 0, true},
-		"it reads, of a node before it":           {"a", true, 0, true},
-		"it reads, of a node after it":            {"z", true, 0, false},
-		"its own, from another node":              {"m", false, 0, false},
-		"just before it is old":                   {"z", false, Freshness - 501*time.Millisecond, true},
-		"too old":                                 {"z", false, Freshness - 500*time.Millisecond, false},
-		"it reads, of a node before it, too old":  {"a", true, Freshness - 500*time.Millisecond, false},
-		"it reads, of a node before it, just not": {"a", true, Freshness - 501*time.Millisecond, true},
+		"follower, reader outranks it":         {"a", false, 0, true},
+		"follower, it outranks the reader":     {"z", false, 0, true},
+		"reader, outranked":                    {"a", true, 0, true},
+		"reader, outranks the other":           {"z", true, 0, false},
+		"its own, relayed by another node":     {"m", false, 0, false},
+		"just fresh enough":                    {"z", false, Freshness - 501*time.Millisecond, true},
+		"too old":                              {"z", false, Freshness - 500*time.Millisecond, false},
+		"reader, outranked, too old":           {"a", true, Freshness - 500*time.Millisecond, false},
+		"reader, outranked, just fresh enough": {"a", true, Freshness - 501*time.Millisecond, true},
 	} {
 		coordinator := newTestCoordinator(&fleet{self: "m", rank: 9})
 		coordinator.Take([]Announcement{{Table: "table", Changed: 3, Confirmed: 9, AgeMillis: 500, Reader: test.from}}, origin)
 		got, found := coordinator.LatestConfirmation("table", origin.Add(test.after), test.reads)
 		if found != test.want {
-			t.Errorf("%s: relies %v", name, found)
+			t.Errorf("%s: found %v", name, found)
 		}
 		want := tablefeed.Confirmation{Changed: 3, Confirmed: 9, At: origin.Add(-500 * time.Millisecond)}
 		if diff := cmp.Diff(want, got); found && diff != "" {
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestOlderVersionOfTheSameReaderIsPassedOver, however young the word seems.
+// TestOlderVersionOfSameReaderIsIgnored, even if its confirmation seems more recent.
 func TestOlderVersionOfSameReaderIsIgnored(t *testing.T) {
 	coordinator := newTestCoordinator(&fleet{self: "m", rank: 9})
 	coordinator.Take([]Announcement{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "a"}}, origin)
@@ -85,7 +85,8 @@
 	}
 }
 
-// TestNewestVersionCounts, not the word that seems youngest: it may have lain in a buffer.
+// TestNewestVersionCounts, not the confirmation that seems most recent: its announcement may
+// have spent time in a buffer.
 func TestNewestVersionCounts(t *testing.T) {
 	coordinator := newTestCoordinator(&fleet{self: "m", rank: 9})
 	coordinator.Take([]Announcement{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
@@ -95,16 +96,17 @@
 	}
 }
 
-// TestFirstNodesWaitLeastForOthers: the first for nobody, no other as long as a word counts.
+// TestHigherRanksTakeOverSooner: the first node doesn't wait for others, and no node waits
+// longer than Freshness.
 func TestHigherRanksTakeOverSooner(t *testing.T) {
 	for rank, want := range map[int]time.Duration{0: 0, 1: firstTakeoverDelay, 2: firstTakeoverDelay + rankDelay, 300: Freshness} {
 		if got := New(&fleet{rank: rank}).TakeoverDelay("table"); got != want {
-			t.Errorf("place %d waits %v, want %v", rank, got, want)
+			t.Errorf("rank %d waits %v, want %v", rank, got, want)
 		}
 	}
 }
 
-// TestHoldersAreThoseThatToldOfTheChange, the one heard last first.
+// TestHoldersAreReadersThatAnnouncedTheChange, the one with the latest confirmation first.
 func TestHoldersAreReadersThatAnnouncedTheChange(t *testing.T) {
 	coordinator := newTestCoordinator(&fleet{self: "m", rank: 9})
 	coordinator.Take([]Announcement{
@@ -117,12 +119,12 @@
 		t.Errorf("%v", got)
 	}
 	if got := coordinator.holders("table", 5, origin.Add(Freshness)); len(got) != 0 {
-		t.Errorf("old words count: %v", got)
+		t.Errorf("holders by old announcements: %v", got)
 	}
 }
 
-// TestWordsDontGrowYoungerOnTheWay: what is passed on tells the time since the store's
-// confirmation, and an older word doesn't take the place of a newer one.
+// TestRelayedAnnouncementsKeepTheirAge: a relayed announcement has the time since the store's
+// confirmation, and an older one doesn't replace a newer one.
 func TestRelayedAnnouncementsKeepTheirAge(t *testing.T) {
 	coordinator := newTestCoordinator(&fleet{self: "m", rank: 5})
 	coordinator.Take([]Announcement{{Table: "table", Changed: 4, Confirmed: 9, AgeMillis: 300, Reader: "a"}}, origin)
@@ -132,25 +134,26 @@
 		t.Error(diff)
 	}
 	if got := coordinator.Known(origin.Add(Freshness)); len(got) != 0 {
-		t.Errorf("old words are passed on: %v", got)
+		t.Errorf("old announcements are returned: %v", got)
 	}
 }
 
-// TestOldWordsAreAskedFor, at most each pullEvery.
+// TestNewerAnnouncementsAreRequested when the known ones are old, at most once per
+// requestInterval.
 func TestNewerAnnouncementsAreRequested(t *testing.T) {
 	others := &fleet{self: "m", rank: 5}
 	coordinator := newTestCoordinator(others)
 	coordinator.Take([]Announcement{{Table: "table", Reader: "a"}}, origin)
 	coordinator.LatestConfirmation("table", origin.Add(requestAge-1), false)
 	if others.requested != 0 {
-		t.Error("a fresh word is asked for")
+		t.Error("a newer announcement was requested though the known one is fresh")
 	}
 	for range 3 {
 		coordinator.LatestConfirmation("table", origin.Add(requestAge), false)
 	}
 	coordinator.LatestConfirmation("table", origin.Add(requestAge+requestInterval), false)
 	if others.requested != 2 {
-		t.Errorf("words were asked for %d times", others.requested)
+		t.Errorf("announcements were requested %d times, want 2", others.requested)
 	}
 }
 
@@ -159,20 +162,20 @@
 	coordinator.Take([]Announcement{{Table: "other", Reader: "a"}}, origin)
 	coordinator.TakeNews(tablefeed.News{Table: "other"})
 	if _, found := coordinator.LatestConfirmation("other", origin, false); found {
-		t.Error("a table that isn't followed has a word")
+		t.Error("a confirmation was found for a table without a feed")
 	}
 }
 
-// TestLaterNodesCallALostStoreLess: hundreds would call one that is down.
+// TestLaterRanksBackOffLonger: otherwise hundreds of nodes would call a store that is down.
 func TestLaterRanksBackOffLonger(t *testing.T) {
 	for rank, want := range map[int]time.Duration{0: firstMaxBackoff, 3: firstMaxBackoff, 200: laterMaxBackoff} {
 		if got := New(&fleet{rank: rank}).MaxBackoff("table"); got != want {
-			t.Errorf("place %d: %v", rank, got)
+			t.Errorf("rank %d: max backoff %v", rank, got)
 		}
 	}
 }
 
-// held is a store whose table changes on command; a cut one answers nothing.
+// testStore is a store with a settable version; it can be made to refuse calls.
 type testStore struct {
 	version, calls atomic.Int64
 	refuses        atomic.Bool
@@ -208,7 +211,7 @@
 	return h.answer()
 }
 
-// seen tells what a consumer was given.
+// versionRecorder receives the versions that a consumer is given.
 type versionRecorder chan tablefeed.Version
 
 func (s versionRecorder) Reset(_ []tablefeed.Row, version tablefeed.Version) { s <- version }
@@ -220,13 +223,13 @@
 	case version := <-got:
 		return version
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("the consumer received nothing")
 		return 0
 	}
 }
 
-// TestFollowsThroughAnotherNode: while a lower node's word is fresh the store isn't
-// called; changes come as news, and missed ones are asked for.
+// TestFollowsThroughAnotherNode: while the confirmation of a higher-ranking node is fresh, the
+// store isn't called. Changes arrive as news, and missed ones are read.
 func TestFollowsThroughAnotherNode(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -252,7 +255,7 @@
 		t.Errorf("news of version %d", version)
 	}
 	announceVersion(7, 9)
-	// News that begin after what is known leave a gap: they are not applied.
+	// News that start after the held version leave a gap and aren't applied.
 	feed.Offer(tablefeed.News{Table: "table", After: 20, Version: 21, Rows: changed})
 	if store.calls.Load() != 1 {
 		t.Errorf("%d calls to the store", store.calls.Load())
@@ -260,7 +263,7 @@
 	store.version.Store(21)
 	announceVersion(21, 21)
 	if version := receive(t, got); version != 21 {
-		t.Errorf("asked for version %d", version)
+		t.Errorf("received version %d, want 21", version)
 	}
 	cancel()
 	<-ended
@@ -269,8 +272,7 @@
 	}
 }
 
-// TestNodeThatIsRefusedHearsOfChangesFromOthers: the store may refuse one node while
-// it serves the others.
+// TestRefusedNodeAppliesNews: the store may refuse one node while it serves the others.
 func TestRefusedNodeAppliesNews(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -293,8 +295,9 @@
 	<-ended
 }
 
-// TestOnlyOneOfManyCallsTheStore: nodes that start at once read the table once each, and
-// then wait for the word of the first; when it is lost the second calls.
+// TestSecondNodeTakesOver: nodes that start together read the table once each, and then wait
+// for the announcements of the first one. If these don't arrive, the second one calls the
+// store.
 func TestSecondNodeTakesOver(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -309,7 +312,7 @@
 	go func() { feed.Run(ctx); close(ended) }()
 	receive(t, got)
 	if _, own := feed.Word(); own {
-		t.Error("a node speaks for the store that isn't the one to call it")
+		t.Error("a node that isn't the reader has a confirmation of its own")
 	}
 	store.version.Store(6)
 	if version := receive(t, got); version != 6 || time.Since(begun) < firstTakeoverDelay {
@@ -319,8 +322,8 @@
 	<-ended
 }
 
-// TestLateWordsAreAskedForLessAndLess in a large fleet, until they were not needed for a
-// while. One table's don't wait for another's.
+// TestRequestIntervalGrowsInLargeFleet until no request was needed for a while. Requests for
+// one table don't delay those for another.
 func TestRequestIntervalGrowsInLargeFleet(t *testing.T) {
 	others := &fleet{self: "m", rank: 5, nodes: 985}
 	coordinator := newTestCoordinator(others)
@@ -331,37 +334,38 @@
 		coordinator.LatestConfirmation("another", origin.Add(elapsed), false)
 	}
 	if most := 2 * (int(away/maxRequestInterval) + 5); others.requested > most {
-		t.Errorf("words on two tables were asked for %d times in %v, want %d at most", others.requested, away, most)
+		t.Errorf("announcements of two tables were requested %d times in %v, want %d at most", others.requested, away, most)
 	}
 	if least := 2 * int(away/maxRequestInterval); others.requested < least {
-		t.Errorf("words on two tables were asked for %d times in %v, want %d at least", others.requested, away, least)
+		t.Errorf("announcements of two tables were requested %d times in %v, want %d at least", others.requested, away, least)
 	}
 	others.requested = 0
 	for elapsed := time.Duration(0); elapsed <= requestInterval; elapsed += requestInterval {
 		coordinator.LatestConfirmation("table", origin.Add(away+3*maxRequestInterval+elapsed), false)
 	}
 	if others.requested != 2 {
-		t.Errorf("after a while words were asked for %d times, want 2", others.requested)
+		t.Errorf("after a while announcements were requested %d times, want 2", others.requested)
 	}
 }
 
-// TestALargeFleetCallsAStoreThatFailsNoMoreOften than one of sixty nodes, but for the first.
+// TestBackoffGrowsWithFleetSize: however large the fleet, its nodes other than the first ones
+// together call a failing store no more often than sixty nodes do.
 func TestBackoffGrowsWithFleetSize(t *testing.T) {
 	for _, nodes := range []int{6, 60, 985, 2000} {
 		first, other := New(&fleet{rank: 0, nodes: nodes}), New(&fleet{rank: 200, nodes: nodes})
 		if got := first.MaxBackoff("table"); got != firstMaxBackoff {
-			t.Errorf("%d nodes: the first pauses %v", nodes, got)
+			t.Errorf("%d nodes: max backoff %v of the first", nodes, got)
 		}
 		pause := other.MaxBackoff("table")
 		if a, b := float64(nodes)/pause.Seconds(), laterBackoffNodes/laterMaxBackoff.Seconds(); a > b+0.01 || pause < laterMaxBackoff {
-			t.Errorf("%d nodes that pause %v call %.1f times a second, want %.1f at most", nodes, pause, a, b)
+			t.Errorf("%d nodes with a max backoff of %v call %.1f times per second, want %.1f at most", nodes, pause, a, b)
 		}
 	}
 }
 
-// TestFreshWordEndsALongPause: a node whose calls failed for long follows others as soon as
-// one of them is confirmed again, unless it can't rely on that one: it would call the store
-// again for each word.
+// TestFreshAnnouncementEndsBackoff: a node whose calls have failed for long follows another
+// node as soon as the store confirms the table to that one again. It must not do so if it can't
+// rely on that node, because it would call the store again for each announcement.
 func TestFreshAnnouncementEndsBackoff(t *testing.T) {
 	for name, test := range map[string]struct {
 		rank    int
@@ -369,17 +373,17 @@
 		changed tablefeed.Version
 		want    bool
 	}{
-		"a node that comes before it":          {9, "a", 0, true},
-		"one that comes after it":              {9, "z", 0, true},
-		"it is the first":                      {0, "a", 0, false},
-		"changes are missing that it tells of": {9, "a", 3, false},
+		"the reader outranks it":     {9, "a", 0, true},
+		"it outranks the reader":     {9, "z", 0, true},
+		"it has the first rank":      {0, "a", 0, false},
+		"it lacks announced changes": {9, "a", 3, false},
 	} {
 		coordinator := New(&fleet{self: "m", rank: test.rank})
 		feed := tablefeed.New(nil, "table", nil, coordinator, logrus.New())
 		coordinator.Add("table", feed)
 		announcement := Announcement{Table: "table", Changed: test.changed, Confirmed: 9, Reader: test.reader}
 		now := time.Now()
-		for changed := range 2 { // the second word tells of no change
+		for changed := range 2 { // the second announcement has no new change
 			coordinator.Take([]Announcement{announcement}, now)
 			woken := false
 			select {
@@ -388,7 +392,7 @@
 			default:
 			}
 			if want := test.want || changed == 0 && test.changed > 0; woken != want {
-				t.Errorf("%s, word %d: the pause ends %v", name, changed, woken)
+				t.Errorf("%s, announcement %d: woken %v", name, changed, woken)
 			}
 			announcement.Confirmed++
 			now = now.Add(time.Second)
@@ -396,7 +400,7 @@
 	}
 }
 
-// ownReader is a store that confirms a table at once.
+// oneChangeStore answers the first call for changes at once, and stops the feed.
 type oneChangeStore struct{ cancel context.CancelFunc }
 
 func (r *oneChangeStore) Read(context.Context, string) ([]tablefeed.Row, tablefeed.Version, error) {
@@ -413,19 +417,19 @@
 func (discardConsumer) Reset([]tablefeed.Row, tablefeed.Version) {}
 func (discardConsumer) Apply([]tablefeed.Row, tablefeed.Version) {}
 
-// TestNodeThatReadsForItselfTellsOnlyThoseThatAsk, in a large fleet, unless it is one of the
-// first: many may have to at once.
+// TestLowRankedReaderDoesNotBroadcast: in a large fleet, many nodes may have to read for
+// themselves at the same time, so only the first ones broadcast what they read.
 func TestLowRankedReaderDoesNotBroadcast(t *testing.T) {
 	for name, test := range map[string]struct {
 		nodes, rank int
 		broadcasts  bool
 	}{
-		"the first of a large fleet":        {985, 0, true},
-		"the third of a zone":               {985, broadcastRanks, true},
-		"another one":                       {985, broadcastRanks + 1, false},
-		"one that doesn't know its place":   {985, 1 << 20, false},
-		"any node of a fleet of a few":      {30, 29, true},
-		"a node of a fleet of a few dozens": {75, 12, false},
+		"first rank in a large fleet":   {985, 0, true},
+		"last broadcasting rank":        {985, broadcastRanks, true},
+		"next rank":                     {985, broadcastRanks + 1, false},
+		"unknown rank":                  {985, 1 << 20, false},
+		"last rank in a small fleet":    {30, 29, true},
+		"low rank in a fleet of dozens": {75, 12, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -438,13 +442,13 @@
 			coordinator.Add("table", feed)
 			feed.Run(ctx)
 			if got := others.newsBroadcasts > 0; got != test.broadcasts {
-				t.Errorf("it tells all of changes: %v", got)
+				t.Errorf("broadcasts changes: %v", got)
 			}
 			if got := len(others.broadcasts) > 0; got != test.broadcasts {
-				t.Errorf("it tells all what is confirmed: %v", got)
+				t.Errorf("broadcasts confirmations: %v", got)
 			}
 			if len(coordinator.Known(time.Now())) == 0 {
-				t.Error("it has nothing to tell who asks")
+				t.Error("it has no announcement for nodes that ask")
 			}
 		})
 	}
