--- a/internal/tableshare/tableshare_test.go
+++ b/internal/tableshare/tableshare_test.go
@@ -22,14 +22,14 @@
 
 const freshness = time.Minute
 
-// held is a table that a node holds.
+// testSource is a Source whose contents the test sets.
 type testSource struct {
 	copy         tablefeed.Copy
 	confirmation atomic.Pointer[tablefeed.Confirmation]
 	changed      atomic.Pointer[chan struct{}]
 }
 
-// Changed is made by the first call, and closed by wake.
+// Changed creates the channel on the first call; wake closes it.
 func (h *testSource) Changed() <-chan struct{} {
 	made := make(chan struct{})
 	if h.changed.CompareAndSwap(nil, &made) {
@@ -41,7 +41,7 @@
 	return h.Changed()
 }
 
-// wake has a call that is held answered.
+// wake has a held call answered.
 func (h *testSource) wake() {
 	if changed := h.changed.Swap(nil); changed != nil {
 		close(*changed)
@@ -76,7 +76,7 @@
 	h.wake()
 }
 
-// node is one that gives tables, with how often it was asked.
+// testNode is a node that sends tables; it counts the queries that it gets.
 type testNode struct {
 	table   testSource
 	server  *Server
@@ -95,7 +95,7 @@
 	return n
 }
 
-// order is the nodes that are to be asked.
+// fixedFleet are the nodes to be asked, in order.
 type fixedFleet []netip.AddrPort
 
 func (o fixedFleet) Givers(context.Context) []netip.AddrPort { return slices.Clone(o) }
@@ -110,7 +110,7 @@
 	return NewClient(fixedFleet(givers), server, (&net.Dialer{}).DialContext, log)
 }
 
-// aDeadNode is an address at which nobody listens.
+// deadNode returns an address at which nothing listens.
 func deadNode(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -149,13 +149,13 @@
 	}
 	for _, malformed := range [][]byte{nil, []byte("no gzip"), packed[:len(packed)/2]} {
 		if _, err := unpack(malformed); err == nil {
-			t.Errorf("%d malformed bytes are read", len(malformed))
+			t.Errorf("%d malformed bytes were unpacked", len(malformed))
 		}
 	}
 }
 
-// TestWholeTableIsHandedOnAsItCame: a node that got it gives the same bytes, and doesn't
-// render them anew.
+// TestWholeTableIsSentOnUnchanged: a node that received a table sends the same bytes, without
+// packing them again.
 func TestWholeTableIsSentOnUnchanged(t *testing.T) {
 	first, second := startNode(t), startNode(t)
 	first.table.set(testRows(200), 9, 0)
@@ -172,12 +172,12 @@
 		t.Fatalf("%v, %d rows", err, len(third.Rows))
 	}
 	if !bytes.Equal(first.server.packed["workers"].body, second.server.packed["workers"].body) {
-		t.Error("the table was rendered anew")
+		t.Error("the table was packed again")
 	}
 }
 
-// TestChangesAfterAVersion are given where all of them are kept, else the whole table, and
-// they are waited for.
+// TestChangesAfterAVersion: changes are waited for, and the whole table is sent if some of the
+// changes have been discarded.
 func TestChangesAfterAVersion(t *testing.T) {
 	giving := startNode(t)
 	giving.table.set(testRows(3), 10, 0)
@@ -195,7 +195,7 @@
 	}
 }
 
-// TestNodeThatIsCutOffGivesNothing: what it holds may be old, so another one is asked.
+// TestCutOffNodeSendsNothing: its copy may be old, so another node is asked.
 func TestCutOffNodeSendsNothing(t *testing.T) {
 	old, current := startNode(t), startNode(t)
 	old.table.set(testRows(1), 4, 2*freshness)
@@ -205,11 +205,11 @@
 		t.Errorf("version %d, %v", copied.Confirmation.Changed, err)
 	}
 	if _, err := client(current.server, old.address).Missed(context.Background(), "workers", 3, nil); !errors.Is(err, tablefeed.ErrNoCopy) {
-		t.Errorf("an old copy is taken: %v", err)
+		t.Errorf("an old copy was taken: %v", err)
 	}
 }
 
-// TestNodeIsWaitedForThatGetsTheTableItself, and one that is dead isn't.
+// TestNodeThatIsStillFetchingIsWaitedFor, while one that is down isn't.
 func TestNodeThatIsStillFetchingIsWaitedFor(t *testing.T) {
 	starting := startNode(t)
 	time.AfterFunc(50*time.Millisecond, func() { starting.table.set(testRows(2), 6, 0) })
@@ -221,15 +221,15 @@
 		t.Errorf("the node was asked %d times", asked)
 	}
 	if _, err := client(starting.server, deadNode(t)).Copy(context.Background(), "workers"); !errors.Is(err, tablefeed.ErrNoCopy) {
-		t.Errorf("a dead node gives a copy: %v", err)
+		t.Errorf("a dead node returned a copy: %v", err)
 	}
 	if _, err := client(starting.server).Copy(context.Background(), "workers"); !errors.Is(err, tablefeed.ErrNoCopy) {
-		t.Errorf("nobody gives a copy: %v", err)
+		t.Errorf("a copy was returned though there are no nodes: %v", err)
 	}
 }
 
-// TestNoChangesUpToALaterVersion is an answer: a node that heard of a later version needn't
-// ask the store whether there are any.
+// TestNoChangesUpToLaterVersion: an answer without rows may confirm a later version. A node
+// that heard of that version then needn't ask the store.
 func TestNoChangesUpToLaterVersion(t *testing.T) {
 	giving := startNode(t)
 	giving.table.set(testRows(3), 10, 0)
@@ -240,7 +240,7 @@
 	}
 }
 
-// aFrozenNode is an address that takes connections and answers nothing.
+// frozenNode returns an address that accepts connections and never answers.
 func frozenNode(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -251,7 +251,8 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// TestFrozenNodeKeepsNoChangesFromAnother, nor one that waits for them itself.
+// TestFrozenNodeKeepsNoChangesFromAnother: neither a node that never answers nor one that is
+// itself waiting for the changes may delay them.
 func TestFrozenNodeKeepsNoChangesFromAnother(t *testing.T) {
 	waiting, giving := startNode(t), startNode(t)
 	waiting.table.set(testRows(3), 4, 0)
@@ -263,7 +264,8 @@
 	}
 }
 
-// TestNodeThatStartsTakesNothingOlderThanOthersHold, where packing it anew is cheap.
+// TestNodeThatStartsTakesNothingOlderThanOthersHold, where the table is small enough to be
+// packed again.
 func TestNodeThatStartsTakesNothingOlderThanOthersHold(t *testing.T) {
 	giving := startNode(t)
 	for version := tablefeed.Version(5); version < 8; version++ {
@@ -275,7 +277,7 @@
 	}
 }
 
-// root is a node that reads tables at the store.
+// readerFleet is the fleet of a node that reads tables at the store.
 type readerFleet struct{ fixedFleet }
 
 func (readerFleet) Givers(context.Context) []netip.AddrPort { return nil }
@@ -288,7 +290,7 @@
 	asking := client(empty.server)
 	asking.fleet = readerFleet{fixedFleet{empty.address}}
 	if _, err := asking.Copy(context.Background(), "workers"); !errors.Is(err, tablefeed.ErrNoCopy) {
-		t.Errorf("a node that holds nothing gives a copy: %v", err)
+		t.Errorf("a node that holds nothing returned a copy: %v", err)
 	}
 	if asked := empty.asked.Load(); asked != 1 {
 		t.Errorf("a node that holds nothing was asked %d times", asked)
