--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -160,7 +160,7 @@
 	m.evaluate(source)
 	for _, record := range records {
 		if record.CountedCrashes() >= sharedCrashes {
-			m.logRecord(record, source, "request suspected: workers end under it")
+			m.logRecord(record, source, "request suspected: workers crashed while running it")
 		}
 		if source == sourceOwn && !m.local {
 			m.pending[record.Fingerprint] = &pendingBroadcast{record: record, repeats: broadcastRepeats, due: now}
