--- a/internal/quota/keeper_test.go
+++ b/internal/quota/keeper_test.go
@@ -330,9 +330,9 @@
 	}
 	spendWhileSplit := func(n *node, keeper *Keeper, now time.Time) (granted float64) {
 		for {
-			question := n.request(thousand, 10, now)
-			question.Split = true
-			if !keeper.Decide(question, true, now).Granted {
+			request := n.request(thousand, 10, now)
+			request.Split = true
+			if !keeper.Decide(request, true, now).Granted {
 				return granted
 			}
 			granted += 10
@@ -370,9 +370,9 @@
 		for step := range 300 {
 			now := at(3 + float64(step)/20)
 			for i, n := range nodes {
-				question := n.request(thousand, cost, now)
-				question.Split = true
-				if keepers[i].Decide(question, true, now).Granted {
+				request := n.request(thousand, cost, now)
+				request.Split = true
+				if keepers[i].Decide(request, true, now).Granted {
 					n.meter.Take(accountA, cost, now)
 					uses = append(uses, use{now, cost})
 				}
@@ -393,9 +393,9 @@
 	n.ask(keeper, thousand, 100, at(0))
 	lost.ask(keeper, thousand, 100, at(0))
 	ask := func(now time.Time) Decision {
-		question := n.request(thousand, 1, now)
-		question.Split = true
-		return keeper.Decide(question, true, now)
+		request := n.request(thousand, 1, now)
+		request.Split = true
+		return keeper.Decide(request, true, now)
 	}
 	if decision := ask(at(3)); decision.Reserved < 0.4 {
 		t.Errorf("%v is reserved for a silent node, want at least 0.4", decision.Reserved)
@@ -541,9 +541,9 @@
 	n, lost := newNode(1), newNode(2)
 	n.ask(keeper, thousand, 100, at(0))
 	lost.ask(keeper, thousand, 100, at(0))
-	question := n.request(thousand, 1, at(3))
-	question.Split = true
-	if decision := keeper.Decide(question, true, at(3)); decision.Reserved == 0 {
+	request := n.request(thousand, 1, at(3))
+	request.Split = true
+	if decision := keeper.Decide(request, true, at(3)); decision.Reserved == 0 {
 		t.Fatalf("nothing is reserved: %+v", decision)
 	}
 	keeper.Forget(at(3 + 2*IdleTTL.Seconds()))
