--- a/internal/tableshare/client.go
+++ b/internal/tableshare/client.go
@@ -15,51 +15,52 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// The figures of a node that asks others.
+// Timeouts and bounds of a node that asks others.
 const (
-	// callTimeout bounds one call, its answer included: a table of a megabyte takes 0.4 s over a link of
-	// 20 Mbit/s, and a node hands it to four others at a time.
+	// callTimeout bounds one call including its response body: a table of a megabyte takes 0.4
+	// s over a link of 20 Mbit/s, and a node sends it to four others at a time.
 	callTimeout = 4 * time.Second
-	// nextAfter is how long nodes are asked that have nothing yet, or don't answer, before the
-	// next one is asked too: they may be cut off from what they wait for, or not run. For
-	// changes it is nextAfterMissed.
-	nextAfter       = time.Second
-	nextAfterMissed = 200 * time.Millisecond
-	// againAfter is how long a node isn't asked again that has nothing yet.
-	againAfter = 50 * time.Millisecond
-	// startWait is how long a node that starts waits for others that answer: those through
-	// which a table reaches it get it one after the other.
-	startWait = 8 * time.Second
-	// atOnceWait and nextAtOnce are the same for a node that reads the table at the store, and
-	// asks only for what others hold already.
-	atOnceWait = 300 * time.Millisecond
-	nextAtOnce = 100 * time.Millisecond
-	// missedWait is how long it waits until one begins to give changes, of which the store may
-	// tell as well.
-	missedWait = 600 * time.Millisecond
-	// maxBody bounds an answer.
+	// tableHedgeDelay is how long nodes that have nothing yet, or don't answer, are waited for
+	// before the next one is asked too: they may be cut off from what they wait for, or be
+	// down. changesHedgeDelay is the same for changes.
+	tableHedgeDelay   = time.Second
+	changesHedgeDelay = 200 * time.Millisecond
+	// retryDelay is the pause before a node that has nothing yet is asked again.
+	retryDelay = 50 * time.Millisecond
+	// tableTimeout is how long a starting node waits for a whole table. The nodes through which
+	// a table reaches it get it one after the other.
+	tableTimeout = 8 * time.Second
+	// atOnceTimeout and atOnceHedgeDelay are the same for a node that is to read the table at
+	// the store, and only asks for what others already hold.
+	atOnceTimeout    = 300 * time.Millisecond
+	atOnceHedgeDelay = 100 * time.Millisecond
+	// changesTimeout is how long a node waits for another to begin to send changes. It is short
+	// because the store can return them as well.
+	changesTimeout = 600 * time.Millisecond
+	// maxBody bounds a response body.
 	maxBody = 16 << 20
-	// maxIdle and idleTimeout bound the connections kept to other nodes.
-	maxIdle     = 1
-	idleTimeout = 5 * time.Second
+	// maxIdleConnections and idleTimeout bound the connections kept to other nodes.
+	maxIdleConnections = 1
+	idleTimeout        = 5 * time.Second
 )
 
-// errNotYet tells that a node has nothing to give yet.
-var errNotYet = eris.New("the node has no newer copy of the table yet")
+// errNothingNewer means that a node has nothing newer to send yet.
+var errNothingNewer = eris.New("the node has no newer copy of the table yet")
 
-// Fleet tells which other nodes are to be asked for tables.
+// Fleet selects the other nodes to be asked for tables.
 type Fleet interface {
-	// Givers returns those to be asked for a whole table, the first first, and none where
-	// this node is to read it at the store. It may wait until the nodes are known.
+	// Givers returns the nodes to be asked for a whole table, in order, and none if this node
+	// is to read it at the store. It may wait until the nodes are known.
 	Givers(ctx context.Context) []netip.AddrPort
-	// Neighbours returns some that may hold it at the moment, where there are no givers.
+	// Neighbours returns some nodes that may already hold the table. It is used if there are no
+	// Givers.
 	Neighbours() []netip.AddrPort
-	// ChangeGivers returns those to be asked for changes, the first first. holders are nodes
-	// that have told of them.
+	// ChangeGivers returns the nodes to be asked for changes, in order. holders are nodes that
+	// have announced the changes.
 	ChangeGivers(table string, holders []netip.AddrPort) []netip.AddrPort
 }
 
-// Client gets tables from other nodes.
+// Client fetches tables from other nodes.
 type Client struct {
 	fleet  Fleet
 	server *Server
@@ -67,41 +68,41 @@
 	log    *logrus.Logger
 }
 
-// NewClient returns a client that dials by a function and hands whole tables on
-// to a server.
+// NewClient returns a client that connects with dial, and passes what it fetches to server,
+// which sends it on to other nodes.
 func NewClient(fleet Fleet, server *Server, dial func(ctx context.Context, network, address string) (net.Conn, error), log *logrus.Logger) *Client {
 	return &Client{
 		fleet: fleet, server: server, log: log,
 		client: &http.Client{Transport: &http.Transport{
-			DialContext: dial, DisableCompression: true, MaxIdleConnsPerHost: maxIdle, IdleConnTimeout: idleTimeout,
+			DialContext: dial, DisableCompression: true, MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: idleTimeout,
 		}},
 	}
 }
 
-// Copy returns a whole table as another node holds it, or ErrNoCopy.
+// Copy returns a whole table from another node, or ErrNoCopy.
 func (c *Client) Copy(ctx context.Context, table string) (tablefeed.Transfer, error) {
 	begun := time.Now()
 	if nodes := c.fleet.Givers(ctx); len(nodes) > 0 {
-		return c.first(ctx, nodes, question{table: table}, startWait-time.Since(begun), nextAfter)
+		return c.fetchHedged(ctx, nodes, query{table: table}, tableTimeout-time.Since(begun), tableHedgeDelay)
 	}
-	return c.first(ctx, c.fleet.Neighbours(), question{table: table, atOnce: true}, atOnceWait, nextAtOnce)
+	return c.fetchHedged(ctx, c.fleet.Neighbours(), query{table: table, atOnce: true}, atOnceTimeout, atOnceHedgeDelay)
 }
 
 // Missed returns the changes of a table after a version, or ErrNoCopy. holders are nodes that
-// have told of them.
+// have announced the changes.
 func (c *Client) Missed(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Transfer, error) {
 	nodes := c.fleet.ChangeGivers(table, holders)
-	return c.first(ctx, nodes, question{table: table, after: after}, missedWait, nextAfterMissed)
+	return c.fetchHedged(ctx, nodes, query{table: table, after: after}, changesTimeout, changesHedgeDelay)
 }
 
-// read reads an answer, and has it handed on as it is.
-func (c *Client) read(asked question, response *http.Response) (tablefeed.Transfer, error) {
-	word, err := wordOf(response.Header, time.Now())
+// readTransfer reads a response, and passes its body to the server unchanged.
+func (c *Client) readTransfer(wanted query, response *http.Response) (tablefeed.Transfer, error) {
+	confirmation, err := parseConfirmation(response.Header, time.Now())
 	if err != nil {
 		return tablefeed.Transfer{}, err
 	}
-	if word.Confirmed <= asked.after {
-		return tablefeed.Transfer{}, eris.Errorf("the node gave version %d, not newer than %d", word.Confirmed, asked.after)
+	if confirmation.Confirmed <= wanted.after {
+		return tablefeed.Transfer{}, eris.Errorf("the node sent version %d, which isn't newer than %d", confirmation.Confirmed, wanted.after)
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
 	if err != nil {
@@ -113,20 +114,20 @@
 	}
 	whole := response.Header.Get(headerWhole) == "true"
 	if whole {
-		c.server.seed(asked.table, packedTable{body, word, len(rows)})
+		c.server.cacheTable(wanted.table, packedTable{body, confirmation, len(rows)})
 	} else {
-		c.server.seedChanges(asked.table, asked.after, packedTable{body, word, len(rows)})
+		c.server.cacheChanges(wanted.table, wanted.after, packedTable{body, confirmation, len(rows)})
 	}
-	return tablefeed.Transfer{Whole: whole, Rows: rows, Word: word}, nil
+	return tablefeed.Transfer{Whole: whole, Rows: rows, Confirmation: confirmation}, nil
 }
 
-// wordOf reads what the answering node knows of the table's version.
-func wordOf(header http.Header, now time.Time) (tablefeed.Confirmation, error) {
+// parseConfirmation returns the confirmation in the headers of a response.
+func parseConfirmation(header http.Header, now time.Time) (tablefeed.Confirmation, error) {
 	changed, changedErr := strconv.ParseUint(header.Get(headerChanged), decimal, 64)
-	confirmed, confirmedErr := strconv.ParseUint(header.Get(headerWord), decimal, 64)
+	confirmed, confirmedErr := strconv.ParseUint(header.Get(headerConfirmed), decimal, 64)
 	age, ageErr := strconv.ParseInt(header.Get(headerAge), decimal, 64)
 	if changedErr != nil || confirmedErr != nil || ageErr != nil || age < 0 || confirmed < changed {
-		return tablefeed.Confirmation{}, eris.New("the node doesn't tell which version its copy has")
+		return tablefeed.Confirmation{}, eris.New("the node's response has no valid version and age")
 	}
 	return tablefeed.Confirmation{
 		Changed: tablefeed.Version(changed), Confirmed: tablefeed.Version(confirmed),
--- a/internal/tableshare/form.go
+++ b/internal/tableshare/encoding.go
@@ -14,9 +14,10 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// rowForm is a row as it goes over the wire, a JSON line. A value that is text goes as such:
-// entries of workers are alike, and compress to a tenth then, in base64 to a third.
-type rowForm struct {
+// wireRow is the wire format of a row, one line of JSON. A value that is valid UTF-8 is sent as
+// text: the entries of workers resemble each other, and compress to a tenth as text, but only
+// to a third in base64.
+type wireRow struct {
 	Key     string            `json:"k"`
 	Text    string            `json:"v,omitempty"`
 	Bytes   []byte            `json:"b,omitempty"`
@@ -24,20 +25,20 @@
 	Gone    bool              `json:"g,omitempty"`
 }
 
-// maxUnpacked bounds what a table may unpack to: 50,000 entries of 600 bytes.
+// maxUnpacked bounds the unpacked size of a table: 50,000 entries of 600 bytes.
 const maxUnpacked = 32 << 20
 
-func render(row tablefeed.Row) rowForm {
-	form := rowForm{Key: row.Key, Version: row.Version, Gone: row.Gone}
+func encodeRow(row tablefeed.Row) wireRow {
+	encoded := wireRow{Key: row.Key, Version: row.Version, Gone: row.Gone}
 	if utf8.Valid(row.Value) {
-		form.Text = string(row.Value)
+		encoded.Text = string(row.Value)
 	} else {
-		form.Bytes = row.Value
+		encoded.Bytes = row.Value
 	}
-	return form
+	return encoded
 }
 
-func (f rowForm) row() tablefeed.Row {
+func (f wireRow) decode() tablefeed.Row {
 	row := tablefeed.Row{Key: f.Key, Value: f.Bytes, Version: f.Version, Gone: f.Gone}
 	if f.Bytes == nil && !f.Gone {
 		row.Value = []byte(f.Text)
@@ -45,8 +46,9 @@
 	return row
 }
 
-// pack renders rows as compressed JSON lines. The fastest level is enough: a node with a
-// fifth of a core packs a large fleet's table for its first neighbour to wait for it.
+// pack encodes rows as compressed JSON lines. It uses the fastest compression level: a node
+// with a fifth of a core packs the table of a large fleet while its first neighbour waits for
+// it.
 func pack(rows []tablefeed.Row) ([]byte, error) {
 	var packed bytes.Buffer
 	writer := writers.Get().(*gzip.Writer)
@@ -54,7 +56,7 @@
 	writer.Reset(&packed)
 	lines := json.NewEncoder(writer)
 	for _, row := range rows {
-		if err := lines.Encode(render(row)); err != nil {
+		if err := lines.Encode(encodeRow(row)); err != nil {
 			return nil, err
 		}
 	}
@@ -64,13 +66,13 @@
 	return packed.Bytes(), nil
 }
 
-// writers are used again: a new one clears a megabyte of tables for a few rows.
+// writers are reused, because a new one clears a megabyte of tables even for a few rows.
 var writers = sync.Pool{New: func() any {
-	writer, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed) // a level that exists: no error
+	writer, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed) // no error: the level is valid
 	return writer
 }}
 
-// unpack reads what pack rendered.
+// unpack decodes the output of pack.
 func unpack(packed []byte) ([]tablefeed.Row, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
@@ -80,8 +82,8 @@
 	lines := json.NewDecoder(bufio.NewReader(bounded))
 	var rows []tablefeed.Row
 	for {
-		var form rowForm
-		err := lines.Decode(&form)
+		var encoded wireRow
+		err := lines.Decode(&encoded)
 		switch {
 		case bounded.N <= 0:
 			return nil, eris.Errorf("the copy of a table is larger than %d bytes", maxUnpacked)
@@ -90,6 +92,6 @@
 		case err != nil:
 			return nil, eris.Wrap(err, "the copy of a table is malformed")
 		}
-		rows = append(rows, form.row())
+		rows = append(rows, encoded.decode())
 	}
 }
