--- a/internal/membership/driver.go
+++ b/internal/membership/driver.go
@@ -95,7 +95,7 @@
 		response := d.receive(from, request)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		response.Updates = d.table.Everything()
+		response.Updates = d.table.AllUpdates()
 		return response, nil
 	})
 }
@@ -105,7 +105,7 @@
 func (d *Driver) receive(from peer.Identity, request message) message {
 	d.mu.Lock()
 	d.table.Merge(d.now(), request.Updates)
-	d.table.Heard(d.now(), from.Node)
+	d.table.RecordAnswer(d.now(), from.Node)
 	node, known := d.table.Node(from.Node)
 	response := message{Updates: d.table.Updates(), Incarnation: d.table.Self().Incarnation}
 	d.mu.Unlock()
@@ -129,7 +129,7 @@
 		}
 		d.mu.Lock()
 		d.table.Tick(d.now())
-		target, found := d.table.Probe()
+		target, found := d.table.NextProbeTarget()
 		superseded := d.table.Superseded()
 		d.mu.Unlock()
 		if superseded && period%complainEvery == 0 {
@@ -149,7 +149,7 @@
 func (d *Driver) join(ctx context.Context) {
 	addresses := d.seeds()
 	d.mu.Lock()
-	if node, found := d.table.Random(); found {
+	if node, found := d.table.RandomAlive(); found {
 		addresses = append([]string{node.Address}, addresses...)
 	}
 	own := d.table.Self()
@@ -191,7 +191,7 @@
 		return
 	}
 	d.mu.Lock()
-	d.table.Failed(d.now(), target)
+	d.table.RecordProbeFailure(d.now(), target)
 	d.mu.Unlock()
 	d.log.WithField("peer", target.Name).Warn("peer does not answer, directly or through others")
 }
@@ -209,7 +209,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.table.Heard(d.now(), target.Name)
+	d.table.RecordAnswer(d.now(), target.Name)
 	return true
 }
 
@@ -267,7 +267,7 @@
 }
 
 // Nodes returns all known nodes.
-func (d *Driver) Nodes() []View {
+func (d *Driver) Nodes() []NodeView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.Nodes(d.now())
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -103,8 +103,8 @@
 	return updates
 }
 
-// Everything returns all records, for a node that joins.
-func (t *Table) Everything() []Update {
+// AllUpdates returns all records, for a node that joins.
+func (t *Table) AllUpdates() []Update {
 	self := t.self
 	updates := []Update{{Node: &self}}
 	for _, name := range t.names() {
@@ -208,19 +208,19 @@
 	return groups
 }
 
-// View is a node with the time since it was last heard of.
-type View struct {
+// NodeView is a node with the time since it was last heard of.
+type NodeView struct {
 	Node
 	HeardAgo time.Duration
 }
 
 // Nodes returns all known nodes, this one included, in order of name.
-func (t *Table) Nodes(now time.Duration) []View {
-	views := []View{{Node: t.self}}
+func (t *Table) Nodes(now time.Duration) []NodeView {
+	views := []NodeView{{Node: t.self}}
 	for _, e := range t.entries {
-		views = append(views, View{Node: e.node, HeardAgo: now - e.heard})
+		views = append(views, NodeView{Node: e.node, HeardAgo: now - e.heard})
 	}
-	slices.SortFunc(views, func(left, right View) int { return cmp.Compare(left.Name, right.Name) })
+	slices.SortFunc(views, func(left, right NodeView) int { return cmp.Compare(left.Name, right.Name) })
 	return views
 }
 
@@ -235,9 +235,9 @@
 	return Node{}, false
 }
 
-// Probe chooses the node to probe in this period: each once a round, in random
+// NextProbeTarget chooses the node to probe in this period: each once a round, in random
 // order. It returns false when there is no other node.
-func (t *Table) Probe() (Node, bool) {
+func (t *Table) NextProbeTarget() (Node, bool) {
 	for len(t.round) > 0 || t.shuffle() {
 		name := t.round[len(t.round)-1]
 		t.round = t.round[:len(t.round)-1]
@@ -271,8 +271,8 @@
 	return helpers
 }
 
-// Random chooses any node that is believed alive.
-func (t *Table) Random() (Node, bool) {
+// RandomAlive chooses any node that is believed alive.
+func (t *Table) RandomAlive() (Node, bool) {
 	names := t.names()
 	t.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	for _, name := range names {
@@ -283,16 +283,16 @@
 	return Node{}, false
 }
 
-// Heard notes that a node has answered. It does not end a suspicion: the node
+// RecordAnswer notes that a node has answered. It does not end a suspicion: the node
 // does that itself, with a higher generation, when it hears of it.
-func (t *Table) Heard(now time.Duration, name string) {
+func (t *Table) RecordAnswer(now time.Duration, name string) {
 	if e := t.entries[name]; e != nil {
 		e.heard = now
 	}
 }
 
-// Failed notes that neither a probe nor the helpers reached an incarnation.
-func (t *Table) Failed(now time.Duration, target Node) {
+// RecordProbeFailure notes that neither a probe nor the helpers reached an incarnation.
+func (t *Table) RecordProbeFailure(now time.Duration, target Node) {
 	e := t.entries[target.Name]
 	if e == nil || e.node.Incarnation != target.Incarnation || e.node.State != Alive {
 		return
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -27,7 +27,7 @@
 	table.Merge(0, nodeUpdate("c", 0, Alive))
 	for _, name := range []string{"b", "c"} {
 		node, _ := table.Node(name)
-		table.Failed(time.Second, node)
+		table.RecordProbeFailure(time.Second, node)
 	}
 	table.Merge(2*time.Second, nodeUpdate("c", 1, Alive)) // c refutes
 	table.Tick(time.Second + table.settings.SuspectFor)
@@ -90,7 +90,7 @@
 		table.queue = nil
 	}
 	victim, _ := tables[0].Node("100")
-	tables[0].Failed(0, victim)
+	tables[0].RecordProbeFailure(0, victim)
 	rounds := 0
 	for ; rounds < 40; rounds++ {
 		unaware := 0
@@ -112,7 +112,7 @@
 // gossip lets each table probe one other.
 func gossip(tables []*Table) {
 	for i, table := range tables {
-		target, found := table.Probe()
+		target, found := table.NextProbeTarget()
 		if !found || i == 100 || target.Name == "100" {
 			continue
 		}
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -57,7 +57,7 @@
 
 // Members is what is known of the other nodes.
 type Members interface {
-	Nodes() []membership.View
+	Nodes() []membership.NodeView
 	Groups() []membership.Group
 }
 
@@ -158,7 +158,7 @@
 // stateLeaving is shown for nodes that are being stopped.
 const stateLeaving = "leaving"
 
-func describeNode(view membership.View, revision uint64) *tinarchv1.NodeStatus {
+func describeNode(view membership.NodeView, revision uint64) *tinarchv1.NodeStatus {
 	state := string(view.State)
 	if view.Leaving && view.State == membership.Alive {
 		state = stateLeaving
@@ -171,7 +171,7 @@
 
 // askRevisions asks all nodes side by side; one that does not answer counts as
 // having revision zero.
-func (s *Service) askRevisions(ctx context.Context, views []membership.View) []uint64 {
+func (s *Service) askRevisions(ctx context.Context, views []membership.NodeView) []uint64 {
 	revisions := make([]uint64, len(views))
 	slots := make(chan struct{}, statusWorkers)
 	var group sync.WaitGroup
