--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -84,7 +84,7 @@
 func TestExpiredLeavesOnlyReachableDeadlines(t *testing.T) {
 	q := NewQueue(10)
 	late := item("late", "c", "t", 1, 1)
-	late.Deadline, late.Service = 10*time.Second, 6*time.Second
+	late.Deadline, late.ServiceTime = 10*time.Second, 6*time.Second
 	push(t, q, late, item("fine", "c", "t", 1, 1))
 	if expired := q.Expired(3 * time.Second); len(expired) != 0 {
 		t.Fatalf("expired too early: %v", expired)
@@ -102,10 +102,10 @@
 	for i := range 10 {
 		push(t, q, item(fmt.Sprint(i), "low", "t", 1, 1))
 	}
-	if got := q.Wait(item("x", "low", "t", 1, 1), 2); got != 5*time.Second {
+	if got := q.EstimateWait(item("x", "low", "t", 1, 1), 2); got != 5*time.Second {
 		t.Errorf("wait of the same class %v, want 5s", got)
 	}
-	if got := q.Wait(item("x", "high", "t", 2, 1), 2); got != 0 {
+	if got := q.EstimateWait(item("x", "high", "t", 2, 1), 2); got != 0 {
 		t.Errorf("wait of an empty class %v, want 0", got)
 	}
 }
@@ -179,7 +179,7 @@
 	if err := l.Take(time.Second, "a", limits, 150, 5); err != nil {
 		t.Errorf("after the wait: %v", err)
 	}
-	l.Forget(time.Hour)
+	l.EvictIdle(time.Hour)
 	if l.Len() != 0 {
 		t.Errorf("%d tenants remembered", l.Len())
 	}
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Forget drops the buckets of tenants idle for so long that they are full.
-func (l *Limiter) Forget(now time.Duration) {
+// EvictIdle drops the buckets of tenants idle for so long that they are full.
+func (l *Limiter) EvictIdle(now time.Duration) {
 	for tenant, buckets := range l.tenants {
 		full := time.Duration(max(buckets.limits.BurstSeconds, 1)) * time.Second
 		if now-buckets.used > full {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -27,8 +27,8 @@
 	// Deadline is when the answer stops being useful. It is measured, like every
 	// time in this package, from any fixed instant.
 	Deadline time.Duration
-	// Service is the estimated time from dispatch to the end of the answer.
-	Service time.Duration
+	// ServiceTime is the estimated time from dispatch to the end of the answer.
+	ServiceTime time.Duration
 
 	start float64 // virtual start time in the class
 }
@@ -165,7 +165,7 @@
 	for _, class := range q.classes {
 		for _, f := range class.flows {
 			for _, item := range f.items {
-				if now+item.Service > item.Deadline {
+				if now+item.ServiceTime > item.Deadline {
 					expired = append(expired, item)
 				}
 			}
@@ -269,10 +269,10 @@
 	return youngest
 }
 
-// Wait estimates how long a new request of the class would wait, when the
+// EstimateWait estimates how long a new request of the class would wait, when the
 // engines together do rate seconds of work a second. The class gets its weight's
 // share of the rate among the classes that have requests waiting.
-func (q *Queue) Wait(item *Item, rate float64) time.Duration {
+func (q *Queue) EstimateWait(item *Item, rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Duration(1<<63 - 1)
 	}
--- a/internal/cell/requests.go
+++ b/internal/cell/requests.go
@@ -38,15 +38,15 @@
 			WithRetryAfter(retryNoEngine)
 	}
 	w.item = &admission.Item{
-		ID:        string(request.Attempt),
-		Tenant:    request.Tenant,
-		Class:     class.GetName(),
-		Rank:      class.GetRank(),
-		Weight:    float64(class.GetWeight()),
-		MaxQueued: catalog.MaxQueued(class),
-		Cost:      capacity.cost.Seconds(),
-		Deadline:  w.deadline,
-		Service:   capacity.service,
+		ID:          string(request.Attempt),
+		Tenant:      request.Tenant,
+		Class:       class.GetName(),
+		Rank:        class.GetRank(),
+		Weight:      float64(class.GetWeight()),
+		MaxQueued:   catalog.MaxQueued(class),
+		Cost:        capacity.cost.Seconds(),
+		Deadline:    w.deadline,
+		ServiceTime: capacity.service,
 	}
 	if err := s.checkDeadline(now, w, capacity); err != nil {
 		return nil, err
@@ -123,7 +123,7 @@
 func (s *State) push(w *waiting, capacity capacity) ([]Refused, error) {
 	victim, err := w.lane.queue.Push(w.item)
 	if err != nil {
-		wait := w.lane.queue.Wait(w.item, float64(capacity.engines))
+		wait := w.lane.queue.EstimateWait(w.item, float64(capacity.engines))
 		return nil, result.From(err).WithRetryAfter(max(wait, minimumRetry))
 	}
 	s.waiting[w.request.Attempt] = w
@@ -189,7 +189,7 @@
 // checkDeadline refuses at once what can't be answered in time: waiting would
 // only make the refusal later.
 func (s *State) checkDeadline(now time.Duration, w *waiting, capacity capacity) error {
-	wait := w.lane.queue.Wait(w.item, float64(capacity.engines))
+	wait := w.lane.queue.EstimateWait(w.item, float64(capacity.engines))
 	excess := now + wait + capacity.service - w.deadline
 	if excess <= 0 {
 		return nil
@@ -365,7 +365,7 @@
 			s.land(f)
 		}
 	}
-	s.limiter.Forget(now)
+	s.limiter.EvictIdle(now)
 	return refused
 }
 
