--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Forget drops the connection to an address that is not needed any more.
-func (c *Client) Forget(address string) {
+// Disconnect drops the connection to an address that is not needed any more.
+func (c *Client) Disconnect(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l := c.links[address]; l != nil {
