--- a/internal/lab/bench/claims.go
+++ b/internal/lab/bench/claims.go
@@ -44,7 +44,7 @@
 	var leader, other int
 	if err := c.Await(ctx, "a leader of the ledger group", func() bool {
 		for i, n := range c.Nodes {
-			if _, leads := n.Leads()[home]; leads {
+			if _, leads := n.LedGroups()[home]; leads {
 				leader, other = i, (i+1)%len(c.Nodes)
 				return true
 			}
@@ -58,11 +58,11 @@
 	from := c.Nodes[other]
 	for i := range claimSamples + 200 {
 		began := time.Now()
-		if err := from.Peers().Call(ctx, c.Nodes[leader].PeersAddress(), operator.MethodRevision, struct{}{}, nil); err != nil {
+		if err := from.PeerClient().Call(ctx, c.Nodes[leader].PeersAddress(), operator.MethodRevision, struct{}{}, nil); err != nil {
 			return Claims{}, err
 		}
 		middle := time.Now()
-		if _, _, err := from.Ledger().Execute(ctx, claim(keys.next(home))); err != nil {
+		if _, _, err := from.LedgerClient().Execute(ctx, claim(keys.next(home))); err != nil {
 			return Claims{}, err
 		}
 		if i >= 200 { // the first ones warm up
@@ -74,7 +74,7 @@
 	for i := range measured.AddedMillis {
 		measured.AddedMillis[i] = measured.ClaimMillis[i] - measured.RoundTripMillis[i]
 	}
-	measured.PerSecond = claimRate(ctx, from.Ledger(), keys, home)
+	measured.PerSecond = claimRate(ctx, from.LedgerClient(), keys, home)
 	measured.BytesPerClaim = perClaim
 	return measured, nil
 }
--- a/internal/lab/bench/failover.go
+++ b/internal/lab/bench/failover.go
@@ -79,7 +79,7 @@
 	defer cancel()
 	for waitCtx.Err() == nil {
 		for i, n := range c.Nodes {
-			if fence := n.Leads()[group]; fence > above {
+			if fence := n.LedGroups()[group]; fence > above {
 				return i, fence, nil
 			}
 		}
--- a/internal/lab/cluster/interface_test.go
+++ b/internal/lab/cluster/interface_test.go
@@ -199,11 +199,11 @@
 		if leader < 0 {
 			t.Fatal("nobody leads the cell")
 		}
-		before := c.Nodes[leader].Leads()[testCell]
+		before := c.Nodes[leader].LedGroups()[testCell]
 		c.Nodes[leader].HandOver()
 		if err := c.Await(ctx, "the next leader", func() bool {
 			now := leaderOf(c, testCell)
-			return now >= 0 && c.Nodes[now].Leads()[testCell] > before
+			return now >= 0 && c.Nodes[now].LedGroups()[testCell] > before
 		}); err != nil {
 			t.Fatal(err)
 		}
@@ -229,14 +229,14 @@
 	const cell = "cell/pool/0"
 	leader := -1
 	for i, n := range c.Nodes {
-		if _, leads := n.Leads()[cell]; leads {
+		if _, leads := n.LedGroups()[cell]; leads {
 			leader = i
 		}
 	}
 	if leader < 0 {
 		t.Fatal("nobody leads the cell")
 	}
-	before := c.Nodes[leader].Leads()[cell]
+	before := c.Nodes[leader].LedGroups()[cell]
 	c.Nodes[leader].Close()
 	c.Nodes = append(c.Nodes[:leader], c.Nodes[leader+1:]...)
 	if _, err := caller(c, 0).Chat.Completions.New(ctx, chat("meanwhile", 5)); err != nil {
@@ -244,7 +244,7 @@
 	}
 	if err := c.Await(ctx, "another leader", func() bool {
 		for _, n := range c.Nodes {
-			if n.Leads()[cell] > before {
+			if n.LedGroups()[cell] > before {
 				return true
 			}
 		}
--- a/internal/lab/cluster/partition_test.go
+++ b/internal/lab/cluster/partition_test.go
@@ -15,7 +15,7 @@
 // leaderOf returns the number of the node that leads a group, -1 for none.
 func leaderOf(c *Cluster, group string) int {
 	for i, n := range c.Nodes {
-		if _, leads := n.Leads()[group]; leads {
+		if _, leads := n.LedGroups()[group]; leads {
 			return i
 		}
 	}
@@ -40,7 +40,7 @@
 			if leader < 0 {
 				t.Fatal("nobody leads the cell")
 			}
-			before := c.Nodes[leader].Leads()[testCell]
+			before := c.Nodes[leader].LedGroups()[testCell]
 			for i, n := range c.Nodes {
 				if i != leader {
 					test.cut(c.Network, c.Nodes[leader].Name(), n.Name())
@@ -57,7 +57,7 @@
 			}
 			if err := c.Await(ctx, "a leader on the other side", func() bool {
 				now := leaderOf(c, testCell)
-				return now >= 0 && now != leader && c.Nodes[now].Leads()[testCell] > before
+				return now >= 0 && now != leader && c.Nodes[now].LedGroups()[testCell] > before
 			}); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -114,8 +114,8 @@
 
 func traffic(c *cluster.Cluster) (sent, received int64) {
 	for _, n := range c.Nodes {
-		sent += n.Traffic().BytesSent.Load()
-		received += n.Traffic().BytesReceived.Load()
+		sent += n.PeerCounters().BytesSent.Load()
+		received += n.PeerCounters().BytesReceived.Load()
 	}
 	return sent, received
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -13,7 +13,7 @@
 	n.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	n.gauge("tinarch_catalog_revision", "Configuration revision in force.", func() float64 { return float64(n.manager.Revision()) })
 	n.gauge("tinarch_nodes_alive", "Nodes believed alive, this one included.", n.aliveNodes)
-	n.gauge("tinarch_groups_led", "Replica groups led with a valid lease.", func() float64 { return float64(len(n.Leads())) })
+	n.gauge("tinarch_groups_led", "Replica groups led with a valid lease.", func() float64 { return float64(len(n.LedGroups())) })
 	n.gauge("tinarch_ledger_claims", "Claims held by this node's members of ledger groups.", n.claims)
 	n.counter("tinarch_peer_sent_bytes_total", "Bytes sent to other nodes.", func() float64 { return float64(n.counters.BytesSent.Load()) })
 	n.counter("tinarch_peer_received_bytes_total", "Bytes received from other nodes.", func() float64 { return float64(n.counters.BytesReceived.Load()) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -313,17 +313,17 @@
 // Revision returns the configuration revision in force.
 func (n *Node) Revision() uint64 { return n.manager.Revision() }
 
-// Ledger returns the node's client of the ledger groups.
-func (n *Node) Ledger() *ledger.Client { return n.ledger }
+// LedgerClient returns the node's client of the ledger groups.
+func (n *Node) LedgerClient() *ledger.Client { return n.ledger }
 
-// Peers returns the node's client of the peer protocol.
-func (n *Node) Peers() *peer.Client { return n.client }
+// PeerClient returns the node's client of the peer protocol.
+func (n *Node) PeerClient() *peer.Client { return n.client }
 
-// Traffic returns the node's counters of peer traffic.
-func (n *Node) Traffic() *peer.Counters { return n.counters }
+// PeerCounters returns the node's counters of peer traffic.
+func (n *Node) PeerCounters() *peer.Counters { return n.counters }
 
-// Leads returns the groups that this node leads, with their fences.
-func (n *Node) Leads() map[string]engine.Fence {
+// LedGroups returns the groups that this node leads, with their fences.
+func (n *Node) LedGroups() map[string]engine.Fence {
 	leads := map[string]engine.Fence{}
 	for _, r := range n.host.Replicas() {
 		if fence, active := r.Fence(); active {
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -61,7 +61,7 @@
 	if others == 0 {
 		return true // there is nobody to hand over to
 	}
-	if len(n.Leads()) > 0 {
+	if len(n.LedGroups()) > 0 {
 		return false
 	}
 	if others >= group.Size {
