--- a/internal/gateway/keyed.go
+++ b/internal/gateway/keyed.go
@@ -14,8 +14,8 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Answers stores the answers that are too long for the ledger.
-type Answers interface {
+// AnswerStore stores the answers that are too long for the ledger.
+type AnswerStore interface {
 	Put(ctx context.Context, name string, content []byte) error
 	Get(ctx context.Context, name string) ([]byte, error)
 }
@@ -25,7 +25,7 @@
 type keyed struct {
 	runner  *runner
 	ledger  *ledger.Client
-	answers Answers
+	answers AnswerStore
 	metrics *Metrics
 	running sync.WaitGroup
 
@@ -39,7 +39,7 @@
 	recording *recording
 }
 
-func newKeyed(runner *runner, client *ledger.Client, answers Answers, metrics *Metrics) *keyed {
+func newKeyed(runner *runner, client *ledger.Client, answers AnswerStore, metrics *Metrics) *keyed {
 	return &keyed{runner: runner, ledger: client, answers: answers, metrics: metrics, flights: map[string]*keyedFlight{}}
 }
 
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -91,12 +91,12 @@
 	Engines *engine.Client
 	Peers   *peer.Client
 	Ledger  *ledger.Client
-	Answers Answers
+	Answers AnswerStore
 	Metrics *Metrics
 	// Quarantine keeps requests under which engines end away from engines.
 	Quarantine *quarantine.Manager
-	// Over wraps the handler of callers' requests; nil leaves it.
-	Over func(http.Handler) http.Handler
+	// WrapHandler wraps the handler of callers' requests; nil leaves it.
+	WrapHandler func(http.Handler) http.Handler
 	// MetricsPage serves /metrics.
 	MetricsPage http.Handler
 	// Ready tells why the node can't take requests, nil when it can.
@@ -120,7 +120,7 @@
 		ended:    make(chan struct{}),
 	}
 	s.http = &http.Server{
-		Handler:           wrapped(with.Over, s.routes(with.MetricsPage)),
+		Handler:           wrapped(with.WrapHandler, s.routes(with.MetricsPage)),
 		ReadHeaderTimeout: 5 * time.Second,
 		ReadTimeout:       settings.ReadTimeout,
 		IdleTimeout:       2 * time.Minute,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -211,9 +211,9 @@
 		MetricsPage: promhttp.HandlerFor(n.registry, promhttp.HandlerOpts{
 			MaxRequestsInFlight: 2,
 		}),
-		Over:  n.routes.over,
-		Ready: n.ready,
-		Log:   n.log,
+		WrapHandler: n.routes.over,
+		Ready:       n.ready,
+		Log:         n.log,
 	})
 	service := &operator.Service{
 		Name: n.self.Node, Manager: n.manager, Rollout: n.rollout, Members: n.members, Router: n.router, Client: n.client, CellsOf: n.cellsOf,
