--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -22,15 +22,15 @@
 )
 
 func epochNow() time.Time {
-	since, err := boot()
+	since, err := readBoottime()
 	if err != nil {
 		return time.Now().Round(0)
 	}
 	return time.Now().Round(0).Add(-since)
 }
 
-// boot reads CLOCK_BOOTTIME.
-func boot() (time.Duration, error) {
+// readBoottime reads CLOCK_BOOTTIME.
+func readBoottime() (time.Duration, error) {
 	var read unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read); err != nil {
 		return 0, err
@@ -41,7 +41,7 @@
 // Boottime is the clock since the machine's boot, suspension included. Where it can't be read it
 // is the steady clock; Available tells why.
 func Boottime() time.Time {
-	since, err := boot()
+	since, err := readBoottime()
 	if err != nil {
 		since = time.Since(started)
 	}
@@ -50,23 +50,23 @@
 
 // BoottimeError tells why Boot doesn't count suspension on this machine, nil where it does.
 func BoottimeError() error {
-	_, err := boot()
+	_, err := readBoottime()
 	return err
 }
 
-// bound is the end of a context by a clock.
-type bound struct {
+// clockDeadline is the end of a context by a clock.
+type clockDeadline struct {
 	now Clock
 	end time.Time
 }
 
-type boundKey struct{}
+type clockDeadlineKey struct{}
 
 // WithDeadline bounds a context by a time of a clock. Its timer runs by the steady clock: use
 // Expired before what must not be late.
 func WithDeadline(ctx context.Context, now Clock, end time.Time) (context.Context, context.CancelFunc) {
 	steady := time.Now() // before the other clock, so that the timer isn't late
-	return context.WithDeadline(context.WithValue(ctx, boundKey{}, bound{now, end}), steady.Add(end.Sub(now())))
+	return context.WithDeadline(context.WithValue(ctx, clockDeadlineKey{}, clockDeadline{now, end}), steady.Add(end.Sub(now())))
 }
 
 // Expired reports whether a context's time is over, also in a process that was paused, whose
@@ -75,7 +75,7 @@
 	if deadline, bounded := ctx.Deadline(); ctx.Err() != nil || bounded && !time.Now().Before(deadline) {
 		return true
 	}
-	until, bounded := ctx.Value(boundKey{}).(bound)
+	until, bounded := ctx.Value(clockDeadlineKey{}).(clockDeadline)
 	return bounded && !until.now().Before(until.end)
 }
 
