--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,8 @@
-// Package clock reads a clock that goes on while the machine is suspended. The steady clock
-// stands still then (CLOCK_MONOTONIC), so that a process which wakes up takes what it was
-// granted for a time, such as a lease, for younger than it is. The time of day goes on too,
-// but may step, and decides nothing.
+// Package clock reads a clock that keeps running while the machine is suspended
+// (CLOCK_BOOTTIME). The monotonic clock (CLOCK_MONOTONIC) stops during a suspension, so that a
+// process that resumes would take a grant of limited duration, such as a lease, to be younger
+// than it is. The wall clock keeps running too, but may be set forward or back; no decision
+// relies on it.
 package clock
 
 import (
@@ -11,11 +12,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns the time. Only the span between two of its times means anything.
+// Clock returns the current time of some clock. Only the difference between two times of the
+// same clock is meaningful.
 type Clock func() time.Time
 
-// started is when this process began by the steady clock, and epoch what the times of Boot are
-// counted from: they are near the time of day, as of then, so that they can be read.
+// started is when this process started by the monotonic clock. epoch is the time that Boottime
+// counts from: the wall-clock time of the machine's boot as seen at the start of the process,
+// so that the times of Boottime are readable.
 var (
 	epoch   = epochNow()
 	started = time.Now()
@@ -38,8 +41,9 @@
 	return time.Duration(read.Nano()), nil
 }
 
-// Boottime is the clock since the machine's boot, suspension included. Where it can't be read it
-// is the steady clock; Available tells why.
+// Boottime returns the time by CLOCK_BOOTTIME, which includes the time for which the machine
+// was suspended. Where that clock can't be read, it returns the time by the monotonic clock;
+// BoottimeError returns the cause.
 func Boottime() time.Time {
 	since, err := readBoottime()
 	if err != nil {
@@ -48,13 +52,14 @@
 	return epoch.Add(since)
 }
 
-// BoottimeError tells why Boot doesn't count suspension on this machine, nil where it does.
+// BoottimeError returns why CLOCK_BOOTTIME can't be read on this machine, so that Boottime
+// doesn't include suspensions, or nil where it can.
 func BoottimeError() error {
 	_, err := readBoottime()
 	return err
 }
 
-// clockDeadline is the end of a context by a clock.
+// clockDeadline is the deadline of a context by a given clock.
 type clockDeadline struct {
 	now Clock
 	end time.Time
@@ -62,15 +67,17 @@
 
 type clockDeadlineKey struct{}
 
-// WithDeadline bounds a context by a time of a clock. Its timer runs by the steady clock: use
-// Expired before what must not be late.
+// WithDeadline returns a context with a deadline on the given clock. The timer that ends the
+// context runs on the monotonic clock and may fire late after a suspension: call Expired before
+// any operation that must not happen after the deadline.
 func WithDeadline(ctx context.Context, now Clock, end time.Time) (context.Context, context.CancelFunc) {
-	steady := time.Now() // before the other clock, so that the timer isn't late
+	steady := time.Now() // read before the other clock, so that the timer isn't late
 	return context.WithDeadline(context.WithValue(ctx, clockDeadlineKey{}, clockDeadline{now, end}), steady.Add(end.Sub(now())))
 }
 
-// Expired reports whether a context's time is over, also in a process that was paused, whose
-// timer has not run yet, or on a machine that was suspended.
+// Expired reports whether a context's deadline has passed. Unlike ctx.Err, it also notices this
+// in a process that was paused, whose timer has not fired yet, and on a machine that was
+// suspended.
 func Expired(ctx context.Context) bool {
 	if deadline, bounded := ctx.Deadline(); ctx.Err() != nil || bounded && !time.Now().Before(deadline) {
 		return true
@@ -79,24 +86,24 @@
 	return bounded && !until.now().Before(until.end)
 }
 
-// SuspensionDetector notices that the machine was suspended: the clock that counts that time and the
-// steady one drift apart. It is not safe for concurrent use.
+// SuspensionDetector detects that the machine was suspended: CLOCK_BOOTTIME then advances more
+// than the monotonic clock. It is not safe for concurrent use.
 type SuspensionDetector struct {
 	boot, steady         Clock
 	lastBoot, lastSteady time.Time
 }
 
-// NewSuspensionDetector compares two clocks from now on.
+// NewSuspensionDetector returns a detector that compares the two clocks from now on.
 func NewSuspensionDetector(boot, steady Clock) *SuspensionDetector {
 	return &SuspensionDetector{boot: boot, steady: steady, lastBoot: boot(), lastSteady: steady()}
 }
 
-// leastSuspension is the shortest difference that is taken for a suspension: clocks are read
-// one after the other, and a thread may wait in between.
+// leastSuspension is the shortest difference between the clocks that counts as a suspension:
+// they are read one after the other, and the thread may be descheduled in between.
 const leastSuspension = 100 * time.Millisecond
 
-// SinceLastCall returns for how long the machine was suspended since the last call, zero where it
-// wasn't.
+// SinceLastCall returns for how long the machine was suspended since the last call, or zero if
+// it wasn't.
 func (s *SuspensionDetector) SinceLastCall() time.Duration {
 	steady, boot := s.steady(), s.boot()
 	slept := boot.Sub(s.lastBoot) - steady.Sub(s.lastSteady)
