--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,45 +6,46 @@
 	"time"
 )
 
-// fake is a clock that a test moves.
+// fake is a clock that a test sets.
 type fake struct{ at time.Time }
 
 func (f *fake) now() time.Time { return f.at }
 
-func TestBootGoesOn(t *testing.T) {
+func TestBoottimeAdvances(t *testing.T) {
 	if err := BoottimeError(); err != nil {
-		t.Fatalf("the clock since boot can't be read: %v", err)
+		t.Fatalf("CLOCK_BOOTTIME can't be read: %v", err)
 	}
 	before, steady := Boottime(), time.Now()
 	time.Sleep(20 * time.Millisecond)
 	span, steadySpan := Boottime().Sub(before), time.Since(steady)
 	if span < 20*time.Millisecond || span > steadySpan {
-		t.Errorf("%v by the clock since boot, %v by the steady one around it", span, steadySpan)
+		t.Errorf("%v by CLOCK_BOOTTIME, %v by the monotonic clock around it", span, steadySpan)
 	}
 }
 
-// TestSuspensionEndsAContext though its timer stands still.
+// TestSuspensionEndsAContext checks that a context expires by its own clock although its timer,
+// which runs on the monotonic clock, has not fired.
 func TestSuspensionEndsAContext(t *testing.T) {
 	clock := &fake{at: time.Unix(100, 0)}
 	ctx, cancel := WithDeadline(context.Background(), clock.now, clock.at.Add(time.Minute))
 	defer cancel()
 	if Expired(ctx) {
-		t.Error("over at once")
+		t.Error("the context expires at once")
 	}
 	clock.at = clock.at.Add(time.Minute)
 	if !Expired(ctx) || ctx.Err() != nil {
 		t.Errorf("expired %v, %v", Expired(ctx), ctx.Err())
 	}
 	if Expired(context.Background()) {
-		t.Error("an unbounded context is over")
+		t.Error("a context without a deadline has expired")
 	}
 	cancel()
 	if !Expired(ctx) {
-		t.Error("a cancelled context isn't over")
+		t.Error("a cancelled context has not expired")
 	}
 }
 
-func TestSuspensionsAreNoticedOnce(t *testing.T) {
+func TestEachSuspensionIsReportedOnce(t *testing.T) {
 	boot, steady := &fake{at: time.Unix(100, 0)}, &fake{at: time.Unix(7, 0)}
 	s := NewSuspensionDetector(boot.now, steady.now)
 	pass := func(span, suspended time.Duration) {
@@ -59,12 +60,13 @@
 	} {
 		pass(example.span, example.suspended)
 		if got := s.SinceLastCall(); got != example.noticed {
-			t.Errorf("%+v: noticed %v", example, got)
+			t.Errorf("%+v: reported %v", example, got)
 		}
 	}
 }
 
-// BenchmarkBoot measures a reading; the steady clock's is beside it.
+// BenchmarkBoot measures one reading of CLOCK_BOOTTIME, and one of the monotonic clock for
+// comparison.
 func BenchmarkBoot(b *testing.B) {
 	b.Run("boot", func(b *testing.B) {
 		for b.Loop() {
