--- a/internal/rendezvous/rankings.go
+++ b/internal/rendezvous/rankings.go
@@ -14,11 +14,11 @@
 
 // ranking is what is remembered of one subject.
 type ranking[M comparable] struct {
-	subject uint64
-	count   int
-	belongs func(member M) bool
-	ranked  []scored[M]
-	members []M
+	subject    uint64
+	count      int
+	isEligible func(member M) bool
+	ranked     []scored[M]
+	members    []M
 }
 
 // Get returns the ranking of a subject, false where it isn't remembered. Callers must not
@@ -34,16 +34,16 @@
 // Rank works out the first count of members, given with their hashes, for a subject, and
 // remembers them. Members that join later are ranked where they belong to those that count for
 // the subject.
-func (r *Rankings[M]) Rank(subject string, members []M, hashes []uint64, count int, belongs func(member M) bool) []M {
+func (r *Rankings[M]) Rank(subject string, members []M, hashes []uint64, count int, isEligible func(member M) bool) []M {
 	if r.subjects == nil {
 		r.subjects = make(map[string]*ranking[M])
 	}
 	hashed := Hash(subject)
 	ranked := make([]scored[M], 0, min(count, len(members)))
 	for i, member := range members {
-		ranked = insert(ranked, scored[M]{member, Score(hashed, hashes[i])}, count)
+		ranked = insertBounded(ranked, scored[M]{member, Score(hashed, hashes[i])}, count)
 	}
-	r.subjects[subject] = &ranking[M]{subject: hashed, count: count, belongs: belongs, ranked: ranked, members: membersOf(ranked)}
+	r.subjects[subject] = &ranking[M]{subject: hashed, count: count, isEligible: isEligible, ranked: ranked, members: membersOf(ranked)}
 	return r.subjects[subject].members
 }
 
@@ -64,10 +64,10 @@
 func (k *ranking[M]) join(member M, hash uint64) {
 	score := Score(k.subject, hash)
 	full := len(k.ranked) >= k.count
-	if full && score <= k.ranked[len(k.ranked)-1].score || !k.belongs(member) {
+	if full && score <= k.ranked[len(k.ranked)-1].score || !k.isEligible(member) {
 		return
 	}
-	k.ranked = insert(k.ranked, scored[M]{member, score}, k.count)
+	k.ranked = insertBounded(k.ranked, scored[M]{member, score}, k.count)
 	k.members = membersOf(k.ranked)
 }
 
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -42,13 +42,13 @@
 func top[M any](members []M, hash func(member M) uint64, subject uint64, count int) []scored[M] {
 	best := make([]scored[M], 0, min(count, len(members)))
 	for _, member := range members {
-		best = insert(best, scored[M]{member, Score(subject, hash(member))}, count)
+		best = insertBounded(best, scored[M]{member, Score(subject, hash(member))}, count)
 	}
 	return best
 }
 
-// insert puts a member into a ranking of at most count.
-func insert[M any](ranking []scored[M], added scored[M], count int) []scored[M] {
+// insertBounded puts a member into a ranking of at most count.
+func insertBounded[M any](ranking []scored[M], added scored[M], count int) []scored[M] {
 	if len(ranking) >= count {
 		if count <= 0 || added.score <= ranking[count-1].score {
 			return ranking
