--- a/internal/rendezvous/rankings_test.go
+++ b/internal/rendezvous/rankings_test.go
@@ -29,13 +29,14 @@
 	return members
 }
 
-// TestTopIsTheWholeRankingCutOff, whatever the order of the members.
-func TestTopIsTheWholeRankingCutOff(t *testing.T) {
+// TestTopIsAPrefixOfTheFullRanking checks that Top returns a prefix of the full ranking whatever
+// the order of the members.
+func TestTopIsAPrefixOfTheFullRanking(t *testing.T) {
 	members := numbers(100)
 	whole := Top(members, hashOf, Hash("subject"), len(members))
 	for i := 1; i < len(whole); i++ {
 		if Score(Hash("subject"), hashOf(whole[i-1])) <= Score(Hash("subject"), hashOf(whole[i])) {
-			t.Fatalf("place %d comes before place %d", i-1, i)
+			t.Fatalf("position %d does not score higher than position %d", i-1, i)
 		}
 	}
 	for _, count := range []int{0, 1, 2, 7, 100, 200} {
@@ -46,9 +47,9 @@
 	}
 }
 
-// TestRankingsFollowMembers: after any joins and leaves they are what they would be worked
-// out anew.
-func TestRankingsFollowMembers(t *testing.T) {
+// TestCachedRankingsEqualNewOnes checks that the cached rankings equal newly computed ones after any
+// sequence of joins and leaves.
+func TestCachedRankingsEqualNewOnes(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	var rankings Rankings[int]
 	present := []int{}
@@ -80,9 +81,9 @@
 	}
 }
 
-// TestJoinKeepsWhatItDoesNotMove: the work that a new member makes is that of the subjects
-// that it gains, not of all.
-func TestJoinKeepsWhatItDoesNotMove(t *testing.T) {
+// TestJoinChangesOnlyGainedSubjects checks that a member that joins changes only the subjects that
+// it gains and drops none, and that its leave drops only those.
+func TestJoinChangesOnlyGainedSubjects(t *testing.T) {
 	const members, subjects, count = 300, 1000, 2
 	var rankings Rankings[int]
 	for i := range subjects {
@@ -93,7 +94,7 @@
 	for i := range subjects {
 		known, exists := rankings.Get(fmt.Sprint(i))
 		if !exists {
-			t.Fatal("a member that joins has a ranking forgotten")
+			t.Fatal("a join dropped a cached ranking")
 		}
 		if slices.Contains(known, members) {
 			gained++
@@ -107,7 +108,7 @@
 		}
 	}
 	if expected := subjects * count / members; gained == 0 || gained > 4*expected || forgotten != gained {
-		t.Errorf("%d subjects gained, %d forgotten; about %d are its share", gained, forgotten, expected)
+		t.Errorf("%d subjects gained, %d dropped on leave; expected about %d", gained, forgotten, expected)
 	}
 }
 
@@ -122,8 +123,8 @@
 	}
 }
 
-// BenchmarkRankingsJoin is the work of one node that learns of 100 others in a fleet of 985
-// before 10,000 workers.
+// BenchmarkRankingsJoin measures one node that learns of 100 others in a fleet of 985 nodes
+// with 10,000 workers.
 func BenchmarkRankingsJoin(b *testing.B) {
 	const known, new = 885, 100
 	members := numbers(known + new)
@@ -141,7 +142,7 @@
 	}
 }
 
-// BenchmarkRankingsRank is the ranking of one subject by 985 members.
+// BenchmarkRankingsRank measures the ranking of 985 members for one subject.
 func BenchmarkRankingsRank(b *testing.B) {
 	members := numbers(985)
 	hashes := hashesOf(members)
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -14,8 +14,9 @@
 	return list
 }
 
-// TestRankingDoesNotDependOnTheOrderOfMembers: each node has its own.
-func TestRankingDoesNotDependOnTheOrderOfMembers(t *testing.T) {
+// TestRankingIgnoresMemberOrder guards against nodes that hold the same members
+// in different orders and compute different rankings.
+func TestRankingIgnoresMemberOrder(t *testing.T) {
 	members := names("node", 50)
 	reversed := slices.Clone(members)
 	slices.Reverse(reversed)
@@ -26,12 +27,12 @@
 		}
 	}
 	if got := Top(members[:2], Hash, 1, 3); len(got) != 2 {
-		t.Errorf("%d of two members", len(got))
+		t.Errorf("got %d of 2 members", len(got))
 	}
 }
 
-// TestMemberThatLeavesMovesItsOwnSubjectsOnly, and subjects are spread evenly.
-func TestMemberThatLeavesMovesItsOwnSubjectsOnly(t *testing.T) {
+// TestLeaveMovesOnlyOwnSubjects checks also that subjects are distributed evenly.
+func TestLeaveMovesOnlyOwnSubjects(t *testing.T) {
 	members, subjects := names("node", 50), names("worker", 5000)
 	gained := make(map[string]int)
 	for _, subject := range subjects {
