--- a/internal/nodeexchange/ask.go
+++ b/internal/nodeexchange/ask.go
@@ -16,9 +16,9 @@
 // of the shortest objectives of prompts.
 const askTimeout = 15 * time.Millisecond
 
-// askEnough is how long all answers are waited for, and not half of them: small machines
+// fullAnswerTimeout is how long all answers are waited for, and not half of them: small machines
 // answer late now and then, and the choice among some is nearly as good.
-const askEnough = 5 * time.Millisecond
+const fullAnswerTimeout = 5 * time.Millisecond
 
 // question asks a node for the accounts that it keeps of workers, and for the workers that
 // keep the content of the request where it is to know them.
@@ -36,21 +36,21 @@
 
 // reply answers a question.
 type reply struct {
-	ID       uint64                 `json:"i"`
-	Accounts map[string]accountForm `json:"w,omitempty"`
+	ID      uint64                    `json:"i"`
+	Reports map[string]wireLoadReport `json:"w,omitempty"`
 	// Holders are workers that keep the content, as in Message.Contents.
 	Holders []string `json:"c,omitempty"`
 	Sent    int64    `json:"t,omitempty"`
 	// Limits are what workers have said of the requests that they take.
-	Limits map[string]limitForm `json:"lm,omitempty"`
+	Limits map[string]wireLimit `json:"lm,omitempty"`
 	// Draining are workers that have announced their end.
 	Draining []string `json:"dw,omitempty"`
 }
 
-// accountForm is a scheduling.Account in whole numbers: requests, tokens to read, those
+// wireLoadReport is a scheduling.Account in whole numbers: requests, tokens to read, those
 // ahead, tokens of memory, tokens kept, flags, thousandths of requests that failed, and
 // tokens to read of late requests.
-type accountForm [8]int
+type wireLoadReport [8]int
 
 // The flags of an account.
 const (
@@ -63,7 +63,7 @@
 // perMille is the fineness of a rate.
 const perMille = 1000
 
-func renderAccount(account scheduling.LoadReport) accountForm {
+func renderLoadReport(account scheduling.LoadReport) wireLoadReport {
 	flags := 0
 	if account.Changing {
 		flags |= flagChanging
@@ -77,13 +77,13 @@
 	if account.Leaving {
 		flags |= flagLeaving
 	}
-	return accountForm{
+	return wireLoadReport{
 		account.Requests, account.ReadTokens, account.ReadAhead, account.MemoryTokens, account.CachedTokens,
 		flags, int(account.FailureRate * perMille), account.LateTokens,
 	}
 }
 
-func (f accountForm) account() scheduling.LoadReport {
+func (f wireLoadReport) loadReport() scheduling.LoadReport {
 	return scheduling.LoadReport{
 		Requests: f[0], ReadTokens: f[1], ReadAhead: f[2], MemoryTokens: f[3], CachedTokens: f[4],
 		Changing: f[5]&flagChanging != 0, Avoid: f[5]&flagAvoid != 0, HandleFailure: f[5]&flagHandleFailure != 0,
@@ -91,16 +91,16 @@
 	}
 }
 
-// pendingAsk is a question whose answers are awaited.
-type pendingAsk struct {
+// pendingQuestion is a question whose answers are awaited.
+type pendingQuestion struct {
 	// asked are the nodes that haven't answered.
-	asked    map[netip.AddrPort]bool
-	accounts map[string]scheduling.LoadReport
-	holders  []scheduling.Holder
-	done     chan struct{}
-	// patience is for how much longer than usual answers are waited for, since some come
+	asked   map[netip.AddrPort]bool
+	reports map[string]scheduling.LoadReport
+	holders []scheduling.Holder
+	done    chan struct{}
+	// extraWait is for how much longer than usual answers are waited for, since some come
 	// from another region.
-	patience time.Duration
+	extraWait time.Duration
 }
 
 // Kept reports for each worker whether this node itself keeps its account.
@@ -109,14 +109,14 @@
 	defer e.mu.Unlock()
 	kept := make([]bool, 0, len(workers))
 	for _, id := range workers {
-		kept = append(kept, e.peers.keeps(id))
+		kept = append(kept, e.peers.isHome(id))
 	}
 	return kept
 }
 
-// keeping are the engines whose accounts this node keeps, as of a generation of the nodes
+// trackedEngines are the engines whose accounts this node keeps, as of a generation of the nodes
 // and one of the workers.
-type keeping struct {
+type trackedEngines struct {
 	nodes, workers uint64
 	engines        map[string]bool
 }
@@ -128,19 +128,19 @@
 	workers := e.registry.Generation()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.peers.nodes() <= wholeFleet || e.peers.places.MultiRegion() {
+	if e.peers.nodes() <= fullTrackingFleet || e.peers.places.MultiRegion() {
 		return nil, false
 	}
-	if e.keeping.engines != nil && e.keeping.nodes == e.peers.generation && e.keeping.workers == workers {
-		return e.keeping.engines, true
+	if e.tracked.engines != nil && e.tracked.nodes == e.peers.generation && e.tracked.workers == workers {
+		return e.tracked.engines, true
 	}
 	engines = make(map[string]bool)
 	for _, id := range e.registry.EngineIDs() {
-		if e.peers.keeps(id) {
+		if e.peers.isHome(id) {
 			engines[id] = true
 		}
 	}
-	e.keeping = keeping{nodes: e.peers.generation, workers: workers, engines: engines}
+	e.tracked = trackedEngines{nodes: e.peers.generation, workers: workers, engines: engines}
 	return engines, true
 }
 
@@ -149,26 +149,26 @@
 // It returns what came in time.
 func (e *Exchange) Ask(ctx context.Context, workers []string, parts []prefixcache.Part, rank int) scheduling.Answers {
 	content, _ := scheduling.Content(parts)
-	id, pending, questions := e.prepare(workers, content)
+	id, pending, questions := e.prepareQuestions(workers, content)
 	if len(questions) == 0 {
 		return scheduling.Answers{Holders: pending.holders}
 	}
 	rendered := renderParts(parts)
 	for to, asked := range questions {
 		asked.ID, asked.Parts, asked.Rank = id, rendered, rank
-		if pending.patience > 0 {
-			asked.Sent = time.Since(e.begun).Microseconds()
+		if pending.extraWait > 0 {
+			asked.Sent = time.Since(e.started).Microseconds()
 		}
 		e.sendTo(to, Message{Node: e.node, Question: asked})
 	}
 	timedOut := e.awaitAnswers(ctx, pending, len(questions))
-	return e.collected(id, pending, timedOut)
+	return e.collectAnswers(id, pending, timedOut)
 }
 
 // awaitAnswers waits until enough answers have come. It reports whether the nodes that
 // have not answered had all the time that a question is given.
-func (e *Exchange) awaitAnswers(ctx context.Context, pending *pendingAsk, asked int) (timedOut bool) {
-	timer := time.NewTimer(askEnough + pending.patience)
+func (e *Exchange) awaitAnswers(ctx context.Context, pending *pendingQuestion, asked int) (timedOut bool) {
+	timer := time.NewTimer(fullAnswerTimeout + pending.extraWait)
 	defer timer.Stop()
 	select {
 	case <-pending.done:
@@ -180,7 +180,7 @@
 	if e.unanswered(pending) <= asked/2 {
 		return false
 	}
-	timer.Reset(askTimeout - askEnough)
+	timer.Reset(askTimeout - fullAnswerTimeout)
 	select {
 	case <-pending.done:
 	case <-ctx.Done():
@@ -190,15 +190,15 @@
 	return false
 }
 
-func (e *Exchange) unanswered(pending *pendingAsk) int {
+func (e *Exchange) unanswered(pending *pendingQuestion) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(pending.asked)
 }
 
-// prepare divides workers, and a content if there is one, by the nodes to be asked, and
+// prepareQuestions divides workers, and a content if there is one, by the nodes to be asked, and
 // expects their answers.
-func (e *Exchange) prepare(workers []string, content uint64) (uint64, *pendingAsk, map[netip.AddrPort]*question) {
+func (e *Exchange) prepareQuestions(workers []string, content uint64) (uint64, *pendingQuestion, map[netip.AddrPort]*question) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	questions := make(map[netip.AddrPort]*question)
@@ -210,16 +210,16 @@
 	}
 	now := time.Now()
 	for _, id := range workers {
-		if address, found := e.peers.home(id, now); found {
+		if address, found := e.peers.reachableHome(id, now); found {
 			asked := to(address)
 			asked.Workers = append(asked.Workers, id)
 		}
 	}
-	pending := &pendingAsk{
-		asked: make(map[netip.AddrPort]bool), accounts: make(map[string]scheduling.LoadReport), done: make(chan struct{}),
+	pending := &pendingQuestion{
+		asked: make(map[netip.AddrPort]bool), reports: make(map[string]scheduling.LoadReport), done: make(chan struct{}),
 	}
-	if content != 0 && e.peers.nodes() > wholeFleet {
-		for _, region := range e.peers.regionsOfKept(workers) {
+	if content != 0 && e.peers.nodes() > fullTrackingFleet {
+		for _, region := range e.peers.homeRegions(workers) {
 			home, here := e.peers.homeOfContent(content, region, now)
 			switch {
 			case here:
@@ -231,42 +231,42 @@
 	}
 	for address := range questions {
 		pending.asked[address] = true
-		pending.patience = max(pending.patience, e.patience(e.peers.regionOf(address)))
+		pending.extraWait = max(pending.extraWait, e.extraWait(e.peers.regionOf(address)))
 	}
-	e.lastAsk++
+	e.lastQuestion++
 	if len(questions) > 0 {
-		e.asks[e.lastAsk] = pending
+		e.pendingQuestions[e.lastQuestion] = pending
 	}
-	return e.lastAsk, pending, questions
+	return e.lastQuestion, pending, questions
 }
 
-// collected ends a question. Of the nodes that were silent all the time the answers are
+// collectAnswers ends a question. Of the nodes that were silent all the time the answers are
 // not waited for soon again.
-func (e *Exchange) collected(id uint64, pending *pendingAsk, timedOut bool) scheduling.Answers {
+func (e *Exchange) collectAnswers(id uint64, pending *pendingQuestion, timedOut bool) scheduling.Answers {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.asks, id)
+	delete(e.pendingQuestions, id)
 	for address := range pending.asked {
 		if timedOut {
 			e.peers.suspect(address, time.Now())
 		}
 	}
-	return scheduling.Answers{Reports: maps.Clone(pending.accounts), Holders: slices.Clone(pending.holders)}
+	return scheduling.Answers{Reports: maps.Clone(pending.reports), Holders: slices.Clone(pending.holders)}
 }
 
 // answer tells another node what this one knows of workers.
 func (e *Exchange) answer(to netip.AddrPort, asking string, asked question) {
 	parts, err := parseParts(asked.Parts)
 	if err != nil {
-		e.dropped(to, err)
+		e.logMalformed(to, err)
 		return
 	}
-	accounts := make(map[string]accountForm, len(asked.Workers))
+	accounts := make(map[string]wireLoadReport, len(asked.Workers))
 	for id, account := range e.registry.Accounts(asked.Workers, parts, asked.Rank, asking, time.Now()) {
-		accounts[id] = renderAccount(account)
+		accounts[id] = renderLoadReport(account)
 	}
 	answered := &reply{
-		ID: asked.ID, Accounts: accounts, Sent: asked.Sent,
+		ID: asked.ID, Reports: accounts, Sent: asked.Sent,
 		Limits: renderLimits(e.registry.Limits(asked.Workers), time.Now()),
 	}
 	if content, _ := scheduling.Content(parts); asked.Content && content != 0 {
@@ -275,30 +275,30 @@
 	e.sendTo(to, Message{Node: e.node, Reply: answered})
 }
 
-// takeReply hands an answer to the question that waits for it. Later ones show at least
+// receiveReply hands an answer to the question that waits for it. Later ones show at least
 // that their sender lives.
-func (e *Exchange) takeReply(from netip.AddrPort, node string, answered reply) {
-	e.takeLimits(node, answered.Limits, time.Now())
-	e.takeDraining(node, answered.Draining, time.Now())
+func (e *Exchange) receiveReply(from netip.AddrPort, node string, answered reply) {
+	e.receiveLimits(node, answered.Limits, time.Now())
+	e.receiveDraining(node, answered.Draining, time.Now())
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.peers.answered(from)
 	if answered.Sent > 0 {
-		e.observeRoundTrip(e.peers.regionOf(from), time.Since(e.begun)-time.Duration(answered.Sent)*time.Microsecond)
+		e.observeRoundTrip(e.peers.regionOf(from), time.Since(e.started)-time.Duration(answered.Sent)*time.Microsecond)
 	}
-	pending, waiting := e.asks[answered.ID]
+	pending, waiting := e.pendingQuestions[answered.ID]
 	if !waiting || !pending.asked[from] {
 		return
 	}
-	for id, account := range answered.Accounts {
-		pending.accounts[id] = account.account()
+	for id, account := range answered.Reports {
+		pending.reports[id] = account.loadReport()
 	}
 	if err := pending.addHolders(answered.Holders); err != nil {
-		e.dropped(from, err)
+		e.logMalformed(from, err)
 	}
 	delete(pending.asked, from)
 	if len(pending.asked) == 0 {
 		close(pending.done)
-		delete(e.asks, answered.ID)
+		delete(e.pendingQuestions, answered.ID)
 	}
 }
--- a/internal/nodeexchange/ask_test.go
+++ b/internal/nodeexchange/ask_test.go
@@ -18,7 +18,7 @@
 		Requests: 3, ReadTokens: 900, ReadAhead: 400, LateTokens: 50, MemoryTokens: 7000, CachedTokens: 12, Changing: true,
 		HandleFailure: true, FailureRate: 0.25,
 	}
-	if diff := cmp.Diff(account, renderAccount(account).account()); diff != "" {
+	if diff := cmp.Diff(account, renderLoadReport(account).loadReport()); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -110,11 +110,11 @@
 			t.Errorf("answers: %v", got)
 		}
 	}
-	if _, _, questions := exchange.prepare([]string{id}, 0); len(questions) != 0 {
+	if _, _, questions := exchange.prepareQuestions([]string{id}, 0); len(questions) != 0 {
 		t.Errorf("nodes that gave no answer are asked: %v", questions)
 	}
-	if len(exchange.asks) != 0 {
-		t.Errorf("%d questions are kept", len(exchange.asks))
+	if len(exchange.pendingQuestions) != 0 {
+		t.Errorf("%d questions are kept", len(exchange.pendingQuestions))
 	}
 }
 
@@ -127,23 +127,23 @@
 	}
 	defer func() { _ = exchange.conn.Close() }()
 	exchange.AddPeers([]Peer{{Node: "a", Address: addressOf(1)}, {Node: "b", Address: addressOf(2)}})
-	id, pending, questions := exchange.prepare([]string{"w"}, 0)
-	answers := map[string]accountForm{"w": {9}}
+	id, pending, questions := exchange.prepareQuestions([]string{"w"}, 0)
+	answers := map[string]wireLoadReport{"w": {9}}
 	for to := range questions {
-		exchange.takeReply(to, "other", reply{ID: id + 1, Accounts: answers})
+		exchange.receiveReply(to, "other", reply{ID: id + 1, Reports: answers})
 		other := addressOf(1)
 		if to == other {
 			other = addressOf(2)
 		}
-		exchange.takeReply(other, "other", reply{ID: id, Accounts: answers})
+		exchange.receiveReply(other, "other", reply{ID: id, Reports: answers})
 	}
-	if len(pending.accounts) != 0 {
-		t.Errorf("%v", pending.accounts)
+	if len(pending.reports) != 0 {
+		t.Errorf("%v", pending.reports)
 	}
 	for to := range questions {
-		exchange.takeReply(to, "other", reply{ID: id, Accounts: answers})
+		exchange.receiveReply(to, "other", reply{ID: id, Reports: answers})
 	}
-	if got := exchange.collected(id, pending, false).Reports; got["w"].Requests != 9 {
+	if got := exchange.collectAnswers(id, pending, false).Reports; got["w"].Requests != 9 {
 		t.Errorf("%v", got)
 	}
 }
@@ -182,7 +182,7 @@
 		}
 		check()
 		exchange.mu.Lock()
-		exchange.peers.left(addressOf(nodes - 7))
+		exchange.peers.remove(addressOf(nodes - 7))
 		exchange.mu.Unlock()
 		check()
 		exchange.registry.Replace(engines[:300-nodes/2])
--- a/internal/nodeexchange/contents.go
+++ b/internal/nodeexchange/contents.go
@@ -26,62 +26,62 @@
 	holderLife = 12 * time.Second
 	// maxHolders is how many workers of a content are known: the newest.
 	maxHolders = 4
-	// listParts is the number of parts from which a read is a list of all that a worker
+	// minListParts is the number of parts from which a read is a list of all that a worker
 	// keeps, and no prompt (worker.Listed).
-	listParts = 8
+	minListParts = 8
 )
 
-// keptContent tells that a worker keeps a content.
-type keptContent struct {
+// contentRecord tells that a worker keeps a content.
+type contentRecord struct {
 	content uint64
 	holder  scheduling.Holder
 }
 
-// contentOf names what a prompt shares with others, false where that is too little to be
+// contentRecordOf names what a prompt shares with others, false where that is too little to be
 // looked for.
-func contentOf(read worker.CacheUpdate) (keptContent, bool) {
-	if len(read.Parts) < 2 || len(read.Parts) >= listParts {
-		return keptContent{}, false
+func contentRecordOf(read worker.CacheUpdate) (contentRecord, bool) {
+	if len(read.Parts) < 2 || len(read.Parts) >= minListParts {
+		return contentRecord{}, false
 	}
 	content, tokens := scheduling.Content(read.Parts)
-	return keptContent{content: content, holder: scheduling.Holder{Worker: read.Worker, Tokens: tokens}}, content != 0
+	return contentRecord{content: content, holder: scheduling.Holder{Worker: read.Worker, Tokens: tokens}}, content != 0
 }
 
-func renderKept(kept keptContent) string {
+func renderContent(kept contentRecord) string {
 	return strconv.FormatUint(kept.content, partBase) + " " + kept.holder.Worker + " " + strconv.Itoa(kept.holder.Tokens)
 }
 
-func parseKept(text string) (keptContent, error) {
+func parseContent(text string) (contentRecord, error) {
 	fields := strings.Fields(text)
 	if len(fields) != 3 {
-		return keptContent{}, eris.Errorf("a kept content has %d fields", len(fields))
+		return contentRecord{}, eris.Errorf("a kept content has %d fields", len(fields))
 	}
 	content, contentErr := strconv.ParseUint(fields[0], partBase, 64)
 	tokens, tokensErr := strconv.Atoi(fields[2])
 	if contentErr != nil || tokensErr != nil || tokens < 0 {
-		return keptContent{}, eris.Errorf("the kept content %q is malformed", text)
+		return contentRecord{}, eris.Errorf("the kept content %q is malformed", text)
 	}
-	return keptContent{content: content, holder: scheduling.Holder{Worker: fields[1], Tokens: tokens}}, nil
+	return contentRecord{content: content, holder: scheduling.Holder{Worker: fields[1], Tokens: tokens}}, nil
 }
 
 // contentIndex knows which workers keep which contents. It is pure: time is an argument.
 type contentIndex struct {
-	holders map[uint64][]heldSince
+	holders map[uint64][]timedHolder
 	pruned  time.Time
 }
 
-type heldSince struct {
+type timedHolder struct {
 	scheduling.Holder
 	at time.Time
 }
 
-func newContentIndex() *contentIndex { return &contentIndex{holders: make(map[uint64][]heldSince)} }
+func newContentIndex() *contentIndex { return &contentIndex{holders: make(map[uint64][]timedHolder)} }
 
 // add records that a worker has read a content.
-func (c *contentIndex) add(kept keptContent, now time.Time) {
+func (c *contentIndex) add(kept contentRecord, now time.Time) {
 	c.prune(now)
-	known := slices.DeleteFunc(c.holders[kept.content], func(held heldSince) bool { return held.Worker == kept.holder.Worker })
-	known = append(known, heldSince{kept.holder, now})
+	known := slices.DeleteFunc(c.holders[kept.content], func(held timedHolder) bool { return held.Worker == kept.holder.Worker })
+	known = append(known, timedHolder{kept.holder, now})
 	if len(known) > maxHolders {
 		known = known[len(known)-maxHolders:]
 	}
@@ -105,8 +105,8 @@
 		return
 	}
 	c.pruned = now
-	maps.DeleteFunc(c.holders, func(_ uint64, known []heldSince) bool {
-		return !slices.ContainsFunc(known, func(held heldSince) bool { return now.Sub(held.at) < holderLife })
+	maps.DeleteFunc(c.holders, func(_ uint64, known []timedHolder) bool {
+		return !slices.ContainsFunc(known, func(held timedHolder) bool { return now.Sub(held.at) < holderLife })
 	})
 }
 
@@ -130,22 +130,22 @@
 	return home, false
 }
 
-// tellContents tells the nodes that are to know it which contents were read where. In a
+// sendContents tells the nodes that are to know it which contents were read where. In a
 // fleet in which each node knows all caches nobody need be told.
-func (e *Exchange) tellContents(reads []worker.CacheUpdate, now time.Time) {
+func (e *Exchange) sendContents(reads []worker.CacheUpdate, now time.Time) {
 	told := make(map[netip.AddrPort][]string)
 	e.mu.Lock()
-	if e.peers.nodes() > wholeFleet {
+	if e.peers.nodes() > fullTrackingFleet {
 		for _, read := range reads {
-			kept, found := contentOf(read)
+			kept, found := contentRecordOf(read)
 			if !found {
 				continue
 			}
-			for _, home := range e.peers.homesOfContent(kept.content, e.peers.regionOfKept(kept.holder.Worker)) {
+			for _, home := range e.peers.homesOfContent(kept.content, e.peers.homeRegion(kept.holder.Worker)) {
 				if home == e.peers.address {
 					e.contents.add(kept, now)
 				} else {
-					told[home] = append(told[home], renderKept(kept))
+					told[home] = append(told[home], renderContent(kept))
 				}
 			}
 		}
@@ -156,13 +156,13 @@
 	}
 }
 
-// takeContents records what other nodes tell of contents.
-func (e *Exchange) takeContents(from netip.AddrPort, contents []string) {
+// receiveContents records what other nodes tell of contents.
+func (e *Exchange) receiveContents(from netip.AddrPort, contents []string) {
 	now := time.Now()
 	for _, text := range contents {
-		kept, err := parseKept(text)
+		kept, err := parseContent(text)
 		if err != nil {
-			e.dropped(from, err)
+			e.logMalformed(from, err)
 			return
 		}
 		e.mu.Lock()
@@ -177,14 +177,14 @@
 	defer e.mu.Unlock()
 	var rendered []string
 	for _, holder := range e.contents.of(content, time.Now()) {
-		rendered = append(rendered, renderKept(keptContent{content: content, holder: holder}))
+		rendered = append(rendered, renderContent(contentRecord{content: content, holder: holder}))
 	}
 	return rendered
 }
 
-func (p *pendingAsk) addHolders(rendered []string) error {
+func (p *pendingQuestion) addHolders(rendered []string) error {
 	for _, text := range rendered {
-		kept, err := parseKept(text)
+		kept, err := parseContent(text)
 		if err != nil {
 			return err
 		}
--- a/internal/nodeexchange/contents_test.go
+++ b/internal/nodeexchange/contents_test.go
@@ -14,13 +14,13 @@
 )
 
 func TestContentsSurviveTheirForm(t *testing.T) {
-	kept := keptContent{content: 0xfedcba9876543210, holder: scheduling.Holder{Worker: "i-1", Tokens: 13300}}
-	parsed, err := parseKept(renderKept(kept))
+	kept := contentRecord{content: 0xfedcba9876543210, holder: scheduling.Holder{Worker: "i-1", Tokens: 13300}}
+	parsed, err := parseContent(renderContent(kept))
 	if err != nil || parsed != kept {
 		t.Errorf("%+v, %v", parsed, err)
 	}
 	for _, broken := range []string{"", "a b", "x i-1 5", "a i-1 -5", "a i-1 5 6"} {
-		if _, err := parseKept(broken); err == nil {
+		if _, err := parseContent(broken); err == nil {
 			t.Errorf("%q was taken", broken)
 		}
 	}
@@ -30,7 +30,7 @@
 func TestIndexKnowsTheNewestHolders(t *testing.T) {
 	index, begun := newContentIndex(), time.Now()
 	read := func(worker string, after time.Duration) {
-		index.add(keptContent{content: 7, holder: scheduling.Holder{Worker: worker, Tokens: 2000}}, begun.Add(after))
+		index.add(contentRecord{content: 7, holder: scheduling.Holder{Worker: worker, Tokens: 2000}}, begun.Add(after))
 	}
 	for i := range 6 {
 		read(fmt.Sprint("w", i), time.Duration(i)*time.Second)
@@ -46,7 +46,7 @@
 	if left := index.of(7, begun.Add(7*time.Second+holderLife)); len(left) != 0 {
 		t.Errorf("%v are still said to keep it", left)
 	}
-	index.add(keptContent{content: 8}, begun.Add(time.Minute))
+	index.add(contentRecord{content: 8}, begun.Add(time.Minute))
 	if len(index.holders) != 1 {
 		t.Errorf("%d contents are known, want 1", len(index.holders))
 	}
@@ -56,7 +56,7 @@
 // node that asks for a prompt learns of a worker that read its shared part at another's
 // request.
 func TestContentIsFoundWhereverItWasRead(t *testing.T) {
-	const nodes = wholeFleet + 5
+	const nodes = fullTrackingFleet + 5
 	exchanges, registries := cluster(t, nodes, "w", "other")
 	shared := prefixcache.Part{ID: 77, Tokens: 5000}
 	prompt := func(own uint64) []prefixcache.Part {
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	if _, isContent := contentOf(worker.CacheUpdate{Worker: "w", Parts: []prefixcache.Part{{ID: 1, Tokens: 10}, {ID: 2, Tokens: 5000}}}); isContent {
+	if _, isContent := contentRecordOf(worker.CacheUpdate{Worker: "w", Parts: []prefixcache.Part{{ID: 1, Tokens: 10}, {ID: 2, Tokens: 5000}}}); isContent {
 		t.Error("a prompt that shares next to nothing is told as a content")
 	}
 }
--- a/internal/nodeexchange/departed.go
+++ b/internal/nodeexchange/departed.go
@@ -14,33 +14,33 @@
 	// longer than machines are dark, frozen or cut off on the users' days (up to half a
 	// minute), since all that it kept then moves to other nodes.
 	departedAfter = time.Minute
-	// longestLookGap is the time between two looks for them, three times that at which they
+	// maxCheckGap is the time between two looks for them, three times that at which they
 	// are due (serving.pruneEvery), from which on a supervisor takes itself to have been
 	// stopped: it heard nobody meanwhile.
-	longestLookGap = 30 * time.Second
-	// departedTold is how often the other nodes are told of one, since datagrams may be
+	maxCheckGap = 30 * time.Second
+	// departedNotices is how often the other nodes are told of one, since datagrams may be
 	// lost.
-	departedTold = 3
+	departedNotices = 3
 	// maxDropped bounds the nodes that a supervisor remembers to have dropped.
 	maxDropped = 1000
 )
 
-// watch keeps track of silence at a supervisor, which all nodes tell of themselves at rest.
-type watch struct {
+// silenceMonitor keeps track of silence at a supervisor, which all nodes tell of themselves at rest.
+type silenceMonitor struct {
 	// since is when this node became a supervisor, or went on after a stop, zero while it
 	// isn't one: before, it didn't hear all nodes.
 	since time.Time
-	// looked is when it last looked for silent nodes.
-	looked time.Time
+	// lastCheck is when it last lastCheck for silent nodes.
+	lastCheck time.Time
 	// dropped are the peers that were dropped as gone, and how often that is still told.
 	dropped map[netip.AddrPort]int
 }
 
-func newWatch() watch { return watch{dropped: make(map[netip.AddrPort]int)} }
+func newSilenceMonitor() silenceMonitor { return silenceMonitor{dropped: make(map[netip.AddrPort]int)} }
 
 // remember notes that a peer was dropped, and how often that is to be told. Where too many
 // are remembered another one is forgotten: should it come back, the store's list lacks it.
-func (w *watch) remember(address netip.AddrPort, times int) {
+func (w *silenceMonitor) remember(address netip.AddrPort, times int) {
 	if len(w.dropped) >= maxDropped {
 		for other := range w.dropped {
 			delete(w.dropped, other)
@@ -50,21 +50,21 @@
 	w.dropped[address] = times
 }
 
-// look notes since when this node supervises.
-func (w *watch) look(supervises bool, now time.Time) {
+// check notes since when this node supervises.
+func (w *silenceMonitor) check(supervises bool, now time.Time) {
 	switch {
 	case !supervises:
 		w.since = time.Time{}
-	case w.since.IsZero(), now.Sub(w.looked) > longestLookGap:
+	case w.since.IsZero(), now.Sub(w.lastCheck) > maxCheckGap:
 		w.since = now
 	}
-	w.looked = now
+	w.lastCheck = now
 }
 
 // departed lists the peers that a supervisor hasn't heard for so long that they seem to be
 // gone for good. There are none while it hears less than half of all nodes: then it may be
 // this one that is cut off.
-func (s *peerSet) departed(w *watch, now time.Time) []netip.AddrPort {
+func (s *peerSet) departed(w *silenceMonitor, now time.Time) []netip.AddrPort {
 	if w.since.IsZero() {
 		return nil
 	}
@@ -92,10 +92,10 @@
 // drop forgets a peer, unless it was heard lately. It reports whether it was known.
 func (s *peerSet) drop(address netip.AddrPort, now time.Time) bool {
 	known, exists := s.peers[address]
-	if !exists || known.present && now.Sub(known.heard) <= s.life(address) {
+	if !exists || known.present && now.Sub(known.heard) <= s.presenceTimeout(address) {
 		return false
 	}
-	s.left(address)
+	s.remove(address)
 	return true
 }
 
@@ -111,11 +111,11 @@
 func (e *Exchange) DepartedPeers(now time.Time) []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.watch.look(e.peers.supervises(), now)
+	e.silenceMonitor.check(e.peers.supervises(), now)
 	if !e.peers.designated(now.Before(e.asideUntil)) {
 		return nil
 	}
-	return e.peers.departed(&e.watch, now)
+	return e.peers.departed(&e.silenceMonitor, now)
 }
 
 // DropPeers forgets nodes whose rows are gone from the store's list, and tells the other nodes
@@ -127,34 +127,34 @@
 	e.mu.Lock()
 	for _, address := range gone {
 		if e.peers.drop(address, now) {
-			e.watch.remember(address, departedTold)
+			e.silenceMonitor.remember(address, departedNotices)
 		} else {
 			heardAgain = append(heardAgain, address)
 		}
 	}
-	for address, times := range e.watch.dropped {
+	for address, times := range e.silenceMonitor.dropped {
 		if times > 0 {
-			e.watch.dropped[address]--
+			e.silenceMonitor.dropped[address]--
 			told = append(told, address)
 		}
 	}
 	e.mu.Unlock()
 	if len(told) > 0 {
-		e.spread(Message{Node: e.node, Departed: told})
+		e.broadcast(Message{Node: e.node, Departed: told})
 	}
 	for _, address := range append(told, heardAgain...) {
 		e.sendTo(address, Message{Node: e.node, Departed: []netip.AddrPort{address}})
 	}
 }
 
-// takeDeparted forgets nodes that are gone for good. A node that is itself taken for one was
+// receiveDeparted forgets nodes that are gone for good. A node that is itself taken for one was
 // cut off for long: it announces itself again.
-func (e *Exchange) takeDeparted(message Message, now time.Time) {
+func (e *Exchange) receiveDeparted(message Message, now time.Time) {
 	var dropped []string
 	e.mu.Lock()
 	for _, address := range message.Departed {
 		if e.peers.drop(address, now) {
-			e.watch.remember(address, 0)
+			e.silenceMonitor.remember(address, 0)
 			dropped = append(dropped, address.String())
 		}
 	}
@@ -175,11 +175,11 @@
 	}
 }
 
-// returned tells a node that was dropped, and is heard again, that it isn't listed any more.
-func (e *Exchange) returned(from netip.AddrPort) {
+// notifyReturned tells a node that was dropped, and is heard again, that it isn't listed any more.
+func (e *Exchange) notifyReturned(from netip.AddrPort) {
 	e.mu.Lock()
-	_, dropped := e.watch.dropped[from]
-	delete(e.watch.dropped, from)
+	_, dropped := e.silenceMonitor.dropped[from]
+	delete(e.silenceMonitor.dropped, from)
 	e.mu.Unlock()
 	if dropped {
 		e.sendTo(from, Message{Node: e.node, Departed: []netip.AddrPort{from}})
--- a/internal/nodeexchange/departed_test.go
+++ b/internal/nodeexchange/departed_test.go
@@ -13,22 +13,22 @@
 
 // supervisorOf returns what a supervisor of some nodes knows when it has heard all but one
 // for a while, and since when it supervises.
-func supervisorOf(nodes int, silent netip.AddrPort, span time.Duration) (*peerSet, *watch) {
+func supervisorOf(nodes int, silent netip.AddrPort, span time.Duration) (*peerSet, *silenceMonitor) {
 	sets := fleetOf(nodes)
 	index := slices.IndexFunc(sets, func(set *peerSet) bool { return set.supervises() && set.address != silent })
-	set, w := sets[index], newWatch()
+	set, w := sets[index], newSilenceMonitor()
 	for _, other := range sets {
 		if other != set {
-			set.hear(other.address, Message{Node: other.self, Sequence: 1}, origin)
+			set.recordMessage(other.address, Message{Node: other.self, Sequence: 1}, origin)
 		}
 	}
-	w.look(true, origin)
+	w.check(true, origin)
 	for _, other := range sets {
 		if other != set && other.address != silent {
-			set.hear(other.address, Message{Node: other.self, Sequence: 2}, origin.Add(span))
+			set.recordMessage(other.address, Message{Node: other.self, Sequence: 2}, origin.Add(span))
 		}
 	}
-	set.silent(origin.Add(span))
+	set.markSilent(origin.Add(span))
 	return set, &w
 }
 
@@ -59,9 +59,9 @@
 	set, w := supervisorOf(60, addressOf(3), 0)
 	now := origin.Add(2 * departedAfter)
 	for i := range 29 {
-		set.hear(addressOf(30+i), Message{Node: fmt.Sprint("n", 30+i), Sequence: 3}, now)
+		set.recordMessage(addressOf(30+i), Message{Node: fmt.Sprint("n", 30+i), Sequence: 3}, now)
 	}
-	set.silent(now)
+	set.markSilent(now)
 	if departed := set.departed(w, now); len(departed) != 0 {
 		t.Errorf("a node that hears 29 others of 59 drops %d", len(departed))
 	}
@@ -71,8 +71,8 @@
 func TestNewSupervisorDropsNobody(t *testing.T) {
 	set, w := supervisorOf(60, addressOf(3), 2*departedAfter)
 	now := origin.Add(2 * departedAfter)
-	w.look(false, now)
-	w.look(true, now)
+	w.check(false, now)
+	w.check(true, now)
 	if departed := set.departed(w, now.Add(departedAfter)); len(departed) != 0 {
 		t.Errorf("departed: %v", departed)
 	}
@@ -84,10 +84,10 @@
 	set, w := supervisorOf(60, addressOf(3), 0)
 	now := origin.Add(2 * departedAfter)
 	for i := range 40 {
-		set.hear(addressOf(10+i), Message{Node: fmt.Sprint("n", 10+i), Sequence: 3}, now)
+		set.recordMessage(addressOf(10+i), Message{Node: fmt.Sprint("n", 10+i), Sequence: 3}, now)
 	}
-	set.silent(now)
-	w.look(true, now)
+	set.markSilent(now)
+	w.check(true, now)
 	if departed := set.departed(w, now); len(departed) != 0 {
 		t.Errorf("departed: %v", departed)
 	}
@@ -96,11 +96,11 @@
 // TestNodeThatIsHeardIsNotDropped, whatever another node says.
 func TestNodeThatIsHeardIsNotDropped(t *testing.T) {
 	set := newPeerSet("me", self, "zone")
-	set.hear(there, Message{Node: "other", Sequence: 1}, origin)
-	if set.drop(there, origin.Add(peerLife)) {
+	set.recordMessage(there, Message{Node: "other", Sequence: 1}, origin)
+	if set.drop(there, origin.Add(peerTimeout)) {
 		t.Error("a node that was heard just now was dropped")
 	}
-	if !set.drop(there, origin.Add(peerLife+1)) {
+	if !set.drop(there, origin.Add(peerTimeout+1)) {
 		t.Error("a node that is silent wasn't dropped")
 	}
 }
@@ -159,7 +159,7 @@
 		address, now := unlisted.peers.address, time.Now()
 		supervisor.AddPeers([]Peer{{Node: "unlisted", Address: address, Zone: "zone"}})
 		if heard {
-			supervisor.peers.hear(address, Message{Node: "unlisted", Sequence: 1}, now)
+			supervisor.peers.recordMessage(address, Message{Node: "unlisted", Sequence: 1}, now)
 		}
 		supervisor.DropPeers([]netip.AddrPort{address}, now)
 		select {
--- a/internal/nodeexchange/detour.go
+++ b/internal/nodeexchange/detour.go
@@ -18,18 +18,18 @@
 }
 
 const (
-	// detourAfter is how long after a window's end a supervisor's word is awaited before
+	// storeUsageAfter is how long after a window's end a supervisor's word is awaited before
 	// the window is written to the store: two messages at rest.
-	detourAfter = 1100 * time.Millisecond
-	// detourEvery is the time between two looks, and detourTimeout bounds a call.
-	detourEvery   = 500 * time.Millisecond
-	detourTimeout = time.Second
+	storeUsageAfter = 1100 * time.Millisecond
+	// storeUsageInterval is the time between two looks, and detourTimeout bounds a call.
+	storeUsageInterval = 500 * time.Millisecond
+	storeUsageTimeout  = time.Second
 )
 
 // StoreUnacknowledgedUsage writes closed windows that no supervisor has acknowledged to the store, until
 // ctx ends: this node may be cut off from the others and not from the store.
 func (e *Exchange) StoreUnacknowledgedUsage(ctx context.Context, name string, store UsageStore) {
-	ticker := time.NewTicker(detourEvery)
+	ticker := time.NewTicker(storeUsageInterval)
 	defer ticker.Stop()
 	begun := e.usage.tally.WindowLength().WindowAt(e.usage.tally.Now(time.Now())) - 1
 	written := begun
@@ -40,23 +40,23 @@
 		case <-ticker.C:
 		}
 		now := e.usage.tally.Now(time.Now())
-		closed := e.usage.tally.WindowLength().WindowAt(now.Add(-detourAfter)) - 1
+		closed := e.usage.tally.WindowLength().WindowAt(now.Add(-storeUsageAfter)) - 1
 		acknowledged := max(e.UsageAcknowledged(), begun)
 		switch {
 		case acknowledged < closed && written < closed:
 			if e.writeUsage(ctx, name, store, acknowledged, closed) {
 				written = closed
 			}
-		case acknowledged >= closed && written > begun && written <= acknowledged-keptDetour:
+		case acknowledged >= closed && written > begun && written <= acknowledged-storedUsageWindows:
 			e.removeUsage(ctx, name, store)
 			written = begun
 		}
 	}
 }
 
-// keptDetour is for how many windows a row stays in the store after a supervisor has all:
+// storedUsageWindows is for how many windows a row stays in the store after a supervisor has all:
 // it is read when they are recorded.
-const keptDetour = 3
+const storedUsageWindows = 3
 
 func (e *Exchange) writeUsage(ctx context.Context, name string, store UsageStore, after, through usage.Window) bool {
 	entries := e.usage.tally.Entries(after, through)
@@ -69,7 +69,7 @@
 		log.WithError(err).Error("this node's usage can't be rendered")
 		return true
 	}
-	callCtx, cancel := context.WithTimeout(ctx, detourTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeUsageTimeout)
 	defer cancel()
 	if err := store.Put(callCtx, usage.Table, usage.NodeKey(name), value); err != nil {
 		log.WithField("cause", err.Error()).Warn("usage reaches neither a supervisor nor the store")
@@ -80,7 +80,7 @@
 }
 
 func (e *Exchange) removeUsage(ctx context.Context, name string, store UsageStore) {
-	callCtx, cancel := context.WithTimeout(ctx, detourTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeUsageTimeout)
 	defer cancel()
 	if err := store.Remove(callCtx, usage.Table, usage.NodeKey(name)); err != nil {
 		e.log.WithField("cause", err.Error()).Warn("this node's row of usage stays in the store")
--- a/internal/nodeexchange/digest.go
+++ b/internal/nodeexchange/digest.go
@@ -40,17 +40,17 @@
 	// under way, negative for a change to decode.
 	StageChanges map[string]int64 `json:"o,omitempty"`
 	// Limits hold, by worker, what it said to the sender of the requests that it takes.
-	Limits map[string]limitForm `json:"lm,omitempty"`
+	Limits map[string]wireLimit `json:"lm,omitempty"`
 	// Draining are workers that told the sender of their end lately.
 	Draining []string `json:"dw,omitempty"`
 	// Turns asks for, answers or reports requests to workers that take no more than so many a
 	// second; such a message holds nothing else.
-	Turns *quotaForm `json:"tn,omitempty"`
+	Turns *quotaMessage `json:"tn,omitempty"`
 	// Demand holds, by service, what the sender's callers want: tokens of prompts to be
 	// read in a second, thousandths of requests that run, and their tokens of memory.
-	Demand map[string]demandForm `json:"d,omitempty"`
+	Demand map[string]wireDemand `json:"d,omitempty"`
 	// RegionDemand holds the same by region, in a deployment in several.
-	RegionDemand map[string]map[string]demandForm `json:"dr,omitempty"`
+	RegionDemand map[string]map[string]wireDemand `json:"dr,omitempty"`
 	// WantMemory asks the receiver for what it has learned of these workers.
 	WantMemory []string `json:"b,omitempty"`
 	// Memory tells that Reads and Paces are an answer to that, and Told of which workers
@@ -85,15 +85,15 @@
 	Reply    *reply    `json:"v,omitempty"`
 	// Usage tells what the sender has counted, UsageReply what arrived of it. WantUsage asks
 	// a supervisor for what it has gathered after a window, and Gathered is a part of that.
-	Usage      *usageForm    `json:"g,omitempty"`
+	Usage      *wireUsage    `json:"g,omitempty"`
 	UsageReply *usageReply   `json:"h,omitempty"`
 	WantUsage  usage.Window  `json:"j,omitempty"`
-	Gathered   *gatheredForm `json:"k,omitempty"`
+	Gathered   *wireGathered `json:"k,omitempty"`
 	// Departed are nodes that are gone for good; such a message holds nothing else.
 	Departed []netip.AddrPort `json:"dp,omitempty"`
 	// Quota asks for, answers or reports the use of tenants' quotas; such a message holds
 	// nothing else.
-	Quota *quotaForm `json:"i,omitempty"`
+	Quota *quotaMessage `json:"i,omitempty"`
 	// Suspects are requests under which workers ended; such a message holds nothing else.
 	Suspects []quarantine.Record `json:"sp,omitempty"`
 	// SteppedBack tells that the sender can't give orders, whatever its incarnation.
@@ -102,36 +102,36 @@
 	Leaving bool `json:"x,omitempty"`
 }
 
-// demandForm is a worker.Demand in whole numbers: read tokens, thousandths of
+// wireDemand is a worker.Demand in whole numbers: read tokens, thousandths of
 // requests, tokens of memory.
-type demandForm [3]int
+type wireDemand [3]int
 
-// perRequest is the fineness of the requests in a demand.
-const perRequest = 1000
+// requestUnits is the fineness of the requests in a demand.
+const requestUnits = 1000
 
-func renderDemand(demands map[string]worker.Demand) map[string]demandForm {
-	var rendered map[string]demandForm
+func renderDemand(demands map[string]worker.Demand) map[string]wireDemand {
+	var rendered map[string]wireDemand
 	for service, demand := range demands {
 		if rendered == nil {
-			rendered = make(map[string]demandForm, len(demands))
+			rendered = make(map[string]wireDemand, len(demands))
 		}
-		rendered[service] = demandForm{int(demand.ReadTokens), int(demand.Requests * perRequest), int(demand.MemoryTokens)}
+		rendered[service] = wireDemand{int(demand.ReadTokens), int(demand.Requests * requestUnits), int(demand.MemoryTokens)}
 	}
 	return rendered
 }
 
-func renderRegions(regions map[string]map[string]worker.Demand) map[string]map[string]demandForm {
-	var rendered map[string]map[string]demandForm
+func renderRegions(regions map[string]map[string]worker.Demand) map[string]map[string]wireDemand {
+	var rendered map[string]map[string]wireDemand
 	for region, demands := range regions {
 		if rendered == nil {
-			rendered = make(map[string]map[string]demandForm, len(regions))
+			rendered = make(map[string]map[string]wireDemand, len(regions))
 		}
 		rendered[region] = renderDemand(demands)
 	}
 	return rendered
 }
 
-func parseRegions(rendered map[string]map[string]demandForm) map[string]map[string]worker.Demand {
+func parseRegions(rendered map[string]map[string]wireDemand) map[string]map[string]worker.Demand {
 	var regions map[string]map[string]worker.Demand
 	for region, forms := range rendered {
 		if regions == nil {
@@ -142,14 +142,14 @@
 	return regions
 }
 
-func parseDemand(rendered map[string]demandForm) map[string]worker.Demand {
+func parseDemand(rendered map[string]wireDemand) map[string]worker.Demand {
 	var demands map[string]worker.Demand
 	for service, form := range rendered {
 		if demands == nil {
 			demands = make(map[string]worker.Demand, len(rendered))
 		}
 		demands[service] = worker.Demand{
-			ReadTokens: float64(form[0]), Requests: float64(form[1]) / perRequest, MemoryTokens: float64(form[2]),
+			ReadTokens: float64(form[0]), Requests: float64(form[1]) / requestUnits, MemoryTokens: float64(form[2]),
 		}
 	}
 	return demands
--- a/internal/nodeexchange/digest_test.go
+++ b/internal/nodeexchange/digest_test.go
@@ -99,15 +99,15 @@
 	}
 	defer func() { _ = exchange.conn.Close() }()
 	other := netip.MustParseAddrPort("127.0.0.1:1")
-	exchange.take(other, Message{Node: "other", Sequence: 2, Loads: map[string][]int{"w": {5}}})
-	exchange.take(other, Message{Node: "other", Sequence: 1, Loads: map[string][]int{"w": {9}}})
+	exchange.receiveLoads(other, Message{Node: "other", Sequence: 2, Loads: map[string][]int{"w": {5}}})
+	exchange.receiveLoads(other, Message{Node: "other", Sequence: 1, Loads: map[string][]int{"w": {9}}})
 	if got := registry.Candidates("s", nil, 0, time.Now())[0].Requests; got != 5 {
 		t.Errorf("%d requests", got)
 	}
 	if exchange.Nodes() != 2 {
 		t.Errorf("%d nodes", exchange.Nodes())
 	}
-	exchange.take(other, Message{Node: "other", Sequence: 3, Leaving: true})
+	exchange.receiveLoads(other, Message{Node: "other", Sequence: 3, Leaving: true})
 	if exchange.Nodes() != 1 {
 		t.Errorf("%d nodes after one has left", exchange.Nodes())
 	}
@@ -195,7 +195,7 @@
 	for i := range 1000 {
 		parts = append(parts, prefixcache.Part{ID: prefixcache.PartID(1<<62 + i), Tokens: 100_000})
 	}
-	messages := inMessages([]worker.CacheUpdate{{Worker: "i-0123456789", Parts: parts}, {Worker: "empty"}})
+	messages := splitUpdates([]worker.CacheUpdate{{Worker: "i-0123456789", Parts: parts}, {Worker: "empty"}})
 	count := 0
 	for _, reads := range messages {
 		datagram, err := json.Marshal(newMessage(Message{Node: "n"}, worker.Snapshot{CacheUpdates: reads}))
--- a/internal/nodeexchange/draining.go
+++ b/internal/nodeexchange/draining.go
@@ -8,12 +8,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// maxDrainingTold bounds the workers in one message: of some 30 bytes each, they stay below
+// maxDrainingPerMessage bounds the workers in one message: of some 30 bytes each, they stay below
 // maxDatagram.
-const maxDrainingTold = 400
+const maxDrainingPerMessage = 400
 
-// takeDraining takes in which workers told another node of their end.
-func (e *Exchange) takeDraining(node string, draining []string, now time.Time) {
+// receiveDraining takes in which workers told another node of their end.
+func (e *Exchange) receiveDraining(node string, draining []string, now time.Time) {
 	if len(draining) == 0 {
 		return
 	}
@@ -29,7 +29,7 @@
 	e.mu.Lock()
 	draining = slices.DeleteFunc(draining, func(id string) bool { return !slices.Contains(e.peers.homes(id), with) })
 	e.mu.Unlock()
-	for part := range slices.Chunk(draining, maxDrainingTold) {
+	for part := range slices.Chunk(draining, maxDrainingPerMessage) {
 		e.sendTo(with, Message{Node: e.node, Reply: &reply{Draining: part}})
 	}
 }
--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -18,22 +18,22 @@
 
 // The figures of the exchange.
 const (
-	// sendEvery is the least time between two messages: what is told later is placed on
+	// minSendInterval is the least time between two messages: what is told later is placed on
 	// unseen (docs/design/decisions.md, round 12).
-	sendEvery = 25 * time.Millisecond
-	// restEvery is the time between two messages when nothing changes: to the homes of the
+	minSendInterval = 25 * time.Millisecond
+	// periodicInterval is the time between two messages when nothing changes: to the homes of the
 	// workers on which this node has load, and among supervisors.
-	restEvery = 500 * time.Millisecond
-	// restFleet is the number of nodes up to which each tells the supervisors of itself as
+	periodicInterval = 500 * time.Millisecond
+	// fullRateFleet is the number of nodes up to which each tells the supervisors of itself as
 	// often; beyond, it does so less often, and a supervisor gets no more messages.
-	restFleet = 240
-	// restLife is how many of the times between two messages at rest what one of them told
+	fullRateFleet = 240
+	// demandLifeIntervals is how many of the times between two messages at rest what one of them told
 	// counts: two may be lost.
-	restLife = 3
+	demandLifeIntervals = 3
 	// maxDatagram bounds a message.
 	maxDatagram = 16 << 10
-	// maxTold bounds the answers to a start's questions that wait to be looked at.
-	maxTold = 64
+	// maxPendingMemory bounds the answers to a start's questions that wait to be looked at.
+	maxPendingMemory = 64
 )
 
 // Exchange sends this node's digest to its peers and takes in theirs. It is safe for
@@ -56,43 +56,43 @@
 	quarantine *quarantine.Manager
 	conn       *net.UDPConn
 	log        *logrus.Logger
-	// begun is when this process began to listen.
-	begun time.Time
+	// started is when this process began to listen.
+	started time.Time
 
 	mu    sync.Mutex
 	peers *peerSet
-	// keeping is what Keeping worked out last.
-	keeping keeping
+	// tracked is what Keeping worked out last.
+	tracked trackedEngines
 	// asideUntil is until when this node leaves orders to others.
 	asideUntil time.Time
-	// asks are the questions whose answers are awaited.
-	asks    map[uint64]*pendingAsk
-	lastAsk uint64
-	// spreads counts the words and news that this node made, and relays are those that it
+	// pendingQuestions are the questions whose answers are awaited.
+	pendingQuestions map[uint64]*pendingQuestion
+	lastQuestion     uint64
+	// broadcasts counts the words and news that this node made, and relays are those that it
 	// passed on.
-	spreads uint64
-	relays  relays
-	// watch is what a supervisor notes of silent nodes, and unlisted holds a token where
+	broadcasts   uint64
+	relayHistory relayHistory
+	// silenceMonitor is what a supervisor notes of silent nodes, and unlisted holds a token where
 	// this node must announce itself again.
-	watch    watch
-	unlisted chan struct{}
+	silenceMonitor silenceMonitor
+	unlisted       chan struct{}
 	// metrics may be nil.
 	metrics *Metrics
 	// roundTrips are the ways to other regions, by region.
 	roundTrips map[string]*roundTrip
 
-	// told are the workers of which peers have told all that they keep.
-	told chan []string
-	done chan struct{}
+	// memoryComplete are the workers of which peers have memoryComplete all that they keep.
+	memoryComplete chan []string
+	done           chan struct{}
 
-	// transits is used by the receiving goroutine only.
-	transits transits
+	// delays is used by the receiving goroutine only.
+	delays delayEstimator
 
-	// box, sequence and reported are used by Run's goroutine only; reported is when the
+	// outbox, sequence and reported are used by Run's goroutine only; reported is when the
 	// supervisors were told last.
-	box      outbox
-	sequence uint64
-	reported time.Time
+	outbox     outbox
+	sequence   uint64
+	lastReport time.Time
 }
 
 // Listen opens the exchange's port.
@@ -112,10 +112,10 @@
 	}
 	return &Exchange{
 		node: node, zone: zone, registry: registry, conn: conn, log: log,
-		begun: time.Now(), contents: newContentIndex(),
-		peers: newPeerSet(node, local, zone), asks: make(map[uint64]*pendingAsk),
-		roundTrips: make(map[string]*roundTrip), watch: newWatch(), unlisted: make(chan struct{}, 1),
-		told: make(chan []string, maxTold), done: make(chan struct{}),
+		started: time.Now(), contents: newContentIndex(),
+		peers: newPeerSet(node, local, zone), pendingQuestions: make(map[uint64]*pendingQuestion),
+		roundTrips: make(map[string]*roundTrip), silenceMonitor: newSilenceMonitor(), unlisted: make(chan struct{}, 1),
+		memoryComplete: make(chan []string, maxPendingMemory), done: make(chan struct{}),
 	}, nil
 }
 
@@ -129,7 +129,7 @@
 func (e *Exchange) AddPeers(listed []Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.peers.list(listed)
+	e.peers.addFullList(listed)
 }
 
 // Nodes returns how many nodes share the limits: this one, those heard lately, and
@@ -170,7 +170,7 @@
 		go q.reportAll(ctx)
 	}
 	if e.quarantine != nil {
-		go e.tellSuspects(ctx)
+		go e.sendSuspects(ctx)
 	}
 	e.send(ctx)
 	_ = e.conn.Close()
@@ -183,10 +183,10 @@
 	for {
 		select {
 		case <-ctx.Done():
-			e.farewell()
+			e.announceLeaving()
 			return
 		case <-e.registry.Changed():
-			e.box.changed = true
+			e.outbox.changed = true
 		case <-timer.C:
 		}
 		timer.Reset(e.tick(time.Now()))
@@ -195,34 +195,34 @@
 
 // tick sends what is due, and returns the time until something may be due again.
 func (e *Exchange) tick(now time.Time) time.Duration {
-	due, atRest := e.box.dueness(now)
+	due, atRest := e.outbox.due(now)
 	if !due {
-		return e.box.wait(now)
+		return e.outbox.untilDue(now)
 	}
-	reports := atRest && now.Sub(e.reported) >= reportEvery(e.Nodes())
+	reports := atRest && now.Sub(e.lastReport) >= reportInterval(e.Nodes())
 	if reports {
-		e.reported = now
+		e.lastReport = now
 	}
-	e.tell(now, atRest, reports)
+	e.sendLoads(now, atRest, reports)
 	if reports {
-		e.tellUsage(now)
+		e.sendUsage(now)
 	}
-	return e.box.wait(now)
+	return e.outbox.untilDue(now)
 }
 
-// reportEvery is the time between two messages to the supervisors in a fleet of so many nodes.
-func reportEvery(nodes int) time.Duration {
-	return restEvery * time.Duration(max(nodes, restFleet)) / restFleet
+// reportInterval is the time between two messages to the supervisors in a fleet of so many nodes.
+func reportInterval(nodes int) time.Duration {
+	return periodicInterval * time.Duration(max(nodes, fullRateFleet)) / fullRateFleet
 }
 
-// tell sends each home of a worker that was touched what this node has placed on the
+// sendLoads sends each home of a worker that was touched what this node has placed on the
 // workers of that home; at rest also the homes of all workers that it has placed
 // anything on. Where it reports, it tells the supervisors and those that don't know this
 // node too.
-func (e *Exchange) tell(now time.Time, atRest, reports bool) {
+func (e *Exchange) sendLoads(now time.Time, atRest, reports bool) {
 	snapshot := e.registry.Snapshot()
-	e.box.collect(snapshot)
-	snapshot.CacheUpdates, snapshot.Failures = e.box.next(now, atRest)
+	e.outbox.add(snapshot)
+	snapshot.CacheUpdates, snapshot.Failures = e.outbox.next(now, atRest)
 	e.sequence++
 	base := Message{Node: e.node, Sequence: e.sequence}
 	e.mu.Lock()
@@ -233,16 +233,16 @@
 		snapshot.Demand, snapshot.RegionDemand = nil, nil // they change slowly
 	}
 	base.SteppedBack = now.Before(e.asideUntil)
-	parcels, supervisors := e.parcels(snapshot, atRest, reports), e.peers.supervisors()
+	parcels, supervisors := e.workersByRecipient(snapshot, atRest, reports), e.peers.supervisors()
 	e.mu.Unlock()
-	e.sendParcels(parcels, supervisors, snapshot, base)
-	e.tellContents(snapshot.CacheUpdates, now)
+	e.sendSnapshot(parcels, supervisors, snapshot, base)
+	e.sendContents(snapshot.CacheUpdates, now)
 }
 
 // logSilent logs the nodes that have fallen silent. Only supervisors hear all others all
 // the time.
 func (e *Exchange) logSilent(now time.Time) {
-	lost := e.peers.silent(now)
+	lost := e.peers.markSilent(now)
 	if !e.peers.supervises() {
 		return
 	}
@@ -251,10 +251,10 @@
 	}
 }
 
-// parcels returns, by the nodes that are to be told something, the workers of which they
+// workersByRecipient returns, by the nodes that are to be told something, the workers of which they
 // are to be told.
-func (e *Exchange) parcels(snapshot worker.Snapshot, atRest, reports bool) map[netip.AddrPort][]string {
-	subjects := subjectsOf(snapshot)
+func (e *Exchange) workersByRecipient(snapshot worker.Snapshot, atRest, reports bool) map[netip.AddrPort][]string {
+	subjects := workersIn(snapshot)
 	parcels := make(map[netip.AddrPort][]string)
 	for _, id := range subjects {
 		if atRest || snapshot.Concerns(id) {
@@ -286,25 +286,25 @@
 
 // reportTargets are the nodes that hear of this one whatever it does.
 func (e *Exchange) reportTargets() []netip.AddrPort {
-	targets := append(e.peers.toGreet(), e.peers.supervisors()...)
-	if any, found := e.peers.anyPeer(); found {
+	targets := append(e.peers.greetTargets(), e.peers.supervisors()...)
+	if any, found := e.peers.randomPeer(); found {
 		targets = append(targets, any)
 	}
 	return targets
 }
 
-// parcelKey names a datagram: nodes that are told of the same workers get the same one.
-type parcelKey struct {
+// datagramKey names a datagram: nodes that are told of the same workers get the same one.
+type datagramKey struct {
 	workers    string
 	supervisor bool
 }
 
-// sendParcels sends each node its part of a snapshot. The demand of several regions is long,
+// sendSnapshot sends each node its part of a snapshot. The demand of several regions is long,
 // and only supervisors plan by it.
-func (e *Exchange) sendParcels(parcels map[netip.AddrPort][]string, supervisors []netip.AddrPort, snapshot worker.Snapshot, base Message) {
-	datagrams := make(map[parcelKey][]byte)
+func (e *Exchange) sendSnapshot(parcels map[netip.AddrPort][]string, supervisors []netip.AddrPort, snapshot worker.Snapshot, base Message) {
+	datagrams := make(map[datagramKey][]byte)
 	for address, workers := range parcels {
-		key := parcelKey{strings.Join(workers, " "), slices.Contains(supervisors, address)}
+		key := datagramKey{strings.Join(workers, " "), slices.Contains(supervisors, address)}
 		datagram, rendered := datagrams[key]
 		if !rendered {
 			part := snapshot.ForWorkers(workers)
@@ -318,9 +318,9 @@
 	}
 }
 
-// farewell says that this node leaves.
-func (e *Exchange) farewell() {
-	e.tellUsage(time.Now())
+// announceLeaving says that this node leaves.
+func (e *Exchange) announceLeaving() {
+	e.sendUsage(time.Now())
 	for _, q := range e.quotas() {
 		q.reportChanged(time.Now())
 	}
@@ -333,7 +333,7 @@
 	e.sendAll(targets, Message{Node: e.node, Sequence: e.sequence + 1, Leaving: true})
 	if large {
 		// Its row is gone from the list, unless the store could not be reached.
-		e.spread(Message{Node: e.node, Departed: []netip.AddrPort{e.peers.address}})
+		e.broadcast(Message{Node: e.node, Departed: []netip.AddrPort{e.peers.address}})
 	}
 }
 
@@ -385,14 +385,14 @@
 		}
 		message, err := decode(buffer[:count])
 		if err != nil {
-			e.dropped(from, err)
+			e.logMalformed(from, err)
 			continue
 		}
 		e.handle(from, message)
 	}
 }
 
-func (e *Exchange) dropped(from netip.AddrPort, err error) {
+func (e *Exchange) logMalformed(from netip.AddrPort, err error) {
 	e.log.WithFields(logrus.Fields{"from": from.String(), "cause": err.Error()}).Warn("a malformed digest was dropped")
 }
 
@@ -401,17 +401,17 @@
 	case message.Question != nil:
 		e.answer(from, message.Node, *message.Question)
 	case message.Reply != nil:
-		e.takeReply(from, message.Node, *message.Reply)
+		e.receiveReply(from, message.Node, *message.Reply)
 	case message.Contents != nil:
-		e.takeContents(from, message.Contents)
+		e.receiveContents(from, message.Contents)
 	case message.Usage != nil:
-		e.takeUsage(from, message)
+		e.receiveUsage(from, message)
 	case message.UsageReply != nil:
-		e.takeUsageReply(from, *message.UsageReply)
+		e.receiveUsageReply(from, *message.UsageReply)
 	case message.WantUsage != 0:
-		e.tellGathered(from, message.WantUsage)
+		e.sendGathered(from, message.WantUsage)
 	case message.Gathered != nil:
-		e.takeGathered(*message.Gathered)
+		e.receiveGathered(*message.Gathered)
 	case message.Quota != nil:
 		if e.quota != nil {
 			e.quota.receive(from, message.Node, *message.Quota)
@@ -421,48 +421,48 @@
 			e.turns.receive(from, message.Node, *message.Turns)
 		}
 	case message.WantMemory != nil:
-		e.tellMemory(from, message.WantMemory)
+		e.sendMemory(from, message.WantMemory)
 	case message.Memory:
-		e.remember(from, message)
+		e.receiveMemory(from, message)
 	case message.News != nil:
-		e.takeNews(from, message)
+		e.receiveNews(from, message)
 	case message.WantWords:
-		e.tellWords(from)
+		e.sendAnnouncements(from)
 	case message.Words != nil:
-		e.takeWords(from, message)
+		e.receiveAnnouncements(from, message)
 	case message.Departed != nil:
-		e.takeDeparted(message, time.Now())
-		e.passOn(from, message)
+		e.receiveDeparted(message, time.Now())
+		e.relay(from, message)
 	case message.Suspects != nil:
-		e.takeSuspects(from, message)
+		e.receiveSuspects(from, message)
 	default:
-		e.take(from, message)
+		e.receiveLoads(from, message)
 	}
 }
 
-// take merges a digest unless a newer one of its sender was merged before.
-func (e *Exchange) take(from netip.AddrPort, message Message) {
+// receiveLoads merges a digest unless a newer one of its sender was merged before.
+func (e *Exchange) receiveLoads(from netip.AddrPort, message Message) {
 	snapshot, err := message.snapshot()
 	if err != nil {
-		e.dropped(from, err)
+		e.logMalformed(from, err)
 		return
 	}
 	now := time.Now()
-	snapshot.DemandLife = restLife * reportEvery(e.Nodes())
+	snapshot.DemandLife = demandLifeIntervals * reportInterval(e.Nodes())
 	if message.Leaving {
 		for _, q := range e.quotas() {
 			q.left(message.Node)
 		}
 	}
 	e.mu.Lock()
-	first, stale := e.peers.hear(from, message, now)
+	first, stale := e.peers.recordMessage(from, message, now)
 	supervises := e.peers.supervises()
 	e.mu.Unlock()
 	if stale {
 		return
 	}
 	if first {
-		e.returned(from)
+		e.notifyReturned(from)
 		e.shareSuspects(from)
 		e.shareLimits(from)
 		e.shareDraining(from)
@@ -474,6 +474,6 @@
 		e.log.WithFields(logrus.Fields{"node": message.Node, "sequence": message.Sequence, "workers": message.Failures}).Info("another node tells of failures")
 	}
 	e.registry.Merge(message.Node, snapshot, now)
-	e.takeLimits(message.Node, message.Limits, now)
-	e.takeDraining(message.Node, message.Draining, now)
+	e.receiveLimits(message.Node, message.Limits, now)
+	e.receiveDraining(message.Node, message.Draining, now)
 }
--- a/internal/nodeexchange/listing.go
+++ b/internal/nodeexchange/listing.go
@@ -17,33 +17,33 @@
 
 // The figures of a start.
 const (
-	// sharingHeads is the number of nodes of a zone, those listed first, that read tables at
+	// sourcesPerZone is the number of nodes of a zone, those listed first, that read tables at
 	// the store: one may be dead.
-	sharingHeads = 2
-	// sharingFanOut is the number of nodes to which each gives the tables, so that a node
+	sourcesPerZone = 2
+	// tableFanOut is the number of nodes to which each gives the tables, so that a node
 	// has to wait for few before it while each sends few copies over its link: 200 nodes of
 	// a zone are four deep, 400 five.
-	sharingFanOut = 4
-	// listingWait is how long a node waits to learn of its neighbours before it goes to the
+	tableFanOut = 4
+	// zoneListTimeout is how long a node waits to learn of its neighbours before it goes to the
 	// store.
-	listingWait = 2 * time.Second
+	zoneListTimeout = 2 * time.Second
 	// maxWithdrawn bounds the nodes that are remembered to have withdrawn.
 	maxWithdrawn = 1000
 )
 
 // listing is what a node knows of the list of nodes beyond its peers.
 type listing struct {
-	// own is the version of this node's row, zero where it wasn't read yet.
-	own uint64
-	// near is closed when the nodes of the own zone are known.
-	near chan struct{}
+	// ownVersion is the version of this node's row, zero where it wasn't read yet.
+	ownVersion uint64
+	// zoneKnown is closed when the nodes of the own zone are known.
+	zoneKnown chan struct{}
 	// withdrawn are nodes whose rows were taken away, by their incarnation: what they send
 	// while they stop doesn't bring them back.
 	withdrawn map[netip.AddrPort]string
 }
 
 func newListing() listing {
-	return listing{near: make(chan struct{}), withdrawn: make(map[netip.AddrPort]string)}
+	return listing{zoneKnown: make(chan struct{}), withdrawn: make(map[netip.AddrPort]string)}
 }
 
 func (l *listing) hasWithdrawn(address netip.AddrPort, node string) bool {
@@ -51,11 +51,11 @@
 	return known && withdrawn == node
 }
 
-func (l *listing) nearKnown() {
+func (l *listing) markZoneKnown() {
 	select {
-	case <-l.near:
+	case <-l.zoneKnown:
 	default:
-		close(l.near)
+		close(l.zoneKnown)
 	}
 }
 
@@ -64,8 +64,8 @@
 func (e *Exchange) AddZonePeers(listed []Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.peers.include(listed)
-	e.peers.listing.nearKnown()
+	e.peers.addListed(listed)
+	e.peers.listing.markZoneKnown()
 }
 
 // Large reports whether the fleet is so large that nodes don't greet each other, and no node
@@ -83,7 +83,7 @@
 func (e *Exchange) ReplacePeers(listed []Peer, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.peers.list(listed)
+	e.peers.addFullList(listed)
 	held := make(map[netip.AddrPort]bool, len(listed))
 	for _, entry := range listed {
 		held[entry.Address] = true
@@ -108,7 +108,7 @@
 			clear(e.peers.listing.withdrawn)
 		}
 		e.peers.listing.withdrawn[address] = known.node
-		e.peers.left(address)
+		e.peers.remove(address)
 	}
 }
 
@@ -116,9 +116,9 @@
 // node is to read it at the store. It waits until the nodes of its zone are known.
 func (e *Exchange) Givers(ctx context.Context) []netip.AddrPort {
 	e.mu.Lock()
-	near := e.peers.listing.near
+	near := e.peers.listing.zoneKnown
 	e.mu.Unlock()
-	timer := time.NewTimer(listingWait)
+	timer := time.NewTimer(zoneListTimeout)
 	defer timer.Stop()
 	select {
 	case <-near:
@@ -127,7 +127,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.peers.givers()
+	return e.peers.tableSources()
 }
 
 // ChangeGivers returns the nodes to be asked for changes of a table, the first first. holders
@@ -136,13 +136,13 @@
 func (e *Exchange) ChangeGivers(table string, holders []netip.AddrPort) []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	holders = holders[:min(len(holders), askedHolders)]
-	givers := e.peers.givers()
+	holders = holders[:min(len(holders), maxAskedHolders)]
+	givers := e.peers.tableSources()
 	if len(givers) == 0 {
-		return e.peers.others(distinct(slices.Concat(holders, e.peers.readers(table), e.peers.neighbours())))
+		return e.peers.others(distinct(slices.Concat(holders, e.peers.storeReaders(table), e.peers.neighbours())))
 	}
 	near := givers[:1:1]
-	if any, found := e.peers.anyNear(); found {
+	if any, found := e.peers.randomNearPeer(); found {
 		near = append(near, any)
 	}
 	return e.peers.others(distinct(slices.Concat(near, holders, givers[1:])))
@@ -159,15 +159,15 @@
 // neighbours are the nodes of the zone that were listed first, and one drawn at random.
 func (s *peerSet) neighbours() []netip.AddrPort {
 	order := s.listedInZone()
-	near := order[:min(len(order), sharingHeads):min(len(order), sharingHeads)]
-	if any, found := s.anyPeer(); found {
+	near := order[:min(len(order), sourcesPerZone):min(len(order), sourcesPerZone)]
+	if any, found := s.randomPeer(); found {
 		near = append(near, any)
 	}
 	return distinct(near)
 }
 
-// askedHolders is the most nodes that are asked for changes because they have told of them.
-const askedHolders = 2
+// maxAskedHolders is the most nodes that are asked for changes because they have told of them.
+const maxAskedHolders = 2
 
 // distinct returns the addresses without those that came before.
 func distinct(addresses []netip.AddrPort) []netip.AddrPort {
@@ -180,23 +180,23 @@
 	return kept
 }
 
-// givers returns the nodes to be asked for a whole table: the parent in the tree of the zone's
+// tableSources returns the nodes to be asked for a whole table: the parent in the tree of the zone's
 // nodes by the order of their rows, then those at its root and one drawn at random. Nodes at
 // the root ask nobody: would they wait for others, these might wait for them.
-func (s *peerSet) givers() []netip.AddrPort {
+func (s *peerSet) tableSources() []netip.AddrPort {
 	order := s.listedInZone()
 	before := len(order)
-	if s.listing.own > 0 {
-		before = slices.IndexFunc(order, func(address netip.AddrPort) bool { return s.peers[address].listed > s.listing.own })
+	if s.listing.ownVersion > 0 {
+		before = slices.IndexFunc(order, func(address netip.AddrPort) bool { return s.peers[address].listed > s.listing.ownVersion })
 		if before < 0 {
 			before = len(order)
 		}
 	}
-	if before < sharingHeads {
+	if before < sourcesPerZone {
 		return nil
 	}
-	givers := []netip.AddrPort{order[(before-sharingHeads)/sharingFanOut]}
-	for _, address := range append(order[:sharingHeads:sharingHeads], order[rand.IntN(len(order))]) {
+	givers := []netip.AddrPort{order[(before-sourcesPerZone)/tableFanOut]}
+	for _, address := range append(order[:sourcesPerZone:sourcesPerZone], order[rand.IntN(len(order))]) {
 		if !slices.Contains(givers, address) {
 			givers = append(givers, address)
 		}
@@ -204,12 +204,12 @@
 	return givers
 }
 
-// readers returns the node that reads a table at the store for all, once all nodes are known.
-func (s *peerSet) readers(table string) []netip.AddrPort {
+// storeReaders returns the node that reads a table at the store for all, once all nodes are known.
+func (s *peerSet) storeReaders(table string) []netip.AddrPort {
 	if !s.listed {
 		return nil
 	}
-	return s.others(s.top("table "+table, 1, ""))
+	return s.others(s.firstRanked("table "+table, 1, ""))
 }
 
 // listedInZone returns the peers of this node's zone in the order of their rows.
--- a/internal/nodeexchange/listing_test.go
+++ b/internal/nodeexchange/listing_test.go
@@ -18,7 +18,7 @@
 		for j := i % 5; j <= i; j += 5 {
 			listed = append(listed, Peer{Node: fmt.Sprint("n", j), Address: addressOf(j), Zone: set.zone, Listed: uint64(j + 1)})
 		}
-		set.include(listed)
+		set.addListed(listed)
 		sets = append(sets, set)
 	}
 	return sets
@@ -32,7 +32,7 @@
 		reading, children := 0, make(map[netip.AddrPort]int)
 		depths := make(map[netip.AddrPort]int)
 		for _, set := range listedFleet(nodes) {
-			asked := set.givers()
+			asked := set.tableSources()
 			if len(asked) == 0 {
 				reading++
 				continue
@@ -43,11 +43,11 @@
 				t.Fatalf("%d nodes: a node is %d deep, want %d at most", nodes, depths[set.address], deepest)
 			}
 		}
-		if want := 5 * sharingHeads; reading != min(want, nodes) {
+		if want := 5 * sourcesPerZone; reading != min(want, nodes) {
 			t.Errorf("%d nodes: %d read at the store, want %d", nodes, reading, want)
 		}
 		for address, count := range children {
-			if count > sharingFanOut {
+			if count > tableFanOut {
 				t.Errorf("%d nodes: %v gives copies to %d others", nodes, address, count)
 			}
 		}
@@ -58,9 +58,9 @@
 func TestUnlistedNodeAsksListedOnes(t *testing.T) {
 	set := newPeerSet("new", self, "zone0")
 	for _, known := range listedFleet(40) {
-		set.include([]Peer{{Node: known.self, Address: known.address, Zone: known.zone, Listed: 1 + uint64(len(set.peers))}})
+		set.addListed([]Peer{{Node: known.self, Address: known.address, Zone: known.zone, Listed: 1 + uint64(len(set.peers))}})
 	}
-	asked := set.givers()
+	asked := set.tableSources()
 	if len(asked) == 0 || set.peers[asked[0]].zone != "zone0" {
 		t.Errorf("asked: %v", asked)
 	}
@@ -90,13 +90,13 @@
 // TestLargeFleetIsNotGreeted: all follow the list, but for those of a build that didn't.
 func TestLargeFleetIsNotGreeted(t *testing.T) {
 	for nodes, want := range map[int]int{20: 19, 100: 0, 985: 0} {
-		if greeted := len(fleetOf(nodes)[0].toGreet()); greeted != want {
+		if greeted := len(fleetOf(nodes)[0].greetTargets()); greeted != want {
 			t.Errorf("%d nodes: %d are greeted, want %d", nodes, greeted, want)
 		}
 	}
 	set := fleetOf(100)[0]
-	set.include([]Peer{{Node: "before", Address: self, Zone: "zone0", Unaware: true}})
-	if greeted := set.toGreet(); len(greeted) != 1 || greeted[0] != self {
+	set.addListed([]Peer{{Node: "before", Address: self, Zone: "zone0", Unaware: true}})
+	if greeted := set.greetTargets(); len(greeted) != 1 || greeted[0] != self {
 		t.Errorf("greeted: %v", greeted)
 	}
 }
@@ -111,17 +111,17 @@
 	node := Peer{Node: "n", Address: there, Zone: "zone0", Listed: 3}
 	exchange.AddPeers([]Peer{node})
 	exchange.WithdrawPeers([]netip.AddrPort{there})
-	exchange.peers.hear(there, Message{Node: "n", Sequence: 7}, origin)
+	exchange.peers.recordMessage(there, Message{Node: "n", Sequence: 7}, origin)
 	if exchange.Nodes() != 1 {
 		t.Error("a node that withdrew is back by a late message")
 	}
-	exchange.peers.hear(there, Message{Node: "next", Sequence: 1}, origin)
+	exchange.peers.recordMessage(there, Message{Node: "next", Sequence: 1}, origin)
 	if exchange.Nodes() != 2 {
 		t.Error("the process after it isn't known")
 	}
 	exchange.WithdrawPeers([]netip.AddrPort{there})
 	exchange.AddPeers([]Peer{node})
-	if exchange.peers.hear(there, Message{Node: "n", Sequence: 8}, origin); exchange.Nodes() != 2 {
+	if exchange.peers.recordMessage(there, Message{Node: "n", Sequence: 8}, origin); exchange.Nodes() != 2 {
 		t.Error("a node that is listed again isn't known")
 	}
 }
@@ -138,8 +138,8 @@
 	}
 	now := time.Now()
 	exchange.AddPeers(listed)
-	exchange.peers.hear(addressOf(1), Message{Node: "n1", Sequence: 1}, now)
-	exchange.peers.hear(there, Message{Node: "unlisted", Sequence: 1}, now)
+	exchange.peers.recordMessage(addressOf(1), Message{Node: "n1", Sequence: 1}, now)
+	exchange.peers.recordMessage(there, Message{Node: "unlisted", Sequence: 1}, now)
 	exchange.ReplacePeers(listed[:1], now)
 	for address, want := range map[netip.AddrPort]bool{addressOf(0): true, addressOf(1): true, addressOf(2): false, addressOf(3): false, there: true} {
 		if _, known := exchange.peers.peers[address]; known != want {
--- a/internal/nodeexchange/memory.go
+++ b/internal/nodeexchange/memory.go
@@ -12,11 +12,11 @@
 
 // The figures of a start.
 const (
-	// askEvery is how long a node that has just started waits for the answers of its
+	// memoryRoundTimeout is how long a node that has just started waits for the answers of its
 	// peers before it asks others.
-	askEvery = 80 * time.Millisecond
-	// maxAsked bounds the rounds of questions.
-	maxAsked = 4
+	memoryRoundTimeout = 80 * time.Millisecond
+	// memoryRounds bounds the rounds of questions.
+	memoryRounds = 4
 	// partsPerMessage bounds the parts in one datagram of an answer.
 	partsPerMessage = 200
 )
@@ -29,8 +29,8 @@
 	for _, id := range workers {
 		untold[id] = true
 	}
-	for round := range maxAsked {
-		for to, asked := range e.colleagues(untold, round) {
+	for round := range memoryRounds {
+		for to, asked := range e.memorySources(untold, round) {
 			e.sendTo(to, Message{Node: e.node, WantMemory: asked})
 		}
 		e.awaitMemory(ctx, untold)
@@ -45,9 +45,9 @@
 	return left
 }
 
-// colleagues divides workers by another node that keeps their account, a different one in
+// memorySources divides workers by another node that keeps their account, a different one in
 // each round.
-func (e *Exchange) colleagues(workers map[string]bool, round int) map[netip.AddrPort][]string {
+func (e *Exchange) memorySources(workers map[string]bool, round int) map[netip.AddrPort][]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	asked := make(map[netip.AddrPort][]string)
@@ -66,11 +66,11 @@
 // awaitMemory takes the workers that are told of out of those untold, until none is left
 // or the time is over.
 func (e *Exchange) awaitMemory(ctx context.Context, untold map[string]bool) {
-	timer := time.NewTimer(askEvery)
+	timer := time.NewTimer(memoryRoundTimeout)
 	defer timer.Stop()
 	for len(untold) > 0 {
 		select {
-		case told := <-e.told:
+		case told := <-e.memoryComplete:
 			for _, id := range told {
 				delete(untold, id)
 			}
@@ -82,18 +82,18 @@
 	}
 }
 
-// tellMemory answers a node that has just started: it tells what the workers keep that
+// sendMemory answers a node that has just started: it tells what the workers keep that
 // it knows, and then of which workers it has told all.
-func (e *Exchange) tellMemory(to netip.AddrPort, workers []string) {
+func (e *Exchange) sendMemory(to netip.AddrPort, workers []string) {
 	memory, known := e.registry.LearnedState(workers)
-	for _, reads := range inMessages(memory.CacheUpdates) {
+	for _, reads := range splitUpdates(memory.CacheUpdates) {
 		e.sendTo(to, Message{Node: e.node, Memory: true, CacheUpdates: renderReads(reads)})
 	}
 	e.sendTo(to, Message{Node: e.node, Memory: true, Paces: memory.Paces, MemoryComplete: known})
 }
 
-// inMessages divides reads so that each message holds few enough parts.
-func inMessages(reads []worker.CacheUpdate) [][]worker.CacheUpdate {
+// splitUpdates divides reads so that each message holds few enough parts.
+func splitUpdates(reads []worker.CacheUpdate) [][]worker.CacheUpdate {
 	var messages [][]worker.CacheUpdate
 	for _, read := range reads {
 		for parts := read.Parts; len(parts) > 0; {
@@ -105,10 +105,10 @@
 	return messages
 }
 
-func (e *Exchange) remember(from netip.AddrPort, message Message) {
+func (e *Exchange) receiveMemory(from netip.AddrPort, message Message) {
 	snapshot, err := message.snapshot()
 	if err != nil {
-		e.dropped(from, err)
+		e.logMalformed(from, err)
 		return
 	}
 	e.registry.MergeLearnedState(worker.LearnedState{CacheUpdates: snapshot.CacheUpdates, Paces: message.Paces}, time.Now())
@@ -118,7 +118,7 @@
 	e.registry.MarkCachesKnown(message.MemoryComplete)
 	e.log.WithFields(logrus.Fields{"node": message.Node, "workers": len(message.MemoryComplete)}).Info("another node told what workers keep")
 	select {
-	case e.told <- message.MemoryComplete:
+	case e.memoryComplete <- message.MemoryComplete:
 	default:
 	}
 }
--- a/internal/nodeexchange/news.go
+++ b/internal/nodeexchange/news.go
@@ -14,8 +14,8 @@
 const (
 	// maxNews bounds a message of changes.
 	maxNews = 8 << 10
-	// maxUnpacked bounds what such a message may unpack to.
-	maxUnpacked = 1 << 20
+	// maxUnpackedNews bounds what such a message may unpack to.
+	maxUnpackedNews = 1 << 20
 )
 
 // packNews renders changes of a table, compressed: a configuration of fifty routes
@@ -38,12 +38,12 @@
 	if err != nil {
 		return tablefeed.News{}, err
 	}
-	content, err := io.ReadAll(io.LimitReader(reader, maxUnpacked+1))
+	content, err := io.ReadAll(io.LimitReader(reader, maxUnpackedNews+1))
 	switch {
 	case err != nil:
 		return tablefeed.News{}, err
-	case len(content) > maxUnpacked:
-		return tablefeed.News{}, eris.Errorf("news of more than %d bytes", maxUnpacked)
+	case len(content) > maxUnpackedNews:
+		return tablefeed.News{}, eris.Errorf("news of more than %d bytes", maxUnpackedNews)
 	}
 	var news tablefeed.News
 	err = json.Unmarshal(content, &news)
--- a/internal/nodeexchange/news_test.go
+++ b/internal/nodeexchange/news_test.go
@@ -36,7 +36,7 @@
 func TestMalformedNews(t *testing.T) {
 	var bomb bytes.Buffer
 	writer := gzip.NewWriter(&bomb)
-	_, _ = writer.Write(bytes.Repeat([]byte(" "), maxUnpacked+1))
+	_, _ = writer.Write(bytes.Repeat([]byte(" "), maxUnpackedNews+1))
 	_ = writer.Close()
 	for name, packed := range map[string][]byte{"empty": nil, "no gzip": []byte("{}"), "cut": bomb.Bytes()[:20], "too large": bomb.Bytes()} {
 		if _, err := unpackNews(packed); err == nil {
@@ -51,7 +51,7 @@
 		exchange := largeExchange(t)
 		exchange.peers = aSupervisor(t, nodes)
 		limit := exchange.newsLimit()
-		if sent := limit * exchange.peers.largestZone(); sent > headBytes || limit > maxNews {
+		if sent := limit * exchange.peers.largestZoneSize(); sent > maxHeadBytes || limit > maxNews {
 			t.Errorf("%d nodes: news of %d bytes are told, %d by a head", nodes, limit, sent)
 		}
 		if nodes <= 75 && limit != maxNews {
--- a/internal/nodeexchange/outbox.go
+++ b/internal/nodeexchange/outbox.go
@@ -15,69 +15,69 @@
 type outbox struct {
 	// changed tells that something has changed since the last message.
 	changed bool
-	// pending are reads that were not told yet, and repeated those that the next
+	// pending are reads that were not told yet, and toRepeat those that the next
 	// message at rest tells once more, since a datagram may be lost.
-	pending, repeated []worker.CacheUpdate
+	pending, toRepeat []worker.CacheUpdate
 	// failures are told once: telling them twice would count them twice.
 	failures []string
-	// sent is when the last message was due, and rested when the last one at rest.
-	sent, rested time.Time
+	// lastSent is when the last message was due, and lastPeriodic when the last one at rest.
+	lastSent, lastPeriodic time.Time
 }
 
-// collect adds what happened since the last snapshot.
-func (o *outbox) collect(snapshot worker.Snapshot) {
+// add adds what happened since the last snapshot.
+func (o *outbox) add(snapshot worker.Snapshot) {
 	o.pending = append(o.pending, snapshot.CacheUpdates...)
 	o.failures = append(o.failures, snapshot.Failures...)
 }
 
-// dueness tells whether a message is to be sent, and whether as one at rest.
-func (o *outbox) dueness(now time.Time) (due, atRest bool) {
-	if now.Sub(o.rested) >= restEvery {
+// due tells whether a message is to be sent, and whether as one at rest.
+func (o *outbox) due(now time.Time) (due, atRest bool) {
+	if now.Sub(o.lastPeriodic) >= periodicInterval {
 		return true, true
 	}
-	return o.waits() && now.Sub(o.sent) >= sendEvery, false
+	return o.hasPending() && now.Sub(o.lastSent) >= minSendInterval, false
 }
 
-// waits reports whether there is anything to tell.
-func (o *outbox) waits() bool { return o.changed || len(o.pending) > 0 }
+// hasPending reports whether there is anything to tell.
+func (o *outbox) hasPending() bool { return o.changed || len(o.pending) > 0 }
 
-// wait is the time until a message is due.
-func (o *outbox) wait(now time.Time) time.Duration {
-	wait := restEvery - now.Sub(o.rested)
-	if o.waits() {
-		wait = min(wait, sendEvery-now.Sub(o.sent))
+// untilDue is the time until a message is due.
+func (o *outbox) untilDue(now time.Time) time.Duration {
+	wait := periodicInterval - now.Sub(o.lastPeriodic)
+	if o.hasPending() {
+		wait = min(wait, minSendInterval-now.Sub(o.lastSent))
 	}
 	return max(wait, 0)
 }
 
 // next returns the reads and failures of the message that is sent now.
 func (o *outbox) next(now time.Time, atRest bool) (reads []worker.CacheUpdate, failures []string) {
-	fresh := o.takeFresh()
+	fresh := o.takePending()
 	reads = fresh
 	if atRest {
 		reads = append(o.takeRepeated(), fresh...)
-		o.rested = now
+		o.lastPeriodic = now
 	}
-	o.repeated = append(o.repeated, fresh...)
+	o.toRepeat = append(o.toRepeat, fresh...)
 	failures, o.failures = o.failures, nil
-	o.changed, o.sent = false, now
+	o.changed, o.lastSent = false, now
 	return reads, failures
 }
 
-// takeFresh takes reads out of those pending until a message is full, and takeRepeated
+// takePending takes reads out of those pending until a message is full, and takeRepeated
 // out of those told once.
-func (o *outbox) takeFresh() (fresh []worker.CacheUpdate) {
-	fresh, o.pending = cut(o.pending)
+func (o *outbox) takePending() (fresh []worker.CacheUpdate) {
+	fresh, o.pending = splitBatch(o.pending)
 	return fresh
 }
 
 func (o *outbox) takeRepeated() (repeated []worker.CacheUpdate) {
-	repeated, o.repeated = cut(o.repeated)
+	repeated, o.toRepeat = splitBatch(o.toRepeat)
 	return repeated
 }
 
-// cut divides reads into as many as a message may tell of, and the rest.
-func cut(reads []worker.CacheUpdate) (taken, left []worker.CacheUpdate) {
+// splitBatch divides reads into as many as a message may tell of, and the rest.
+func splitBatch(reads []worker.CacheUpdate) (taken, left []worker.CacheUpdate) {
 	parts, count := 0, 0
 	for count < len(reads) {
 		parts += len(reads[count].Parts)
--- a/internal/nodeexchange/outbox_test.go
+++ b/internal/nodeexchange/outbox_test.go
@@ -10,11 +10,11 @@
 )
 
 func TestReadsAreToldTwiceAndFailuresOnce(t *testing.T) {
-	box := outbox{rested: origin}
-	box.collect(worker.Snapshot{CacheUpdates: []worker.CacheUpdate{{Worker: "w"}}, Failures: []string{"w"}})
+	box := outbox{lastPeriodic: origin}
+	box.add(worker.Snapshot{CacheUpdates: []worker.CacheUpdate{{Worker: "w"}}, Failures: []string{"w"}})
 	reads, failures, messages := 0, 0, 0
-	for now := origin.Add(sendEvery); now.Sub(origin) < 3*restEvery; now = now.Add(sendEvery) {
-		due, atRest := box.dueness(now)
+	for now := origin.Add(minSendInterval); now.Sub(origin) < 3*periodicInterval; now = now.Add(minSendInterval) {
+		due, atRest := box.due(now)
 		if !due {
 			continue
 		}
@@ -35,18 +35,18 @@
 		due, atRest bool
 		wait        time.Duration
 	}{
-		"nothing changed":             {200 * time.Millisecond, false, false, false, restEvery - 200*time.Millisecond},
-		"changed, but too soon":       {sendEvery - 1, true, false, false, 1},
-		"changed":                     {sendEvery, true, true, false, 0},
-		"nothing changed for a while": {restEvery, false, true, true, 0},
+		"nothing changed":             {200 * time.Millisecond, false, false, false, periodicInterval - 200*time.Millisecond},
+		"changed, but too soon":       {minSendInterval - 1, true, false, false, 1},
+		"changed":                     {minSendInterval, true, true, false, 0},
+		"nothing changed for a while": {periodicInterval, false, true, true, 0},
 	} {
 		var box outbox
 		box.next(origin, true)
 		box.changed = test.changed
 		now := origin.Add(test.after)
-		due, atRest := box.dueness(now)
-		if due != test.due || atRest != test.atRest || box.wait(now) != test.wait {
-			t.Errorf("%s: due %v, at rest %v, wait %v", name, due, atRest, box.wait(now))
+		due, atRest := box.due(now)
+		if due != test.due || atRest != test.atRest || box.untilDue(now) != test.wait {
+			t.Errorf("%s: due %v, at rest %v, wait %v", name, due, atRest, box.untilDue(now))
 		}
 	}
 }
@@ -55,16 +55,16 @@
 // started again, don't fit one datagram; a message that is too large was dropped
 // whole, and the load with it.
 func TestManyReadsAreDivided(t *testing.T) {
-	box := outbox{rested: origin}
+	box := outbox{lastPeriodic: origin}
 	var parts []prefixcache.Part
 	for i := range maxParts {
 		parts = append(parts, prefixcache.Part{ID: prefixcache.PartID(1<<62 + i), Tokens: 100_000})
 	}
 	lists := []worker.CacheUpdate{{Worker: "i-1", Parts: parts}, {Worker: "i-2", Parts: parts}, {Worker: "i-3", Parts: parts}}
-	box.collect(worker.Snapshot{CacheUpdates: lists})
+	box.add(worker.Snapshot{CacheUpdates: lists})
 	told := make(map[string]int)
-	for now := origin.Add(sendEvery); now.Sub(origin) < 5*restEvery; now = now.Add(sendEvery) {
-		due, atRest := box.dueness(now)
+	for now := origin.Add(minSendInterval); now.Sub(origin) < 5*periodicInterval; now = now.Add(minSendInterval) {
+		due, atRest := box.due(now)
 		if !due {
 			continue
 		}
--- a/internal/nodeexchange/peers.go
+++ b/internal/nodeexchange/peers.go
@@ -13,22 +13,22 @@
 
 // The figures of the fleet.
 const (
-	// peerLife is how long a silent node counts as one that takes requests, in a fleet in
+	// peerTimeout is how long a silent node counts as one that takes requests, in a fleet in
 	// which each tells the supervisors of itself as often as it may: six messages. It is how
 	// long a silent supervisor counts for the others in any fleet.
-	peerLife = 3 * time.Second
+	peerTimeout = 3 * time.Second
 	// quotaKeeperCount is the number of nodes that keep the account of a tenant's quota:
 	// one may be replaced while another dies.
 	quotaKeeperCount = 3
-	// leastSupervisors is the fewest nodes that know what all callers want and may give
+	// minSupervisors is the fewest nodes that know what all callers want and may give
 	// orders: all of them dead at a time is to be rarer than a stop of orders matters.
-	leastSupervisors = 4
-	// suspectedFor is how long a node that gave no answer isn't asked; it doubles with
+	minSupervisors = 4
+	// suspicionTime is how long a node that gave no answer isn't asked; it doubles with
 	// each further silence up to maxSuspected.
-	suspectedFor = time.Second
-	maxSuspected = 16 * time.Second
-	// lastPlace is that of a node that doesn't know the others yet.
-	lastPlace = 1 << 20
+	suspicionTime    = time.Second
+	maxSuspicionTime = 16 * time.Second
+	// lowestRank is that of a node that doesn't know the others yet.
+	lowestRank = 1 << 20
 	// greetings is how often a node is told of this one's start, since datagrams may be
 	// lost.
 	greetings = 2
@@ -95,31 +95,31 @@
 	// collected anew: each worker's homes are chosen among them.
 	members []netip.AddrPort
 	hashes  []uint64
-	// ofRegions holds the first nodes of all regions together, by subject.
-	ofRegions map[string][]netip.AddrPort
+	// regionRankings holds the first nodes of all regions together, by subject.
+	regionRankings map[string][]netip.AddrPort
 }
 
 func newPeerSet(self string, address netip.AddrPort, zone string) *peerSet {
 	return &peerSet{
 		self: self, address: address, zone: zone, hash: rendezvous.Hash(address.String()),
-		peers: make(map[netip.AddrPort]*peer), listing: newListing(), ofRegions: make(map[string][]netip.AddrPort),
+		peers: make(map[netip.AddrPort]*peer), listing: newListing(), regionRankings: make(map[string][]netip.AddrPort),
 	}
 }
 
-// list adds the peers that the store lists, which are all nodes.
-func (s *peerSet) list(listed []Peer) {
+// addFullList adds the peers that the store lists, which are all nodes.
+func (s *peerSet) addFullList(listed []Peer) {
 	s.listed = true
-	s.include(listed)
-	s.listing.nearKnown()
+	s.addListed(listed)
+	s.listing.markZoneKnown()
 }
 
-// include adds peers that the store lists. In a fleet that isn't large it greets those that
+// addListed adds peers that the store lists. In a fleet that isn't large it greets those that
 // are new: they may not have read of this node yet. In a large one all follow the list.
-func (s *peerSet) include(listed []Peer) {
+func (s *peerSet) addListed(listed []Peer) {
 	var added []netip.AddrPort
 	for _, entry := range listed {
 		if entry.Address == s.address || entry.Node == s.self {
-			s.listing.own = max(s.listing.own, entry.Listed)
+			s.listing.ownVersion = max(s.listing.ownVersion, entry.Listed)
 			continue
 		}
 		delete(s.listing.withdrawn, entry.Address)
@@ -135,7 +135,7 @@
 		known.listed = max(known.listed, entry.Listed)
 		s.setZone(known, entry.Zone)
 	}
-	s.joined(added)
+	s.rankAdded(added)
 	for _, address := range added {
 		if !s.large() {
 			s.peers[address].greetings = greetings
@@ -147,20 +147,20 @@
 func (s *peerSet) setZone(known *peer, zone string) {
 	if zone != "" && zone != known.zone {
 		known.zone = zone
-		s.rerank()
+		s.clearRankings()
 	}
 }
 
 func (s *peerSet) add(address netip.AddrPort, node string) *peer {
 	added := &peer{node: node, hash: rendezvous.Hash(address.String())}
 	s.peers[address] = added
-	s.joined([]netip.AddrPort{address})
+	s.rankAdded([]netip.AddrPort{address})
 	return added
 }
 
-// known returns the peer of a message, which may be new or a new process. A machine
+// peerOf returns the peer of a message, which may be new or a new process. A machine
 // keeps its zone.
-func (s *peerSet) known(from netip.AddrPort, node string) *peer {
+func (s *peerSet) peerOf(from netip.AddrPort, node string) *peer {
 	known, exists := s.peers[from]
 	if !exists {
 		return s.add(from, node)
@@ -178,21 +178,21 @@
 	}
 }
 
-// hear records a digest. It reports whether its sender was not heard before, and
+// recordMessage records a digest. It reports whether its sender was not heard before, and
 // whether the message is older than one that came before it.
-func (s *peerSet) hear(from netip.AddrPort, message Message, now time.Time) (first, stale bool) {
+func (s *peerSet) recordMessage(from netip.AddrPort, message Message, now time.Time) (first, stale bool) {
 	if message.Leaving {
 		known, exists := s.peers[from]
 		if !exists || known.node != message.Node {
 			return false, true
 		}
-		s.left(from)
+		s.remove(from)
 		return false, false
 	}
 	if s.listing.hasWithdrawn(from, message.Node) {
 		return false, true
 	}
-	known := s.known(from, message.Node)
+	known := s.peerOf(from, message.Node)
 	if message.Sequence <= known.sequence {
 		return false, true
 	}
@@ -210,16 +210,16 @@
 	if !exists || now.Before(known.suspectedUntil) {
 		return
 	}
-	known.suspectedUntil = now.Add(min(suspectedFor<<min(known.silences, 4), maxSuspected))
+	known.suspectedUntil = now.Add(min(suspicionTime<<min(known.silences, 4), maxSuspicionTime))
 	known.silences++
 }
 
-// silent takes out of those present the peers that have fallen silent, and returns
+// markSilent takes out of those present the peers that have fallen markSilent, and returns
 // them with the time since they were heard.
-func (s *peerSet) silent(now time.Time) map[string]time.Duration {
+func (s *peerSet) markSilent(now time.Time) map[string]time.Duration {
 	lost := make(map[string]time.Duration)
 	for address, known := range s.peers {
-		if silence := now.Sub(known.heard); known.present && silence > s.life(address) {
+		if silence := now.Sub(known.heard); known.present && silence > s.presenceTimeout(address) {
 			known.present = false
 			lost[known.node] = silence
 		}
@@ -227,12 +227,12 @@
 	return lost
 }
 
-// life is how long a node counts as present after it was heard.
-func (s *peerSet) life(address netip.AddrPort) time.Duration {
+// presenceTimeout is how long a node counts as present after it was heard.
+func (s *peerSet) presenceTimeout(address netip.AddrPort) time.Duration {
 	if s.supervises() && slices.Contains(s.supervisors(), address) {
-		return peerLife
+		return peerTimeout
 	}
-	return peerLife / restEvery * reportEvery(s.nodes())
+	return peerTimeout / periodicInterval * reportInterval(s.nodes())
 }
 
 // nodes is the number of nodes, this one included.
@@ -241,7 +241,7 @@
 // quotaKeepers returns the nodes that keep the account of a quota, the first to be asked
 // first.
 func (s *peerSet) quotaKeepers(account string) []netip.AddrPort {
-	return s.top("quota "+account, quotaKeeperCount, "")
+	return s.firstRanked("quota "+account, quotaKeeperCount, "")
 }
 
 // suspected reports whether a peer gave no answer lately.
@@ -253,19 +253,19 @@
 // supervisors returns the nodes that know what all callers want and may give orders. Each
 // region has some, so that the loss of one leaves others.
 func (s *peerSet) supervisors() []netip.AddrPort {
-	count := max(homeCount(s.nodes()), leastSupervisors)
-	if regions := len(s.places.Regions()); regions > 1 && s.nodes() > wholeFleet {
-		return s.ofEachRegion("orders", max((count+regions-1)/regions, leastHomes))
+	count := max(homeCount(s.nodes()), minSupervisors)
+	if regions := len(s.places.Regions()); regions > 1 && s.nodes() > fullTrackingFleet {
+		return s.topOfEachRegion("orders", max((count+regions-1)/regions, minHomes))
 	}
-	return s.top("orders", count, "")
+	return s.firstRanked("orders", count, "")
 }
 
-// place is this node's place among those that read a table at the store, the first in its
+// readerRank is this node's readerRank among those that read a table at the store, the first in its
 // zone counting as second of all where it isn't better off: a zone that is cut off from
 // the others needs one.
-func (s *peerSet) place(table string) int {
+func (s *peerSet) readerRank(table string) int {
 	if !s.listed {
-		return lastPlace
+		return lowestRank
 	}
 	subject := rendezvous.Hash("table " + table)
 	own := rendezvous.Score(subject, s.hash)
@@ -305,8 +305,8 @@
 	return addresses
 }
 
-// largestZone is the number of nodes of the zone that has most.
-func (s *peerSet) largestZone() int {
+// largestZoneSize is the number of nodes of the zone that has most.
+func (s *peerSet) largestZoneSize() int {
 	counts := map[string]int{s.zone: 1}
 	for _, known := range s.peers {
 		counts[known.zone]++
@@ -327,8 +327,8 @@
 	return slices.Collect(maps.Keys(zones))
 }
 
-// toGreet returns the peers that are to be told of this node, and counts that they are.
-func (s *peerSet) toGreet() []netip.AddrPort {
+// greetTargets returns the peers that are to be told of this node, and counts that they are.
+func (s *peerSet) greetTargets() []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for address, known := range s.peers {
 		if known.greetings > 0 {
@@ -339,8 +339,8 @@
 	return addresses
 }
 
-// anyPeer returns a peer drawn at random.
-func (s *peerSet) anyPeer() (netip.AddrPort, bool) {
+// randomPeer returns a peer drawn at random.
+func (s *peerSet) randomPeer() (netip.AddrPort, bool) {
 	addresses := s.all()
 	if len(addresses) == 0 {
 		return netip.AddrPort{}, false
--- a/internal/nodeexchange/peers_test.go
+++ b/internal/nodeexchange/peers_test.go
@@ -29,7 +29,7 @@
 		for j := range nodes {
 			listed = append(listed, Peer{Node: fmt.Sprint("n", j), Address: addressOf(j), Zone: fmt.Sprint("zone", j%5)})
 		}
-		set.list(listed)
+		set.addFullList(listed)
 		sets = append(sets, set)
 	}
 	return sets
@@ -37,9 +37,9 @@
 
 func TestProcessThatStartsAgainTakesTheOldOnesPlace(t *testing.T) {
 	peers := newPeerSet("me", self, "zone")
-	peers.list([]Peer{{Node: "me", Address: self}, {Node: "old", Address: there, Zone: "far"}})
-	peers.hear(there, Message{Node: "old", Sequence: 70}, origin)
-	if first, stale := peers.hear(there, Message{Node: "new", Sequence: 1}, origin); !first || stale {
+	peers.addFullList([]Peer{{Node: "me", Address: self}, {Node: "old", Address: there, Zone: "far"}})
+	peers.recordMessage(there, Message{Node: "old", Sequence: 70}, origin)
+	if first, stale := peers.recordMessage(there, Message{Node: "new", Sequence: 1}, origin); !first || stale {
 		t.Errorf("first %v, stale %v", first, stale)
 	}
 	if len(peers.peers) != 1 || peers.peers[there].node != "new" || peers.peers[there].zone != "far" {
@@ -50,17 +50,17 @@
 // TestSilentPeerIsKept: nodes that were cut off find each other again.
 func TestSilentPeerIsKept(t *testing.T) {
 	peers := newPeerSet("me", self, "zone")
-	peers.hear(there, Message{Node: "other", Sequence: 1}, origin)
-	if lost := peers.silent(origin.Add(peerLife)); len(lost) != 0 {
+	peers.recordMessage(there, Message{Node: "other", Sequence: 1}, origin)
+	if lost := peers.markSilent(origin.Add(peerTimeout)); len(lost) != 0 {
 		t.Errorf("lost too early: %v", lost)
 	}
-	if lost := peers.silent(origin.Add(peerLife + 1)); len(lost) != 1 {
+	if lost := peers.markSilent(origin.Add(peerTimeout + 1)); len(lost) != 1 {
 		t.Errorf("lost: %v", lost)
 	}
 	if !slices.Contains(peers.homes("w"), there) || !slices.Contains(peers.supervisors(), there) {
 		t.Error("a silent node is told nothing any more")
 	}
-	if first, _ := peers.hear(there, Message{Node: "other", Sequence: 2}, origin.Add(time.Minute)); !first {
+	if first, _ := peers.recordMessage(there, Message{Node: "other", Sequence: 2}, origin.Add(time.Minute)); !first {
 		t.Error("a node that is heard again isn't told of")
 	}
 }
@@ -70,11 +70,11 @@
 func TestNewPeersAreGreetedTwice(t *testing.T) {
 	peers := newPeerSet("me", self, "zone")
 	for range 2 {
-		peers.list([]Peer{{Node: "other", Address: there}})
+		peers.addFullList([]Peer{{Node: "other", Address: there}})
 	}
 	count := 0
 	for range 5 {
-		count += len(peers.toGreet())
+		count += len(peers.greetTargets())
 	}
 	if count != greetings {
 		t.Errorf("greeted %d times", count)
@@ -89,10 +89,10 @@
 			homes := sets[0].homes(id)
 			keeping := 0
 			for _, set := range sets {
-				if !slices.Equal(set.homes(id), homes) && nodes > wholeFleet {
+				if !slices.Equal(set.homes(id), homes) && nodes > fullTrackingFleet {
 					t.Fatalf("%d nodes: they don't agree on who keeps the account of %s", nodes, id)
 				}
-				if set.keeps(id) {
+				if set.isHome(id) {
 					keeping++
 				}
 			}
@@ -107,7 +107,7 @@
 // twelve nodes tell each other.
 func TestMessagesOfAFleetAreBounded(t *testing.T) {
 	for nodes := 2; nodes <= 370; nodes++ {
-		if homes := homeCount(nodes); homes > leastHomes && homes*nodes > wholeFleet*wholeFleet {
+		if homes := homeCount(nodes); homes > minHomes && homes*nodes > fullTrackingFleet*fullTrackingFleet {
 			t.Errorf("%d nodes: %d homes", nodes, homes)
 		}
 	}
@@ -118,37 +118,37 @@
 	sets := fleetOf(100)
 	set := sets[0]
 	id := "w"
-	for i := 0; set.keeps(id); i++ {
+	for i := 0; set.isHome(id); i++ {
 		id = fmt.Sprint("w", i)
 	}
 	homes := set.homes(id)
 	now := origin
 	for i, want := range homes {
-		if got, found := set.home(id, now); !found || got != want {
+		if got, found := set.reachableHome(id, now); !found || got != want {
 			t.Errorf("after %d silences %v is asked, want %v", i, got, want)
 		}
 		set.suspect(want, now)
 	}
-	if _, found := set.home(id, now); found {
+	if _, found := set.reachableHome(id, now); found {
 		t.Error("a node is asked that gave no answer")
 	}
-	if got, _ := set.home(id, now.Add(suspectedFor)); got != homes[0] {
+	if got, _ := set.reachableHome(id, now.Add(suspicionTime)); got != homes[0] {
 		t.Error("a silent node is never asked again")
 	}
-	set.suspect(homes[0], now.Add(suspectedFor))
-	if got, _ := set.home(id, now.Add(2*suspectedFor)); got != homes[1] {
+	set.suspect(homes[0], now.Add(suspicionTime))
+	if got, _ := set.reachableHome(id, now.Add(2*suspicionTime)); got != homes[1] {
 		t.Error("a node that stays silent is asked as often as before")
 	}
 	set.answered(homes[0])
-	if got, _ := set.home(id, now.Add(2*suspectedFor)); got != homes[0] {
+	if got, _ := set.reachableHome(id, now.Add(2*suspicionTime)); got != homes[0] {
 		t.Error("a node that has answered isn't asked")
 	}
 }
 
 func TestOldMessageOfALeavingNode(t *testing.T) {
 	peers := newPeerSet("b", self, "zone")
-	peers.hear(there, Message{Node: "new", Sequence: 1}, origin)
-	peers.hear(there, Message{Node: "old", Sequence: 9, Leaving: true}, origin)
+	peers.recordMessage(there, Message{Node: "new", Sequence: 1}, origin)
+	peers.recordMessage(there, Message{Node: "old", Sequence: 9, Leaving: true}, origin)
 	if peers.nodes() != 2 {
 		t.Error("the farewell of the process before counts")
 	}
@@ -156,15 +156,15 @@
 
 func TestLowestSupervisorIsDesignated(t *testing.T) {
 	peers := newPeerSet("b", self, "zone")
-	peers.list([]Peer{{Node: "a", Address: there}})
+	peers.addFullList([]Peer{{Node: "a", Address: there}})
 	if !peers.designated(false) {
 		t.Error("a node that was never heard counts")
 	}
-	peers.hear(there, Message{Node: "a", Sequence: 1}, origin)
+	peers.recordMessage(there, Message{Node: "a", Sequence: 1}, origin)
 	if peers.designated(false) {
 		t.Error("a lower node is present")
 	}
-	peers.hear(there, Message{Node: "a", Sequence: 2, Leaving: true}, origin)
+	peers.recordMessage(there, Message{Node: "a", Sequence: 2, Leaving: true}, origin)
 	if !peers.designated(false) {
 		t.Error("a node that has left counts")
 	}
@@ -176,7 +176,7 @@
 	for _, set := range sets {
 		for i := range sets {
 			if addressOf(i) != set.address && set.supervises() {
-				set.hear(addressOf(i), Message{Node: fmt.Sprint("n", i), Sequence: 1}, origin)
+				set.recordMessage(addressOf(i), Message{Node: fmt.Sprint("n", i), Sequence: 1}, origin)
 			}
 		}
 	}
@@ -189,7 +189,7 @@
 			supervisors++
 		}
 	}
-	if designated != 1 || supervisors != leastSupervisors {
+	if designated != 1 || supervisors != minSupervisors {
 		t.Errorf("%d of %d supervisors are designated", designated, supervisors)
 	}
 }
@@ -220,14 +220,14 @@
 // TestNodesThatStandAsideAreNotDesignated, unless all do.
 func TestNodesThatStandAsideAreNotDesignated(t *testing.T) {
 	peers := newPeerSet("b", self, "zone")
-	peers.hear(there, Message{Node: "a", Sequence: 1, SteppedBack: true}, origin)
+	peers.recordMessage(there, Message{Node: "a", Sequence: 1, SteppedBack: true}, origin)
 	if !peers.designated(false) {
 		t.Error("a node that stands aside counts")
 	}
 	if !peers.designated(true) {
 		t.Error("nobody is designated where all stand aside")
 	}
-	peers.hear(there, Message{Node: "a", Sequence: 2}, origin)
+	peers.recordMessage(there, Message{Node: "a", Sequence: 2}, origin)
 	if peers.designated(false) || peers.designated(true) {
 		t.Error("a node with a lower incarnation doesn't count")
 	}
@@ -239,7 +239,7 @@
 	sets := fleetOf(60)
 	first, second := 0, make(map[string]bool)
 	for _, set := range sets {
-		switch place := set.place("servers"); {
+		switch place := set.readerRank("servers"); {
 		case place == 0:
 			first++
 			for _, other := range sets {
@@ -254,7 +254,7 @@
 	if first != 1 || len(second) < 4 {
 		t.Errorf("%d nodes read the table; the next are in the zones %v", first, second)
 	}
-	if unread := newPeerSet("new", self, "zone"); unread.place("servers") != lastPlace {
+	if unread := newPeerSet("new", self, "zone"); unread.readerRank("servers") != lowestRank {
 		t.Error("a node that doesn't know the others takes the first place")
 	}
 }
@@ -268,7 +268,7 @@
 		maybe := 0
 		for i := range workers {
 			id := fmt.Sprint("w", i)
-			if set.mayKeep(id) {
+			if set.mayBeHome(id) {
 				maybe++
 			} else if slices.Contains(set.homes(id), set.address) {
 				t.Fatalf("%d nodes: a home of %s doesn't know it", nodes, id)
--- a/internal/nodeexchange/quota.go
+++ b/internal/nodeexchange/quota.go
@@ -14,33 +14,33 @@
 
 // The figures of the exchange of quotas.
 const (
-	// quotaAskTimeout is how long a keeper's answer is waited for before the next is asked
+	// quotaKeeperTimeout is how long a keeper's answer is waited for before the next is asked
 	// too: as askTimeout.
-	quotaAskTimeout = askTimeout
-	// quotaAskAll is how long any keeper's answer is waited for: four times that, a tenth
+	quotaKeeperTimeout = askTimeout
+	// quotaTotalTimeout is how long any keeper's answer is waited for: four times that, a tenth
 	// of the shortest objectives.
-	quotaAskAll = 4 * quotaAskTimeout
-	// quotaRestEvery is the time between two reports of an account that was used lately,
+	quotaTotalTimeout = 4 * quotaKeeperTimeout
+	// quotaReportInterval is the time between two reports of an account that was used lately,
 	// though nothing has changed, and quotaKeepersEvery that between two of its keepers.
-	quotaRestEvery    = time.Second
-	quotaKeepersEvery = 500 * time.Millisecond
-	// quotaQuiet is when a keeper that isn't heard makes another probe the nodes that use the
+	quotaReportInterval  = time.Second
+	keeperReportInterval = 500 * time.Millisecond
+	// probeAfter is when a keeper that isn't heard makes another probe the nodes that use the
 	// account: when one report is late, so that two probes are answered before SilentAfter.
-	quotaQuiet = quotaKeepersEvery + 100*time.Millisecond
+	probeAfter = keeperReportInterval + 100*time.Millisecond
 	// maxQuotaReports bounds the reports of one datagram: of up to 200 bytes each, they
 	// stay below maxDatagram.
 	maxQuotaReports = 80
 )
 
-// quotaKind is what the accounts of an exchange are of.
-type quotaKind struct {
+// accountKind is what the accounts of an exchange are of.
+type accountKind struct {
 	// tolerance is by how much limits may be exceeded.
 	tolerance quota.Tolerance
 	// keepers returns the nodes that keep an account, the first to be asked first. It is
 	// called under the lock of the exchange's peers.
 	keepers func(peers *peerSet, account string) []netip.AddrPort
 	// message carries a form to another node.
-	message func(form *quotaForm) Message
+	message func(form *quotaMessage) Message
 	// limits holds the limits of accounts that are known here; nil where the nodes that ask
 	// tell those of a configuration.
 	limits *turnLimits
@@ -49,7 +49,7 @@
 // quotaExchange is this node's part in the keeping of accounts of one kind: what tenants use, or
 // the requests that go to workers which take few.
 type quotaExchange struct {
-	quotaKind
+	accountKind
 	exchange *Exchange
 	// wake is sent to when a node's own counters have changed.
 	wake chan struct{}
@@ -57,16 +57,16 @@
 	mu     sync.Mutex
 	keeper *quota.Keeper
 	meter  *quota.Meter
-	// asks are those whose answers are awaited.
-	asks    map[uint64]*quotaAsk
-	lastAsk uint64
+	// pendingCharges are those whose answers are awaited.
+	pendingCharges map[uint64]*pendingCharge
+	lastCharge     uint64
 	// heard is when each node's last message on quotas came, and lastHeard when any did.
 	heard     map[netip.AddrPort]time.Time
 	lastHeard time.Time
 	// lastInUse is when accounts were in use here, so that reports were due.
 	lastInUse time.Time
-	// ran is when this process was seen to run, by clock.Boot.
-	ran time.Time
+	// lastRan is when this process was seen to run, by clock.Boot.
+	lastRan time.Time
 	// generation is that of the nodes for which the keeper's accounts are.
 	generation uint64
 	// reserving are the accounts of which a part is kept for nodes out of hearing.
@@ -76,17 +76,17 @@
 // SetQuota has the exchange keep and use the accounts of tenants' quotas. It is called before
 // Run.
 func (e *Exchange) SetQuota(tolerance quota.Tolerance) {
-	e.quota = newQuotaExchange(e, quotaKind{
+	e.quota = newQuotaExchange(e, accountKind{
 		tolerance: tolerance, keepers: (*peerSet).quotaKeepers,
-		message: func(form *quotaForm) Message { return Message{Node: e.node, Quota: form} },
+		message: func(form *quotaMessage) Message { return Message{Node: e.node, Quota: form} },
 	})
 }
 
-func newQuotaExchange(e *Exchange, kind quotaKind) *quotaExchange {
+func newQuotaExchange(e *Exchange, kind accountKind) *quotaExchange {
 	return &quotaExchange{
-		quotaKind: kind, exchange: e, wake: make(chan struct{}, 1),
-		keeper: quota.NewKeeper(kind.tolerance, e.begun), meter: quota.NewMeter(kind.tolerance),
-		asks: make(map[uint64]*quotaAsk), heard: make(map[netip.AddrPort]time.Time), reserving: make(map[string]bool),
+		accountKind: kind, exchange: e, wake: make(chan struct{}, 1),
+		keeper: quota.NewKeeper(kind.tolerance, e.started), meter: quota.NewMeter(kind.tolerance),
+		pendingCharges: make(map[uint64]*pendingCharge), heard: make(map[netip.AddrPort]time.Time), reserving: make(map[string]bool),
 	}
 }
 
@@ -101,8 +101,8 @@
 	return kinds
 }
 
-// quotaAsk is a claim for which keepers are asked.
-type quotaAsk struct {
+// pendingCharge is a claim for which keepers are asked.
+type pendingCharge struct {
 	id      uint64
 	claim   quota.ChargeRequest
 	account string
@@ -113,9 +113,9 @@
 	suspected bool
 	// asked holds when each keeper was asked that hasn't answered.
 	asked map[netip.AddrPort]time.Time
-	// patience is for how much longer than within the region each keeper's answer is waited
+	// extraWait is for how much longer than within the region each keeper's answer is waited
 	// for.
-	patience map[netip.AddrPort]time.Duration
+	extraWait map[netip.AddrPort]time.Duration
 	// count and answered count the keepers asked and those of them that answered.
 	count, answered int
 	answers         chan quotaAnswer
@@ -142,7 +142,7 @@
 // allowance decides.
 func (q *quotaExchange) charge(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
 	begun := time.Now()
-	ask := q.beginAsk(claim, begun)
+	ask := q.beginCharge(claim, begun)
 	for i, keeper := range ask.keepers {
 		q.askKeeper(ask, keeper)
 		last := i == len(ask.keepers)-1
@@ -151,33 +151,33 @@
 		}
 		timeout := ask.timeout(keeper)
 		if last && !ask.suspected {
-			timeout = max(quotaAskAll+ask.patience[keeper]-time.Since(begun), timeout)
+			timeout = max(quotaTotalTimeout+ask.extraWait[keeper]-time.Since(begun), timeout)
 		}
 		if ask.await(ctx, timeout) {
 			break
 		}
 	}
-	verdict := q.settleAsk(ctx, ask, time.Now())
+	verdict := q.finishCharge(ctx, ask, time.Now())
 	verdict.Took = time.Since(begun)
 	return verdict
 }
 
 // timeout is how long one keeper's answer is waited for.
-func (a *quotaAsk) timeout(keeper netip.AddrPort) time.Duration {
-	return quotaAskTimeout + a.patience[keeper]
+func (a *pendingCharge) timeout(keeper netip.AddrPort) time.Duration {
+	return quotaKeeperTimeout + a.extraWait[keeper]
 }
 
-// beginAsk finds the keepers of an account and what to tell them.
-func (q *quotaExchange) beginAsk(claim quota.ChargeRequest, now time.Time) *quotaAsk {
+// beginCharge finds the keepers of an account and what to tell them.
+func (q *quotaExchange) beginCharge(claim quota.ChargeRequest, now time.Time) *pendingCharge {
 	account := claim.Charge().Account
-	ask := &quotaAsk{
+	ask := &pendingCharge{
 		claim: claim, account: account, asked: make(map[netip.AddrPort]time.Time),
-		answers: make(chan quotaAnswer, quotaKeeperCount), patience: make(map[netip.AddrPort]time.Duration),
+		answers: make(chan quotaAnswer, quotaKeeperCount), extraWait: make(map[netip.AddrPort]time.Duration),
 	}
 	q.exchange.mu.Lock()
 	var suspected []netip.AddrPort
 	for _, keeper := range q.keepers(q.exchange.peers, account) {
-		ask.patience[keeper] = q.exchange.patience(q.exchange.peers.regionOf(keeper))
+		ask.extraWait[keeper] = q.exchange.extraWait(q.exchange.peers.regionOf(keeper))
 		if q.exchange.peers.suspected(keeper, now) {
 			suspected = append(suspected, keeper)
 		} else {
@@ -190,14 +190,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	ask.report = q.meter.Begin(account, claim.Limit, claim.Version, now)
-	q.lastAsk++
-	ask.id = q.lastAsk
-	q.asks[ask.id] = ask
+	q.lastCharge++
+	ask.id = q.lastCharge
+	q.pendingCharges[ask.id] = ask
 	return ask
 }
 
 // askKeeper asks one keeper, which may be this node.
-func (q *quotaExchange) askKeeper(ask *quotaAsk, keeper netip.AddrPort) {
+func (q *quotaExchange) askKeeper(ask *pendingCharge, keeper netip.AddrPort) {
 	now := time.Now()
 	ask.count++
 	if keeper == q.exchange.peers.address {
@@ -210,11 +210,11 @@
 	q.mu.Lock()
 	ask.asked[keeper] = now
 	q.mu.Unlock()
-	form := &quotaAskForm{
+	form := &wireQuotaRequest{
 		ID: ask.id, Account: ask.account, Cost: ask.claim.Cost, PatienceMillis: ask.claim.Patience.Milliseconds(),
-		Report: renderQuotaReport(ask.report), Limit: q.limits.form(ask.account, now),
+		Report: renderQuotaReport(ask.report), Limit: q.limits.currentLimit(ask.account, now),
 	}
-	q.exchange.sendTo(keeper, q.message(&quotaForm{Ask: form}))
+	q.exchange.sendTo(keeper, q.message(&quotaMessage{Ask: form}))
 }
 
 // self is this node as one that uses accounts.
@@ -224,7 +224,7 @@
 
 // await takes answers until one is final, all keepers asked so far have answered, or the
 // time is over. It reports whether no other is to be asked.
-func (a *quotaAsk) await(ctx context.Context, timeout time.Duration) bool {
+func (a *pendingCharge) await(ctx context.Context, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
@@ -246,7 +246,7 @@
 }
 
 // take keeps the better of the decisions: one that grants, else one that knows.
-func (a *quotaAsk) take(answer quotaAnswer) {
+func (a *pendingCharge) take(answer quotaAnswer) {
 	a.answered++
 	if a.best == nil || !a.best.final() || answer.decision.Granted {
 		a.best = &answer
@@ -254,7 +254,7 @@
 }
 
 // drain takes the answers that have come already.
-func (a *quotaAsk) drain() {
+func (a *pendingCharge) drain() {
 	for {
 		select {
 		case answer := <-a.answers:
@@ -266,7 +266,7 @@
 }
 
 // silent returns the keepers that had all the time that an answer is given.
-func (a *quotaAsk) silent(now time.Time) []netip.AddrPort {
+func (a *pendingCharge) silent(now time.Time) []netip.AddrPort {
 	var silent []netip.AddrPort
 	for keeper, at := range a.asked {
 		if now.Sub(at) >= a.timeout(keeper) {
@@ -276,32 +276,32 @@
 	return silent
 }
 
-// settled is what became of a claim, for the log.
-type settled struct {
+// chargeResult is what became of a claim, for the log.
+type chargeResult struct {
 	// alone tells that this node has begun to decide without a keeper, and back that it
 	// doesn't any more.
 	alone, back bool
 	silent      []netip.AddrPort
 }
 
-// settleAsk ends an ask and counts what became of its claim.
-func (q *quotaExchange) settleAsk(ctx context.Context, ask *quotaAsk, now time.Time) quota.Outcome {
+// finishCharge ends an ask and counts what became of its claim.
+func (q *quotaExchange) finishCharge(ctx context.Context, ask *pendingCharge, now time.Time) quota.Outcome {
 	verdict, end := q.settle(ask, q.exchange.Nodes(), ctx.Err() != nil, now)
-	q.awake()
+	q.wakeReporter()
 	q.exchange.suspect(end.silent, now)
-	q.logSettled(ask, verdict, end)
+	q.logResult(ask, verdict, end)
 	if !verdict.Granted {
 		verdict.RetryAfter = quota.AddJitter(verdict.RetryAfter, rand.Float64())
 	}
 	return verdict
 }
 
-func (q *quotaExchange) settle(ask *quotaAsk, nodes int, callerGone bool, now time.Time) (quota.Outcome, settled) {
+func (q *quotaExchange) settle(ask *pendingCharge, nodes int, callerGone bool, now time.Time) (quota.Outcome, chargeResult) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	delete(q.asks, ask.id)
+	delete(q.pendingCharges, ask.id)
 	ask.drain()
-	end := settled{silent: ask.silent(now)}
+	end := chargeResult{silent: ask.silent(now)}
 	verdict := quota.Outcome{Asked: ask.count, Unanswered: len(ask.asked), Version: ask.claim.Version}
 	switch {
 	case ask.best != nil:
@@ -330,8 +330,8 @@
 	return verdict
 }
 
-// awake has the changed counters told.
-func (q *quotaExchange) awake() {
+// wakeReporter has the changed counters told.
+func (q *quotaExchange) wakeReporter() {
 	select {
 	case q.wake <- struct{}{}:
 	default: // it is awake already
@@ -347,7 +347,7 @@
 	}
 }
 
-func (q *quotaExchange) logSettled(ask *quotaAsk, verdict quota.Outcome, end settled) {
+func (q *quotaExchange) logResult(ask *pendingCharge, verdict quota.Outcome, end chargeResult) {
 	entry := q.exchange.log.WithFields(logrus.Fields{
 		"account": ask.account, "asked": verdict.Asked, "unanswered": verdict.Unanswered, "left": verdict.Level,
 	})
@@ -361,25 +361,25 @@
 
 // ReturnQuota gives back what was charged for a request that proved not to have run.
 func (e *Exchange) ReturnQuota(charge quota.Charge) {
-	e.quota.giveBack(charge)
+	e.quota.refund(charge)
 }
 
-func (q *quotaExchange) giveBack(charge quota.Charge) {
+func (q *quotaExchange) refund(charge quota.Charge) {
 	q.mu.Lock()
 	q.meter.Refund(charge.Account, charge.Cost)
 	q.mu.Unlock()
-	q.awake()
+	q.wakeReporter()
 }
 
 // RecordQuotaCharge charges for another run of a request that may have run already.
 func (e *Exchange) RecordQuotaCharge(charge quota.Charge) {
-	e.quota.take(charge, time.Now())
+	e.quota.record(charge, time.Now())
 }
 
-// take counts a charge for which no keeper is asked.
-func (q *quotaExchange) take(charge quota.Charge, now time.Time) {
+// record counts a charge for which no keeper is asked.
+func (q *quotaExchange) record(charge quota.Charge, now time.Time) {
 	q.mu.Lock()
 	q.meter.Take(charge.Account, charge.Cost, now)
 	q.mu.Unlock()
-	q.awake()
+	q.wakeReporter()
 }
--- a/internal/nodeexchange/quota_form.go
+++ b/internal/nodeexchange/quota_form.go
@@ -6,18 +6,18 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// quotaForm is one message on quotas.
-type quotaForm struct {
-	Ask   *quotaAskForm   `json:"a,omitempty"`
-	Reply *quotaReplyForm `json:"r,omitempty"`
+// quotaMessage is one message on quotas.
+type quotaMessage struct {
+	Ask   *wireQuotaRequest `json:"a,omitempty"`
+	Reply *wireQuotaReply   `json:"r,omitempty"`
 	// Reports hold, by account, what the sender has used.
-	Reports map[string]quotaReportForm `json:"t,omitempty"`
+	Reports map[string]wireQuotaReport `json:"t,omitempty"`
 	// Probe asks for the receiver's report of an account.
 	Probe string `json:"p,omitempty"`
 }
 
-// quotaReportForm is a quota.Report.
-type quotaReportForm struct {
+// wireQuotaReport is a quota.Report.
+type wireQuotaReport struct {
 	Taken     float64 `json:"t,omitempty"`
 	Returned  float64 `json:"r,omitempty"`
 	AgeMillis int64   `json:"a,omitempty"`
@@ -28,26 +28,26 @@
 	Version   uint64  `json:"v,omitempty"`
 }
 
-// quotaAskForm is a quota.Ask.
-type quotaAskForm struct {
+// wireQuotaRequest is a quota.Ask.
+type wireQuotaRequest struct {
 	ID             uint64          `json:"i"`
 	Account        string          `json:"n"`
 	Cost           float64         `json:"c"`
 	PatienceMillis int64           `json:"p,omitempty"`
-	Report         quotaReportForm `json:"t"`
+	Report         wireQuotaReport `json:"t"`
 	// Limit is what the asker knows of the limit, where limits are learned.
-	Limit *limitForm `json:"lm,omitempty"`
+	Limit *wireLimit `json:"lm,omitempty"`
 }
 
-func (f quotaAskForm) ask(from quota.Spender) quota.DecisionRequest {
+func (f wireQuotaRequest) ask(from quota.Spender) quota.DecisionRequest {
 	return quota.DecisionRequest{
 		Account: f.Account, From: from, Report: f.Report.report(), Cost: f.Cost,
 		Patience: time.Duration(f.PatienceMillis) * time.Millisecond,
 	}
 }
 
-// quotaReplyForm is a quota.Decision.
-type quotaReplyForm struct {
+// wireQuotaReply is a quota.Decision.
+type wireQuotaReply struct {
 	ID         uint64  `json:"i"`
 	Granted    bool    `json:"g,omitempty"`
 	Cold       bool    `json:"c,omitempty"`
@@ -61,17 +61,17 @@
 	NextMillis  int64 `json:"x,omitempty"`
 	// Account and Limit are what the keeper knows of the limit, where limits are learned.
 	Account string     `json:"n,omitempty"`
-	Limit   *limitForm `json:"lm,omitempty"`
+	Limit   *wireLimit `json:"lm,omitempty"`
 }
 
-func renderQuotaReport(report quota.Report) quotaReportForm {
-	return quotaReportForm{
+func renderQuotaReport(report quota.Report) wireQuotaReport {
+	return wireQuotaReport{
 		Taken: report.Taken, Returned: report.Returned, AgeMillis: report.Age.Milliseconds(), Before: report.Before,
 		Rate: report.Limit.Rate, Burst: report.Limit.Burst, Unit: string(report.Limit.Unit), Version: report.Version,
 	}
 }
 
-func (f quotaReportForm) report() quota.Report {
+func (f wireQuotaReport) report() quota.Report {
 	return quota.Report{
 		Counters: quota.Counters{Taken: f.Taken, Returned: f.Returned},
 		Age:      time.Duration(f.AgeMillis) * time.Millisecond, Before: f.Before,
@@ -79,8 +79,8 @@
 	}
 }
 
-func renderQuotaReply(id uint64, decision quota.Decision) *quotaReplyForm {
-	return &quotaReplyForm{
+func renderQuotaReply(id uint64, decision quota.Decision) *wireQuotaReply {
+	return &wireQuotaReply{
 		ID: id, Granted: decision.Granted, Cold: decision.Cold, Level: decision.Level,
 		WaitMillis: decision.Wait.Milliseconds(), Share: decision.Share, Reserved: decision.Reserved, Version: decision.Version,
 		DelayMillis: decision.Delay.Milliseconds(), NextMillis: decision.Next.Milliseconds(),
@@ -88,15 +88,15 @@
 }
 
 // renderReply renders the answer to an ask, with what is known of the limit.
-func (q *quotaExchange) renderReply(ask quotaAskForm, decision quota.Decision, now time.Time) *quotaReplyForm {
+func (q *quotaExchange) renderReply(ask wireQuotaRequest, decision quota.Decision, now time.Time) *wireQuotaReply {
 	reply := renderQuotaReply(ask.ID, decision)
 	if q.limits != nil {
-		reply.Account, reply.Limit = ask.Account, q.limits.form(ask.Account, now)
+		reply.Account, reply.Limit = ask.Account, q.limits.currentLimit(ask.Account, now)
 	}
 	return reply
 }
 
-func (f quotaReplyForm) decision() quota.Decision {
+func (f wireQuotaReply) decision() quota.Decision {
 	return quota.Decision{
 		Granted: f.Granted, Cold: f.Cold, Level: f.Level,
 		Wait: time.Duration(f.WaitMillis) * time.Millisecond, Share: f.Share, Reserved: f.Reserved, Version: f.Version,
--- a/internal/nodeexchange/quota_keep.go
+++ b/internal/nodeexchange/quota_keep.go
@@ -12,20 +12,20 @@
 )
 
 // receive takes in a message on accounts of this kind.
-func (q *quotaExchange) receive(from netip.AddrPort, node string, form quotaForm) {
+func (q *quotaExchange) receive(from netip.AddrPort, node string, form quotaMessage) {
 	now := time.Now()
 	q.heardFrom(from, now)
 	switch {
 	case form.Ask != nil:
-		q.limits.take(form.Ask.Account, node, form.Ask.Limit, now)
+		q.limits.receive(form.Ask.Account, node, form.Ask.Limit, now)
 		decision := q.decide(form.Ask.ask(quota.Spender{Node: node, Address: from}), now)
-		q.exchange.sendTo(from, q.message(&quotaForm{Reply: q.renderReply(*form.Ask, decision, now)}))
+		q.exchange.sendTo(from, q.message(&quotaMessage{Reply: q.renderReply(*form.Ask, decision, now)}))
 	case form.Probe != "":
 		q.reportProbed(from, form.Probe, now)
 	case form.Reply != nil:
 		q.answered(from, node, *form.Reply, now)
 	default:
-		q.takeReports(quota.Spender{Node: node, Address: from}, form.Reports, now)
+		q.receiveReports(quota.Spender{Node: node, Address: from}, form.Reports, now)
 	}
 }
 
@@ -54,17 +54,17 @@
 	return missed
 }
 
-// awaken notes that this process runs. A keeper that stood still has missed what others used
+// checkForPause notes that this process runs. A keeper that stood still has missed what others used
 // meanwhile, and must not decide by what it knew before it hears them.
-func (q *quotaExchange) awaken(now time.Time) {
+func (q *quotaExchange) checkForPause(now time.Time) {
 	running := clock.Boottime()
 	q.mu.Lock()
-	stood := running.Sub(q.ran)
-	missed := !q.ran.IsZero() && stood > quota.SilentAfter
+	stood := running.Sub(q.lastRan)
+	missed := !q.lastRan.IsZero() && stood > quota.SilentAfter
 	if missed {
 		q.keeper.ReportsMissed(now)
 	}
-	q.ran = running
+	q.lastRan = running
 	q.mu.Unlock()
 	if missed {
 		q.exchange.log.WithField("stood_ms", stood.Milliseconds()).Warn("this process stood still: what is left of quotas is not known")
@@ -74,17 +74,17 @@
 // decide decides as a keeper, by the limit that is known here where limits are learned. A cost
 // of an account that has none passes.
 func (q *quotaExchange) decide(ask quota.DecisionRequest, now time.Time) quota.Decision {
-	q.awaken(now)
-	q.move(now)
+	q.checkForPause(now)
+	q.dropMovedAccounts(now)
 	account := ask.Account
 	limited := q.limits.apply(account, &ask.Report)
 	keepers := q.keepersOf(account)
 	keeps := slices.Contains(keepers, q.exchange.peers.address)
 	q.mu.Lock()
-	split := q.split(account, keepers, q.exchange.peers.address, quota.SilentAfter, now)
-	ask.Split, ask.Alone = split, q.alone(keepers, q.exchange.peers.address)
+	split := q.hasSilentKeeper(account, keepers, q.exchange.peers.address, quota.SilentAfter, now)
+	ask.Split, ask.Alone = split, q.hasHeardNoKeeper(keepers, q.exchange.peers.address)
 	decision := q.keeper.Decide(ask, keeps, now)
-	changed := q.reserves(account, decision.Reserved > 0)
+	changed := q.setReserved(account, decision.Reserved > 0)
 	q.mu.Unlock()
 	if changed {
 		q.exchange.log.WithFields(logrus.Fields{"account": account, "reserved": decision.Reserved, "left": decision.Level, "split": split}).
@@ -96,8 +96,8 @@
 	return decision
 }
 
-// split reports whether another keeper of an account wasn't heard for a time.
-func (q *quotaExchange) split(account string, keepers []netip.AddrPort, self netip.AddrPort, silence time.Duration, now time.Time) bool {
+// hasSilentKeeper reports whether another keeper of an account wasn't heard for a time.
+func (q *quotaExchange) hasSilentKeeper(account string, keepers []netip.AddrPort, self netip.AddrPort, silence time.Duration, now time.Time) bool {
 	known := q.keeper.KnownSince(account, now)
 	for _, keeper := range keepers {
 		heard := q.heard[keeper]
@@ -111,8 +111,8 @@
 	return false
 }
 
-// alone reports whether none of the other keepers of an account was ever heard.
-func (q *quotaExchange) alone(keepers []netip.AddrPort, self netip.AddrPort) bool {
+// hasHeardNoKeeper reports whether none of the other keepers of an account was ever heard.
+func (q *quotaExchange) hasHeardNoKeeper(keepers []netip.AddrPort, self netip.AddrPort) bool {
 	others := 0
 	for _, keeper := range keepers {
 		if keeper == self {
@@ -126,8 +126,8 @@
 	return others > 0
 }
 
-// reserves records whether a part of an account is reserved, and reports a change.
-func (q *quotaExchange) reserves(account string, reserved bool) (changed bool) {
+// setReserved records whether a part of an account is reserved, and reports a change.
+func (q *quotaExchange) setReserved(account string, reserved bool) (changed bool) {
 	if q.reserving[account] == reserved {
 		return false
 	}
@@ -144,14 +144,14 @@
 	return q.keepers(q.exchange.peers, account)
 }
 
-// move has the keeper drop the accounts that other nodes keep, after nodes were added
+// dropMovedAccounts has the keeper drop the accounts that other nodes keep, after nodes were added
 // or have left. When it returns, the keeper follows the ranking, whoever had it do so: a
 // decision by an older one would take an account that is new here for one that is full.
-func (q *quotaExchange) move(now time.Time) {
+func (q *quotaExchange) dropMovedAccounts(now time.Time) {
 	q.exchange.mu.Lock()
 	generation := q.exchange.peers.generation
 	q.exchange.mu.Unlock()
-	accounts, follows := q.followed(generation)
+	accounts, follows := q.isUpToDate(generation)
 	if follows {
 		return
 	}
@@ -168,9 +168,9 @@
 	q.keeper.KeepersChanged(func(account string) bool { return kept[account] }, now)
 }
 
-// followed reports whether the keeper follows the ranking of a generation of the nodes, else
+// isUpToDate reports whether the keeper follows the ranking of a generation of the nodes, else
 // with the accounts that it has.
-func (q *quotaExchange) followed(generation uint64) (accounts []string, follows bool) {
+func (q *quotaExchange) isUpToDate(generation uint64) (accounts []string, follows bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.generation >= generation {
@@ -180,11 +180,11 @@
 }
 
 // answered hands a keeper's answer to the claim that waits for it.
-func (q *quotaExchange) answered(from netip.AddrPort, node string, form quotaReplyForm, now time.Time) {
-	q.limits.take(form.Account, node, form.Limit, now)
+func (q *quotaExchange) answered(from netip.AddrPort, node string, form wireQuotaReply, now time.Time) {
+	q.limits.receive(form.Account, node, form.Limit, now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	ask, waiting := q.asks[form.ID]
+	ask, waiting := q.pendingCharges[form.ID]
 	if !waiting {
 		return
 	}
--- a/internal/nodeexchange/quota_reports.go
+++ b/internal/nodeexchange/quota_reports.go
@@ -10,9 +10,9 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// takeReports takes in what a node has used.
-func (q *quotaExchange) takeReports(from quota.Spender, reports map[string]quotaReportForm, now time.Time) {
-	q.move(now)
+// receiveReports takes in what a node has used.
+func (q *quotaExchange) receiveReports(from quota.Spender, reports map[string]wireQuotaReport, now time.Time) {
+	q.dropMovedAccounts(now)
 	for account, form := range reports {
 		keeps := slices.Contains(q.keepersOf(account), q.exchange.peers.address)
 		report := form.report()
@@ -26,7 +26,7 @@
 // reportAll reports to the keepers what this node has used, when it has changed and at
 // rest, until ctx ends.
 func (q *quotaExchange) reportAll(ctx context.Context) {
-	ticker := time.NewTicker(quotaKeepersEvery)
+	ticker := time.NewTicker(keeperReportInterval)
 	defer ticker.Stop()
 	var soon <-chan time.Time
 	rested := time.Now()
@@ -36,14 +36,14 @@
 			return
 		case <-q.wake:
 			if soon == nil {
-				soon = time.After(sendEvery)
+				soon = time.After(minSendInterval)
 			}
 		case <-soon:
 			soon = nil
 			q.reportChanged(time.Now())
 		case now := <-ticker.C:
-			q.awaken(now)
-			atRest := now.Sub(rested) >= quotaRestEvery
+			q.checkForPause(now)
+			atRest := now.Sub(rested) >= quotaReportInterval
 			if atRest {
 				rested = now
 			}
@@ -63,7 +63,7 @@
 // reportAtRest reports the accounts that this node keeps, so that their keepers hear
 // each other, and all that it uses where that is due.
 func (q *quotaExchange) reportAtRest(all bool, now time.Time) {
-	q.move(now)
+	q.dropMovedAccounts(now)
 	q.mu.Lock()
 	reports := q.keeper.InUse(now)
 	if len(reports) > 0 {
@@ -95,11 +95,11 @@
 		keepers := q.keepersOf(account)
 		q.mu.Lock()
 		var quiet []netip.AddrPort
-		if q.split(account, keepers, q.exchange.peers.address, quotaQuiet, now) {
-			quiet = q.keeper.SilentNodes(account, quotaKeepersEvery, now)
+		if q.hasSilentKeeper(account, keepers, q.exchange.peers.address, probeAfter, now) {
+			quiet = q.keeper.SilentNodes(account, keeperReportInterval, now)
 		}
 		q.mu.Unlock()
-		q.exchange.sendAll(quiet, q.message(&quotaForm{Probe: account}))
+		q.exchange.sendAll(quiet, q.message(&quotaMessage{Probe: account}))
 	}
 }
 
@@ -109,7 +109,7 @@
 	report := q.meter.Report(account, now)
 	q.mu.Unlock()
 	if report.Limit.Limited() {
-		q.exchange.sendTo(to, q.message(&quotaForm{Reports: map[string]quotaReportForm{account: renderQuotaReport(report)}}))
+		q.exchange.sendTo(to, q.message(&quotaMessage{Reports: map[string]wireQuotaReport{account: renderQuotaReport(report)}}))
 	}
 }
 
@@ -126,28 +126,28 @@
 // sendReports sends reports to the keepers of their accounts, each keeper one message
 // as a rule. Where this node is one, it takes them in itself.
 func (q *quotaExchange) sendReports(reports map[string]quota.Report, now time.Time) {
-	parcels := make(map[netip.AddrPort]map[string]quotaReportForm)
+	parcels := make(map[netip.AddrPort]map[string]wireQuotaReport)
 	for account, report := range reports {
 		for _, keeper := range q.keepersOf(account) {
 			if parcels[keeper] == nil {
-				parcels[keeper] = make(map[string]quotaReportForm)
+				parcels[keeper] = make(map[string]wireQuotaReport)
 			}
 			parcels[keeper][account] = renderQuotaReport(report)
 			if len(parcels[keeper]) == maxQuotaReports {
-				q.sendParcel(keeper, parcels[keeper], now)
+				q.sendReport(keeper, parcels[keeper], now)
 				delete(parcels, keeper)
 			}
 		}
 	}
 	for keeper, parcel := range parcels {
-		q.sendParcel(keeper, parcel, now)
+		q.sendReport(keeper, parcel, now)
 	}
 }
 
-func (q *quotaExchange) sendParcel(to netip.AddrPort, parcel map[string]quotaReportForm, now time.Time) {
+func (q *quotaExchange) sendReport(to netip.AddrPort, parcel map[string]wireQuotaReport, now time.Time) {
 	if to == q.exchange.peers.address {
-		q.takeReports(q.self(), parcel, now)
+		q.receiveReports(q.self(), parcel, now)
 		return
 	}
-	q.exchange.sendTo(to, q.message(&quotaForm{Reports: parcel}))
+	q.exchange.sendTo(to, q.message(&quotaMessage{Reports: parcel}))
 }
--- a/internal/nodeexchange/quota_test.go
+++ b/internal/nodeexchange/quota_test.go
@@ -57,7 +57,7 @@
 	}
 	for i, exchange := range exchanges {
 		exchange.AddPeers(listed)
-		kinds[i].move(time.Now().Add(-longKnown))
+		kinds[i].dropMovedAccounts(time.Now().Add(-longKnown))
 		go exchange.Run(ctx)
 	}
 	t.Cleanup(func() {
@@ -85,7 +85,7 @@
 }
 
 // nextQuota reads a node's messages on quotas until one is wanted.
-func nextQuota(t *testing.T, conn *net.UDPConn, wanted func(quotaForm) bool) (quotaForm, netip.AddrPort) {
+func nextQuota(t *testing.T, conn *net.UDPConn, wanted func(quotaMessage) bool) (quotaMessage, netip.AddrPort) {
 	t.Helper()
 	buffer := make([]byte, maxDatagram)
 	_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -104,17 +104,17 @@
 	}
 }
 
-func isAsk(form quotaForm) bool { return form.Ask != nil }
+func isAsk(form quotaMessage) bool { return form.Ask != nil }
 
 // reportsOf waits for a report of an account of which something was taken.
-func reportsOf(account string) func(quotaForm) bool {
-	return func(form quotaForm) bool { return form.Reports[account].Taken > 0 }
+func reportsOf(account string) func(quotaMessage) bool {
+	return func(form quotaMessage) bool { return form.Reports[account].Taken > 0 }
 }
 
 // answerQuota answers an ask in a silent node's place.
-func answerQuota(t *testing.T, conn *net.UDPConn, to netip.AddrPort, reply quotaReplyForm) {
+func answerQuota(t *testing.T, conn *net.UDPConn, to netip.AddrPort, reply wireQuotaReply) {
 	t.Helper()
-	datagram, err := json.Marshal(Message{Node: "silent", Quota: &quotaForm{Reply: &reply}})
+	datagram, err := json.Marshal(Message{Node: "silent", Quota: &quotaMessage{Reply: &reply}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,7 +237,7 @@
 	if form.Ask.Report.Taken != 0 {
 		t.Errorf("the ask counts itself: %+v", form.Ask)
 	}
-	answerQuota(t, first, from, quotaReplyForm{ID: form.Ask.ID, Granted: true})
+	answerQuota(t, first, from, wireQuotaReply{ID: form.Ask.ID, Granted: true})
 	reported, _ := nextQuota(t, first, reportsOf(claim.Charge().Account))
 	if report := reported.Reports[claim.Charge().Account]; report.Taken != 10 || report.Returned != 10 {
 		t.Errorf("%+v", report)
@@ -275,7 +275,7 @@
 		go func() {
 			defer close(answered)
 			form, from := nextQuota(t, conn, isAsk)
-			answerQuota(t, conn, from, quotaReplyForm{ID: form.Ask.ID, Cold: cold, WaitMillis: 70})
+			answerQuota(t, conn, from, wireQuotaReply{ID: form.Ask.ID, Cold: cold, WaitMillis: 70})
 		}()
 		verdict := exchange.ChargeQuota(t.Context(), claimOf(tenant, 10))
 		<-answered
@@ -348,8 +348,8 @@
 		if err != nil || message.Quota == nil || message.Quota.Ask == nil || message.Quota.Ask.Account != account {
 			continue
 		}
-		reply := &quotaReplyForm{ID: message.Quota.Ask.ID, Granted: true}
-		datagram, err := json.Marshal(Message{Node: "silent", Quota: &quotaForm{Reply: reply}})
+		reply := &wireQuotaReply{ID: message.Quota.Ask.ID, Granted: true}
+		datagram, err := json.Marshal(Message{Node: "silent", Quota: &quotaMessage{Reply: reply}})
 		if err == nil {
 			_, _ = conn.WriteToUDPAddrPort(datagram, from)
 		}
@@ -390,7 +390,7 @@
 		t.Error("a warm keeper refuses")
 	}
 	exchange.quota.mu.Lock()
-	exchange.quota.ran = clock.Boottime().Add(-2 * quota.SilentAfter)
+	exchange.quota.lastRan = clock.Boottime().Add(-2 * quota.SilentAfter)
 	exchange.quota.mu.Unlock()
 	if decision := exchange.quota.decide(ask, now); decision.Granted || !decision.Cold {
 		t.Errorf("a keeper that stood still grants a burst: %+v", decision)
@@ -422,12 +422,12 @@
 }
 
 func TestQuotaMessagesFitADatagram(t *testing.T) {
-	reports := make(map[string]quotaReportForm)
+	reports := make(map[string]wireQuotaReport)
 	for i := range maxQuotaReports {
 		name := quota.AccountName(fmt.Sprintf("a tenant with a long name %020d", i), quota.Requests)
-		reports[name] = quotaReportForm{Taken: 123456789012, Returned: 12345678901, AgeMillis: 86_400_000, Before: 123456789012, Rate: 710234.25, Burst: 710234.25, Unit: "requests", Version: 1 << 40}
+		reports[name] = wireQuotaReport{Taken: 123456789012, Returned: 12345678901, AgeMillis: 86_400_000, Before: 123456789012, Rate: 710234.25, Burst: 710234.25, Unit: "requests", Version: 1 << 40}
 	}
-	datagram, err := json.Marshal(Message{Node: "0123456789ab", Quota: &quotaForm{Reports: reports}})
+	datagram, err := json.Marshal(Message{Node: "0123456789ab", Quota: &quotaMessage{Reports: reports}})
 	if err != nil || len(datagram) > maxDatagram {
 		t.Errorf("%d bytes, %v", len(datagram), err)
 	}
@@ -442,8 +442,8 @@
 	user := silent[0]
 	report := quota.Report{Limit: claimOf("a", 1).Limit, Version: 1}
 	exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: "user", Address: addressOfConn(user)}, Account: account, Cost: 100, Report: report}, time.Now())
-	nextQuota(t, user, func(form quotaForm) bool { return form.Probe == account })
-	exchange.quota.receive(addressOfConn(user), "user", quotaForm{Reports: map[string]quotaReportForm{account: renderQuotaReport(report)}})
+	nextQuota(t, user, func(form quotaMessage) bool { return form.Probe == account })
+	exchange.quota.receive(addressOfConn(user), "user", quotaMessage{Reports: map[string]wireQuotaReport{account: renderQuotaReport(report)}})
 	if decision := exchange.quota.decide(quota.DecisionRequest{From: exchange.quota.self(), Account: account, Cost: 1, Report: report}, time.Now()); decision.Reserved != 0 {
 		t.Errorf("%v is reserved for a node that answers", decision.Reserved)
 	}
@@ -460,8 +460,8 @@
 				continue
 			}
 			exchange.ChargeQuota(t.Context(), claimOf(fmt.Sprint("tenant", i), 10))
-			exchange.quota.receive(addressOfConn(conn), "prober", quotaForm{Probe: account})
-			nextQuota(t, conn, func(form quotaForm) bool { _, told := form.Reports[account]; return told })
+			exchange.quota.receive(addressOfConn(conn), "prober", quotaMessage{Probe: account})
+			nextQuota(t, conn, func(form quotaMessage) bool { _, told := form.Reports[account]; return told })
 			break
 		}
 	}
--- a/internal/nodeexchange/regions.go
+++ b/internal/nodeexchange/regions.go
@@ -10,30 +10,30 @@
 
 // The figures of the way between regions, as of TCP's retransmission timer (RFC 6298).
 const (
-	// assumedRoundTrip is the way to another region and back until it was measured: that of a
+	// initialRoundTrip is the way to another region and back until it was measured: that of a
 	// continent, so that a first question isn't given up on too early.
-	assumedRoundTrip = 50 * time.Millisecond
-	// meanGain and spreadGain are the weights of a new measurement.
-	meanGain, spreadGain = 0.125, 0.25
-	// deviations is how many times the mean deviation is waited for beyond the mean.
-	deviations = 4
-	// longestRoundTrip bounds what is taken for a measurement: an answer that was held up for
+	initialRoundTrip = 50 * time.Millisecond
+	// meanWeight and deviationWeight are the weights of a new measurement.
+	meanWeight, deviationWeight = 0.125, 0.25
+	// deviationFactor is how many times the mean deviation is waited for beyond the mean.
+	deviationFactor = 4
+	// maxRoundTrip bounds what is taken for a measurement: an answer that was held up for
 	// longer says nothing about the way.
-	longestRoundTrip = time.Second
+	maxRoundTrip = time.Second
 )
 
 // roundTrip is the time of the way to a region and back, as measured. The zero roundTrip was not
 // measured yet.
-type roundTrip struct{ mean, spread time.Duration }
+type roundTrip struct{ mean, deviation time.Duration }
 
 func (t *roundTrip) observe(took time.Duration) {
 	if t.mean == 0 {
-		t.mean, t.spread = took, took/2
+		t.mean, t.deviation = took, took/2
 		return
 	}
 	deviation := max(took-t.mean, t.mean-took)
-	t.spread += time.Duration(spreadGain * float64(deviation-t.spread))
-	t.mean += time.Duration(meanGain * float64(took-t.mean))
+	t.deviation += time.Duration(deviationWeight * float64(deviation-t.deviation))
+	t.mean += time.Duration(meanWeight * float64(took-t.mean))
 }
 
 // SetTopology tells the exchange the zones and regions. It is called before Run.
@@ -53,36 +53,36 @@
 }
 
 func (e *Exchange) roundTrip(region string) time.Duration {
-	if !e.far(region) {
+	if !e.inOtherRegion(region) {
 		return 0
 	}
 	if known := e.roundTrips[region]; known != nil {
 		return known.mean
 	}
-	return assumedRoundTrip
+	return initialRoundTrip
 }
 
-// far reports whether a region is another one. A node whose zone isn't known yet may be in
+// inOtherRegion reports whether a region is another one. A node whose zone isn't known yet may be in
 // one, where there are several.
-func (e *Exchange) far(region string) bool {
+func (e *Exchange) inOtherRegion(region string) bool {
 	return e.peers.places.MultiRegion() && region != e.peers.places.OwnRegion()
 }
 
-// patience is how much longer than within the region an answer from another one is
+// extraWait is how much longer than within the region an answer from another one is
 // waited for.
-func (e *Exchange) patience(region string) time.Duration {
-	if !e.far(region) {
+func (e *Exchange) extraWait(region string) time.Duration {
+	if !e.inOtherRegion(region) {
 		return 0
 	}
 	if known := e.roundTrips[region]; known != nil {
-		return known.mean + deviations*known.spread
+		return known.mean + deviationFactor*known.deviation
 	}
-	return assumedRoundTrip
+	return initialRoundTrip
 }
 
 // observeRoundTrip takes in how long an answer from a region took.
 func (e *Exchange) observeRoundTrip(region string, took time.Duration) {
-	if !e.far(region) || took <= 0 || took > longestRoundTrip {
+	if !e.inOtherRegion(region) || took <= 0 || took > maxRoundTrip {
 		return
 	}
 	if e.roundTrips[region] == nil {
@@ -121,20 +121,20 @@
 	return near
 }
 
-// regionOfKept is the region whose nodes keep the account of a worker. In a small fleet
+// homeRegion is the region whose nodes keep the account of a worker. In a small fleet
 // that is all of them.
-func (s *peerSet) regionOfKept(worker string) string {
-	if s.regionOfWorker == nil || !s.places.MultiRegion() || s.nodes() <= wholeFleet {
+func (s *peerSet) homeRegion(worker string) string {
+	if s.regionOfWorker == nil || !s.places.MultiRegion() || s.nodes() <= fullTrackingFleet {
 		return ""
 	}
 	return s.regionOfWorker(worker)
 }
 
-// regionsOfKept returns the regions whose nodes keep the accounts of workers.
-func (s *peerSet) regionsOfKept(workers []string) []string {
+// homeRegions returns the regions whose nodes keep the accounts of workers.
+func (s *peerSet) homeRegions(workers []string) []string {
 	var regions []string
 	for _, id := range workers {
-		if region := s.regionOfKept(id); !slices.Contains(regions, region) {
+		if region := s.homeRegion(id); !slices.Contains(regions, region) {
 			regions = append(regions, region)
 		}
 	}
--- a/internal/nodeexchange/regions_test.go
+++ b/internal/nodeexchange/regions_test.go
@@ -25,7 +25,7 @@
 		zone := []string{"north-a", "north-b", "south-a"}[i%3]
 		listed = append(listed, Peer{Node: fmt.Sprint("n", i+1), Address: addressOf(i + 1), Zone: zone})
 	}
-	set.list(listed)
+	set.addFullList(listed)
 	return set
 }
 
@@ -44,8 +44,8 @@
 			delete(set.peers, address)
 		}
 	}
-	set.rerank()
-	if homes := set.homes("south"); len(homes) < leastHomes {
+	set.clearRankings()
+	if homes := set.homes("south"); len(homes) < minHomes {
 		t.Errorf("%d homes for a worker whose region has no nodes", len(homes))
 	}
 }
@@ -53,8 +53,8 @@
 // TestSmallFleetsKeepAllAccounts, whatever the region.
 func TestSmallFleetsKeepAllAccounts(t *testing.T) {
 	set := regionalSet(5)
-	if !set.keeps("south") || len(set.homes("south")) != 16 {
-		t.Errorf("kept %v, by %d of 16 nodes", set.keeps("south"), len(set.homes("south")))
+	if !set.isHome("south") || len(set.homes("south")) != 16 {
+		t.Errorf("kept %v, by %d of 16 nodes", set.isHome("south"), len(set.homes("south")))
 	}
 }
 
@@ -75,7 +75,7 @@
 	defer far.Close()
 	address := netip.MustParseAddrPort(far.LocalAddr().String())
 	listed := []Peer{{Node: "far", Address: address, Zone: "south-a"}}
-	for i := range wholeFleet + 1 {
+	for i := range fullTrackingFleet + 1 {
 		listed = append(listed, Peer{Node: fmt.Sprint("n", i), Address: addressOf(i + 1), Zone: "north-a"})
 	}
 	exchange.AddPeers(listed)
@@ -104,7 +104,7 @@
 		return
 	}
 	time.Sleep(pause)
-	answer := reply{ID: asked.Question.ID, Sent: asked.Question.Sent, Accounts: map[string]accountForm{"w": {7}}}
+	answer := reply{ID: asked.Question.ID, Sent: asked.Question.Sent, Reports: map[string]wireLoadReport{"w": {7}}}
 	datagram, err := json.Marshal(Message{Node: "far", Reply: &answer})
 	if err == nil {
 		_, _ = conn.WriteToUDPAddrPort(datagram, from)
@@ -119,7 +119,7 @@
 	}
 	defer exchange.conn.Close()
 	exchange.SetTopology(topology.New("north-a", map[string]string{"north-a": "north", "north-b": "north"}))
-	if got := exchange.patience(exchange.peers.regionOf(addressOf(1))); got != 0 {
+	if got := exchange.extraWait(exchange.peers.regionOf(addressOf(1))); got != 0 {
 		t.Errorf("a node without a zone is waited for %v longer", got)
 	}
 }
@@ -129,8 +129,8 @@
 	for range 60 {
 		way.observe(24 * time.Millisecond)
 	}
-	if way.mean != 24*time.Millisecond || way.spread > time.Millisecond {
-		t.Errorf("%v with a spread of %v", way.mean, way.spread)
+	if way.mean != 24*time.Millisecond || way.deviation > time.Millisecond {
+		t.Errorf("%v with a spread of %v", way.mean, way.deviation)
 	}
 	for range 60 {
 		way.observe(48 * time.Millisecond)
--- a/internal/nodeexchange/relay.go
+++ b/internal/nodeexchange/relay.go
@@ -8,42 +8,42 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// recentRelays is how many messages a node remembers that it has passed on: some tables'
+// relayHistoryLength is how many messages a node remembers that it has passed on: some tables'
 // words and news of more than ten seconds.
-const recentRelays = 64
+const relayHistoryLength = 64
 
-// relayed names a message that is passed on: its maker and the number that it gave it.
-type relayed struct {
+// messageID names a message that is passed on: its maker and the number that it gave it.
+type messageID struct {
 	node     string
 	sequence uint64
 }
 
-// relays remembers the last messages that were passed on. Two heads of a region send each
+// relayHistory remembers the last messages that were passed on. Two heads of a region send each
 // to each head of its zones.
-type relays struct {
-	recent [recentRelays]relayed
+type relayHistory struct {
+	recent [relayHistoryLength]messageID
 	next   int
 }
 
-// first reports whether a message wasn't passed on before, and records that it is. A message
+// isNew reports whether a message wasn't passed on before, and records that it is. A message
 // without a number always is.
-func (r *relays) first(message Message) bool {
+func (r *relayHistory) isNew(message Message) bool {
 	if message.Sequence == 0 {
 		return true
 	}
-	named := relayed{message.Node, message.Sequence}
+	named := messageID{message.Node, message.Sequence}
 	if slices.Contains(r.recent[:], named) {
 		return false
 	}
 	r.recent[r.next] = named
-	r.next = (r.next + 1) % recentRelays
+	r.next = (r.next + 1) % relayHistoryLength
 	return true
 }
 
-// ofEachRegion ranks the nodes of each region that has any for a subject, and returns the
+// topOfEachRegion ranks the nodes of each region that has any for a subject, and returns the
 // first ones of all.
-func (s *peerSet) ofEachRegion(subject string, count int) []netip.AddrPort {
-	if known, exists := s.ofRegions[subject]; exists {
+func (s *peerSet) topOfEachRegion(subject string, count int) []netip.AddrPort {
+	if known, exists := s.regionRankings[subject]; exists {
 		return known
 	}
 	var first []netip.AddrPort
@@ -51,7 +51,7 @@
 	for _, region := range slices.Sorted(maps.Keys(regions)) {
 		first = append(first, rendezvous.Top(regions[region], s.hashOf, rendezvous.Hash(subject), count)...)
 	}
-	s.ofRegions[subject] = first
+	s.regionRankings[subject] = first
 	return first
 }
 
@@ -68,7 +68,7 @@
 // regionHeads returns the nodes that pass on what the other nodes of their region are to
 // hear from other regions.
 func (s *peerSet) regionHeads() []netip.AddrPort {
-	return s.ofEachRegion("relay between regions", leastHomes)
+	return s.topOfEachRegion("relay between regions", minHomes)
 }
 
 // zoneHeads returns the heads of the zones of this node's region.
@@ -82,10 +82,10 @@
 	return heads
 }
 
-// spreadTargets are the nodes that get a message for all nodes from its maker: all peers, or
+// broadcastTargets are the nodes that get a message for all nodes from its maker: all peers, or
 // in a large fleet the heads of the zones of its region, and in across the heads of the
 // other regions.
-func (s *peerSet) spreadTargets() (near, across []netip.AddrPort) {
+func (s *peerSet) broadcastTargets() (near, across []netip.AddrPort) {
 	if !s.large() {
 		return s.all(), nil
 	}
--- a/internal/nodeexchange/relay_test.go
+++ b/internal/nodeexchange/relay_test.go
@@ -29,7 +29,7 @@
 		for j := range nodes {
 			listed = append(listed, Peer{Node: fmt.Sprint("n", j), Address: addressOf(j), Zone: fmt.Sprint("zone", j%6)})
 		}
-		set.list(listed)
+		set.addFullList(listed)
 		sets[set.address] = set
 	}
 	return sets
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	near, across := sets[from].spreadTargets()
+	near, across := sets[from].broadcastTargets()
 	for _, to := range near {
 		carry(from, to, false, false)
 	}
@@ -94,11 +94,11 @@
 	if left := missing(sets, got, []netip.AddrPort{from}); left > 0 {
 		t.Errorf("%d nodes get nothing", left)
 	}
-	if crossings != 2*leastHomes {
-		t.Errorf("%d datagrams cross between regions, want %d", crossings, 2*leastHomes)
+	if crossings != 2*minHomes {
+		t.Errorf("%d datagrams cross between regions, want %d", crossings, 2*minHomes)
 	}
 	for address, times := range got {
-		if times > 2*leastHomes {
+		if times > 2*minHomes {
 			t.Errorf("%v gets it %d times", address, times)
 		}
 	}
@@ -157,16 +157,16 @@
 // TestMessageIsPassedOnOnce, though two heads of the region send it; one without a number
 // comes from a node that knows no regions.
 func TestMessageIsPassedOnOnce(t *testing.T) {
-	var r relays
+	var r relayHistory
 	message := Message{Node: "a", Sequence: 7}
-	if !r.first(message) || r.first(message) {
+	if !r.isNew(message) || r.isNew(message) {
 		t.Error("the same message is passed on twice")
 	}
-	if !r.first(Message{Node: "b", Sequence: 7}) || !r.first(Message{Node: "a", Sequence: 6}) {
+	if !r.isNew(Message{Node: "b", Sequence: 7}) || !r.isNew(Message{Node: "a", Sequence: 6}) {
 		t.Error("another message isn't passed on")
 	}
 	for range 2 {
-		if !r.first(Message{Node: "old"}) {
+		if !r.isNew(Message{Node: "old"}) {
 			t.Error("a message without a number isn't passed on")
 		}
 	}
@@ -181,7 +181,7 @@
 	for _, address := range supervisors {
 		regions[sets[address].places.OwnRegion()]++
 	}
-	if len(regions) != 3 || len(supervisors) < leastSupervisors {
+	if len(regions) != 3 || len(supervisors) < minSupervisors {
 		t.Errorf("supervisors by region: %v", regions)
 	}
 	for _, set := range sets {
@@ -202,7 +202,7 @@
 	for _, address := range supervisors {
 		for other, set := range sets {
 			if other != address {
-				sets[address].hear(other, Message{Node: set.self, Sequence: 1}, origin)
+				sets[address].recordMessage(other, Message{Node: set.self, Sequence: 1}, origin)
 			}
 		}
 	}
@@ -219,14 +219,14 @@
 	if len(before) != 1 {
 		t.Fatalf("%v are designated", before)
 	}
-	lost, later := sets[before[0]].places.OwnRegion(), origin.Add(peerLife+1)
+	lost, later := sets[before[0]].places.OwnRegion(), origin.Add(peerTimeout+1)
 	for _, address := range supervisors {
 		for other, set := range sets {
 			if set.places.OwnRegion() != lost && other != address {
-				sets[address].hear(other, Message{Node: set.self, Sequence: 2}, later)
+				sets[address].recordMessage(other, Message{Node: set.self, Sequence: 2}, later)
 			}
 		}
-		sets[address].silent(later)
+		sets[address].markSilent(later)
 	}
 	if after := designated(lost); len(after) != 1 {
 		t.Errorf("without %s %v are designated", lost, after)
@@ -252,7 +252,7 @@
 	home, homeAddress := told()
 	snapshot := worker.Snapshot{RegionDemand: map[string]map[string]worker.Demand{"region1": {"s": {ReadTokens: 5}}}}
 	parcels := map[netip.AddrPort][]string{supervisorAddress: nil, homeAddress: nil}
-	exchange.sendParcels(parcels, []netip.AddrPort{supervisorAddress}, snapshot, Message{Node: "me", Sequence: 1})
+	exchange.sendSnapshot(parcels, []netip.AddrPort{supervisorAddress}, snapshot, Message{Node: "me", Sequence: 1})
 	for conn, want := range map[*net.UDPConn]bool{supervisor: true, home: false} {
 		buffer := make([]byte, maxDatagram)
 		count, _, err := conn.ReadFromUDPAddrPort(buffer)
@@ -313,12 +313,12 @@
 // TestOnlyHeadsOfOtherRegionsAreToPassNewsOnInTheirRegion: each message has a number.
 func TestOnlyHeadsOfOtherRegionsAreToPassNewsOnInTheirRegion(t *testing.T) {
 	exchange, sockets := amongSockets(t)
-	near, across := exchange.peers.spreadTargets()
-	if len(near) == 0 || len(across) != 2*leastHomes {
+	near, across := exchange.peers.broadcastTargets()
+	if len(near) == 0 || len(across) != 2*minHomes {
 		t.Fatalf("%d near and %d across", len(near), len(across))
 	}
 	for number := range uint64(2) {
-		exchange.spread(Message{Node: "me", News: []byte{1}})
+		exchange.broadcast(Message{Node: "me", News: []byte{1}})
 		for _, address := range slices.Concat(near, across) {
 			message := next(t, sockets[address])
 			if message.RelayInRegion != slices.Contains(across, address) || message.Sequence != number+1 {
@@ -334,7 +334,7 @@
 	heads, _ := exchange.peers.relayTargets(true, false)
 	from := netip.MustParseAddrPort("127.0.0.1:9")
 	for _, number := range []uint64{7, 7, 8} {
-		exchange.passOn(from, Message{Node: "maker", Sequence: number, News: []byte{1}, RelayInRegion: true})
+		exchange.relay(from, Message{Node: "maker", Sequence: number, News: []byte{1}, RelayInRegion: true})
 	}
 	for _, address := range heads {
 		var numbers []uint64
--- a/internal/nodeexchange/reports_test.go
+++ b/internal/nodeexchange/reports_test.go
@@ -15,15 +15,15 @@
 func TestWhatIsToldLessOftenCountsLonger(t *testing.T) {
 	for _, nodes := range []int{10, 240, 985, 2000} {
 		supervisor := aSupervisor(t, nodes)
-		every := reportEvery(nodes)
+		every := reportInterval(nodes)
 		const rounding = 1
-		if time.Duration(nodes)*restEvery > restFleet*(every+rounding) {
-			t.Errorf("%d nodes report each %v: a supervisor gets more than of %d nodes", nodes, every, restFleet)
+		if time.Duration(nodes)*periodicInterval > fullRateFleet*(every+rounding) {
+			t.Errorf("%d nodes report each %v: a supervisor gets more than of %d nodes", nodes, every, fullRateFleet)
 		}
 		for i := range nodes {
-			supervisor.hear(addressOf(i), Message{Node: fmt.Sprint("n", i), Sequence: 1}, origin)
+			supervisor.recordMessage(addressOf(i), Message{Node: fmt.Sprint("n", i), Sequence: 1}, origin)
 		}
-		lost := supervisor.silent(origin.Add(2*every + time.Millisecond))
+		lost := supervisor.markSilent(origin.Add(2*every + time.Millisecond))
 		for _, other := range supervisor.supervisors() {
 			// These tell each other more often.
 			if known, exists := supervisor.peers[other]; exists {
@@ -42,12 +42,12 @@
 	exchange := largeExchange(t)
 	supervisors := exchange.peers.others(exchange.peers.supervisors())
 	for range 2 {
-		parcels := exchange.parcels(worker.Snapshot{}, true, false)
+		parcels := exchange.workersByRecipient(worker.Snapshot{}, true, false)
 		if len(parcels) != len(supervisors) {
 			t.Fatalf("%d nodes are told at rest, want the %d other supervisors", len(parcels), len(supervisors))
 		}
 	}
-	if life := exchange.peers.life(supervisors[0]); life != peerLife {
+	if life := exchange.peers.presenceTimeout(supervisors[0]); life != peerTimeout {
 		t.Errorf("a silent supervisor counts for %v", life)
 	}
 }
@@ -57,7 +57,7 @@
 func TestHomesAreToldAtRestInAnyFleet(t *testing.T) {
 	exchange := largeExchange(t)
 	snapshot := worker.Snapshot{Loads: map[string]worker.Load{"w7": {Requests: 1}}}
-	parcels := exchange.parcels(snapshot, true, false)
+	parcels := exchange.workersByRecipient(snapshot, true, false)
 	for _, home := range exchange.peers.others(exchange.peers.homes("w7")) {
 		if _, told := parcels[home]; !told {
 			t.Errorf("%v keeps the account and isn't told", home)
@@ -73,13 +73,13 @@
 		listed = append(listed, Peer{Node: fmt.Sprint("n", i), Address: addressOf(i), Zone: fmt.Sprint("zone", i%5)})
 	}
 	any := newPeerSet("any", self, "zone0")
-	any.list(listed)
+	any.addFullList(listed)
 	for _, node := range listed {
 		if !slices.Contains(any.supervisors(), node.Address) {
 			continue
 		}
 		set := newPeerSet(node.Node, node.Address, node.Zone)
-		if set.list(listed); set.supervises() {
+		if set.addFullList(listed); set.supervises() {
 			return set
 		}
 	}
--- a/internal/nodeexchange/subjects.go
+++ b/internal/nodeexchange/subjects.go
@@ -6,9 +6,9 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// subjectsOf returns the workers that a snapshot tells of, or of whose load nothing is
+// workersIn returns the workers that a snapshot tells of, or of whose load nothing is
 // left, in a fixed order.
-func subjectsOf(snapshot worker.Snapshot) []string {
+func workersIn(snapshot worker.Snapshot) []string {
 	var subjects []string
 	for id := range snapshot.Loads {
 		subjects = append(subjects, id)
--- a/internal/nodeexchange/suspects.go
+++ b/internal/nodeexchange/suspects.go
@@ -8,9 +8,9 @@
 	"github.com/tinarch/tinarch/internal/quarantine"
 )
 
-// maxCrashesTold bounds the crashes in one message: of some 60 bytes each, they stay below
+// maxCrashesPerMessage bounds the crashes in one message: of some 60 bytes each, they stay below
 // maxDatagram.
-const maxCrashesTold = 150
+const maxCrashesPerMessage = 150
 
 // SetQuarantine has the exchange tell what a keeper learns of requests under which workers
 // end, and give it what other nodes tell. It is called before Run.
@@ -21,11 +21,11 @@
 func (e *Exchange) ChosenForTrial(request quarantine.Fingerprint) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.peers.top("trial "+request.String(), 1, "")[0] == e.peers.address
+	return e.peers.firstRanked("trial "+request.String(), 1, "")[0] == e.peers.address
 }
 
-// tellSuspects tells other nodes what this one has learned, until ctx ends.
-func (e *Exchange) tellSuspects(ctx context.Context) {
+// sendSuspects tells other nodes what this one has learned, until ctx ends.
+func (e *Exchange) sendSuspects(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -47,15 +47,15 @@
 	e.mu.Lock()
 	supervisors := e.peers.others(e.peers.supervisors())
 	e.mu.Unlock()
-	for _, part := range inDatagrams(records) {
+	for _, part := range splitRecords(records) {
 		e.sendAll(supervisors, Message{Node: e.node, Suspects: part, Relayed: true})
 	}
-	e.spreadSuspects(records)
+	e.broadcastSuspects(records)
 }
 
-// spreadSuspects tells all nodes of the records that they are to know, if this node is a
+// broadcastSuspects tells all nodes of the records that they are to know, if this node is a
 // supervisor and others aren't.
-func (e *Exchange) spreadSuspects(records []quarantine.Record) {
+func (e *Exchange) broadcastSuspects(records []quarantine.Record) {
 	e.mu.Lock()
 	spreads := e.peers.supervises() && e.peers.nodes() > len(e.peers.supervisors())
 	e.mu.Unlock()
@@ -68,18 +68,18 @@
 			shared = append(shared, record)
 		}
 	}
-	for _, part := range inDatagrams(shared) {
-		e.spread(Message{Node: e.node, Suspects: part})
+	for _, part := range splitRecords(shared) {
+		e.broadcast(Message{Node: e.node, Suspects: part})
 	}
 }
 
-// inDatagrams divides records so that each part fits a message.
-func inDatagrams(records []quarantine.Record) [][]quarantine.Record {
+// splitRecords divides records so that each part fits a message.
+func splitRecords(records []quarantine.Record) [][]quarantine.Record {
 	var parts [][]quarantine.Record
 	var part []quarantine.Record
 	crashes := 0
 	for _, record := range records {
-		if crashes += len(record.Crashes); crashes > maxCrashesTold && len(part) > 0 {
+		if crashes += len(record.Crashes); crashes > maxCrashesPerMessage && len(part) > 0 {
 			parts = append(parts, part)
 			part, crashes = nil, len(record.Crashes)
 		}
@@ -91,17 +91,17 @@
 	return parts
 }
 
-// takeSuspects takes in what another node tells. What was told to supervisors alone is spread
+// receiveSuspects takes in what another node tells. What was told to supervisors alone is spread
 // by them; such messages have no number.
-func (e *Exchange) takeSuspects(from netip.AddrPort, message Message) {
+func (e *Exchange) receiveSuspects(from netip.AddrPort, message Message) {
 	if e.quarantine == nil {
 		return
 	}
 	changed := e.quarantine.Receive(message.Node, message.Suspects)
 	if message.Sequence == 0 {
-		e.spreadSuspects(changed)
+		e.broadcastSuspects(changed)
 	}
-	e.passOn(from, message)
+	e.relay(from, message)
 }
 
 // shareSuspects tells a node that is heard for the first time, or again, what every node is
@@ -110,7 +110,7 @@
 	if e.quarantine == nil {
 		return
 	}
-	for _, part := range inDatagrams(e.quarantine.Shared()) {
+	for _, part := range splitRecords(e.quarantine.Shared()) {
 		e.sendTo(with, Message{Node: e.node, Suspects: part, Relayed: true})
 	}
 }
--- a/internal/nodeexchange/suspects_test.go
+++ b/internal/nodeexchange/suspects_test.go
@@ -136,7 +136,7 @@
 		records = append(records, record)
 	}
 	told := 0
-	for _, part := range inDatagrams(records) {
+	for _, part := range splitRecords(records) {
 		datagram, err := json.Marshal(Message{Node: "0123456789ab", Sequence: 1 << 40, Suspects: part, Relayed: true, RelayInRegion: true})
 		if err != nil || len(datagram) > maxDatagram {
 			t.Errorf("%d records take %d bytes, %v", len(part), len(datagram), err)
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -30,7 +30,7 @@
 
 // SpreadWords tells the other nodes what the store has confirmed.
 func (e *Exchange) SpreadWords(words []tablerelay.Announcement) {
-	e.spread(Message{Node: e.node, Words: words, CreatedMillis: clock.Boottime().UnixMilli()})
+	e.broadcast(Message{Node: e.node, Words: words, CreatedMillis: clock.Boottime().UnixMilli()})
 }
 
 // SpreadNews tells the other nodes of changes. Changes that are too large aren't told: the
@@ -45,27 +45,27 @@
 		e.log.WithField("table", news.Table).WithField("bytes", len(packed)).Info("changes of a table are too large to be told; the other nodes fetch them")
 		return
 	}
-	e.spread(Message{Node: e.node, News: packed})
+	e.broadcast(Message{Node: e.node, News: packed})
 }
 
-// headBytes is what a head of a zone sends at most for one change: a tenth of a second of a
+// maxHeadBytes is what a head of a zone sends at most for one change: a tenth of a second of a
 // link of 20 Mbit/s. What is larger the nodes fetch, each from one of its zone that has it.
-const headBytes = 256 << 10
+const maxHeadBytes = 256 << 10
 
 // newsLimit is the size of the largest news that are told: small enough that a head of the
 // largest zone passes them on without holding up other messages.
 func (e *Exchange) newsLimit() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return min(maxNews, headBytes/e.peers.largestZone())
+	return min(maxNews, maxHeadBytes/e.peers.largestZoneSize())
 }
 
-// spread sends a message that all nodes are to get.
-func (e *Exchange) spread(message Message) {
+// broadcast sends a message that all nodes are to get.
+func (e *Exchange) broadcast(message Message) {
 	e.mu.Lock()
-	near, across := e.peers.spreadTargets()
-	e.spreads++
-	message.Sequence = e.spreads
+	near, across := e.peers.broadcastTargets()
+	e.broadcasts++
+	message.Sequence = e.broadcasts
 	message.RelayInZone = e.peers.large()
 	e.mu.Unlock()
 	e.sendAll(near, message)
@@ -73,12 +73,12 @@
 	e.sendAll(across, message)
 }
 
-// passOn sends a message that came from the node that made it, or from a head of the region,
+// relay sends a message that came from the node that made it, or from a head of the region,
 // to the other nodes of the zone, if this one is to; and one that came from another region
 // to the heads of this region's zones.
-func (e *Exchange) passOn(from netip.AddrPort, message Message) {
+func (e *Exchange) relay(from netip.AddrPort, message Message) {
 	if message.Relayed {
-		e.passOnInGroup(from, message)
+		e.relayInGroup(from, message)
 		return
 	}
 	if message.Sequence == 0 && message.Departed != nil {
@@ -86,7 +86,7 @@
 	}
 	e.mu.Lock()
 	heads, zone := e.peers.relayTargets(message.RelayInRegion, message.RelayInZone)
-	if len(heads)+len(zone) > 0 && !e.relays.first(message) {
+	if len(heads)+len(zone) > 0 && !e.relayHistory.isNew(message) {
 		heads, zone = nil, nil
 	}
 	e.mu.Unlock()
@@ -98,13 +98,13 @@
 		e.sendAll(zone, message)
 		return
 	}
-	message.RelayGroups = groupsOf(len(zone))
+	message.RelayGroups = groupCount(len(zone))
 	e.sendAll(leaders(zone, message.RelayGroups), message)
 }
 
-// passOnInGroup sends a message that came from a head of a large zone to the other nodes of
+// relayInGroup sends a message that came from a head of a large zone to the other nodes of
 // this node's group.
-func (e *Exchange) passOnInGroup(from netip.AddrPort, message Message) {
+func (e *Exchange) relayInGroup(from netip.AddrPort, message Message) {
 	groups := message.RelayGroups
 	if groups <= 0 {
 		return
@@ -117,10 +117,10 @@
 	e.sendAll(group, message)
 }
 
-// groupsOf is the number of groups into which a head divides the nodes of its zone, so that it
+// groupCount is the number of groups into which a head divides the nodes of its zone, so that it
 // and those that pass on in the groups send about as many datagrams at once: a burst of two
 // hundred is more than a link of 20 Mbit/s takes, and the rest is lost.
-func groupsOf(nodes int) int { return int(math.Ceil(math.Sqrt(float64(nodes)))) }
+func groupCount(nodes int) int { return int(math.Ceil(math.Sqrt(float64(nodes)))) }
 
 // groupOf is the group of a node, the same for all that divide a zone into as many.
 func groupOf(address netip.AddrPort, groups int) int {
@@ -148,30 +148,30 @@
 // word has come.
 func (e *Exchange) AskWords(table string) {
 	e.mu.Lock()
-	asked := e.peers.toAsk(table)
+	asked := e.peers.announcementSources(table)
 	e.mu.Unlock()
 	for _, to := range asked {
 		e.sendTo(to, Message{Node: e.node, WantWords: true})
 	}
 }
 
-// toAsk returns the nodes that are asked for words.
-func (s *peerSet) toAsk(table string) []netip.AddrPort {
-	first := s.top("table "+table, 1, "")
-	if givers := s.givers(); s.large() && len(givers) > 0 {
+// announcementSources returns the nodes that are asked for words.
+func (s *peerSet) announcementSources(table string) []netip.AddrPort {
+	first := s.firstRanked("table "+table, 1, "")
+	if givers := s.tableSources(); s.large() && len(givers) > 0 {
 		first = givers[:1]
 	}
 	asked := slices.Clone(first)
-	if any, found := s.anyNear(); found && !slices.Contains(asked, any) {
+	if any, found := s.randomNearPeer(); found && !slices.Contains(asked, any) {
 		asked = append(asked, any)
 	}
 	return s.others(asked)
 }
 
-// anyNear returns a peer drawn at random, of the own zone in a large fleet.
-func (s *peerSet) anyNear() (netip.AddrPort, bool) {
+// randomNearPeer returns a peer drawn at random, of the own zone in a large fleet.
+func (s *peerSet) randomNearPeer() (netip.AddrPort, bool) {
 	if !s.large() {
-		return s.anyPeer()
+		return s.randomPeer()
 	}
 	near := s.inZone()
 	if len(near) == 0 {
@@ -180,8 +180,8 @@
 	return near[rand.IntN(len(near))], true
 }
 
-// tellWords answers a node that asks for words.
-func (e *Exchange) tellWords(to netip.AddrPort) {
+// sendAnnouncements answers a node that asks for words.
+func (e *Exchange) sendAnnouncements(to netip.AddrPort) {
 	if e.board == nil {
 		return
 	}
@@ -190,37 +190,37 @@
 	}
 }
 
-func (e *Exchange) takeWords(from netip.AddrPort, message Message) {
-	e.takeWordsAt(from, message, clock.Boottime())
+func (e *Exchange) receiveAnnouncements(from netip.AddrPort, message Message) {
+	e.receiveAnnouncementsAt(from, message, clock.Boottime())
 }
 
-// takeWordsAt takes words by a clock since boot. Their ages were true when the message was made.
-func (e *Exchange) takeWordsAt(from netip.AddrPort, message Message, now time.Time) {
+// receiveAnnouncementsAt takes words by a clock since boot. Their ages were true when the message was made.
+func (e *Exchange) receiveAnnouncementsAt(from netip.AddrPort, message Message, now time.Time) {
 	if e.board == nil {
 		return
 	}
 	words := message.Words
 	if message.CreatedMillis != 0 {
-		late := e.transits.late(message.Node, time.UnixMilli(message.CreatedMillis), now)
+		late := e.delays.excess(message.Node, time.UnixMilli(message.CreatedMillis), now)
 		words = slices.Clone(words)
 		for i := range words {
 			words[i].AgeMillis += late.Milliseconds()
 		}
 	}
 	e.board.Take(words, time.Now())
-	e.passOn(from, message)
+	e.relay(from, message)
 }
 
-func (e *Exchange) takeNews(from netip.AddrPort, message Message) {
+func (e *Exchange) receiveNews(from netip.AddrPort, message Message) {
 	news, err := unpackNews(message.News)
 	if err != nil {
-		e.dropped(from, err)
+		e.logMalformed(from, err)
 		return
 	}
 	if e.board != nil {
 		e.board.TakeNews(news)
 	}
-	e.passOn(from, message)
+	e.relay(from, message)
 }
 
 // Outranks reports whether another node comes before this one among those that read a
@@ -239,7 +239,7 @@
 func (e *Exchange) Place(table string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.peers.place(table)
+	return e.peers.readerRank(table)
 }
 
 // Address names this node in words.
--- a/internal/nodeexchange/tables_test.go
+++ b/internal/nodeexchange/tables_test.go
@@ -31,10 +31,10 @@
 	}
 	exchanges, _ := clusterWithBoards(t, boards, "w")
 	exchanges[0].mu.Lock()
-	near, across := exchanges[0].peers.spreadTargets()
+	near, across := exchanges[0].peers.broadcastTargets()
 	targets := len(near) + len(across)
 	exchanges[0].mu.Unlock()
-	if targets > leastHomes {
+	if targets > minHomes {
 		t.Errorf("one node tells %d of one zone", targets)
 	}
 	exchanges[0].SpreadWords([]tablerelay.Announcement{{Table: "spread"}})
@@ -77,19 +77,19 @@
 		asked, roots := make(map[netip.AddrPort]int), 0
 		for _, node := range listed[:min(nodes, 100)] {
 			set := newPeerSet(node.Node, node.Address, node.Zone)
-			set.list(listed)
-			isRoot := len(set.givers()) == 0
+			set.addFullList(listed)
+			isRoot := len(set.tableSources()) == 0
 			if isRoot {
 				roots++ // those ask the node that reads the table
 			}
-			for _, to := range set.toAsk("servers") {
+			for _, to := range set.announcementSources("servers") {
 				asked[to]++
 				if set.zoneOf(to) != set.zone && !isRoot {
 					t.Errorf("a node of %s asks one of %s", set.zone, set.zoneOf(to))
 				}
 			}
 		}
-		if roots > 5*sharingHeads {
+		if roots > 5*sourcesPerZone {
 			t.Errorf("%d nodes: %d ask outside their zones", nodes, roots)
 		}
 		for address, times := range asked {
@@ -108,7 +108,7 @@
 		for i := range count {
 			zone = append(zone, addressOf(i))
 		}
-		groups := groupsOf(count)
+		groups := groupCount(count)
 		drawn := leaders(zone, groups)
 		reached := make(map[netip.AddrPort]bool)
 		for _, leader := range drawn {
--- a/internal/nodeexchange/transit_test.go
+++ b/internal/nodeexchange/transit_test.go
@@ -12,17 +12,17 @@
 func TestTimeOnTheWayIsCounted(t *testing.T) {
 	const apart = 1000 * time.Hour
 	begun := time.Unix(0, 0)
-	var ways transits
+	var ways delayEstimator
 	for i, message := range []struct{ made, way, want time.Duration }{
 		{0, 40 * time.Millisecond, 0}, // nothing to compare with
 		{time.Second, 10 * time.Millisecond, 0},
 		{2 * time.Second, 3010 * time.Millisecond, 3 * time.Second},
 		{6 * time.Second, 12 * time.Millisecond, 2 * time.Millisecond},
-		{transitSpan + time.Second, 510 * time.Millisecond, 500 * time.Millisecond},
-		{3*transitSpan + time.Second, 510 * time.Millisecond, 0}, // the way has changed
+		{minDelayWindow + time.Second, 510 * time.Millisecond, 500 * time.Millisecond},
+		{3*minDelayWindow + time.Second, 510 * time.Millisecond, 0}, // the way has changed
 	} {
 		made := begun.Add(message.made)
-		if got := ways.late("maker", made.Add(-apart), made.Add(message.way)); got != message.want {
+		if got := ways.excess("maker", made.Add(-apart), made.Add(message.way)); got != message.want {
 			t.Errorf("message %d: %v late, want %v", i, got, message.want)
 		}
 	}
@@ -36,7 +36,7 @@
 	word := []tablerelay.Announcement{{Table: "table", Changed: tablefeed.Version(1), AgeMillis: 100}}
 	for _, late := range []time.Duration{0, 2 * time.Second} {
 		made := now.Add(-late - 5*time.Millisecond)
-		exchanges[0].takeWordsAt(exchanges[0].peers.address, Message{Node: "maker", Words: word, CreatedMillis: made.UnixMilli()}, now)
+		exchanges[0].receiveAnnouncementsAt(exchanges[0].peers.address, Message{Node: "maker", Words: word, CreatedMillis: made.UnixMilli()}, now)
 	}
 	<-board.words
 	if got := <-board.words; got[0].AgeMillis != 2100 {
--- a/internal/nodeexchange/turns.go
+++ b/internal/nodeexchange/turns.go
@@ -21,50 +21,50 @@
 	turnKeepers = quotaKeeperCount
 	// turnBurst is how many requests a worker takes at once that got none for a while.
 	turnBurst = 1
-	// tellSlack is by how much earlier than told a worker may have been asked: the longest way
+	// limitTimeSlack is by how much earlier than told a worker may have been asked: the longest way
 	// of a message between two nodes as a rule.
-	tellSlack = 50 * time.Millisecond
-	// maxLimitsTold bounds the limits in one message: of some 80 bytes each, they stay below
+	limitTimeSlack = 50 * time.Millisecond
+	// maxLimitsPerMessage bounds the limits in one message: of some 80 bytes each, they stay below
 	// maxDatagram.
-	maxLimitsTold = 150
+	maxLimitsPerMessage = 150
 )
 
-// limitForm is a worker.LimitStatement, with its times as ages in milliseconds.
-type limitForm struct {
+// wireLimit is a worker.LimitStatement, with its times as ages in milliseconds.
+type wireLimit struct {
 	Named       bool    `json:"n,omitempty"`
 	Rate        float64 `json:"r,omitempty"`
 	SentMillis  int64   `json:"s"`
 	HeardMillis int64   `json:"h"`
 }
 
-func renderLimit(said worker.LimitStatement, now time.Time) limitForm {
-	return limitForm{
+func renderLimit(said worker.LimitStatement, now time.Time) wireLimit {
+	return wireLimit{
 		Named: said.Named, Rate: said.Rate,
 		SentMillis: now.Sub(said.Sent).Milliseconds(), HeardMillis: now.Sub(said.Heard).Milliseconds(),
 	}
 }
 
-func (f limitForm) statement(now time.Time) worker.LimitStatement {
+func (f wireLimit) statement(now time.Time) worker.LimitStatement {
 	return worker.LimitStatement{
 		Named: f.Named, Rate: f.Rate,
-		Sent:  now.Add(-time.Duration(f.SentMillis)*time.Millisecond - tellSlack),
+		Sent:  now.Add(-time.Duration(f.SentMillis)*time.Millisecond - limitTimeSlack),
 		Heard: now.Add(-time.Duration(f.HeardMillis) * time.Millisecond),
 	}
 }
 
-func renderLimits(limits map[string]worker.LimitStatement, now time.Time) map[string]limitForm {
-	var rendered map[string]limitForm
+func renderLimits(limits map[string]worker.LimitStatement, now time.Time) map[string]wireLimit {
+	var rendered map[string]wireLimit
 	for id, said := range limits {
 		if rendered == nil {
-			rendered = make(map[string]limitForm, len(limits))
+			rendered = make(map[string]wireLimit, len(limits))
 		}
 		rendered[id] = renderLimit(said, now)
 	}
 	return rendered
 }
 
-// takeLimits takes in what workers said to other nodes.
-func (e *Exchange) takeLimits(node string, limits map[string]limitForm, now time.Time) {
+// receiveLimits takes in what workers said to other nodes.
+func (e *Exchange) receiveLimits(node string, limits map[string]wireLimit, now time.Time) {
 	for id, form := range limits {
 		e.registry.MergeLimit(id, node, form.statement(now))
 	}
@@ -77,7 +77,7 @@
 	e.mu.Lock()
 	limited = slices.DeleteFunc(limited, func(id string) bool { return !slices.Contains(e.peers.homes(id), with) })
 	e.mu.Unlock()
-	for part := range slices.Chunk(limited, maxLimitsTold) {
+	for part := range slices.Chunk(limited, maxLimitsPerMessage) {
 		limits := renderLimits(e.registry.Limits(part), time.Now())
 		e.sendTo(with, Message{Node: e.node, Reply: &reply{Limits: limits}})
 	}
@@ -86,9 +86,9 @@
 // SetTurns has the exchange count the requests to workers that take no more than so many a
 // second, with what these bear beyond that. It is called before Run.
 func (e *Exchange) SetTurns(tolerance quota.Tolerance) {
-	e.turns = newQuotaExchange(e, quotaKind{
+	e.turns = newQuotaExchange(e, accountKind{
 		tolerance: tolerance, keepers: (*peerSet).turnKeepers,
-		message: func(form *quotaForm) Message { return Message{Node: e.node, Turns: form} },
+		message: func(form *quotaMessage) Message { return Message{Node: e.node, Turns: form} },
 		limits:  &turnLimits{registry: e.registry},
 	})
 }
@@ -135,7 +135,7 @@
 }
 
 // ReturnTurn gives a turn back that was not used: the worker got nothing.
-func (e *Exchange) ReturnTurn(id string) { e.turns.giveBack(turnCharge(id)) }
+func (e *Exchange) ReturnTurn(id string) { e.turns.refund(turnCharge(id)) }
 
 // CountTurn counts a request that a worker gets without its turn, if it has a limit.
 func (e *Exchange) CountTurn(id string) {
@@ -147,7 +147,7 @@
 	e.turns.mu.Lock()
 	e.turns.meter.Begin(turnCharge(id).Account, limit, version, now)
 	e.turns.mu.Unlock()
-	e.turns.take(turnCharge(id), now)
+	e.turns.record(turnCharge(id), now)
 }
 
 // turnLimits are the limits that workers have named, as accounts have them. A nil turnLimits
@@ -183,8 +183,8 @@
 	return true
 }
 
-// form tells what is known of an account's limit, nil where nothing is.
-func (l *turnLimits) form(account string, now time.Time) *limitForm {
+// currentLimit tells what is known of an account's limit, nil where nothing is.
+func (l *turnLimits) currentLimit(account string, now time.Time) *wireLimit {
 	if l == nil {
 		return nil
 	}
@@ -196,8 +196,8 @@
 	return &form
 }
 
-// take takes in what another node knows of an account's limit.
-func (l *turnLimits) take(account, node string, form *limitForm, now time.Time) {
+// receive takes in what another node knows of an account's limit.
+func (l *turnLimits) receive(account, node string, form *wireLimit, now time.Time) {
 	if l != nil && form != nil {
 		l.registry.MergeLimit(workerOfAccount(account), node, form.statement(now))
 	}
--- a/internal/nodeexchange/turns_test.go
+++ b/internal/nodeexchange/turns_test.go
@@ -81,7 +81,7 @@
 	for exchanges[0].TakeTurn(t.Context(), "w", 0).Granted {
 	}
 	// The end is said well after the limit was: else a message's way makes its order unknown.
-	time.Sleep(2 * tellSlack)
+	time.Sleep(2 * limitTimeSlack)
 	now := time.Now()
 	for _, exchange := range exchanges[1:] {
 		exchange.registry.MergeLimit("w", "other", worker.LimitStatement{Sent: now, Heard: now})
@@ -121,7 +121,7 @@
 	before := worker.LimitStatement{Named: true, Rate: 2.6, Sent: now.Add(-30 * time.Millisecond), Heard: now.Add(-10 * time.Millisecond)}
 	later := now.Add(time.Hour) // another node's clock
 	got := renderLimit(before, now).statement(later)
-	want := worker.LimitStatement{Named: true, Rate: 2.6, Sent: later.Add(-30*time.Millisecond - tellSlack), Heard: later.Add(-10 * time.Millisecond)}
+	want := worker.LimitStatement{Named: true, Rate: 2.6, Sent: later.Add(-30*time.Millisecond - limitTimeSlack), Heard: later.Add(-10 * time.Millisecond)}
 	if got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
@@ -134,7 +134,7 @@
 	for i := range 100 {
 		listed = append(listed, Peer{Node: fmt.Sprint("n", i), Address: addressOf(i), Zone: "zone"})
 	}
-	set.list(listed)
+	set.addFullList(listed)
 	keepers := set.turnKeepers(turnCharge("w").Account)
 	homes := set.homes("w")
 	if len(keepers) == 0 || len(keepers) > turnKeepers || len(homes) < len(keepers) {
--- a/internal/nodeexchange/usage.go
+++ b/internal/nodeexchange/usage.go
@@ -7,8 +7,8 @@
 	"github.com/tinarch/tinarch/internal/usage"
 )
 
-// usageForm is a usage.Delta.
-type usageForm struct {
+// wireUsage is a usage.Delta.
+type wireUsage struct {
 	After   uint64       `json:"a"`
 	Through uint64       `json:"t"`
 	Closed  usage.Window `json:"c"`
@@ -22,8 +22,8 @@
 	Closed  usage.Window `json:"c"`
 }
 
-// gatheredForm is a part of what a supervisor has gathered of a node incarnation.
-type gatheredForm struct {
+// wireGathered is a part of what a supervisor has gathered of a node incarnation.
+type wireGathered struct {
 	Node   string                          `json:"n"`
 	Counts map[usage.Window]map[string]int `json:"w"`
 	// Recorded are windows as they were recorded; such a form holds nothing else.
@@ -61,8 +61,8 @@
 type usageExchange struct {
 	tally     *usage.Tally
 	collector *usage.Collector
-	// told is the change up to which each supervisor was told.
-	told map[netip.AddrPort]uint64
+	// sentThrough is the change up to which each supervisor was sentThrough.
+	sentThrough map[netip.AddrPort]uint64
 	// acknowledged is the newest closed window of which a supervisor has all.
 	acknowledged usage.Window
 }
@@ -70,7 +70,7 @@
 // SetUsage has the exchange tell the supervisors this node's tally, and gather those of
 // others. It is called before Run.
 func (e *Exchange) SetUsage(tally *usage.Tally, collector *usage.Collector) {
-	e.usage = &usageExchange{tally: tally, collector: collector, told: make(map[netip.AddrPort]uint64)}
+	e.usage = &usageExchange{tally: tally, collector: collector, sentThrough: make(map[netip.AddrPort]uint64)}
 }
 
 // UsageAcknowledged returns the newest closed window of which a supervisor, or this node
@@ -78,14 +78,14 @@
 func (e *Exchange) UsageAcknowledged() usage.Window {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.peers.supervises() && (len(e.peers.peers) == 0 || e.present() > 0) {
+	if e.peers.supervises() && (len(e.peers.peers) == 0 || e.presentPeers() > 0) {
 		return e.usage.tally.WindowLength().WindowAt(e.usage.tally.Now(time.Now()))
 	}
 	return e.usage.acknowledged
 }
 
-// present is the number of other nodes that were heard lately.
-func (e *Exchange) present() int {
+// presentPeers is the number of other nodes that were heard lately.
+func (e *Exchange) presentPeers() int {
 	count := 0
 	for _, known := range e.peers.peers {
 		if known.present {
@@ -95,8 +95,8 @@
 	return count
 }
 
-// tellUsage tells the supervisors what this node has counted since they were told last.
-func (e *Exchange) tellUsage(now time.Time) {
+// sendUsage tells the supervisors what this node has counted since they were told last.
+func (e *Exchange) sendUsage(now time.Time) {
 	if e.usage == nil {
 		return
 	}
@@ -104,22 +104,22 @@
 	targets := make(map[netip.AddrPort]uint64)
 	for _, address := range e.peers.supervisors() {
 		if address != e.peers.address {
-			targets[address] = e.usage.told[address]
+			targets[address] = e.usage.sentThrough[address]
 		}
 	}
 	e.mu.Unlock()
 	for address, after := range targets {
 		delta := e.usage.tally.Since(after, now)
-		form := &usageForm{After: delta.After, Through: delta.Through, Closed: delta.Closed, Counts: renderCounts(delta.Entries)}
+		form := &wireUsage{After: delta.After, Through: delta.Through, Closed: delta.Closed, Counts: renderCounts(delta.Entries)}
 		e.sendTo(address, Message{Node: e.node, Usage: form})
 		e.mu.Lock()
-		e.usage.told[address] = delta.Through
+		e.usage.sentThrough[address] = delta.Through
 		e.mu.Unlock()
 	}
 }
 
-// takeUsage takes in what another node has counted.
-func (e *Exchange) takeUsage(from netip.AddrPort, message Message) {
+// receiveUsage takes in what another node has counted.
+func (e *Exchange) receiveUsage(from netip.AddrPort, message Message) {
 	if e.usage == nil {
 		return
 	}
@@ -131,14 +131,14 @@
 	}
 }
 
-// takeUsageReply learns what a supervisor has of this node's tally.
-func (e *Exchange) takeUsageReply(from netip.AddrPort, reply usageReply) {
+// receiveUsageReply learns what a supervisor has of this node's tally.
+func (e *Exchange) receiveUsageReply(from netip.AddrPort, reply usageReply) {
 	if e.usage == nil {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.usage.told[from] = min(e.usage.told[from], reply.Through)
+	e.usage.sentThrough[from] = min(e.usage.sentThrough[from], reply.Through)
 	e.usage.acknowledged = max(e.usage.acknowledged, reply.Closed)
 }
 
@@ -150,16 +150,16 @@
 	e.mu.Unlock()
 	for _, address := range supervisors {
 		if address != e.peers.address {
-			e.tellRecorded(address, recorded)
+			e.sendRecorded(address, recorded)
 		}
 	}
 }
 
-func (e *Exchange) tellRecorded(to netip.AddrPort, recorded map[usage.Window]usage.Counts) {
+func (e *Exchange) sendRecorded(to netip.AddrPort, recorded map[usage.Window]usage.Counts) {
 	for window, counts := range recorded {
 		if len(counts) <= maxGathered {
 			recorded := map[usage.Window]usage.Counts{window: counts}
-			e.sendTo(to, Message{Node: e.node, Gathered: &gatheredForm{Recorded: recorded}})
+			e.sendTo(to, Message{Node: e.node, Gathered: &wireGathered{Recorded: recorded}})
 		}
 	}
 }
@@ -176,22 +176,22 @@
 	}
 }
 
-// tellGathered answers another supervisor.
-func (e *Exchange) tellGathered(to netip.AddrPort, after usage.Window) {
+// sendGathered answers another supervisor.
+func (e *Exchange) sendGathered(to netip.AddrPort, after usage.Window) {
 	if e.usage == nil {
 		return
 	}
-	e.tellRecorded(to, e.usage.collector.Recorded(after))
+	e.sendRecorded(to, e.usage.collector.Recorded(after))
 	for node, entries := range e.usage.collector.EntriesAfter(after) {
 		for len(entries) > 0 {
 			count := min(len(entries), maxGathered)
-			e.sendTo(to, Message{Node: e.node, Gathered: &gatheredForm{Node: node, Counts: renderCounts(entries[:count])}})
+			e.sendTo(to, Message{Node: e.node, Gathered: &wireGathered{Node: node, Counts: renderCounts(entries[:count])}})
 			entries = entries[count:]
 		}
 	}
 }
 
-func (e *Exchange) takeGathered(gathered gatheredForm) {
+func (e *Exchange) receiveGathered(gathered wireGathered) {
 	switch {
 	case e.usage == nil:
 	case gathered.Recorded != nil:
@@ -210,7 +210,7 @@
 	for _, known := range e.peers.peers {
 		heard := known.heard
 		if heard.IsZero() {
-			heard = e.begun
+			heard = e.started
 		}
 		members = append(members, usage.Member{Node: known.node, Silent: now.Sub(heard)})
 	}
