--- a/internal/nodeexchange/ask.go
+++ b/internal/nodeexchange/ask.go
@@ -11,26 +11,27 @@
 	"github.com/tinarch/tinarch/internal/scheduling"
 )
 
-// askTimeout is how long the answers to a question are waited for, besides the way to
-// another region and back: several times the way between two zones and back, and a fiftieth
-// of the shortest objectives of prompts.
+// askTimeout is how long this node waits for the answers to a question, in addition to the
+// round trip to another region. It is several times the round trip between two zones, and a
+// fiftieth of the shortest prompt objectives.
 const askTimeout = 15 * time.Millisecond
 
-// fullAnswerTimeout is how long all answers are waited for, and not half of them: small machines
-// answer late now and then, and the choice among some is nearly as good.
+// fullAnswerTimeout is how long this node waits for all answers. After it, half of them are
+// enough: small machines occasionally answer late, and the choice among fewer workers is nearly
+// as good.
 const fullAnswerTimeout = 5 * time.Millisecond
 
-// question asks a node for the accounts that it keeps of workers, and for the workers that
-// keep the content of the request where it is to know them.
+// question asks a node for load reports on workers whose load it tracks, and for the workers
+// that hold the content of the request, if the node is a home of that content.
 type question struct {
 	ID      uint64   `json:"i"`
 	Workers []string `json:"w,omitempty"`
 	Content bool     `json:"c,omitempty"`
-	// Parts are those of the request's prompt, as in a read.
+	// Parts are the parts of the request's prompt, encoded as in a cache update.
 	Parts []string `json:"p,omitempty"`
 	Rank  int      `json:"r,omitempty"`
-	// Sent is when the question left, on the asking node's clock in microseconds; the reply
-	// repeats it, so that the way to another region is measured.
+	// Sent is when the question was sent, in microseconds on the asking node's clock. The reply
+	// repeats it, so that the asking node can measure the round trip to another region.
 	Sent int64 `json:"t,omitempty"`
 }
 
@@ -38,21 +39,21 @@
 type reply struct {
 	ID      uint64                    `json:"i"`
 	Reports map[string]wireLoadReport `json:"w,omitempty"`
-	// Holders are workers that keep the content, as in Message.Contents.
+	// Holders are workers that hold the content, encoded as in Message.Contents.
 	Holders []string `json:"c,omitempty"`
 	Sent    int64    `json:"t,omitempty"`
-	// Limits are what workers have said of the requests that they take.
+	// Limits are the request limits that workers have stated.
 	Limits map[string]wireLimit `json:"lm,omitempty"`
-	// Draining are workers that have announced their end.
+	// Draining are workers that have announced that they are about to end.
 	Draining []string `json:"dw,omitempty"`
 }
 
-// wireLoadReport is a scheduling.Account in whole numbers: requests, tokens to read, those
-// ahead, tokens of memory, tokens kept, flags, thousandths of requests that failed, and
-// tokens to read of late requests.
+// wireLoadReport is a scheduling.LoadReport in whole numbers: requests, tokens to prefill,
+// tokens to prefill ahead of the request, tokens of memory, cached tokens, flags, thousandths
+// of requests that failed, and tokens to prefill of late requests.
 type wireLoadReport [8]int
 
-// The flags of an account.
+// The flags of a load report.
 const (
 	flagChanging = 1 << iota
 	flagAvoid
@@ -60,7 +61,7 @@
 	flagLeaving
 )
 
-// perMille is the fineness of a rate.
+// perMille is the number of units of a failure rate.
 const perMille = 1000
 
 func renderLoadReport(account scheduling.LoadReport) wireLoadReport {
@@ -91,19 +92,19 @@
 	}
 }
 
-// pendingQuestion is a question whose answers are awaited.
+// pendingQuestion is a question that waits for answers.
 type pendingQuestion struct {
-	// asked are the nodes that haven't answered.
+	// asked are the nodes that haven't answered yet.
 	asked   map[netip.AddrPort]bool
 	reports map[string]scheduling.LoadReport
 	holders []scheduling.Holder
 	done    chan struct{}
-	// extraWait is for how much longer than usual answers are waited for, since some come
-	// from another region.
+	// extraWait is how much longer than usual to wait for answers, since some come from another
+	// region.
 	extraWait time.Duration
 }
 
-// Kept reports for each worker whether this node itself keeps its account.
+// Kept reports for each worker whether this node tracks its load.
 func (e *Exchange) Kept(workers []string) []bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,16 +115,16 @@
 	return kept
 }
 
-// trackedEngines are the engines whose accounts this node keeps, as of a generation of the nodes
-// and one of the workers.
+// trackedEngines are the engines whose load this node tracks. The result is valid for one
+// generation of the nodes and one of the workers.
 type trackedEngines struct {
 	nodes, workers uint64
 	engines        map[string]bool
 }
 
-// Keeping returns the engines whose accounts this node keeps, and false where that isn't
-// worth telling apart: it keeps those of all workers, or which nodes keep them depends on
-// regions. Callers must not change what it returns.
+// Keeping returns the engines whose load this node tracks. It returns false where a node tracks
+// all workers, or where the homes of a worker depend on its region, so that the caller gains
+// nothing from the list. Callers must not modify the result.
 func (e *Exchange) Keeping() (engines map[string]bool, some bool) {
 	workers := e.registry.Generation()
 	e.mu.Lock()
@@ -144,9 +145,9 @@
 	return engines, true
 }
 
-// Ask asks the nodes that keep the accounts of workers for them, for a request of a rank
-// with a prompt of these parts, and those that know for the workers that keep its content.
-// It returns what came in time.
+// Ask asks the homes of workers for load reports, for a request of the given rank whose prompt
+// has these parts, and the homes of the prompt's content for the workers that hold it. It
+// returns the answers that arrive in time.
 func (e *Exchange) Ask(ctx context.Context, workers []string, parts []prefixcache.Part, rank int) scheduling.Answers {
 	content, _ := scheduling.Content(parts)
 	id, pending, questions := e.prepareQuestions(workers, content)
@@ -165,8 +166,8 @@
 	return e.collectAnswers(id, pending, timedOut)
 }
 
-// awaitAnswers waits until enough answers have come. It reports whether the nodes that
-// have not answered had all the time that a question is given.
+// awaitAnswers waits until enough answers have arrived. It reports whether the nodes that have
+// not answered had the whole askTimeout.
 func (e *Exchange) awaitAnswers(ctx context.Context, pending *pendingQuestion, asked int) (timedOut bool) {
 	timer := time.NewTimer(fullAnswerTimeout + pending.extraWait)
 	defer timer.Stop()
@@ -196,8 +197,8 @@
 	return len(pending.asked)
 }
 
-// prepareQuestions divides workers, and a content if there is one, by the nodes to be asked, and
-// expects their answers.
+// prepareQuestions assigns workers, and the content if there is one, to the nodes to be asked,
+// and registers the question.
 func (e *Exchange) prepareQuestions(workers []string, content uint64) (uint64, *pendingQuestion, map[netip.AddrPort]*question) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -240,8 +241,8 @@
 	return e.lastQuestion, pending, questions
 }
 
-// collectAnswers ends a question. Of the nodes that were silent all the time the answers are
-// not waited for soon again.
+// collectAnswers ends a question. If it timed out, the nodes that haven't answered are
+// suspected, so that later questions don't wait for them for a while.
 func (e *Exchange) collectAnswers(id uint64, pending *pendingQuestion, timedOut bool) scheduling.Answers {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -254,7 +255,7 @@
 	return scheduling.Answers{Reports: maps.Clone(pending.reports), Holders: slices.Clone(pending.holders)}
 }
 
-// answer tells another node what this one knows of workers.
+// answer answers another node's question.
 func (e *Exchange) answer(to netip.AddrPort, asking string, asked question) {
 	parts, err := parseParts(asked.Parts)
 	if err != nil {
@@ -275,8 +276,8 @@
 	e.sendTo(to, Message{Node: e.node, Reply: answered})
 }
 
-// receiveReply hands an answer to the question that waits for it. Later ones show at least
-// that their sender lives.
+// receiveReply passes an answer to the question that waits for it. A later answer still shows
+// that its sender is alive.
 func (e *Exchange) receiveReply(from netip.AddrPort, node string, answered reply) {
 	e.receiveLimits(node, answered.Limits, time.Now())
 	e.receiveDraining(node, answered.Draining, time.Now())
--- a/internal/nodeexchange/contents.go
+++ b/internal/nodeexchange/contents.go
@@ -15,30 +15,32 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// The figures of the index of contents.
+// Bounds of the index of contents. A content is a prefix that prompts share, identified by a
+// hash.
 const (
-	// contentHomes is the number of nodes that know which workers keep a content: the
-	// second makes up for one that is lost or doesn't answer.
+	// contentHomes is the number of nodes that index the holders of a content. The second one
+	// stands in for a first one that is lost or doesn't answer.
 	contentHomes = 2
-	// holderLife is how long after it read a content a worker is taken to keep it. Engines'
-	// memories turned over in 10 to 18 s on the shifted work (docs/design/shifted-work.md);
-	// where it is too long a fetch brings less than was expected.
+	// holderLife is for how long after it prefilled a content a worker is assumed to hold it.
+	// Engines' KV caches turned over in 10 to 18 s under the shifted workload
+	// (docs/design/shifted-work.md). If holderLife is too long, a fetch of the content brings
+	// less than expected.
 	holderLife = 12 * time.Second
-	// maxHolders is how many workers of a content are known: the newest.
+	// maxHolders is how many holders of a content are remembered: the newest ones.
 	maxHolders = 4
-	// minListParts is the number of parts from which a read is a list of all that a worker
-	// keeps, and no prompt (worker.Listed).
+	// minListParts is the number of parts from which a cache update is taken for the list of
+	// all that a worker has cached (worker.Registry.ObserveCacheList) rather than for a prompt.
 	minListParts = 8
 )
 
-// contentRecord tells that a worker keeps a content.
+// contentRecord records that a worker holds a content.
 type contentRecord struct {
 	content uint64
 	holder  scheduling.Holder
 }
 
-// contentRecordOf names what a prompt shares with others, false where that is too little to be
-// looked for.
+// contentRecordOf returns the content that a cache update adds, or false if the update is a
+// full list or shares too few tokens to be worth looking up.
 func contentRecordOf(read worker.CacheUpdate) (contentRecord, bool) {
 	if len(read.Parts) < 2 || len(read.Parts) >= minListParts {
 		return contentRecord{}, false
@@ -64,7 +66,8 @@
 	return contentRecord{content: content, holder: scheduling.Holder{Worker: fields[1], Tokens: tokens}}, nil
 }
 
-// contentIndex knows which workers keep which contents. It is pure: time is an argument.
+// contentIndex maps contents to the workers that hold them. It doesn't read the clock: callers
+// pass the time.
 type contentIndex struct {
 	holders map[uint64][]timedHolder
 	pruned  time.Time
@@ -77,7 +80,7 @@
 
 func newContentIndex() *contentIndex { return &contentIndex{holders: make(map[uint64][]timedHolder)} }
 
-// add records that a worker has read a content.
+// add records that a worker has prefilled a content.
 func (c *contentIndex) add(kept contentRecord, now time.Time) {
 	c.prune(now)
 	known := slices.DeleteFunc(c.holders[kept.content], func(held timedHolder) bool { return held.Worker == kept.holder.Worker })
@@ -88,7 +91,7 @@
 	c.holders[kept.content] = known
 }
 
-// of returns the workers that keep a content, the newest first.
+// of returns the workers that hold a content, the newest first.
 func (c *contentIndex) of(content uint64, now time.Time) []scheduling.Holder {
 	var holders []scheduling.Holder
 	for _, held := range slices.Backward(c.holders[content]) {
@@ -99,7 +102,7 @@
 	return holders
 }
 
-// prune forgets what is old.
+// prune removes expired contents.
 func (c *contentIndex) prune(now time.Time) {
 	if now.Sub(c.pruned) < holderLife {
 		return
@@ -110,14 +113,14 @@
 	})
 }
 
-// homesOfContent returns the nodes that know who keeps a content in a region: what
-// another region keeps is slow to move.
+// homesOfContent returns the nodes of a region that index the holders of a content. Each region
+// has its own index, since fetching a content from another region is slow.
 func (s *peerSet) homesOfContent(content uint64, region string) []netip.AddrPort {
 	return rendezvous.Top(s.inRegion(region), s.hashOf, content, contentHomes)
 }
 
-// homeOfContent returns the node to be asked for a content in a region, or tells that
-// this one knows itself.
+// homeOfContent returns the node to be asked for the holders of a content in a region. here
+// reports that this node is a home of the content itself.
 func (s *peerSet) homeOfContent(content uint64, region string, now time.Time) (home netip.AddrPort, here bool) {
 	for _, address := range s.homesOfContent(content, region) {
 		if address == s.address {
@@ -130,8 +133,8 @@
 	return home, false
 }
 
-// sendContents tells the nodes that are to know it which contents were read where. In a
-// fleet in which each node knows all caches nobody need be told.
+// sendContents tells the homes of contents which workers have prefilled them. A small fleet
+// doesn't need this, since every node knows the caches of all workers.
 func (e *Exchange) sendContents(reads []worker.CacheUpdate, now time.Time) {
 	told := make(map[netip.AddrPort][]string)
 	e.mu.Lock()
@@ -156,7 +159,7 @@
 	}
 }
 
-// receiveContents records what other nodes tell of contents.
+// receiveContents records the contents that another node reports.
 func (e *Exchange) receiveContents(from netip.AddrPort, contents []string) {
 	now := time.Now()
 	for _, text := range contents {
@@ -171,7 +174,8 @@
 	}
 }
 
-// holdersOf answers a question for a content, and addHolders reads the answer.
+// holdersOf returns the encoded holders of a content, for the answer to a question. addHolders
+// decodes them.
 func (e *Exchange) holdersOf(content uint64) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/nodeexchange/departed.go
+++ b/internal/nodeexchange/departed.go
@@ -8,38 +8,40 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The figures of nodes that are gone for good.
+// Times and bounds of the removal of nodes that are gone for good.
 const (
-	// departedAfter is how long a node must have been silent to be taken for gone for good:
-	// longer than machines are dark, frozen or cut off on the users' days (up to half a
-	// minute), since all that it kept then moves to other nodes.
+	// departedAfter is how long a node must have been silent to count as gone for good. It is
+	// longer than machines are powered off, frozen or cut off in the users' scenarios (up to
+	// half a minute), since removing a node moves all that it tracked to other nodes.
 	departedAfter = time.Minute
-	// maxCheckGap is the time between two looks for them, three times that at which they
-	// are due (serving.pruneEvery), from which on a supervisor takes itself to have been
-	// stopped: it heard nobody meanwhile.
+	// maxCheckGap is the longest time between two checks for silent nodes, three times the
+	// interval of the checks (serving.pruneEvery). After a longer gap a supervisor assumes that
+	// its own process was stopped, so that it missed the messages of all nodes.
 	maxCheckGap = 30 * time.Second
-	// departedNotices is how often the other nodes are told of one, since datagrams may be
-	// lost.
+	// departedNotices is how often the other nodes are told of a departed one, since datagrams
+	// may be lost.
 	departedNotices = 3
-	// maxDropped bounds the nodes that a supervisor remembers to have dropped.
+	// maxDropped bounds the dropped nodes that a supervisor remembers.
 	maxDropped = 1000
 )
 
-// silenceMonitor keeps track of silence at a supervisor, which all nodes tell of themselves at rest.
+// silenceMonitor keeps track of silent nodes on a supervisor, to which all nodes report.
 type silenceMonitor struct {
-	// since is when this node became a supervisor, or went on after a stop, zero while it
-	// isn't one: before, it didn't hear all nodes.
+	// since is when this node became a supervisor or resumed after a stop, or zero while it
+	// isn't a supervisor. Before that time it didn't hear from all nodes.
 	since time.Time
-	// lastCheck is when it last lastCheck for silent nodes.
+	// lastCheck is when the node last checked for silent nodes.
 	lastCheck time.Time
-	// dropped are the peers that were dropped as gone, and how often that is still told.
+	// dropped holds the peers that were dropped as gone for good, each with the number of times
+	// that the other nodes are still to be told of it.
 	dropped map[netip.AddrPort]int
 }
 
 func newSilenceMonitor() silenceMonitor { return silenceMonitor{dropped: make(map[netip.AddrPort]int)} }
 
-// remember notes that a peer was dropped, and how often that is to be told. Where too many
-// are remembered another one is forgotten: should it come back, the store's list lacks it.
+// remember records that a peer was dropped and how often the other nodes are to be told of it.
+// If there are too many, it forgets another one, which is harmless: should that node come back,
+// it isn't in the store's list either.
 func (w *silenceMonitor) remember(address netip.AddrPort, times int) {
 	if len(w.dropped) >= maxDropped {
 		for other := range w.dropped {
@@ -50,7 +52,7 @@
 	w.dropped[address] = times
 }
 
-// check notes since when this node supervises.
+// check records since when this node has been a supervisor without interruption.
 func (w *silenceMonitor) check(supervises bool, now time.Time) {
 	switch {
 	case !supervises:
@@ -61,9 +63,9 @@
 	w.lastCheck = now
 }
 
-// departed lists the peers that a supervisor hasn't heard for so long that they seem to be
-// gone for good. There are none while it hears less than half of all nodes: then it may be
-// this one that is cut off.
+// departed returns the peers that a supervisor has not heard for so long that they count as
+// gone for good. It returns none while the supervisor hears from at most half of all nodes:
+// then it may be this node that is cut off.
 func (s *peerSet) departed(w *silenceMonitor, now time.Time) []netip.AddrPort {
 	if w.since.IsZero() {
 		return nil
@@ -89,7 +91,7 @@
 	return gone
 }
 
-// drop forgets a peer, unless it was heard lately. It reports whether it was known.
+// drop removes a peer unless it was heard recently. It reports whether it removed one.
 func (s *peerSet) drop(address netip.AddrPort, now time.Time) bool {
 	known, exists := s.peers[address]
 	if !exists || known.present && now.Sub(known.heard) <= s.presenceTimeout(address) {
@@ -99,15 +101,15 @@
 	return true
 }
 
-// greetAll has all peers told of this node anew.
+// greetAll lets this node greet all peers again.
 func (s *peerSet) greetAll() {
 	for _, known := range s.peers {
 		known.greetings = greetings
 	}
 }
 
-// DepartedPeers lists the addresses of nodes that seem to be gone for good, where this node is
-// the one to act on it. It is called at intervals.
+// DepartedPeers returns the addresses of nodes that count as gone for good, if this node is the
+// designated supervisor, which is to remove them. It must be called at regular intervals.
 func (e *Exchange) DepartedPeers(now time.Time) []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,10 +120,10 @@
 	return e.peers.departed(&e.silenceMonitor, now)
 }
 
-// DropPeers forgets nodes whose rows are gone from the store's list, and tells the other nodes
-// to, as well as of those before that were not told often enough. The nodes are told
-// themselves too: one that lives, and can't make itself heard here or was heard again
-// meanwhile, must be listed again.
+// DropPeers removes nodes whose rows were deleted from the store's list, and tells the other
+// nodes to do the same, also for nodes removed before of which they have not been told often
+// enough. It tells the removed nodes too: one that is alive, but can't reach this node or was
+// heard again in the meantime, must write its row again.
 func (e *Exchange) DropPeers(gone []netip.AddrPort, now time.Time) {
 	var told, heardAgain []netip.AddrPort
 	e.mu.Lock()
@@ -147,8 +149,8 @@
 	}
 }
 
-// receiveDeparted forgets nodes that are gone for good. A node that is itself taken for one was
-// cut off for long: it announces itself again.
+// receiveDeparted removes nodes that are gone for good. If this node itself was declared gone,
+// it was cut off for a long time and announces itself again.
 func (e *Exchange) receiveDeparted(message Message, now time.Time) {
 	var dropped []string
 	e.mu.Lock()
@@ -175,7 +177,8 @@
 	}
 }
 
-// notifyReturned tells a node that was dropped, and is heard again, that it isn't listed any more.
+// notifyReturned tells a node that was dropped and is heard again that it isn't listed any
+// more.
 func (e *Exchange) notifyReturned(from netip.AddrPort) {
 	e.mu.Lock()
 	_, dropped := e.silenceMonitor.dropped[from]
@@ -186,5 +189,6 @@
 	}
 }
 
-// Unlisted gives a token when this node must write its row in the store's list anew.
+// Unlisted returns a channel that receives a token when this node must write its row in the
+// store's list again.
 func (e *Exchange) Unlisted() <-chan struct{} { return e.unlisted }
--- a/internal/nodeexchange/detour.go
+++ b/internal/nodeexchange/detour.go
@@ -10,24 +10,25 @@
 	"github.com/tinarch/tinarch/internal/usage"
 )
 
-// UsageStore is where a node writes its tally that reaches no supervisor.
+// UsageStore is where a node writes usage counts that no supervisor has acknowledged.
 type UsageStore interface {
-	// Put writes a row of this project's own, and Remove takes it away.
+	// Put writes a row of one of this project's own tables, and Remove deletes it.
 	Put(ctx context.Context, table, key string, value []byte) error
 	Remove(ctx context.Context, table, key string) error
 }
 
 const (
-	// storeUsageAfter is how long after a window's end a supervisor's word is awaited before
-	// the window is written to the store: two messages at rest.
+	// storeUsageAfter is how long after the end of a window this node waits for a supervisor's
+	// acknowledgement before it writes the window to the store: two periodic messages.
 	storeUsageAfter = 1100 * time.Millisecond
-	// storeUsageInterval is the time between two looks, and detourTimeout bounds a call.
+	// storeUsageInterval is the time between two checks, and storeUsageTimeout bounds a call to
+	// the store.
 	storeUsageInterval = 500 * time.Millisecond
 	storeUsageTimeout  = time.Second
 )
 
-// StoreUnacknowledgedUsage writes closed windows that no supervisor has acknowledged to the store, until
-// ctx ends: this node may be cut off from the others and not from the store.
+// StoreUnacknowledgedUsage writes closed windows that no supervisor has acknowledged to the
+// store, until ctx ends: this node may be cut off from the other nodes but not from the store.
 func (e *Exchange) StoreUnacknowledgedUsage(ctx context.Context, name string, store UsageStore) {
 	ticker := time.NewTicker(storeUsageInterval)
 	defer ticker.Stop()
@@ -54,8 +55,8 @@
 	}
 }
 
-// storedUsageWindows is for how many windows a row stays in the store after a supervisor has all:
-// it is read when they are recorded.
+// storedUsageWindows is for how many windows a row stays in the store after a supervisor has
+// acknowledged everything, since the row is read when the windows are recorded.
 const storedUsageWindows = 3
 
 func (e *Exchange) writeUsage(ctx context.Context, name string, store UsageStore, after, through usage.Window) bool {
--- a/internal/nodeexchange/digest.go
+++ b/internal/nodeexchange/digest.go
@@ -1,9 +1,13 @@
-// Package digest exchanges between nodes what each has placed on the workers, so
-// that every node places with the load of all. Each worker has homes, the nodes that keep
-// its account: all others tell them what they place there, and ask them before they place
-// more. In a small fleet each node is a home of every worker, and nobody need ask.
-// Messages are JSON datagrams: a lost one is made up for by the next, since each holds
-// all that its sender has placed on the receiver's workers.
+// Package nodeexchange carries the messages that nodes send each other over UDP, so that every
+// node schedules requests by the load that all nodes have placed on the workers. Each worker
+// has homes: the nodes that track its load, chosen by rendezvous hashing. The other nodes
+// report to the homes what they have placed on the worker, and ask them before they place more.
+// In a small fleet every node is a home of every worker, and no node needs to ask.
+//
+// A load message, also called a digest, is a JSON datagram with all that its sender has placed
+// on the receiver's workers, so that the next one makes up for one that is lost. The same
+// datagrams carry broadcasts about tables of the store, the accounting of quotas and usage, and
+// suspect requests.
 package nodeexchange
 
 import (
@@ -22,91 +26,97 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// Message is one datagram. Names are short because bytes between zones are dear.
+// Message is one datagram. The JSON names are short because traffic between zones is billed by
+// the byte.
 type Message struct {
 	// Node is the sender's incarnation.
 	Node string `json:"n"`
-	// Sequence rises with each message of an incarnation; words and news have numbers of
-	// their own.
+	// Sequence increases with each message of an incarnation. Broadcasts (announcements, news
+	// and others) are numbered separately.
 	Sequence uint64 `json:"s"`
-	// Loads holds, by worker: requests, memory tokens, and tokens to be read by rank,
-	// without the zeros at the end.
+	// Loads holds for each worker the number of requests, memory tokens, and tokens still to be
+	// prefilled by rank, without trailing zeros.
 	Loads map[string][]int `json:"l,omitempty"`
-	// CacheUpdates hold "worker part:tokens part:tokens …", parts in hexadecimal.
+	// CacheUpdates hold "worker part:tokens part:tokens …": prompt parts that a worker has in
+	// its KV cache now, with their IDs in hexadecimal.
 	CacheUpdates []string `json:"r,omitempty"`
-	// Failures are workers that failed.
+	// Failures are workers that failed requests of the sender, once for each failure.
 	Failures []string `json:"f,omitempty"`
-	// StageChanges hold, by worker, for how many milliseconds a change of its stage may be
-	// under way, negative for a change to decode.
+	// StageChanges hold for each worker for how many milliseconds a change of its stage may
+	// still be in progress, negative for a change to decode.
 	StageChanges map[string]int64 `json:"o,omitempty"`
-	// Limits hold, by worker, what it said to the sender of the requests that it takes.
+	// Limits hold for each worker the request limit that it stated to the sender.
 	Limits map[string]wireLimit `json:"lm,omitempty"`
-	// Draining are workers that told the sender of their end lately.
+	// Draining are workers that recently announced to the sender that they are about to end.
 	Draining []string `json:"dw,omitempty"`
-	// Turns asks for, answers or reports requests to workers that take no more than so many a
-	// second; such a message holds nothing else.
+	// Turns requests, answers or reports turns at workers that limit their requests per second.
+	// Such a message holds nothing else.
 	Turns *quotaMessage `json:"tn,omitempty"`
-	// Demand holds, by service, what the sender's callers want: tokens of prompts to be
-	// read in a second, thousandths of requests that run, and their tokens of memory.
+	// Demand holds for each service what the sender's callers want: prompt tokens to be
+	// prefilled per second, thousandths of running requests, and their tokens of memory.
 	Demand map[string]wireDemand `json:"d,omitempty"`
-	// RegionDemand holds the same by region, in a deployment in several.
+	// RegionDemand holds the demand of each region, in a deployment of several regions.
 	RegionDemand map[string]map[string]wireDemand `json:"dr,omitempty"`
 	// WantMemory asks the receiver for what it has learned of these workers.
 	WantMemory []string `json:"b,omitempty"`
-	// Memory tells that Reads and Paces are an answer to that, and Told of which workers
-	// all was told.
+	// Memory marks an answer to WantMemory, with CacheUpdates and Paces. MemoryComplete lists
+	// the workers for which the answer is complete.
 	Memory         bool     `json:"m,omitempty"`
 	MemoryComplete []string `json:"e,omitempty"`
-	// Paces are learned reading paces.
+	// Paces are the prefill throughputs learned of workers.
 	Paces []worker.Pace `json:"p,omitempty"`
-	// Zone is the sender's, told at rest only.
+	// Zone is the sender's zone. It is set in periodic messages only.
 	Zone string `json:"z,omitempty"`
-	// Words are on the tables of the store; such a message holds nothing else.
+	// Words are announcements about tables of the store. Such a message holds nothing else.
 	Words []tablerelay.Announcement `json:"t,omitempty"`
-	// CreatedMillis is when the maker of words made the message, in milliseconds of its clock since boot.
+	// CreatedMillis is when the originator created the announcements, in milliseconds of its
+	// CLOCK_BOOTTIME.
 	CreatedMillis int64 `json:"tm,omitempty"`
-	// WantWords asks the receiver for its words.
+	// WantWords asks the receiver for the announcements that it knows.
 	WantWords bool `json:"u,omitempty"`
-	// News are changes of a table, packed; such a message holds nothing else.
+	// News are changes of a table, compressed. Such a message holds nothing else.
 	News []byte `json:"w,omitempty"`
-	// Relayed tells that words or news were passed on by the sender, Across that the
-	// receiver is to pass them on in its region, and InZone that it is to in its zone, also
-	// where it knows nodes which it takes for the zone's heads.
+	// Relayed marks a broadcast that doesn't come from its originator. RelayInRegion tells the
+	// receiver to relay the broadcast in its region, and RelayInZone to relay it in its zone,
+	// even if the receiver doesn't count itself among the heads of the zone.
 	Relayed       bool `json:"y,omitempty"`
 	RelayInRegion bool `json:"yr,omitempty"`
 	RelayInZone   bool `json:"yz,omitempty"`
-	// RelayGroups is the number of groups of the zone's nodes where the receiver is to pass the
-	// message on in its own, zero where it isn't.
+	// RelayGroups is the number of groups into which the nodes of the zone are divided, if the
+	// receiver is to relay the message in its group, or else zero.
 	RelayGroups int `json:"yg,omitempty"`
-	// Contents hold "content worker tokens": what workers keep that others may share.
+	// Contents hold "content worker tokens": shared prefixes that workers have in their KV
+	// caches.
 	Contents []string `json:"c,omitempty"`
-	// Question asks for accounts of workers, and Reply answers that.
+	// Question asks for load reports on workers, and Reply answers it.
 	Question *question `json:"q,omitempty"`
 	Reply    *reply    `json:"v,omitempty"`
-	// Usage tells what the sender has counted, UsageReply what arrived of it. WantUsage asks
-	// a supervisor for what it has gathered after a window, and Gathered is a part of that.
+	// Usage reports what the sender has counted, and UsageReply acknowledges it. WantUsage asks
+	// a supervisor for what it has gathered after a window, and Gathered is a part of the
+	// answer.
 	Usage      *wireUsage    `json:"g,omitempty"`
 	UsageReply *usageReply   `json:"h,omitempty"`
 	WantUsage  usage.Window  `json:"j,omitempty"`
 	Gathered   *wireGathered `json:"k,omitempty"`
-	// Departed are nodes that are gone for good; such a message holds nothing else.
+	// Departed are nodes that are gone for good. Such a message holds nothing else.
 	Departed []netip.AddrPort `json:"dp,omitempty"`
-	// Quota asks for, answers or reports the use of tenants' quotas; such a message holds
+	// Quota requests, answers or reports charges to tenants' quotas. Such a message holds
 	// nothing else.
 	Quota *quotaMessage `json:"i,omitempty"`
-	// Suspects are requests under which workers ended; such a message holds nothing else.
+	// Suspects are requests during which workers ended. Such a message holds nothing else.
 	Suspects []quarantine.Record `json:"sp,omitempty"`
-	// SteppedBack tells that the sender can't give orders, whatever its incarnation.
+	// SteppedBack tells that the sender can't give orders, so that it isn't designated even if
+	// it has the lowest incarnation.
 	SteppedBack bool `json:"a,omitempty"`
-	// Leaving tells that the sender stops.
+	// Leaving tells that the sender shuts down.
 	Leaving bool `json:"x,omitempty"`
 }
 
-// wireDemand is a worker.Demand in whole numbers: read tokens, thousandths of
-// requests, tokens of memory.
+// wireDemand is a worker.Demand in whole numbers: prompt tokens to be prefilled per second,
+// requests in units of 1/requestUnits, and tokens of memory.
 type wireDemand [3]int
 
-// requestUnits is the fineness of the requests in a demand.
+// requestUnits is the number of units of a request in a wireDemand.
 const requestUnits = 1000
 
 func renderDemand(demands map[string]worker.Demand) map[string]wireDemand {
@@ -157,7 +167,7 @@
 
 const partBase = 16
 
-// newMessage renders a snapshot into a message.
+// newMessage adds a snapshot to a message.
 func newMessage(message Message, snapshot worker.Snapshot) Message {
 	message.Failures = snapshot.Failures
 	message.Demand, message.RegionDemand = renderDemand(snapshot.Demand), renderRegions(snapshot.RegionDemand)
@@ -199,8 +209,8 @@
 	return figures
 }
 
-// parseLoad reads a load. Figures past the last rank, which only a later version
-// would send, count as the last rank.
+// parseLoad decodes a load. Values past the last rank, which only a later version would send,
+// are added to the last rank.
 func parseLoad(figures []int) worker.Load {
 	var load worker.Load
 	for i, figure := range figures {
@@ -228,7 +238,7 @@
 	return rendered
 }
 
-// snapshot reads a message.
+// snapshot decodes the snapshot in a message.
 func (m Message) snapshot() (worker.Snapshot, error) {
 	snapshot := worker.Snapshot{
 		Loads: make(map[string]worker.Load, len(m.Loads)), Failures: m.Failures,
--- a/internal/nodeexchange/draining.go
+++ b/internal/nodeexchange/draining.go
@@ -8,11 +8,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// maxDrainingPerMessage bounds the workers in one message: of some 30 bytes each, they stay below
-// maxDatagram.
+// maxDrainingPerMessage bounds the workers in one message: at some 30 bytes each, they stay
+// below maxDatagram.
 const maxDrainingPerMessage = 400
 
-// receiveDraining takes in which workers told another node of their end.
+// receiveDraining records which workers announced to another node that they are about to end.
 func (e *Exchange) receiveDraining(node string, draining []string, now time.Time) {
 	if len(draining) == 0 {
 		return
@@ -22,8 +22,8 @@
 	}
 }
 
-// shareDraining tells a node that is heard for the first time, or again, which of the workers
-// whose accounts it keeps have announced their end.
+// shareDraining tells a node that is heard for the first time, or again after a silence, which
+// of the workers that it is a home of have announced that they are about to end.
 func (e *Exchange) shareDraining(with netip.AddrPort) {
 	draining := e.registry.AnnouncedDraining()
 	e.mu.Lock()
--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -16,86 +16,91 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// The figures of the exchange.
+// Intervals and bounds of the exchange.
 const (
-	// minSendInterval is the least time between two messages: what is told later is placed on
-	// unseen (docs/design/decisions.md, round 12).
+	// minSendInterval is the shortest time between two load messages. The longer it is, the
+	// more requests other nodes place without knowing of this node's load
+	// (docs/design/decisions.md, round 12).
 	minSendInterval = 25 * time.Millisecond
-	// periodicInterval is the time between two messages when nothing changes: to the homes of the
-	// workers on which this node has load, and among supervisors.
+	// periodicInterval is the time between two periodic messages, which are sent even if
+	// nothing changes: to the homes of the workers on which this node has load, and among
+	// supervisors.
 	periodicInterval = 500 * time.Millisecond
-	// fullRateFleet is the number of nodes up to which each tells the supervisors of itself as
-	// often; beyond, it does so less often, and a supervisor gets no more messages.
+	// fullRateFleet is the largest fleet in which each node reports to the supervisors at every
+	// periodicInterval. In a larger one the interval grows with the number of nodes, so that a
+	// supervisor never receives more messages than from this many nodes.
 	fullRateFleet = 240
-	// demandLifeIntervals is how many of the times between two messages at rest what one of them told
-	// counts: two may be lost.
+	// demandLifeIntervals is for how many report intervals a reported demand counts: two
+	// messages in a row may be lost.
 	demandLifeIntervals = 3
-	// maxDatagram bounds a message.
+	// maxDatagram is the largest message in bytes.
 	maxDatagram = 16 << 10
-	// maxPendingMemory bounds the answers to a start's questions that wait to be looked at.
+	// maxPendingMemory bounds the answers that wait to be processed while this node, which has
+	// just started, asks its peers what they have learned of the workers.
 	maxPendingMemory = 64
 )
 
-// Exchange sends this node's digest to its peers and takes in theirs. It is safe for
+// Exchange sends this node's messages to its peers and processes theirs. It is safe for
 // concurrent use.
 type Exchange struct {
 	node, zone string
 	registry   *worker.Registry
-	// board is nil where no tables are followed.
+	// board is nil where this node follows no tables.
 	board TableCoordinator
-	// contents are those of which this node is to know who keeps them; guarded by mu.
+	// contents indexes which workers hold the contents that this node is a home of; guarded by
+	// mu.
 	contents *contentIndex
-	// usage is nil where nobody's usage is counted; what it holds is guarded by mu.
+	// usage is nil where usage isn't counted. Its fields are guarded by mu.
 	usage *usageExchange
-	// quota is nil where no quotas are kept; it has a lock of its own, which is never taken
-	// together with mu.
+	// quota is nil where there are no quotas. It has its own lock, which is never held together
+	// with mu.
 	quota *quotaExchange
-	// turns is the same for workers that take no more than so many requests a second.
+	// turns does the same for workers that limit their requests per second.
 	turns *quotaExchange
-	// quarantine is nil where no requests are quarantined; it has a lock of its own.
+	// quarantine is nil where no requests are quarantined. It has its own lock.
 	quarantine *quarantine.Manager
 	conn       *net.UDPConn
 	log        *logrus.Logger
-	// started is when this process began to listen.
+	// started is when this exchange was created.
 	started time.Time
 
 	mu    sync.Mutex
 	peers *peerSet
-	// tracked is what Keeping worked out last.
+	// tracked is the last result of Keeping.
 	tracked trackedEngines
-	// asideUntil is until when this node leaves orders to others.
+	// asideUntil is until when this node leaves orders to other nodes.
 	asideUntil time.Time
-	// pendingQuestions are the questions whose answers are awaited.
+	// pendingQuestions are the questions that wait for answers, by ID.
 	pendingQuestions map[uint64]*pendingQuestion
 	lastQuestion     uint64
-	// broadcasts counts the words and news that this node made, and relays are those that it
-	// passed on.
+	// broadcasts counts the broadcasts of this node. relayHistory remembers those that it has
+	// relayed.
 	broadcasts   uint64
 	relayHistory relayHistory
-	// silenceMonitor is what a supervisor notes of silent nodes, and unlisted holds a token where
-	// this node must announce itself again.
+	// silenceMonitor records, on a supervisor, which nodes are silent. unlisted holds a token
+	// while this node must write its row in the store's list again.
 	silenceMonitor silenceMonitor
 	unlisted       chan struct{}
-	// metrics may be nil.
+	// metrics is nil where messages aren't counted.
 	metrics *Metrics
-	// roundTrips are the ways to other regions, by region.
+	// roundTrips are the round-trip times to other regions, by region.
 	roundTrips map[string]*roundTrip
 
-	// memoryComplete are the workers of which peers have memoryComplete all that they keep.
+	// memoryComplete passes on the workers for which a peer's answer to WantMemory is complete.
 	memoryComplete chan []string
 	done           chan struct{}
 
 	// delays is used by the receiving goroutine only.
 	delays delayEstimator
 
-	// outbox, sequence and reported are used by Run's goroutine only; reported is when the
-	// supervisors were told last.
+	// outbox, sequence and lastReport are used by Run's goroutine only. lastReport is when this
+	// node last reported to the supervisors.
 	outbox     outbox
 	sequence   uint64
 	lastReport time.Time
 }
 
-// Listen opens the exchange's port.
+// Listen opens the UDP port of an exchange.
 func Listen(address, node, zone string, registry *worker.Registry, log *logrus.Logger) (*Exchange, error) {
 	bound, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -119,50 +124,53 @@
 	}, nil
 }
 
-// SetTableCoordinator is called before Run.
+// SetTableCoordinator sets where announcements and news about tables are delivered. It must be
+// called before Run.
 func (e *Exchange) SetTableCoordinator(board TableCoordinator) { e.board = board }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has ended.
 func (e *Exchange) Done() <-chan struct{} { return e.done }
 
-// AddPeers adds nodes that the store lists. Others are known from their messages.
+// AddPeers adds the nodes that the store lists. Nodes that it doesn't list yet become known by
+// their messages.
 func (e *Exchange) AddPeers(listed []Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.peers.addFullList(listed)
 }
 
-// Nodes returns how many nodes share the limits: this one, those heard lately, and
-// those that may only be out of reach.
+// Nodes returns the number of nodes among which limits are divided: this one, those heard
+// recently, and silent ones that may only be unreachable.
 func (e *Exchange) Nodes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.nodes()
 }
 
-// Designated reports whether this node is the one that the others expect to give orders.
+// Designated reports whether this node is the supervisor that is to give orders to workers.
 func (e *Exchange) Designated() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.designated(time.Now().Before(e.asideUntil))
 }
 
-// StepBack leaves orders to other nodes for a time, and tells them so.
+// StepBack leaves orders to other nodes for the given time, and tells them so.
 func (e *Exchange) StepBack(span time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.asideUntil = time.Now().Add(span)
 }
 
-// OldestDigest returns the time since the node that is silent for longest told its
-// load, zero where no other node is heard.
+// OldestDigest returns the time since the last load message of the node that has been silent
+// longest, or zero if no other node is present.
 func (e *Exchange) OldestDigest() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.oldest(time.Now())
 }
 
-// Run sends and receives until ctx ends, and then says that the node leaves.
+// Run sends and receives messages until ctx ends, and then tells the peers that this node
+// leaves.
 func (e *Exchange) Run(ctx context.Context) {
 	defer close(e.done)
 	go e.receive()
@@ -176,7 +184,8 @@
 	_ = e.conn.Close()
 }
 
-// send tells what has changed as soon as it may, and all at rest.
+// send sends changes as soon as minSendInterval permits, and everything at each
+// periodicInterval.
 func (e *Exchange) send(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -210,15 +219,15 @@
 	return e.outbox.untilDue(now)
 }
 
-// reportInterval is the time between two messages to the supervisors in a fleet of so many nodes.
+// reportInterval returns the time between two reports of a node to the supervisors, by the size
+// of the fleet.
 func reportInterval(nodes int) time.Duration {
 	return periodicInterval * time.Duration(max(nodes, fullRateFleet)) / fullRateFleet
 }
 
-// sendLoads sends each home of a worker that was touched what this node has placed on the
-// workers of that home; at rest also the homes of all workers that it has placed
-// anything on. Where it reports, it tells the supervisors and those that don't know this
-// node too.
+// sendLoads sends each home of a changed worker what this node has placed on that home's
+// workers. A periodic message goes to the homes of all workers on which this node has placed
+// anything. A report goes to the supervisors too, and to peers that may not know this node.
 func (e *Exchange) sendLoads(now time.Time, atRest, reports bool) {
 	snapshot := e.registry.Snapshot()
 	e.outbox.add(snapshot)
@@ -230,7 +239,7 @@
 		base.Zone = e.zone
 		e.logSilent(now)
 	} else {
-		snapshot.Demand, snapshot.RegionDemand = nil, nil // they change slowly
+		snapshot.Demand, snapshot.RegionDemand = nil, nil // it changes slowly, so that reports suffice
 	}
 	base.SteppedBack = now.Before(e.asideUntil)
 	parcels, supervisors := e.workersByRecipient(snapshot, atRest, reports), e.peers.supervisors()
@@ -239,8 +248,8 @@
 	e.sendContents(snapshot.CacheUpdates, now)
 }
 
-// logSilent logs the nodes that have fallen silent. Only supervisors hear all others all
-// the time.
+// logSilent logs the nodes that have become silent. Only supervisors log them, since only they
+// hear from all nodes.
 func (e *Exchange) logSilent(now time.Time) {
 	lost := e.peers.markSilent(now)
 	if !e.peers.supervises() {
@@ -251,8 +260,8 @@
 	}
 }
 
-// workersByRecipient returns, by the nodes that are to be told something, the workers of which they
-// are to be told.
+// workersByRecipient returns the nodes that are to get a load message, each with the workers
+// that the message is to cover.
 func (e *Exchange) workersByRecipient(snapshot worker.Snapshot, atRest, reports bool) map[netip.AddrPort][]string {
 	subjects := workersIn(snapshot)
 	parcels := make(map[netip.AddrPort][]string)
@@ -284,7 +293,8 @@
 	return parcels
 }
 
-// reportTargets are the nodes that hear of this one whatever it does.
+// reportTargets returns the nodes that get a report whether or not this node has load: the
+// peers to be greeted, the supervisors, and a random peer.
 func (e *Exchange) reportTargets() []netip.AddrPort {
 	targets := append(e.peers.greetTargets(), e.peers.supervisors()...)
 	if any, found := e.peers.randomPeer(); found {
@@ -293,14 +303,15 @@
 	return targets
 }
 
-// datagramKey names a datagram: nodes that are told of the same workers get the same one.
+// datagramKey identifies a datagram: nodes that are told of the same workers get the same one,
+// but only supervisors get the demand by region.
 type datagramKey struct {
 	workers    string
 	supervisor bool
 }
 
-// sendSnapshot sends each node its part of a snapshot. The demand of several regions is long,
-// and only supervisors plan by it.
+// sendSnapshot sends each node its part of a snapshot. Only supervisors get the demand by
+// region, which is long and used for planning only.
 func (e *Exchange) sendSnapshot(parcels map[netip.AddrPort][]string, supervisors []netip.AddrPort, snapshot worker.Snapshot, base Message) {
 	datagrams := make(map[datagramKey][]byte)
 	for address, workers := range parcels {
@@ -318,7 +329,7 @@
 	}
 }
 
-// announceLeaving says that this node leaves.
+// announceLeaving tells the peers that this node shuts down.
 func (e *Exchange) announceLeaving() {
 	e.sendUsage(time.Now())
 	for _, q := range e.quotas() {
@@ -332,7 +343,8 @@
 	e.mu.Unlock()
 	e.sendAll(targets, Message{Node: e.node, Sequence: e.sequence + 1, Leaving: true})
 	if large {
-		// Its row is gone from the list, unless the store could not be reached.
+		// Only the supervisors got the message above. The node's row is already removed from
+		// the store's list, unless the store was unreachable.
 		e.broadcast(Message{Node: e.node, Departed: []netip.AddrPort{e.peers.address}})
 	}
 }
@@ -351,7 +363,8 @@
 	e.write(message.kind(), e.encode(message), address)
 }
 
-// write sends a datagram, which may be lost: what matters is told again at rest.
+// write sends a datagram. Errors are ignored since a datagram may be lost anyway: what matters
+// is sent again in the next periodic message.
 func (e *Exchange) write(kind string, datagram []byte, address netip.AddrPort) {
 	if len(datagram) == 0 {
 		return
@@ -362,7 +375,7 @@
 	}
 }
 
-// encode renders a message, to nothing where it can't be sent.
+// encode encodes a message. It returns nil if the message can't be encoded or is too large.
 func (e *Exchange) encode(message Message) []byte {
 	datagram, err := json.Marshal(message)
 	if err != nil {
@@ -440,7 +453,7 @@
 	}
 }
 
-// receiveLoads merges a digest unless a newer one of its sender was merged before.
+// receiveLoads merges a load message unless a newer one of the same sender was merged before.
 func (e *Exchange) receiveLoads(from netip.AddrPort, message Message) {
 	snapshot, err := message.snapshot()
 	if err != nil {
--- a/internal/nodeexchange/homes.go
+++ b/internal/nodeexchange/homes.go
@@ -9,19 +9,20 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// Which nodes do what is decided by rankings of the nodes, the same at all of them: who keeps
-// the account of a worker, who passes on in a zone, who supervises.
+// All nodes decide by the same rendezvous rankings which of them track the load of a worker,
+// relay messages in a zone, and supervise.
 
 const (
-	// fullTrackingFleet is the number of nodes up to which each keeps account of all workers.
-	// In a larger fleet as many keep a worker's account as keep the messages of all nodes
-	// below what these would send each other.
+	// fullTrackingFleet is the largest fleet in which every node tracks the load of all
+	// workers. In a larger one, a worker has as many homes as keep the messages of all nodes to
+	// them below those that the nodes of a fleet of this size send each other, but at least
+	// minHomes.
 	fullTrackingFleet = 20
-	// minHomes is the fewest nodes that keep a worker's account, so that one may die.
+	// minHomes is the smallest number of homes of a worker: one of them may be lost.
 	minHomes = 2
 )
 
-// homeCount is the number of nodes that keep a worker's account.
+// homeCount returns the number of homes of a worker in a fleet of the given size.
 func homeCount(nodes int) int {
 	if nodes <= fullTrackingFleet {
 		return nodes
@@ -29,9 +30,10 @@
 	return max(fullTrackingFleet*fullTrackingFleet/nodes, minHomes)
 }
 
-// homes returns the nodes that keep the account of a worker, the first to be asked
-// first. They are nodes of its region: a question that crosses regions costs tens of
-// milliseconds. They are as many as in one region of all nodes, since all tell them.
+// homes returns the nodes that track a worker's load, in the order in which they are to be
+// asked. They are nodes of the worker's region, since a question to another region takes tens
+// of milliseconds. Their number depends on the size of the whole fleet, since all nodes report
+// to them.
 func (s *peerSet) homes(worker string) []netip.AddrPort {
 	region := s.homeRegion(worker)
 	if region == "" {
@@ -45,16 +47,16 @@
 	return s.ranked.Rank(subject, near, s.hashesOf(near), homeCount(s.nodes()), s.zoneFilter(""))
 }
 
-// isHome reports whether this node isHome the account of a worker.
+// isHome reports whether this node tracks a worker's load.
 func (s *peerSet) isHome(worker string) bool {
 	return s.nodes() <= fullTrackingFleet || s.mayBeHome(worker) && slices.Contains(s.homes(worker), s.address)
 }
 
-// mayBeHome reports whether this node's weight for a worker is so high that it may be one of
-// those that keep its account. Of nodes whose weights are evenly distributed so many are
-// expected to have a higher one than the bound that not one worker of a thousand million is
-// missed. At 985 nodes one weight tells for 97 of 100 workers, where ranking all nodes for
-// each takes 18 µs: 0.18 s of a core for 10,000 workers, for each change of the nodes.
+// mayBeHome reports whether this node's score for a worker is high enough that it may be one of
+// its homes. The bound is set so that, with evenly distributed scores, the expected number of
+// nodes above it is large enough to miss fewer than one worker in a thousand million. At 985
+// nodes the one score settles 97 of 100 workers, where ranking all nodes takes 18 µs for each
+// worker: 0.18 s of a core for 10,000 workers, after each change of the nodes.
 func (s *peerSet) mayBeHome(worker string) bool {
 	nodes, count := float64(s.nodes()), float64(homeCount(s.nodes()))
 	const surelyHigher, perHome = 20, 2
@@ -66,11 +68,11 @@
 	return rendezvous.Score(rendezvous.Hash(homeSubject(worker)), s.hash) >= bound
 }
 
-// homeSubject names the ranking of the nodes that keep a worker's account.
+// homeSubject returns the subject of the ranking that selects a worker's homes.
 func homeSubject(worker string) string { return "worker " + worker }
 
-// reachableHome returns the node to be asked for a worker's account, false where none of those
-// that keep it answers.
+// reachableHome returns the home to be asked about a worker, or false if all of them are
+// suspected.
 func (s *peerSet) reachableHome(worker string, now time.Time) (netip.AddrPort, bool) {
 	for _, address := range s.homes(worker) {
 		if known, exists := s.peers[address]; exists && !now.Before(known.suspectedUntil) {
@@ -80,12 +82,13 @@
 	return netip.AddrPort{}, false
 }
 
-// heads returns the nodes of a zone that pass on what its other nodes are to hear.
+// heads returns the heads of a zone: the nodes that relay broadcasts to its other nodes.
 func (s *peerSet) heads(zone string) []netip.AddrPort {
 	return s.firstRanked("relay "+zone, minHomes, zone)
 }
 
-// firstRanked ranks the nodes for a subject, those of one zone where it isn't empty.
+// firstRanked returns the first count nodes in the ranking for a subject, among the nodes of a
+// zone, or among all if zone is empty.
 func (s *peerSet) firstRanked(subject string, count int, zone string) []netip.AddrPort {
 	if known, exists := s.ranked.Get(subject); exists {
 		return known
@@ -99,8 +102,8 @@
 	return s.ranked.Rank(subject, near, s.hashesOf(near), count, belongs)
 }
 
-// collectMembers lists all nodes, once after each change of them: to list them for each of 10,000
-// workers made 400 MB of garbage at 985 nodes.
+// collectMembers lists all nodes, once after each change of them: building the list for each of
+// 10,000 workers allocated 400 MB at 985 nodes.
 func (s *peerSet) collectMembers() {
 	if s.members != nil {
 		return
@@ -117,7 +120,8 @@
 	return hashes
 }
 
-// zoneFilter returns the test whether a node is in a zone, or anywhere where that is empty.
+// zoneFilter returns a function that reports whether a node is in a zone. With an empty zone it
+// accepts all nodes.
 func (s *peerSet) zoneFilter(zone string) func(member netip.AddrPort) bool {
 	return func(member netip.AddrPort) bool { return zone == "" || s.zoneOf(member) == zone }
 }
@@ -136,13 +140,13 @@
 	return s.peers[address].hash
 }
 
-// clearRankings has all rankings worked out anew.
+// clearRankings drops all cached rankings, so that they are computed again.
 func (s *peerSet) clearRankings() {
 	s.ranked.Clear()
 	clear(s.regionRankings)
 }
 
-// rankAdded ranks peers that were added.
+// rankAdded updates the rankings after peers were added.
 func (s *peerSet) rankAdded(added []netip.AddrPort) {
 	if len(added) == 0 {
 		return
@@ -151,15 +155,15 @@
 	s.members = nil
 	before := s.nodes() - len(added)
 	if s.places.MultiRegion() || homeCount(before) != homeCount(s.nodes()) {
-		// More than the new ones' own ranking changes: how many are ranked, or whether a
-		// region has nodes of its own.
+		// Not only the positions of the new peers change, but how many nodes are ranked, or
+		// whether a region has nodes of its own.
 		s.clearRankings()
 		return
 	}
 	s.ranked.Join(added, s.hashOf)
 }
 
-// remove forgets a peer.
+// remove removes a peer.
 func (s *peerSet) remove(address netip.AddrPort) {
 	before := homeCount(s.nodes())
 	delete(s.peers, address)
--- a/internal/nodeexchange/listing.go
+++ b/internal/nodeexchange/listing.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// The list of nodes is a table of the store that all nodes follow as they follow the others:
-// in a large fleet nobody greets all others, which would be a million datagrams at a start
-// of a thousand nodes. The order of its rows also is the order in which nodes that start
-// get the tables: each from one that was listed before it.
+// The list of nodes is a table of the store that all nodes follow like the other tables. In a
+// large fleet no node greets all others, which would take a million datagrams when a thousand
+// nodes start. The order of the rows also determines from which nodes a starting node gets the
+// tables: always from nodes that were listed before it.
 
-// The figures of a start.
+// Bounds and times of a node's start.
 const (
-	// sourcesPerZone is the number of nodes of a zone, those listed first, that read tables at
-	// the store: one may be dead.
+	// sourcesPerZone is the number of nodes of each zone that read tables from the store, those
+	// listed first: one of them may be dead.
 	sourcesPerZone = 2
-	// tableFanOut is the number of nodes to which each gives the tables, so that a node
-	// has to wait for few before it while each sends few copies over its link: 200 nodes of
-	// a zone are four deep, 400 five.
+	// tableFanOut is the number of nodes to which each node passes the tables on. A small
+	// number of levels keeps the wait short, and a small fan-out limits the copies that a node
+	// sends over its link: 200 nodes of a zone form four levels, 400 five.
 	tableFanOut = 4
-	// zoneListTimeout is how long a node waits to learn of its neighbours before it goes to the
-	// store.
+	// zoneListTimeout is how long a node waits for the list of its zone's nodes before it reads
+	// tables from the store.
 	zoneListTimeout = 2 * time.Second
-	// maxWithdrawn bounds the nodes that are remembered to have withdrawn.
+	// maxWithdrawn bounds the withdrawn nodes that are remembered.
 	maxWithdrawn = 1000
 )
 
-// listing is what a node knows of the list of nodes beyond its peers.
+// listing is what a node knows of the list of nodes, apart from its peers.
 type listing struct {
-	// ownVersion is the version of this node's row, zero where it wasn't read yet.
+	// ownVersion is the version of this node's row, or zero while it hasn't been read.
 	ownVersion uint64
-	// zoneKnown is closed when the nodes of the own zone are known.
+	// zoneKnown is closed when the nodes of this node's zone are known.
 	zoneKnown chan struct{}
-	// withdrawn are nodes whose rows were taken away, by their incarnation: what they send
-	// while they stop doesn't bring them back.
+	// withdrawn holds the incarnations of nodes whose rows were deleted, by address, so that
+	// messages which they send while they shut down don't add them again.
 	withdrawn map[netip.AddrPort]string
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// AddZonePeers adds the nodes of this node's zone that the store lists, before all nodes are
-// known.
+// AddZonePeers adds the nodes that the store lists for this node's zone, before the whole list
+// has been read.
 func (e *Exchange) AddZonePeers(listed []Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,8 +68,8 @@
 	e.peers.listing.markZoneKnown()
 }
 
-// Large reports whether the fleet is so large that nodes don't greet each other, and no node
-// tells all others by itself.
+// Large reports whether the fleet is so large that nodes don't greet each other and no node
+// sends a broadcast to all others directly.
 func (e *Exchange) Large() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -78,8 +78,8 @@
 
 func (s *peerSet) large() bool { return s.nodes() > maxFanOut }
 
-// ReplacePeers takes over the whole list: peers that it doesn't hold are forgotten, unless
-// they were heard lately.
+// ReplacePeers replaces the peers by a complete list. Peers that it lacks are removed unless
+// they were heard recently.
 func (e *Exchange) ReplacePeers(listed []Peer, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,7 +95,8 @@
 	}
 }
 
-// WithdrawPeers forgets nodes whose rows were taken away: they stop, or are gone for good.
+// WithdrawPeers removes nodes whose rows were deleted, because they shut down or are gone for
+// good.
 func (e *Exchange) WithdrawPeers(addresses []netip.AddrPort) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,8 +113,8 @@
 	}
 }
 
-// Givers returns the nodes to be asked for a whole table, the first first, and none where this
-// node is to read it at the store. It waits until the nodes of its zone are known.
+// Givers returns the nodes to be asked for a whole table, in this order, or none if this node
+// is to read it from the store. It waits until the nodes of its zone are known.
 func (e *Exchange) Givers(ctx context.Context) []netip.AddrPort {
 	e.mu.Lock()
 	near := e.peers.listing.zoneKnown
@@ -130,9 +131,10 @@
 	return e.peers.tableSources()
 }
 
-// ChangeGivers returns the nodes to be asked for changes of a table, the first first. holders
-// are nodes that have told of them; those that are first in the zone ask these, and the others
-// after the nodes of the zone, so that not a whole fleet asks them.
+// ChangeGivers returns the nodes to be asked for changes of a table, in this order. holders are
+// nodes that have announced the changes. Only the nodes that were listed first in the zone ask
+// the holders first; the others ask nodes of their zone before them, so that not the whole
+// fleet asks the holders.
 func (e *Exchange) ChangeGivers(table string, holders []netip.AddrPort) []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -148,15 +150,15 @@
 	return e.peers.others(distinct(slices.Concat(near, holders, givers[1:])))
 }
 
-// Neighbours returns some nodes that may hold a table at the moment, for one that reads it at
-// the store: what the store gives may be older.
+// Neighbours returns some nodes that may have a table already, for a node that is to read it
+// from the store: a read from the store may return an older state.
 func (e *Exchange) Neighbours() []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.neighbours()
 }
 
-// neighbours are the nodes of the zone that were listed first, and one drawn at random.
+// neighbours returns the nodes of the zone that were listed first, and a random peer.
 func (s *peerSet) neighbours() []netip.AddrPort {
 	order := s.listedInZone()
 	near := order[:min(len(order), sourcesPerZone):min(len(order), sourcesPerZone)]
@@ -166,10 +168,10 @@
 	return distinct(near)
 }
 
-// maxAskedHolders is the most nodes that are asked for changes because they have told of them.
+// maxAskedHolders bounds the nodes that are asked for changes because they have announced them.
 const maxAskedHolders = 2
 
-// distinct returns the addresses without those that came before.
+// distinct returns the addresses without duplicates.
 func distinct(addresses []netip.AddrPort) []netip.AddrPort {
 	var kept []netip.AddrPort
 	for _, address := range addresses {
@@ -180,9 +182,9 @@
 	return kept
 }
 
-// tableSources returns the nodes to be asked for a whole table: the parent in the tree of the zone's
-// nodes by the order of their rows, then those at its root and one drawn at random. Nodes at
-// the root ask nobody: would they wait for others, these might wait for them.
+// tableSources returns the nodes to be asked for a whole table: the parent in the tree that the
+// zone's nodes form by the order of their rows, then the nodes at its root, and a random one.
+// Nodes at the root ask nobody: if they waited for other nodes, those might wait for them.
 func (s *peerSet) tableSources() []netip.AddrPort {
 	order := s.listedInZone()
 	before := len(order)
@@ -204,7 +206,8 @@
 	return givers
 }
 
-// storeReaders returns the node that reads a table at the store for all, once all nodes are known.
+// storeReaders returns the node that reads a table from the store for all others, or none
+// before the whole list of nodes is known.
 func (s *peerSet) storeReaders(table string) []netip.AddrPort {
 	if !s.listed {
 		return nil
--- a/internal/nodeexchange/memory.go
+++ b/internal/nodeexchange/memory.go
@@ -10,20 +10,20 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// The figures of a start.
+// Times and bounds of the questions that a node asks when it has just started.
 const (
-	// memoryRoundTimeout is how long a node that has just started waits for the answers of its
-	// peers before it asks others.
+	// memoryRoundTimeout is how long the node waits for answers in one round before it asks
+	// other peers.
 	memoryRoundTimeout = 80 * time.Millisecond
-	// memoryRounds bounds the rounds of questions.
+	// memoryRounds is the largest number of rounds.
 	memoryRounds = 4
-	// partsPerMessage bounds the parts in one datagram of an answer.
+	// partsPerMessage bounds the prompt parts in one datagram of an answer.
 	partsPerMessage = 200
 )
 
-// AskMemory asks the other nodes that keep the accounts of workers for what they have
-// learned of them. It returns the workers of which nothing was told: all nodes may have
-// started just now.
+// AskMemory asks the other homes of workers for what they have learned of them: the contents of
+// their caches and their throughputs. It returns the workers for which no complete answer
+// arrived, which may be all of them if all nodes have just started.
 func (e *Exchange) AskMemory(ctx context.Context, workers []string) []string {
 	untold := make(map[string]bool, len(workers))
 	for _, id := range workers {
@@ -45,8 +45,8 @@
 	return left
 }
 
-// memorySources divides workers by another node that keeps their account, a different one in
-// each round.
+// memorySources assigns each worker to one of its homes other than this node, a different one
+// in each round.
 func (e *Exchange) memorySources(workers map[string]bool, round int) map[netip.AddrPort][]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,8 +63,8 @@
 	return asked
 }
 
-// awaitMemory takes the workers that are told of out of those untold, until none is left
-// or the time is over.
+// awaitMemory removes the workers with complete answers from untold, until none is left or the
+// round ends.
 func (e *Exchange) awaitMemory(ctx context.Context, untold map[string]bool) {
 	timer := time.NewTimer(memoryRoundTimeout)
 	defer timer.Stop()
@@ -82,8 +82,8 @@
 	}
 }
 
-// sendMemory answers a node that has just started: it tells what the workers keep that
-// it knows, and then of which workers it has told all.
+// sendMemory answers a node that has just started. It sends what the workers have cached, and
+// then for which workers the answer is complete.
 func (e *Exchange) sendMemory(to netip.AddrPort, workers []string) {
 	memory, known := e.registry.LearnedState(workers)
 	for _, reads := range splitUpdates(memory.CacheUpdates) {
@@ -92,7 +92,7 @@
 	e.sendTo(to, Message{Node: e.node, Memory: true, Paces: memory.Paces, MemoryComplete: known})
 }
 
-// splitUpdates divides reads so that each message holds few enough parts.
+// splitUpdates splits cache updates so that each message holds at most partsPerMessage parts.
 func splitUpdates(reads []worker.CacheUpdate) [][]worker.CacheUpdate {
 	var messages [][]worker.CacheUpdate
 	for _, read := range reads {
--- a/internal/nodeexchange/metrics.go
+++ b/internal/nodeexchange/metrics.go
@@ -6,13 +6,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics count what the exchange sends, by kind and by how far it goes: within the zone,
-// within the region, or to another one.
+// Metrics count the messages and bytes sent, by kind and by distance: within the zone, within
+// the region, or to another region.
 type Metrics struct {
 	messages, bytes *prometheus.CounterVec
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(registry *prometheus.Registry) *Metrics {
 	labels := []string{"kind", "to"}
 	m := &Metrics{
@@ -27,10 +27,10 @@
 	return m
 }
 
-// SetMetrics is called before Run.
+// SetMetrics sets the metrics. It must be called before Run.
 func (e *Exchange) SetMetrics(metrics *Metrics) { e.metrics = metrics }
 
-// distanceTo tells how far a node is.
+// distanceTo returns the distance to a node, as a label of the metrics.
 func (e *Exchange) distanceTo(address netip.AddrPort) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,7 +63,7 @@
 	kindTurns    = "turns"
 )
 
-// kind names a message in metrics.
+// kind returns the kind of a message, as a label of the metrics.
 func (m Message) kind() string {
 	switch {
 	case m.Question != nil:
--- a/internal/nodeexchange/news.go
+++ b/internal/nodeexchange/news.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// maxNews bounds a message of changes.
+	// maxNews is the largest message of changes in bytes.
 	maxNews = 8 << 10
-	// maxUnpackedNews bounds what such a message may unpack to.
+	// maxUnpackedNews bounds the size of such a message when decompressed.
 	maxUnpackedNews = 1 << 20
 )
 
-// packNews renders changes of a table, compressed: a configuration of fifty routes
-// fits a datagram then.
+// packNews encodes and compresses changes of a table, so that a configuration of fifty routes
+// fits in a datagram.
 func packNews(news tablefeed.News) ([]byte, error) {
 	var packed bytes.Buffer
 	writer := gzip.NewWriter(&packed)
@@ -32,7 +32,7 @@
 	return packed.Bytes(), nil
 }
 
-// unpackNews reads what packNews rendered.
+// unpackNews decodes the result of packNews.
 func unpackNews(packed []byte) (tablefeed.News, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/internal/nodeexchange/outbox.go
+++ b/internal/nodeexchange/outbox.go
@@ -6,31 +6,31 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// maxParts bounds the parts of prompts that one message tells of; what is left over
-// waits for the next.
+// maxParts bounds the prompt parts in one message. The rest waits for the next one.
 const maxParts = 250
 
-// outbox holds what the other nodes are still to be told. It is pure: time is an
-// argument.
+// outbox holds what is still to be sent to other nodes. It doesn't read the clock: callers pass
+// the time.
 type outbox struct {
-	// changed tells that something has changed since the last message.
+	// changed tells whether anything has changed since the last message.
 	changed bool
-	// pending are reads that were not told yet, and toRepeat those that the next
-	// message at rest tells once more, since a datagram may be lost.
+	// pending are cache updates that were not sent yet. toRepeat are those that the next
+	// periodic message sends a second time, since a datagram may be lost.
 	pending, toRepeat []worker.CacheUpdate
-	// failures are told once: telling them twice would count them twice.
+	// failures are sent only once, since the receivers would count a repeated one twice.
 	failures []string
-	// lastSent is when the last message was due, and lastPeriodic when the last one at rest.
+	// lastSent is when the last message was sent, and lastPeriodic when the last periodic one
+	// was.
 	lastSent, lastPeriodic time.Time
 }
 
-// add adds what happened since the last snapshot.
+// add adds what has happened since the last snapshot.
 func (o *outbox) add(snapshot worker.Snapshot) {
 	o.pending = append(o.pending, snapshot.CacheUpdates...)
 	o.failures = append(o.failures, snapshot.Failures...)
 }
 
-// due tells whether a message is to be sent, and whether as one at rest.
+// due reports whether a message is to be sent now, and whether it is a periodic one.
 func (o *outbox) due(now time.Time) (due, atRest bool) {
 	if now.Sub(o.lastPeriodic) >= periodicInterval {
 		return true, true
@@ -38,10 +38,10 @@
 	return o.hasPending() && now.Sub(o.lastSent) >= minSendInterval, false
 }
 
-// hasPending reports whether there is anything to tell.
+// hasPending reports whether there is anything to send before the next periodic message.
 func (o *outbox) hasPending() bool { return o.changed || len(o.pending) > 0 }
 
-// untilDue is the time until a message is due.
+// untilDue returns the time until a message is due.
 func (o *outbox) untilDue(now time.Time) time.Duration {
 	wait := periodicInterval - now.Sub(o.lastPeriodic)
 	if o.hasPending() {
@@ -50,7 +50,7 @@
 	return max(wait, 0)
 }
 
-// next returns the reads and failures of the message that is sent now.
+// next returns the cache updates and failures for the message that is sent now.
 func (o *outbox) next(now time.Time, atRest bool) (reads []worker.CacheUpdate, failures []string) {
 	fresh := o.takePending()
 	reads = fresh
@@ -64,8 +64,8 @@
 	return reads, failures
 }
 
-// takePending takes reads out of those pending until a message is full, and takeRepeated
-// out of those told once.
+// takePending removes cache updates from the pending ones until a message is full. takeRepeated
+// does the same with those to be repeated.
 func (o *outbox) takePending() (fresh []worker.CacheUpdate) {
 	fresh, o.pending = splitBatch(o.pending)
 	return fresh
@@ -76,7 +76,7 @@
 	return repeated
 }
 
-// splitBatch divides reads into as many as a message may tell of, and the rest.
+// splitBatch splits cache updates into those that fit in one message and the rest.
 func splitBatch(reads []worker.CacheUpdate) (taken, left []worker.CacheUpdate) {
 	parts, count := 0, 0
 	for count < len(reads) {
--- a/internal/nodeexchange/peers.go
+++ b/internal/nodeexchange/peers.go
@@ -11,91 +11,93 @@
 	"github.com/tinarch/tinarch/internal/topology"
 )
 
-// The figures of the fleet.
+// Times and numbers of nodes.
 const (
-	// peerTimeout is how long a silent node counts as one that takes requests, in a fleet in
-	// which each tells the supervisors of itself as often as it may: six messages. It is how
-	// long a silent supervisor counts for the others in any fleet.
+	// peerTimeout is how long a silent node counts as present in a fleet in which each node
+	// reports to the supervisors at every periodicInterval: six messages. For the other
+	// supervisors, a silent supervisor counts as present for this long in a fleet of any size.
 	peerTimeout = 3 * time.Second
-	// quotaKeeperCount is the number of nodes that keep the account of a tenant's quota:
-	// one may be replaced while another dies.
+	// quotaKeeperCount is the number of keepers of a quota, the nodes that decide charges to
+	// it: one may be replaced while another one fails.
 	quotaKeeperCount = 3
-	// minSupervisors is the fewest nodes that know what all callers want and may give
-	// orders: all of them dead at a time is to be rarer than a stop of orders matters.
+	// minSupervisors is the smallest number of supervisors, the nodes that know the demand of
+	// all callers and may give orders to workers (changes of their stage). It is chosen so that
+	// the loss of all of them at once is too rare for the resulting stop of orders to matter.
 	minSupervisors = 4
-	// suspicionTime is how long a node that gave no answer isn't asked; it doubles with
-	// each further silence up to maxSuspected.
+	// suspicionTime is for how long a node that didn't answer isn't asked. It doubles with each
+	// further unanswered question up to maxSuspicionTime.
 	suspicionTime    = time.Second
 	maxSuspicionTime = 16 * time.Second
-	// lowestRank is that of a node that doesn't know the others yet.
+	// lowestRank is the rank of a node that doesn't know the other nodes yet.
 	lowestRank = 1 << 20
-	// greetings is how often a node is told of this one's start, since datagrams may be
+	// greetings is how many messages announce this node to a new peer, since datagrams may be
 	// lost.
 	greetings = 2
 )
 
-// Peer is another node, as the store lists it.
+// Peer is another node as the store lists it.
 type Peer struct {
-	// Node is its incarnation.
+	// Node is the incarnation of the node.
 	Node    string
 	Address netip.AddrPort
 	Zone    string
-	// Listed is the version of its row: nodes that were listed earlier give tables to those
-	// that come after them.
+	// Listed is the version of its row. Starting nodes get tables from nodes that were listed
+	// before them.
 	Listed uint64
-	// Unaware tells that it doesn't follow the list of nodes, and has to be told of others.
+	// Unaware tells that the node doesn't follow the list of nodes, so that other nodes must
+	// announce themselves to it.
 	Unaware bool
 }
 
-// peer is what is known of the process at one address.
+// peer is what this node knows of the process at one address.
 type peer struct {
 	node, zone string
 	hash       uint64
 	sequence   uint64
-	// listed is the version of its row in the list of nodes, zero where none was read.
+	// listed is the version of its row in the list of nodes, or zero if no row has been read.
 	listed uint64
-	// heard is when its last message came, zero before the first.
+	// heard is when its last message arrived, or zero before the first one.
 	heard time.Time
-	// present tells that it was heard lately, as of the last look.
+	// present tells that it had been heard recently at the last check.
 	present bool
-	// aside tells that it can't give orders.
+	// aside tells that it has stepped back and can't give orders.
 	aside bool
-	// greetings is how often it is still to be told of this node.
+	// greetings is the number of announcements of this node that it is still to get.
 	greetings int
-	// suspectedUntil is until when it isn't asked, and silences how often it gave no
-	// answer in a row.
+	// suspectedUntil is until when it isn't asked. silences counts its consecutive unanswered
+	// questions.
 	suspectedUntil time.Time
 	silences       int
 }
 
-// peerSet holds the other nodes by address: a process that starts again on its
-// machine has the address of the one before. A peer that falls silent stays, so
-// that nodes that were cut off from each other find each other again. It is pure:
-// time is an argument.
+// peerSet holds the other nodes by address: a process that restarts on its machine has the
+// address of the one before. A peer that becomes silent is kept, so that nodes that were cut
+// off from each other find each other again. A peerSet doesn't read the clock: callers pass the
+// time.
 type peerSet struct {
 	self    string
 	address netip.AddrPort
 	zone    string
 	hash    uint64
 	peers   map[netip.AddrPort]*peer
-	// generation rises whenever a node is added or has left.
+	// generation increases whenever a node is added or removed.
 	generation uint64
-	// listed tells that the store's list of nodes is known: before, this node can't know
-	// its place among them.
+	// listed tells that the store's whole list of nodes is known. Before that, this node can't
+	// know its rank.
 	listed bool
-	// listing is what is known of the list beyond the peers.
+	// listing is what this node knows of the list apart from its peers.
 	listing listing
-	// places are the zones and regions, and regionOfWorker finds the region of a worker; it
-	// is nil until SetPlaces was called.
+	// places maps zones to regions. regionOfWorker returns the region of a worker; it is nil
+	// until SetTopology is called.
 	places         topology.Map
 	regionOfWorker func(worker string) string
-	// ranked holds what was worked out of the members, by subject.
+	// ranked caches the first nodes in the rankings, by subject.
 	ranked rendezvous.Rankings[netip.AddrPort]
-	// members and hashes are this node and all peers, in no order, nil where they have to be
-	// collected anew: each worker's homes are chosen among them.
+	// members and hashes are this node and all peers with their hashes, in no order. They are
+	// nil while they must be collected again. Each worker's homes are chosen among them.
 	members []netip.AddrPort
 	hashes  []uint64
-	// regionRankings holds the first nodes of all regions together, by subject.
+	// regionRankings caches the first nodes of all regions together, by subject.
 	regionRankings map[string][]netip.AddrPort
 }
 
@@ -106,15 +108,15 @@
 	}
 }
 
-// addFullList adds the peers that the store lists, which are all nodes.
+// addFullList adds the peers of the store's whole list of nodes.
 func (s *peerSet) addFullList(listed []Peer) {
 	s.listed = true
 	s.addListed(listed)
 	s.listing.markZoneKnown()
 }
 
-// addListed adds peers that the store lists. In a fleet that isn't large it greets those that
-// are new: they may not have read of this node yet. In a large one all follow the list.
+// addListed adds peers that the store lists. Unless the fleet is large it greets the new ones,
+// which may not have read this node's row yet. In a large fleet all nodes follow the list.
 func (s *peerSet) addListed(listed []Peer) {
 	var added []netip.AddrPort
 	for _, entry := range listed {
@@ -143,7 +145,7 @@
 	}
 }
 
-// setZone records the zone of a peer, which it may not have told before.
+// setZone records the zone of a peer, which may not have been known before.
 func (s *peerSet) setZone(known *peer, zone string) {
 	if zone != "" && zone != known.zone {
 		known.zone = zone
@@ -158,8 +160,8 @@
 	return added
 }
 
-// peerOf returns the peer of a message, which may be new or a new process. A machine
-// keeps its zone.
+// peerOf returns the peer that sent a message. It may be new, or a new process at a known
+// address, which keeps its zone.
 func (s *peerSet) peerOf(from netip.AddrPort, node string) *peer {
 	known, exists := s.peers[from]
 	if !exists {
@@ -171,15 +173,15 @@
 	return known
 }
 
-// answered records that a peer isn't silent.
+// answered records that a peer has answered, which ends a suspicion.
 func (s *peerSet) answered(from netip.AddrPort) {
 	if known, exists := s.peers[from]; exists {
 		known.suspectedUntil, known.silences = time.Time{}, 0
 	}
 }
 
-// recordMessage records a digest. It reports whether its sender was not heard before, and
-// whether the message is older than one that came before it.
+// recordMessage records a load message. first reports whether its sender was not present
+// before, and stale whether a newer message of the sender was recorded already.
 func (s *peerSet) recordMessage(from netip.AddrPort, message Message, now time.Time) (first, stale bool) {
 	if message.Leaving {
 		known, exists := s.peers[from]
@@ -204,7 +206,7 @@
 	return first, false
 }
 
-// suspect records that a peer gave no answer.
+// suspect records that a peer didn't answer.
 func (s *peerSet) suspect(address netip.AddrPort, now time.Time) {
 	known, exists := s.peers[address]
 	if !exists || now.Before(known.suspectedUntil) {
@@ -214,8 +216,8 @@
 	known.silences++
 }
 
-// markSilent takes out of those present the peers that have fallen markSilent, and returns
-// them with the time since they were heard.
+// markSilent marks peers that have become silent as not present, and returns them with the time
+// since they were heard.
 func (s *peerSet) markSilent(now time.Time) map[string]time.Duration {
 	lost := make(map[string]time.Duration)
 	for address, known := range s.peers {
@@ -227,7 +229,7 @@
 	return lost
 }
 
-// presenceTimeout is how long a node counts as present after it was heard.
+// presenceTimeout returns how long a node counts as present after it was heard.
 func (s *peerSet) presenceTimeout(address netip.AddrPort) time.Duration {
 	if s.supervises() && slices.Contains(s.supervisors(), address) {
 		return peerTimeout
@@ -235,23 +237,23 @@
 	return peerTimeout / periodicInterval * reportInterval(s.nodes())
 }
 
-// nodes is the number of nodes, this one included.
+// nodes returns the number of nodes, including this one.
 func (s *peerSet) nodes() int { return len(s.peers) + 1 }
 
-// quotaKeepers returns the nodes that keep the account of a quota, the first to be asked
-// first.
+// quotaKeepers returns the keepers of a quota account, in the order in which they are to be
+// asked.
 func (s *peerSet) quotaKeepers(account string) []netip.AddrPort {
 	return s.firstRanked("quota "+account, quotaKeeperCount, "")
 }
 
-// suspected reports whether a peer gave no answer lately.
+// suspected reports whether a peer isn't to be asked, since it didn't answer recently.
 func (s *peerSet) suspected(address netip.AddrPort, now time.Time) bool {
 	known, exists := s.peers[address]
 	return exists && now.Before(known.suspectedUntil)
 }
 
-// supervisors returns the nodes that know what all callers want and may give orders. Each
-// region has some, so that the loss of one leaves others.
+// supervisors returns the nodes that know the demand of all callers and may give orders to
+// workers. Each region has some, so that supervisors remain if a region is lost.
 func (s *peerSet) supervisors() []netip.AddrPort {
 	count := max(homeCount(s.nodes()), minSupervisors)
 	if regions := len(s.places.Regions()); regions > 1 && s.nodes() > fullTrackingFleet {
@@ -260,9 +262,9 @@
 	return s.firstRanked("orders", count, "")
 }
 
-// readerRank is this node's readerRank among those that read a table at the store, the first in its
-// zone counting as second of all where it isn't better off: a zone that is cut off from
-// the others needs one.
+// readerRank returns this node's rank among the nodes that may read a table from the store, 0
+// being the first. The first node of each zone ranks at least second (rank 1), since a zone
+// that is cut off from the others needs a reader.
 func (s *peerSet) readerRank(table string) int {
 	if !s.listed {
 		return lowestRank
@@ -282,8 +284,8 @@
 	return min(all, near+1)
 }
 
-// outranks reports whether another node comes before this one among those that read a
-// table at the store.
+// outranks reports whether another node ranks before this one among those that may read a table
+// from the store.
 func (s *peerSet) outranks(table string, other netip.AddrPort) bool {
 	subject := rendezvous.Hash("table " + table)
 	return rendezvous.Score(subject, rendezvous.Hash(other.String())) > rendezvous.Score(subject, s.hash)
@@ -305,7 +307,7 @@
 	return addresses
 }
 
-// largestZoneSize is the number of nodes of the zone that has most.
+// largestZoneSize returns the number of nodes of the largest zone.
 func (s *peerSet) largestZoneSize() int {
 	counts := map[string]int{s.zone: 1}
 	for _, known := range s.peers {
@@ -327,7 +329,7 @@
 	return slices.Collect(maps.Keys(zones))
 }
 
-// greetTargets returns the peers that are to be told of this node, and counts that they are.
+// greetTargets returns the peers that are to be greeted now, and counts the greeting.
 func (s *peerSet) greetTargets() []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for address, known := range s.peers {
@@ -339,7 +341,7 @@
 	return addresses
 }
 
-// randomPeer returns a peer drawn at random.
+// randomPeer returns a random peer.
 func (s *peerSet) randomPeer() (netip.AddrPort, bool) {
 	addresses := s.all()
 	if len(addresses) == 0 {
@@ -351,9 +353,9 @@
 // supervises reports whether this node is one of the supervisors.
 func (s *peerSet) supervises() bool { return slices.Contains(s.supervisors(), s.address) }
 
-// designated reports whether this node is the supervisor that is to give orders: none
-// that is present and doesn't stand aside has a lower incarnation. A node that itself
-// stands aside is designated only where all do.
+// designated reports whether this node is the supervisor that is to give orders: the one with
+// the lowest incarnation among those that are present and have not stepped back. A node that
+// has stepped back itself is designated only if all others have too.
 func (s *peerSet) designated(aside bool) bool {
 	if !s.supervises() {
 		return false
@@ -371,7 +373,7 @@
 	return lowest
 }
 
-// oldest returns the longest time since a peer that is present was heard.
+// oldest returns the longest time since a present peer was heard.
 func (s *peerSet) oldest(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for _, known := range s.peers {
--- a/internal/nodeexchange/presence.go
+++ b/internal/nodeexchange/presence.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// PresentZones lists the zones of which some node is heard, this node's own included. Only
-// a supervisor hears all nodes.
+// PresentZones returns the zones in which at least one node is present, including this node's
+// own. Only a supervisor hears from all nodes.
 func (e *Exchange) PresentZones() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/nodeexchange/quota.go
+++ b/internal/nodeexchange/quota.go
@@ -12,69 +12,75 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// The figures of the exchange of quotas.
+// Times and bounds of the exchange about quotas.
 const (
-	// quotaKeeperTimeout is how long a keeper's answer is waited for before the next is asked
-	// too: as askTimeout.
+	// quotaKeeperTimeout is how long a keeper's answer is waited for before the next keeper is
+	// asked too; the same as askTimeout.
 	quotaKeeperTimeout = askTimeout
-	// quotaTotalTimeout is how long any keeper's answer is waited for: four times that, a tenth
-	// of the shortest objectives.
+	// quotaTotalTimeout is how long the answer of any keeper is waited for: four times
+	// quotaKeeperTimeout, a tenth of the shortest objectives.
 	quotaTotalTimeout = 4 * quotaKeeperTimeout
-	// quotaReportInterval is the time between two reports of an account that was used lately,
-	// though nothing has changed, and quotaKeepersEvery that between two of its keepers.
+	// quotaReportInterval is the time between two reports of a recently used account even if
+	// nothing has changed. keeperReportInterval is the time between two reports of its keepers
+	// to each other.
 	quotaReportInterval  = time.Second
 	keeperReportInterval = 500 * time.Millisecond
-	// probeAfter is when a keeper that isn't heard makes another probe the nodes that use the
-	// account: when one report is late, so that two probes are answered before SilentAfter.
+	// probeAfter is how long a keeper must be silent before another one probes the nodes that
+	// use the account: as soon as one report is late, so that two probes can be answered before
+	// quota.SilentAfter.
 	probeAfter = keeperReportInterval + 100*time.Millisecond
-	// maxQuotaReports bounds the reports of one datagram: of up to 200 bytes each, they
-	// stay below maxDatagram.
+	// maxQuotaReports bounds the reports in one datagram: at up to 200 bytes each, they stay
+	// below maxDatagram.
 	maxQuotaReports = 80
 )
 
-// accountKind is what the accounts of an exchange are of.
+// accountKind tells apart the accounts of tenants' quotas from those of workers' request
+// limits.
 type accountKind struct {
 	// tolerance is by how much limits may be exceeded.
 	tolerance quota.Tolerance
-	// keepers returns the nodes that keep an account, the first to be asked first. It is
-	// called under the lock of the exchange's peers.
+	// keepers returns the keepers of an account, in the order in which they are to be asked.
+	// The caller must hold the lock of the exchange.
 	keepers func(peers *peerSet, account string) []netip.AddrPort
-	// message carries a form to another node.
+	// message wraps a quotaMessage for another node.
 	message func(form *quotaMessage) Message
-	// limits holds the limits of accounts that are known here; nil where the nodes that ask
-	// tell those of a configuration.
+	// limits holds the limits that this node knows of accounts. It is nil where the asking
+	// nodes send the limits, which they have from their configuration.
 	limits *turnLimits
 }
 
-// quotaExchange is this node's part in the keeping of accounts of one kind: what tenants use, or
-// the requests that go to workers which take few.
+// quotaExchange is this node's part in accounting of one kind: tenants' quotas, or turns at
+// workers that limit their requests per second. The node may be a keeper of an account, which
+// decides charges to it, a user of it, or both.
 type quotaExchange struct {
 	accountKind
 	exchange *Exchange
-	// wake is sent to when a node's own counters have changed.
+	// wake receives a token when this node's own counters have changed.
 	wake chan struct{}
 
 	mu     sync.Mutex
 	keeper *quota.Keeper
 	meter  *quota.Meter
-	// pendingCharges are those whose answers are awaited.
+	// pendingCharges are the charges that wait for answers of keepers, by ID.
 	pendingCharges map[uint64]*pendingCharge
 	lastCharge     uint64
-	// heard is when each node's last message on quotas came, and lastHeard when any did.
+	// heard is when the last message about accounts of this kind arrived, by node, and
+	// lastHeard when the last one of any node did.
 	heard     map[netip.AddrPort]time.Time
 	lastHeard time.Time
-	// lastInUse is when accounts were in use here, so that reports were due.
+	// lastInUse is when accounts were last in use on this node, so that reports of other nodes
+	// were due.
 	lastInUse time.Time
-	// lastRan is when this process was seen to run, by clock.Boot.
+	// lastRan is when this process last recorded that it runs, by clock.Boottime.
 	lastRan time.Time
-	// generation is that of the nodes for which the keeper's accounts are.
+	// generation is the generation of the nodes by which the keeper's accounts were last
+	// selected.
 	generation uint64
-	// reserving are the accounts of which a part is kept for nodes out of hearing.
+	// reserving holds the accounts of which a part is reserved for silent nodes.
 	reserving map[string]bool
 }
 
-// SetQuota has the exchange keep and use the accounts of tenants' quotas. It is called before
-// Run.
+// SetQuota turns on the accounting of tenants' quotas. It must be called before Run.
 func (e *Exchange) SetQuota(tolerance quota.Tolerance) {
 	e.quota = newQuotaExchange(e, accountKind{
 		tolerance: tolerance, keepers: (*peerSet).quotaKeepers,
@@ -90,7 +96,7 @@
 	}
 }
 
-// quotas are the exchanges of all kinds.
+// quotas returns the exchanges of all kinds of accounts that are turned on.
 func (e *Exchange) quotas() []*quotaExchange {
 	var kinds []*quotaExchange
 	for _, q := range []*quotaExchange{e.quota, e.turns} {
@@ -101,25 +107,24 @@
 	return kinds
 }
 
-// pendingCharge is a claim for which keepers are asked.
+// pendingCharge is a charge that is being decided by the keepers of its account.
 type pendingCharge struct {
 	id      uint64
 	claim   quota.ChargeRequest
 	account string
 	report  quota.Report
-	// keepers are in the order in which they are asked, and suspected tells that none of
-	// them has answered lately.
+	// keepers are in the order in which they are asked. suspected tells that all of them are
+	// suspected.
 	keepers   []netip.AddrPort
 	suspected bool
-	// asked holds when each keeper was asked that hasn't answered.
+	// asked holds when each keeper was asked, for those that haven't answered.
 	asked map[netip.AddrPort]time.Time
-	// extraWait is for how much longer than within the region each keeper's answer is waited
-	// for.
+	// extraWait is how much longer than within the region to wait for each keeper's answer.
 	extraWait map[netip.AddrPort]time.Duration
-	// count and answered count the keepers asked and those of them that answered.
+	// count is the number of keepers asked, and answered the number of those that answered.
 	count, answered int
 	answers         chan quotaAnswer
-	// best is the decision so far, by a keeper.
+	// best is the best answer so far.
 	best *quotaAnswer
 }
 
@@ -129,17 +134,18 @@
 	decision quota.Decision
 }
 
-// final reports whether no other keeper is to be asked.
+// final reports whether no other keeper needs to be asked: a refusal by a cold keeper, which
+// doesn't know yet what was used, isn't final.
 func (a quotaAnswer) final() bool { return a.decision.Granted || !a.decision.Cold }
 
-// ChargeQuota asks the keepers of a tenant's account for the cost of a request.
+// ChargeQuota charges the cost of a request to a tenant's account.
 func (e *Exchange) ChargeQuota(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
 	return e.quota.charge(ctx, claim)
 }
 
-// charge asks the keepers of an account for the cost of a request, one after another where they
-// don't answer in time or don't know enough to refuse. Where none answers, this node's own
-// allowance decides.
+// charge asks the keepers of an account to decide a charge. It asks the next keeper if one
+// doesn't answer in time or refuses without knowing what was used. If none answers, this node's
+// own allowance decides.
 func (q *quotaExchange) charge(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
 	begun := time.Now()
 	ask := q.beginCharge(claim, begun)
@@ -162,12 +168,12 @@
 	return verdict
 }
 
-// timeout is how long one keeper's answer is waited for.
+// timeout returns how long to wait for one keeper's answer.
 func (a *pendingCharge) timeout(keeper netip.AddrPort) time.Duration {
 	return quotaKeeperTimeout + a.extraWait[keeper]
 }
 
-// beginCharge finds the keepers of an account and what to tell them.
+// beginCharge registers a charge and selects the keepers to be asked, the suspected ones last.
 func (q *quotaExchange) beginCharge(claim quota.ChargeRequest, now time.Time) *pendingCharge {
 	account := claim.Charge().Account
 	ask := &pendingCharge{
@@ -217,13 +223,13 @@
 	q.exchange.sendTo(keeper, q.message(&quotaMessage{Ask: form}))
 }
 
-// self is this node as one that uses accounts.
+// self identifies this node as a user of accounts.
 func (q *quotaExchange) self() quota.Spender {
 	return quota.Spender{Node: q.exchange.node, Address: q.exchange.peers.address}
 }
 
-// await takes answers until one is final, all keepers asked so far have answered, or the
-// time is over. It reports whether no other is to be asked.
+// await processes answers until one is final, all keepers asked so far have answered, or the
+// timeout ends. It reports whether no other keeper is to be asked.
 func (a *pendingCharge) await(ctx context.Context, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -245,7 +251,7 @@
 	}
 }
 
-// take keeps the better of the decisions: one that grants, else one that knows.
+// take keeps the better answer: one that grants the charge, or else one that is final.
 func (a *pendingCharge) take(answer quotaAnswer) {
 	a.answered++
 	if a.best == nil || !a.best.final() || answer.decision.Granted {
@@ -253,7 +259,7 @@
 	}
 }
 
-// drain takes the answers that have come already.
+// drain processes the answers that have arrived already.
 func (a *pendingCharge) drain() {
 	for {
 		select {
@@ -265,7 +271,7 @@
 	}
 }
 
-// silent returns the keepers that had all the time that an answer is given.
+// silent returns the keepers that haven't answered within their timeouts.
 func (a *pendingCharge) silent(now time.Time) []netip.AddrPort {
 	var silent []netip.AddrPort
 	for keeper, at := range a.asked {
@@ -276,15 +282,15 @@
 	return silent
 }
 
-// chargeResult is what became of a claim, for the log.
+// chargeResult is what a charge revealed about the keepers, for the log.
 type chargeResult struct {
-	// alone tells that this node has begun to decide without a keeper, and back that it
-	// doesn't any more.
+	// alone tells that this node has begun to decide without a keeper, and back that keepers
+	// answer again.
 	alone, back bool
 	silent      []netip.AddrPort
 }
 
-// finishCharge ends an ask and counts what became of its claim.
+// finishCharge ends a charge, logs what it revealed about the keepers, and returns its outcome.
 func (q *quotaExchange) finishCharge(ctx context.Context, ask *pendingCharge, now time.Time) quota.Outcome {
 	verdict, end := q.settle(ask, q.exchange.Nodes(), ctx.Err() != nil, now)
 	q.wakeReporter()
@@ -330,15 +336,15 @@
 	return verdict
 }
 
-// wakeReporter has the changed counters told.
+// wakeReporter lets reportAll report the changed counters.
 func (q *quotaExchange) wakeReporter() {
 	select {
 	case q.wake <- struct{}{}:
-	default: // it is awake already
+	default: // a token is waiting already
 	}
 }
 
-// suspect records that nodes gave no answer.
+// suspect records that nodes didn't answer.
 func (e *Exchange) suspect(silent []netip.AddrPort, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -359,7 +365,7 @@
 	}
 }
 
-// ReturnQuota gives back what was charged for a request that proved not to have run.
+// ReturnQuota refunds what was charged for a request that turned out not to have run.
 func (e *Exchange) ReturnQuota(charge quota.Charge) {
 	e.quota.refund(charge)
 }
@@ -371,12 +377,13 @@
 	q.wakeReporter()
 }
 
-// RecordQuotaCharge charges for another run of a request that may have run already.
+// RecordQuotaCharge charges for another run of a request that may have run before, without
+// asking a keeper.
 func (e *Exchange) RecordQuotaCharge(charge quota.Charge) {
 	e.quota.record(charge, time.Now())
 }
 
-// record counts a charge for which no keeper is asked.
+// record counts a charge without asking a keeper.
 func (q *quotaExchange) record(charge quota.Charge, now time.Time) {
 	q.mu.Lock()
 	q.meter.Take(charge.Account, charge.Cost, now)
--- a/internal/nodeexchange/quota_form.go
+++ b/internal/nodeexchange/quota_form.go
@@ -6,17 +6,17 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// quotaMessage is one message on quotas.
+// quotaMessage is a message about quota accounts. One of its fields is set.
 type quotaMessage struct {
 	Ask   *wireQuotaRequest `json:"a,omitempty"`
 	Reply *wireQuotaReply   `json:"r,omitempty"`
-	// Reports hold, by account, what the sender has used.
+	// Reports hold what the sender has used, by account.
 	Reports map[string]wireQuotaReport `json:"t,omitempty"`
-	// Probe asks for the receiver's report of an account.
+	// Probe asks the receiver for its report of this account.
 	Probe string `json:"p,omitempty"`
 }
 
-// wireQuotaReport is a quota.Report.
+// wireQuotaReport is an encoded quota.Report.
 type wireQuotaReport struct {
 	Taken     float64 `json:"t,omitempty"`
 	Returned  float64 `json:"r,omitempty"`
@@ -28,14 +28,14 @@
 	Version   uint64  `json:"v,omitempty"`
 }
 
-// wireQuotaRequest is a quota.Ask.
+// wireQuotaRequest is an encoded quota.DecisionRequest.
 type wireQuotaRequest struct {
 	ID             uint64          `json:"i"`
 	Account        string          `json:"n"`
 	Cost           float64         `json:"c"`
 	PatienceMillis int64           `json:"p,omitempty"`
 	Report         wireQuotaReport `json:"t"`
-	// Limit is what the asker knows of the limit, where limits are learned.
+	// Limit is what the asking node knows of a limit that workers state.
 	Limit *wireLimit `json:"lm,omitempty"`
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// wireQuotaReply is a quota.Decision.
+// wireQuotaReply is an encoded quota.Decision.
 type wireQuotaReply struct {
 	ID         uint64  `json:"i"`
 	Granted    bool    `json:"g,omitempty"`
@@ -59,7 +59,7 @@
 
 	DelayMillis int64 `json:"d,omitempty"`
 	NextMillis  int64 `json:"x,omitempty"`
-	// Account and Limit are what the keeper knows of the limit, where limits are learned.
+	// Account and Limit are what the keeper knows of a limit that workers state.
 	Account string     `json:"n,omitempty"`
 	Limit   *wireLimit `json:"lm,omitempty"`
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-// renderReply renders the answer to an ask, with what is known of the limit.
+// renderReply encodes the answer to a request, with what this node knows of the limit.
 func (q *quotaExchange) renderReply(ask wireQuotaRequest, decision quota.Decision, now time.Time) *wireQuotaReply {
 	reply := renderQuotaReply(ask.ID, decision)
 	if q.limits != nil {
--- a/internal/nodeexchange/quota_keep.go
+++ b/internal/nodeexchange/quota_keep.go
@@ -11,7 +11,7 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// receive takes in a message on accounts of this kind.
+// receive processes a message about accounts of this kind.
 func (q *quotaExchange) receive(from netip.AddrPort, node string, form quotaMessage) {
 	now := time.Now()
 	q.heardFrom(from, now)
@@ -29,8 +29,8 @@
 	}
 }
 
-// heardFrom records that a node is in hearing, and that reports were missed where none
-// came though some were due.
+// heardFrom records a message from a node. After a silence of all nodes during which reports
+// were due, it marks the keeper's counts as incomplete.
 func (q *quotaExchange) heardFrom(from netip.AddrPort, now time.Time) {
 	q.exchange.mu.Lock()
 	q.exchange.peers.answered(from)
@@ -54,8 +54,9 @@
 	return missed
 }
 
-// checkForPause notes that this process runs. A keeper that stood still has missed what others used
-// meanwhile, and must not decide by what it knew before it hears them.
+// checkForPause records that this process runs. A keeper whose process was paused has missed
+// what other nodes used in the meantime, and must not decide by its old counts before it hears
+// from them.
 func (q *quotaExchange) checkForPause(now time.Time) {
 	running := clock.Boottime()
 	q.mu.Lock()
@@ -71,8 +72,8 @@
 	}
 }
 
-// decide decides as a keeper, by the limit that is known here where limits are learned. A cost
-// of an account that has none passes.
+// decide decides a request as a keeper, by the limit that this node knows where workers state
+// limits. Without a limit, every request is granted.
 func (q *quotaExchange) decide(ask quota.DecisionRequest, now time.Time) quota.Decision {
 	q.checkForPause(now)
 	q.dropMovedAccounts(now)
@@ -96,7 +97,8 @@
 	return decision
 }
 
-// hasSilentKeeper reports whether another keeper of an account wasn't heard for a time.
+// hasSilentKeeper reports whether another keeper of the account has been silent for longer than
+// silence.
 func (q *quotaExchange) hasSilentKeeper(account string, keepers []netip.AddrPort, self netip.AddrPort, silence time.Duration, now time.Time) bool {
 	known := q.keeper.KnownSince(account, now)
 	for _, keeper := range keepers {
@@ -111,7 +113,8 @@
 	return false
 }
 
-// hasHeardNoKeeper reports whether none of the other keepers of an account was ever heard.
+// hasHeardNoKeeper reports whether there are other keepers of an account and none of them has
+// ever been heard.
 func (q *quotaExchange) hasHeardNoKeeper(keepers []netip.AddrPort, self netip.AddrPort) bool {
 	others := 0
 	for _, keeper := range keepers {
@@ -126,7 +129,8 @@
 	return others > 0
 }
 
-// setReserved records whether a part of an account is reserved, and reports a change.
+// setReserved records whether a part of an account is reserved, and reports whether this has
+// changed.
 func (q *quotaExchange) setReserved(account string, reserved bool) (changed bool) {
 	if q.reserving[account] == reserved {
 		return false
@@ -144,9 +148,10 @@
 	return q.keepers(q.exchange.peers, account)
 }
 
-// dropMovedAccounts has the keeper drop the accounts that other nodes keep, after nodes were added
-// or have left. When it returns, the keeper follows the ranking, whoever had it do so: a
-// decision by an older one would take an account that is new here for one that is full.
+// dropMovedAccounts lets the keeper drop the accounts that other nodes keep after nodes were
+// added or removed. When it returns, the keeper follows the current ranking, even if another
+// goroutine updated it: a decision by an older ranking would take an account that has just
+// moved to this node for one of which nothing was used.
 func (q *quotaExchange) dropMovedAccounts(now time.Time) {
 	q.exchange.mu.Lock()
 	generation := q.exchange.peers.generation
@@ -162,14 +167,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.generation >= generation {
-		return // another has had it do so meanwhile
+		return // another goroutine updated it in the meantime
 	}
 	q.generation = generation
 	q.keeper.KeepersChanged(func(account string) bool { return kept[account] }, now)
 }
 
-// isUpToDate reports whether the keeper follows the ranking of a generation of the nodes, else
-// with the accounts that it has.
+// isUpToDate reports whether the keeper follows the ranking of a generation of the nodes. If
+// not, it returns the keeper's accounts.
 func (q *quotaExchange) isUpToDate(generation uint64) (accounts []string, follows bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -179,7 +184,7 @@
 	return q.keeper.Accounts(), false
 }
 
-// answered hands a keeper's answer to the claim that waits for it.
+// answered passes a keeper's answer to the charge that waits for it.
 func (q *quotaExchange) answered(from netip.AddrPort, node string, form wireQuotaReply, now time.Time) {
 	q.limits.receive(form.Account, node, form.Limit, now)
 	q.mu.Lock()
@@ -192,10 +197,10 @@
 		return
 	}
 	delete(ask.asked, from)
-	ask.answers <- quotaAnswer{from: from, decision: form.decision()} // it holds one of each keeper
+	ask.answers <- quotaAnswer{from: from, decision: form.decision()} // the channel has room for one answer of each keeper
 }
 
-// left records that a node stops as planned.
+// left records that a node shuts down as planned.
 func (q *quotaExchange) left(node string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/nodeexchange/quota_reports.go
+++ b/internal/nodeexchange/quota_reports.go
@@ -10,7 +10,7 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// receiveReports takes in what a node has used.
+// receiveReports processes what a node reports to have used.
 func (q *quotaExchange) receiveReports(from quota.Spender, reports map[string]wireQuotaReport, now time.Time) {
 	q.dropMovedAccounts(now)
 	for account, form := range reports {
@@ -23,8 +23,8 @@
 	}
 }
 
-// reportAll reports to the keepers what this node has used, when it has changed and at
-// rest, until ctx ends.
+// reportAll reports to the keepers what this node has used, after each change and periodically,
+// until ctx ends.
 func (q *quotaExchange) reportAll(ctx context.Context) {
 	ticker := time.NewTicker(keeperReportInterval)
 	defer ticker.Stop()
@@ -52,7 +52,7 @@
 	}
 }
 
-// reportChanged reports the accounts that this node has used since it did last.
+// reportChanged reports the accounts that this node has used since the last report.
 func (q *quotaExchange) reportChanged(now time.Time) {
 	q.mu.Lock()
 	reports := q.meter.Reports(q.meter.Changed(), now)
@@ -60,8 +60,8 @@
 	q.sendReports(reports, now)
 }
 
-// reportAtRest reports the accounts that this node keeps, so that their keepers hear
-// each other, and all that it uses where that is due.
+// reportAtRest sends periodic reports: of the accounts that this node keeps, so that their
+// keepers hear from each other, and, if all is set, of all accounts that it uses.
 func (q *quotaExchange) reportAtRest(all bool, now time.Time) {
 	q.dropMovedAccounts(now)
 	q.mu.Lock()
@@ -85,8 +85,9 @@
 	q.probeQuiet(now)
 }
 
-// probeQuiet asks the nodes that use accounts and weren't heard lately for a report, where
-// another keeper isn't heard: those that answer have their part of the limit here.
+// probeQuiet asks the nodes that use an account and weren't heard recently for a report, if
+// another keeper of the account is silent. The answers show that these nodes reach this keeper,
+// so that their part of the limit needn't be reserved.
 func (q *quotaExchange) probeQuiet(now time.Time) {
 	q.mu.Lock()
 	accounts := slices.Collect(maps.Keys(q.keeper.InUse(now)))
@@ -123,8 +124,8 @@
 	}
 }
 
-// sendReports sends reports to the keepers of their accounts, each keeper one message
-// as a rule. Where this node is one, it takes them in itself.
+// sendReports sends reports to the keepers of their accounts, usually one message to each
+// keeper. If this node is a keeper, it processes its own reports.
 func (q *quotaExchange) sendReports(reports map[string]quota.Report, now time.Time) {
 	parcels := make(map[netip.AddrPort]map[string]wireQuotaReport)
 	for account, report := range reports {
--- a/internal/nodeexchange/regions.go
+++ b/internal/nodeexchange/regions.go
@@ -8,22 +8,23 @@
 	"github.com/tinarch/tinarch/internal/topology"
 )
 
-// The figures of the way between regions, as of TCP's retransmission timer (RFC 6298).
+// Parameters of the round-trip estimate, as in TCP's retransmission timer (RFC 6298).
 const (
-	// initialRoundTrip is the way to another region and back until it was measured: that of a
-	// continent, so that a first question isn't given up on too early.
+	// initialRoundTrip is the assumed round trip to another region before any measurement: that
+	// across a continent, so that the first question isn't given up too early.
 	initialRoundTrip = 50 * time.Millisecond
 	// meanWeight and deviationWeight are the weights of a new measurement.
 	meanWeight, deviationWeight = 0.125, 0.25
-	// deviationFactor is how many times the mean deviation is waited for beyond the mean.
+	// deviationFactor is the number of mean deviations that are added to the mean for a
+	// timeout.
 	deviationFactor = 4
-	// maxRoundTrip bounds what is taken for a measurement: an answer that was held up for
-	// longer says nothing about the way.
+	// maxRoundTrip is the longest time that counts as a measurement: an answer that took longer
+	// was delayed by something else.
 	maxRoundTrip = time.Second
 )
 
-// roundTrip is the time of the way to a region and back, as measured. The zero roundTrip was not
-// measured yet.
+// roundTrip is the measured round-trip time to a region. The zero roundTrip has no measurement
+// yet.
 type roundTrip struct{ mean, deviation time.Duration }
 
 func (t *roundTrip) observe(took time.Duration) {
@@ -36,7 +37,7 @@
 	t.mean += time.Duration(meanWeight * float64(took-t.mean))
 }
 
-// SetTopology tells the exchange the zones and regions. It is called before Run.
+// SetTopology sets the zones and regions. It must be called before Run.
 func (e *Exchange) SetTopology(places topology.Map) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,8 +45,8 @@
 	e.peers.regionOfWorker = e.registry.Region
 }
 
-// RoundTrip is the time of the way to a region and back: nothing within the own region, where
-// it is a part of every figure that was learned.
+// RoundTrip returns the round-trip time to a region. It is zero for this node's own region,
+// where it is included in all learned times.
 func (e *Exchange) RoundTrip(region string) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -62,14 +63,14 @@
 	return initialRoundTrip
 }
 
-// inOtherRegion reports whether a region is another one. A node whose zone isn't known yet may be in
-// one, where there are several.
+// inOtherRegion reports whether a region isn't this node's own. Where there are several
+// regions, a node whose zone isn't known yet counts as in another one.
 func (e *Exchange) inOtherRegion(region string) bool {
 	return e.peers.places.MultiRegion() && region != e.peers.places.OwnRegion()
 }
 
-// extraWait is how much longer than within the region an answer from another one is
-// waited for.
+// extraWait returns how much longer to wait for an answer from a region than for one from this
+// node's own.
 func (e *Exchange) extraWait(region string) time.Duration {
 	if !e.inOtherRegion(region) {
 		return 0
@@ -80,7 +81,7 @@
 	return initialRoundTrip
 }
 
-// observeRoundTrip takes in how long an answer from a region took.
+// observeRoundTrip records how long an answer from a region took.
 func (e *Exchange) observeRoundTrip(region string, took time.Duration) {
 	if !e.inOtherRegion(region) || took <= 0 || took > maxRoundTrip {
 		return
@@ -91,7 +92,7 @@
 	e.roundTrips[region].observe(took)
 }
 
-// regionOf is the region of a node, empty where it isn't known.
+// regionOf returns the region of a node, or "" if it isn't known.
 func (s *peerSet) regionOf(address netip.AddrPort) string {
 	if address == s.address {
 		return s.places.OwnRegion()
@@ -102,8 +103,8 @@
 	return ""
 }
 
-// inRegion returns the nodes of a region, or all where it has none: somebody has to keep
-// the accounts of a region that lost its nodes.
+// inRegion returns the nodes of a region, or all nodes if it has none, since the workers of a
+// region that lost its nodes still need homes.
 func (s *peerSet) inRegion(region string) []netip.AddrPort {
 	members := append(s.all(), s.address)
 	if !s.places.MultiRegion() {
@@ -121,8 +122,8 @@
 	return near
 }
 
-// homeRegion is the region whose nodes keep the account of a worker. In a small fleet
-// that is all of them.
+// homeRegion returns the region whose nodes track a worker's load, or "" if all nodes may, as
+// in a small fleet.
 func (s *peerSet) homeRegion(worker string) string {
 	if s.regionOfWorker == nil || !s.places.MultiRegion() || s.nodes() <= fullTrackingFleet {
 		return ""
@@ -130,7 +131,7 @@
 	return s.regionOfWorker(worker)
 }
 
-// homeRegions returns the regions whose nodes keep the accounts of workers.
+// homeRegions returns the regions whose nodes track the load of some workers.
 func (s *peerSet) homeRegions(workers []string) []string {
 	var regions []string
 	for _, id := range workers {
--- a/internal/nodeexchange/relay.go
+++ b/internal/nodeexchange/relay.go
@@ -8,25 +8,25 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// relayHistoryLength is how many messages a node remembers that it has passed on: some tables'
-// words and news of more than ten seconds.
+// relayHistoryLength is the number of relayed broadcasts that a node remembers: the
+// announcements and news of a few tables over more than ten seconds.
 const relayHistoryLength = 64
 
-// messageID names a message that is passed on: its maker and the number that it gave it.
+// messageID identifies a broadcast by its originator and the originator's number for it.
 type messageID struct {
 	node     string
 	sequence uint64
 }
 
-// relayHistory remembers the last messages that were passed on. Two heads of a region send each
-// to each head of its zones.
+// relayHistory remembers the last relayed broadcasts, so that each is relayed once: two heads
+// of a region send every broadcast to every head of its zones.
 type relayHistory struct {
 	recent [relayHistoryLength]messageID
 	next   int
 }
 
-// isNew reports whether a message wasn't passed on before, and records that it is. A message
-// without a number always is.
+// isNew reports whether a broadcast has not been relayed yet, and records it. A message without
+// a number always counts as new.
 func (r *relayHistory) isNew(message Message) bool {
 	if message.Sequence == 0 {
 		return true
@@ -40,8 +40,8 @@
 	return true
 }
 
-// topOfEachRegion ranks the nodes of each region that has any for a subject, and returns the
-// first ones of all.
+// topOfEachRegion ranks the nodes of each region for a subject, and returns the first count
+// nodes of every region together.
 func (s *peerSet) topOfEachRegion(subject string, count int) []netip.AddrPort {
 	if known, exists := s.regionRankings[subject]; exists {
 		return known
@@ -55,7 +55,7 @@
 	return first
 }
 
-// nodesByRegion divides the nodes by region; those whose region isn't known are together.
+// nodesByRegion groups the nodes by region. Those whose region isn't known form one group.
 func (s *peerSet) nodesByRegion() map[string][]netip.AddrPort {
 	regions := make(map[string][]netip.AddrPort)
 	for _, address := range append(s.all(), s.address) {
@@ -65,8 +65,7 @@
 	return regions
 }
 
-// regionHeads returns the nodes that pass on what the other nodes of their region are to
-// hear from other regions.
+// regionHeads returns the nodes that relay broadcasts from other regions in their own.
 func (s *peerSet) regionHeads() []netip.AddrPort {
 	return s.topOfEachRegion("relay between regions", minHomes)
 }
@@ -82,9 +81,9 @@
 	return heads
 }
 
-// broadcastTargets are the nodes that get a message for all nodes from its maker: all peers, or
-// in a large fleet the heads of the zones of its region, and in across the heads of the
-// other regions.
+// broadcastTargets returns the nodes to which the originator of a broadcast sends it: all
+// peers, or in a large fleet the heads of the zones of its region (near) and the heads of the
+// other regions (across).
 func (s *peerSet) broadcastTargets() (near, across []netip.AddrPort) {
 	if !s.large() {
 		return s.all(), nil
@@ -99,10 +98,10 @@
 	return s.others(s.zoneHeads()), across
 }
 
-// relayTargets are the nodes to which this one passes a message on: the heads of its
-// region's zones where it came from another region, and the nodes of its zone where it is
-// one of their heads, or was taken for one by the node that made the message: while a large
-// fleet starts nodes don't agree on the heads yet.
+// relayTargets returns the nodes to which this one relays a broadcast: the heads of the zones
+// of its region if the broadcast came from another region, and the nodes of its zone if it is
+// one of their heads. inZone tells that the sender takes this node for a head even if it
+// doesn't itself, since nodes don't agree on the heads yet while a large fleet starts.
 func (s *peerSet) relayTargets(acrossRegions, inZone bool) (heads, zone []netip.AddrPort) {
 	if !s.large() && !inZone {
 		return nil, nil
@@ -116,7 +115,7 @@
 	return heads, zone
 }
 
-// others leaves out this node.
+// others returns the addresses without this node's own.
 func (s *peerSet) others(addresses []netip.AddrPort) []netip.AddrPort {
 	return slices.DeleteFunc(slices.Clone(addresses), func(address netip.AddrPort) bool { return address == s.address })
 }
--- a/internal/nodeexchange/subjects.go
+++ b/internal/nodeexchange/subjects.go
@@ -6,8 +6,8 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// workersIn returns the workers that a snapshot tells of, or of whose load nothing is
-// left, in a fixed order.
+// workersIn returns the workers that a snapshot has information about, including those that
+// have no load left, in sorted order.
 func workersIn(snapshot worker.Snapshot) []string {
 	var subjects []string
 	for id := range snapshot.Loads {
--- a/internal/nodeexchange/suspects.go
+++ b/internal/nodeexchange/suspects.go
@@ -8,23 +8,24 @@
 	"github.com/tinarch/tinarch/internal/quarantine"
 )
 
-// maxCrashesPerMessage bounds the crashes in one message: of some 60 bytes each, they stay below
-// maxDatagram.
+// maxCrashesPerMessage bounds the crashes in one message: at some 60 bytes each, they stay
+// below maxDatagram.
 const maxCrashesPerMessage = 150
 
-// SetQuarantine has the exchange tell what a keeper learns of requests under which workers
-// end, and give it what other nodes tell. It is called before Run.
+// SetQuarantine connects the exchange with a quarantine manager: the exchange sends other nodes
+// what the manager learns of requests during which workers end, and gives it what other nodes
+// send. It must be called before Run.
 func (e *Exchange) SetQuarantine(keeper *quarantine.Manager) { e.quarantine = keeper }
 
-// ChosenForTrial reports whether this node is the one of all that gives a quarantined request
-// its trials.
+// ChosenForTrial reports whether this node is the one of all nodes that runs the trials of a
+// quarantined request.
 func (e *Exchange) ChosenForTrial(request quarantine.Fingerprint) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.firstRanked("trial "+request.String(), 1, "")[0] == e.peers.address
 }
 
-// sendSuspects tells other nodes what this one has learned, until ctx ends.
+// sendSuspects sends other nodes what this one has learned, until ctx ends.
 func (e *Exchange) sendSuspects(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -41,8 +42,8 @@
 	}
 }
 
-// reportSuspects tells the supervisors, which put together what several nodes saw. In a fleet
-// whose nodes aren't all supervisors, one of these tells all nodes what they are to know.
+// reportSuspects sends records to the supervisors, which combine what several nodes saw. If not
+// all nodes are supervisors, a supervisor then broadcasts what all nodes must know.
 func (e *Exchange) reportSuspects(records []quarantine.Record) {
 	e.mu.Lock()
 	supervisors := e.peers.others(e.peers.supervisors())
@@ -53,8 +54,8 @@
 	e.broadcastSuspects(records)
 }
 
-// broadcastSuspects tells all nodes of the records that they are to know, if this node is a
-// supervisor and others aren't.
+// broadcastSuspects broadcasts the records that all nodes must know, if this node is a
+// supervisor and not all nodes are.
 func (e *Exchange) broadcastSuspects(records []quarantine.Record) {
 	e.mu.Lock()
 	spreads := e.peers.supervises() && e.peers.nodes() > len(e.peers.supervisors())
@@ -73,7 +74,7 @@
 	}
 }
 
-// splitRecords divides records so that each part fits a message.
+// splitRecords splits records so that each part fits in one message.
 func splitRecords(records []quarantine.Record) [][]quarantine.Record {
 	var parts [][]quarantine.Record
 	var part []quarantine.Record
@@ -91,8 +92,8 @@
 	return parts
 }
 
-// receiveSuspects takes in what another node tells. What was told to supervisors alone is spread
-// by them; such messages have no number.
+// receiveSuspects processes the records of another node. Messages without a number were sent to
+// supervisors only, which broadcast what changes.
 func (e *Exchange) receiveSuspects(from netip.AddrPort, message Message) {
 	if e.quarantine == nil {
 		return
@@ -104,8 +105,8 @@
 	e.relay(from, message)
 }
 
-// shareSuspects tells a node that is heard for the first time, or again, what every node is
-// to know.
+// shareSuspects sends a node that is heard for the first time, or again after a silence, the
+// records that all nodes must know.
 func (e *Exchange) shareSuspects(with netip.AddrPort) {
 	if e.quarantine == nil {
 		return
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -13,28 +13,29 @@
 	"github.com/tinarch/tinarch/internal/tablerelay"
 )
 
-// TableCoordinator is where the words of nodes on the store's tables come from and go to.
+// TableCoordinator processes what other nodes send about tables of the store, and provides what
+// this node sends them.
 type TableCoordinator interface {
-	// Words are what this node itself has from the store, and Known all that it relies
-	// on.
+	// Words returns announcements of what this node itself has read from the store. Known
+	// returns those of all that it relies on.
 	Words(now time.Time) []tablerelay.Announcement
 	Known(now time.Time) []tablerelay.Announcement
 	Take(words []tablerelay.Announcement, now time.Time)
 	TakeNews(news tablefeed.News)
 }
 
-// maxFanOut is the number of nodes that one node tells of a table by itself: in a larger
-// fleet it tells two of each zone of its region and two of each other region, which pass it
-// on.
+// maxFanOut is the largest number of nodes to which one node sends a broadcast directly. In a
+// larger fleet it sends it to two nodes of each zone of its region and two of each other
+// region, which relay it.
 const maxFanOut = 30
 
-// SpreadWords tells the other nodes what the store has confirmed.
+// SpreadWords broadcasts announcements of what the store has confirmed.
 func (e *Exchange) SpreadWords(words []tablerelay.Announcement) {
 	e.broadcast(Message{Node: e.node, Words: words, CreatedMillis: clock.Boottime().UnixMilli()})
 }
 
-// SpreadNews tells the other nodes of changes. Changes that are too large aren't told: the
-// others then learn from the next word that there are any, and fetch them.
+// SpreadNews broadcasts changes of a table. Changes that are too large aren't sent: the other
+// nodes learn of them from the next announcement and fetch them.
 func (e *Exchange) SpreadNews(news tablefeed.News) {
 	packed, err := packNews(news)
 	if err != nil {
@@ -48,12 +49,13 @@
 	e.broadcast(Message{Node: e.node, News: packed})
 }
 
-// maxHeadBytes is what a head of a zone sends at most for one change: a tenth of a second of a
-// link of 20 Mbit/s. What is larger the nodes fetch, each from one of its zone that has it.
+// maxHeadBytes is the most that a head of a zone sends for one change: a tenth of a second of a
+// link of 20 Mbit/s. Larger changes are fetched by each node from one in its zone that has
+// them.
 const maxHeadBytes = 256 << 10
 
-// newsLimit is the size of the largest news that are told: small enough that a head of the
-// largest zone passes them on without holding up other messages.
+// newsLimit returns the size of the largest news that are broadcast, such that a head of the
+// largest zone can relay them without delaying other messages.
 func (e *Exchange) newsLimit() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -73,9 +75,9 @@
 	e.sendAll(across, message)
 }
 
-// relay sends a message that came from the node that made it, or from a head of the region,
-// to the other nodes of the zone, if this one is to; and one that came from another region
-// to the heads of this region's zones.
+// relay forwards a broadcast that came from its originator or from a head of the region to the
+// other nodes of the zone, if this node is to; and one that came from another region to the
+// heads of the zones of this region.
 func (e *Exchange) relay(from netip.AddrPort, message Message) {
 	if message.Relayed {
 		e.relayInGroup(from, message)
@@ -102,7 +104,7 @@
 	e.sendAll(leaders(zone, message.RelayGroups), message)
 }
 
-// relayInGroup sends a message that came from a head of a large zone to the other nodes of
+// relayInGroup forwards a broadcast that came from a head of a large zone to the other nodes of
 // this node's group.
 func (e *Exchange) relayInGroup(from netip.AddrPort, message Message) {
 	groups := message.RelayGroups
@@ -117,18 +119,20 @@
 	e.sendAll(group, message)
 }
 
-// groupCount is the number of groups into which a head divides the nodes of its zone, so that it
-// and those that pass on in the groups send about as many datagrams at once: a burst of two
-// hundred is more than a link of 20 Mbit/s takes, and the rest is lost.
+// groupCount returns the number of groups into which a head divides the nodes of its zone. It
+// is the square root of their number, so that the head and the nodes that relay in the groups
+// send about as many datagrams at once: a burst of two hundred exceeds what a link of 20 Mbit/s
+// takes, and the rest is lost.
 func groupCount(nodes int) int { return int(math.Ceil(math.Sqrt(float64(nodes)))) }
 
-// groupOf is the group of a node, the same for all that divide a zone into as many.
+// groupOf returns the group of a node. All nodes that divide a zone into the same number of
+// groups agree on it.
 func groupOf(address netip.AddrPort, groups int) int {
 	return int(rendezvous.Hash(address.String()) % uint64(groups))
 }
 
-// leaders draws a node of each group: heads draw different ones, so that one that is dead
-// keeps no group from hearing.
+// leaders returns a random node of each group. Different heads draw different ones, so that a
+// dead leader doesn't keep its group from getting a broadcast.
 func leaders(nodes []netip.AddrPort, groups int) []netip.AddrPort {
 	byGroup := make(map[int][]netip.AddrPort)
 	for _, address := range nodes {
@@ -142,10 +146,9 @@
 	return drawn
 }
 
-// AskWords asks two nodes for what they know of the tables: the one that should read the
-// table at the store, and another one. In a large fleet, in which too many would ask the one,
-// they are the node that gives this one tables and another one of the zone. It is for when no
-// word has come.
+// AskWords asks two nodes for their announcements, when none has arrived: the node that should
+// read the table from the store, and another one. In a large fleet, where too many nodes would
+// ask the former, it asks the node from which this one gets tables and another one of its zone.
 func (e *Exchange) AskWords(table string) {
 	e.mu.Lock()
 	asked := e.peers.announcementSources(table)
@@ -155,7 +158,7 @@
 	}
 }
 
-// announcementSources returns the nodes that are asked for words.
+// announcementSources returns the nodes to be asked for announcements about a table.
 func (s *peerSet) announcementSources(table string) []netip.AddrPort {
 	first := s.firstRanked("table "+table, 1, "")
 	if givers := s.tableSources(); s.large() && len(givers) > 0 {
@@ -168,7 +171,7 @@
 	return s.others(asked)
 }
 
-// randomNearPeer returns a peer drawn at random, of the own zone in a large fleet.
+// randomNearPeer returns a random peer, in a large fleet one of this node's zone.
 func (s *peerSet) randomNearPeer() (netip.AddrPort, bool) {
 	if !s.large() {
 		return s.randomPeer()
@@ -180,7 +183,7 @@
 	return near[rand.IntN(len(near))], true
 }
 
-// sendAnnouncements answers a node that asks for words.
+// sendAnnouncements answers a node that asks for announcements.
 func (e *Exchange) sendAnnouncements(to netip.AddrPort) {
 	if e.board == nil {
 		return
@@ -194,7 +197,9 @@
 	e.receiveAnnouncementsAt(from, message, clock.Boottime())
 }
 
-// receiveAnnouncementsAt takes words by a clock since boot. Their ages were true when the message was made.
+// receiveAnnouncementsAt processes announcements that arrive at a time of CLOCK_BOOTTIME. Their
+// ages were correct when the message was created, so it adds the time that the message was
+// delayed.
 func (e *Exchange) receiveAnnouncementsAt(from netip.AddrPort, message Message, now time.Time) {
 	if e.board == nil {
 		return
@@ -223,8 +228,8 @@
 	e.relay(from, message)
 }
 
-// Outranks reports whether another node comes before this one among those that read a
-// table at the store, and Place tells this one's place.
+// Outranks reports whether another node, given by its address, ranks before this one among
+// those that may read a table from the store.
 func (e *Exchange) Outranks(table, reader string) bool {
 	address, err := netip.ParseAddrPort(reader)
 	if err != nil {
@@ -235,12 +240,13 @@
 	return e.peers.outranks(table, address)
 }
 
-// Place is this node's place among those that read a table at the store, 0 the first.
+// Place returns this node's rank among the nodes that may read a table from the store, 0 being
+// the first.
 func (e *Exchange) Place(table string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.readerRank(table)
 }
 
-// Address names this node in words.
+// Address returns the address that identifies this node in announcements.
 func (e *Exchange) Address() string { return e.peers.address.String() }
--- a/internal/nodeexchange/transit.go
+++ b/internal/nodeexchange/transit.go
@@ -2,28 +2,31 @@
 
 import "time"
 
-// minDelayWindow is for how long a shortest way counts: long enough that some message came without
-// delay, short enough that clocks which run apart by 0.1 in a thousand matter little.
+// minDelayWindow is for how long a minimum delay counts: long enough that some message arrived
+// without queueing, and short enough that clocks whose rates differ by 0.1 in a thousand matter
+// little.
 const minDelayWindow = time.Minute
 
-// delayEstimator tell how much longer than the shortest way lately a message was on its way from its
-// maker: in buffers, on a link, or before a process that didn't run. The clocks of maker and
-// receiver need not agree, only go at the same pace. It is pure: time is an argument.
+// delayEstimator estimates for how long a message was held up on its way from its originator,
+// in buffers, on a link, or while the receiving process didn't run: how much longer it took
+// than the fastest recent message. The clocks of originator and receiver needn't agree, but
+// must run at the same rate. A delayEstimator doesn't read the clock: callers pass the time.
 type delayEstimator struct {
 	byOriginator map[string]*minDelay
 	began        time.Time
 }
 
-// minDelay is the least difference between a receiver's clock at a message's arrival and its
-// maker's when it was made, in this span and in the one before.
+// minDelay is the smallest difference between the receiver's clock when a message arrived and
+// the originator's when it was created, in the current window and in the one before.
 type minDelay struct {
 	current, before time.Duration
-	// known and knownBefore tell whether there was any.
+	// known and knownBefore tell whether there was any message in these windows.
 	known, knownBefore bool
 }
 
-// excess is how much longer than the shortest way a message of a maker took, by the maker's clock
-// when it was made and the receiver's now. It is zero for the first message.
+// excess returns how much longer than the fastest recent message of its originator a message
+// took, given the originator's clock at its creation and the receiver's now. It is zero for the
+// first message.
 func (t *delayEstimator) excess(maker string, made, now time.Time) time.Duration {
 	t.advance(now)
 	way := t.byOriginator[maker]
@@ -42,7 +45,8 @@
 	return took - least
 }
 
-// advance begins a new span where the last one is over, and forgets makers that are silent.
+// advance begins a new window when the last one is over, and forgets originators from which
+// nothing came.
 func (t *delayEstimator) advance(now time.Time) {
 	if t.byOriginator == nil {
 		t.byOriginator, t.began = make(map[string]*minDelay), now
--- a/internal/nodeexchange/turns.go
+++ b/internal/nodeexchange/turns.go
@@ -11,25 +11,29 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// Workers in need take no more than so many requests a second from all nodes together. What
-// each has said is told to the nodes that keep its account; these also count what all nodes
-// send there, as tenants' quotas are counted: a node asks for its turn before it sends.
+// Overloaded workers may limit the requests per second that they take from all nodes together.
+// The limit that a worker states is reported to the nodes that track its load. Some of these
+// also count the requests that all nodes send to the worker, in the same way as tenants' quotas
+// are counted: before it sends a request, a node asks them for a turn, which is a rate-limit
+// slot.
 
-// The figures of turns.
+// Numbers and times of turns.
 const (
-	// turnKeepers is the most nodes that count a worker's requests, as for a tenant's quota.
+	// turnKeepers is the largest number of keepers of a worker's turns, which count its
+	// requests; the same as for a tenant's quota.
 	turnKeepers = quotaKeeperCount
-	// turnBurst is how many requests a worker takes at once that got none for a while.
+	// turnBurst is how many requests at once a worker takes that got none for a while.
 	turnBurst = 1
-	// limitTimeSlack is by how much earlier than told a worker may have been asked: the longest way
-	// of a message between two nodes as a rule.
+	// limitTimeSlack is by how much earlier than reported the request may have been sent to
+	// which a worker answered with its limit: the age in a message doesn't include the
+	// message's own way, which usually takes at most this long between two nodes.
 	limitTimeSlack = 50 * time.Millisecond
-	// maxLimitsPerMessage bounds the limits in one message: of some 80 bytes each, they stay below
-	// maxDatagram.
+	// maxLimitsPerMessage bounds the limits in one message: at some 80 bytes each, they stay
+	// below maxDatagram.
 	maxLimitsPerMessage = 150
 )
 
-// wireLimit is a worker.LimitStatement, with its times as ages in milliseconds.
+// wireLimit is a worker.LimitStatement with its times as ages in milliseconds.
 type wireLimit struct {
 	Named       bool    `json:"n,omitempty"`
 	Rate        float64 `json:"r,omitempty"`
@@ -63,15 +67,15 @@
 	return rendered
 }
 
-// receiveLimits takes in what workers said to other nodes.
+// receiveLimits records the limits that workers stated to another node.
 func (e *Exchange) receiveLimits(node string, limits map[string]wireLimit, now time.Time) {
 	for id, form := range limits {
 		e.registry.MergeLimit(id, node, form.statement(now))
 	}
 }
 
-// shareLimits tells a node that is heard for the first time, or again, of the limits of the
-// workers whose accounts it keeps.
+// shareLimits sends a node that is heard for the first time, or again after a silence, the
+// limits of the workers that it is a home of.
 func (e *Exchange) shareLimits(with netip.AddrPort) {
 	limited := e.registry.LimitedWorkers()
 	e.mu.Lock()
@@ -83,8 +87,8 @@
 	}
 }
 
-// SetTurns has the exchange count the requests to workers that take no more than so many a
-// second, with what these bear beyond that. It is called before Run.
+// SetTurns turns on the accounting of requests to workers that limit their requests per second,
+// with the tolerance that they have beyond their limits. It must be called before Run.
 func (e *Exchange) SetTurns(tolerance quota.Tolerance) {
 	e.turns = newQuotaExchange(e, accountKind{
 		tolerance: tolerance, keepers: (*peerSet).turnKeepers,
@@ -93,32 +97,33 @@
 	})
 }
 
-// turnKeepers returns the nodes that count the requests to a worker: the first of those that
-// keep its account, since these are told what it says.
+// turnKeepers returns the nodes that count the requests to a worker: the first of its homes,
+// since these are told the limit that the worker states.
 func (s *peerSet) turnKeepers(account string) []netip.AddrPort {
 	homes := s.homes(workerOfAccount(account))
 	return homes[:min(len(homes), turnKeepers)]
 }
 
-// turnCharge is that of one request to a worker.
+// turnCharge returns the charge for one request to a worker.
 func turnCharge(id string) quota.Charge {
 	return quota.Charge{Account: quota.AccountName(id, quota.Requests), Cost: 1}
 }
 
-// workerOfAccount is the worker whose requests an account counts.
+// workerOfAccount returns the worker whose requests an account counts.
 func workerOfAccount(account string) string {
 	return strings.TrimPrefix(account, quota.AccountName("", quota.Requests))
 }
 
-// TakeTurn asks for a request's turn at a worker, for which it can wait for a time. A turn that
-// was given is the request's alone: it is sent after the verdict's delay, or given back.
+// TakeTurn asks for a turn at a worker for a request that can wait for the given time. A
+// granted turn belongs to the request: the request is sent after the delay in the outcome, or
+// the turn must be returned.
 func (e *Exchange) TakeTurn(ctx context.Context, id string, patience time.Duration) quota.Outcome {
 	limit, version := e.turns.limits.of(id)
 	return e.turns.charge(ctx, quota.ChargeRequest{Tenant: id, Limit: limit, Version: version, Cost: 1, Patience: patience})
 }
 
-// IsFirstTurnKeeper reports whether this node is the first of those that count a worker's requests
-// and aren't out of reach.
+// IsFirstTurnKeeper reports whether this node is the first reachable keeper of a worker's
+// turns.
 func (e *Exchange) IsFirstTurnKeeper(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,10 +139,11 @@
 	return false
 }
 
-// ReturnTurn gives a turn back that was not used: the worker got nothing.
+// ReturnTurn returns an unused turn: the worker got no request.
 func (e *Exchange) ReturnTurn(id string) { e.turns.refund(turnCharge(id)) }
 
-// CountTurn counts a request that a worker gets without its turn, if it has a limit.
+// CountTurn counts a request that is sent to a worker without a turn, if the worker has a
+// limit.
 func (e *Exchange) CountTurn(id string) {
 	if !e.registry.HasLimit(id) {
 		return
@@ -150,11 +156,11 @@
 	e.turns.record(turnCharge(id), now)
 }
 
-// turnLimits are the limits that workers have named, as accounts have them. A nil turnLimits
-// knows none: the nodes that ask tell them.
+// turnLimits are the limits that workers have stated, as limits of accounts. A nil turnLimits
+// knows none: the asking nodes send the limits.
 type turnLimits struct{ registry *worker.Registry }
 
-// of returns a worker's limit, and a version that is this node's own.
+// of returns a worker's limit with its version, which is valid on this node only.
 func (l *turnLimits) of(id string) (quota.Limit, uint64) {
 	said, version, _ := l.registry.Limit(id)
 	return limitOf(said.Rate), version
@@ -164,8 +170,8 @@
 	return quota.Limit{Rate: max(perSecond, worker.MinRate), Burst: turnBurst, Unit: quota.Requests}
 }
 
-// apply puts the limit that is known here in the place of the one that a report tells: versions
-// of different nodes can't be compared. It reports whether the account has a limit.
+// apply replaces the limit in a report by the one that this node knows, since versions of
+// different nodes can't be compared. It reports whether the account has a limit.
 func (l *turnLimits) apply(account string, report *quota.Report) (limited bool) {
 	if l == nil {
 		return true
@@ -173,7 +179,7 @@
 	said, version, known := l.registry.Limit(workerOfAccount(account))
 	switch {
 	case !known:
-		report.Version = 0 // any that becomes known here replaces it
+		report.Version = 0 // any limit that becomes known here replaces it
 		return true
 	case !said.Named:
 		report.Version = 0
@@ -183,7 +189,7 @@
 	return true
 }
 
-// currentLimit tells what is known of an account's limit, nil where nothing is.
+// currentLimit returns what this node knows of an account's limit, or nil if it knows nothing.
 func (l *turnLimits) currentLimit(account string, now time.Time) *wireLimit {
 	if l == nil {
 		return nil
@@ -196,7 +202,7 @@
 	return &form
 }
 
-// receive takes in what another node knows of an account's limit.
+// receive records what another node knows of an account's limit.
 func (l *turnLimits) receive(account, node string, form *wireLimit, now time.Time) {
 	if l != nil && form != nil {
 		l.registry.MergeLimit(workerOfAccount(account), node, form.statement(now))
--- a/internal/nodeexchange/usage.go
+++ b/internal/nodeexchange/usage.go
@@ -7,30 +7,31 @@
 	"github.com/tinarch/tinarch/internal/usage"
 )
 
-// wireUsage is a usage.Delta.
+// wireUsage is an encoded usage.Delta.
 type wireUsage struct {
 	After   uint64       `json:"a"`
 	Through uint64       `json:"t"`
 	Closed  usage.Window `json:"c"`
-	// Counts holds counts by window and tenant.
+	// Counts holds the counts by window and tenant.
 	Counts map[usage.Window]map[string]int `json:"w,omitempty"`
 }
 
-// usageReply is a usage.Reply.
+// usageReply is an encoded usage.Reply.
 type usageReply struct {
 	Through uint64       `json:"t"`
 	Closed  usage.Window `json:"c"`
 }
 
-// wireGathered is a part of what a supervisor has gathered of a node incarnation.
+// wireGathered is a part of the counts that a supervisor has gathered of one incarnation of a
+// node.
 type wireGathered struct {
 	Node   string                          `json:"n"`
 	Counts map[usage.Window]map[string]int `json:"w"`
-	// Recorded are windows as they were recorded; such a form holds nothing else.
+	// Recorded are windows as they were recorded. Such a message holds nothing else.
 	Recorded map[usage.Window]usage.Counts `json:"r,omitempty"`
 }
 
-// maxGathered bounds the entries of one message with gathered counts.
+// maxGathered bounds the entries in one message with gathered counts.
 const maxGathered = 300
 
 func renderCounts(entries []usage.Entry) map[usage.Window]map[string]int {
@@ -57,24 +58,25 @@
 	return entries
 }
 
-// usageExchange is this node's part in the exchange of tallies.
+// usageExchange is this node's part in the exchange of usage counts.
 type usageExchange struct {
 	tally     *usage.Tally
 	collector *usage.Collector
-	// sentThrough is the change up to which each supervisor was sentThrough.
+	// sentThrough holds for each supervisor the last change that was sent to it.
 	sentThrough map[netip.AddrPort]uint64
-	// acknowledged is the newest closed window of which a supervisor has all.
+	// acknowledged is the newest closed window for which a supervisor has all counts of this
+	// node.
 	acknowledged usage.Window
 }
 
-// SetUsage has the exchange tell the supervisors this node's tally, and gather those of
-// others. It is called before Run.
+// SetUsage lets the exchange send this node's counts to the supervisors and gather those of
+// other nodes. It must be called before Run.
 func (e *Exchange) SetUsage(tally *usage.Tally, collector *usage.Collector) {
 	e.usage = &usageExchange{tally: tally, collector: collector, sentThrough: make(map[netip.AddrPort]uint64)}
 }
 
-// UsageAcknowledged returns the newest closed window of which a supervisor, or this node
-// as one, has all that this node counted.
+// UsageAcknowledged returns the newest closed window for which a supervisor, which may be this
+// node, has all that this node counted.
 func (e *Exchange) UsageAcknowledged() usage.Window {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,7 +86,7 @@
 	return e.usage.acknowledged
 }
 
-// presentPeers is the number of other nodes that were heard lately.
+// presentPeers returns the number of other nodes that are present.
 func (e *Exchange) presentPeers() int {
 	count := 0
 	for _, known := range e.peers.peers {
@@ -95,7 +97,7 @@
 	return count
 }
 
-// sendUsage tells the supervisors what this node has counted since they were told last.
+// sendUsage sends the supervisors what this node has counted since the last message to each.
 func (e *Exchange) sendUsage(now time.Time) {
 	if e.usage == nil {
 		return
@@ -118,7 +120,7 @@
 	}
 }
 
-// receiveUsage takes in what another node has counted.
+// receiveUsage processes what another node has counted.
 func (e *Exchange) receiveUsage(from netip.AddrPort, message Message) {
 	if e.usage == nil {
 		return
@@ -131,7 +133,7 @@
 	}
 }
 
-// receiveUsageReply learns what a supervisor has of this node's tally.
+// receiveUsageReply records which counts of this node a supervisor has.
 func (e *Exchange) receiveUsageReply(from netip.AddrPort, reply usageReply) {
 	if e.usage == nil {
 		return
@@ -142,8 +144,8 @@
 	e.usage.acknowledged = max(e.usage.acknowledged, reply.Closed)
 }
 
-// TellRecorded implements usage.Fleet. A window with more tenants than a message holds isn't told:
-// a part of it would be another record.
+// TellRecorded implements usage.Fleet. A window with more tenants than fit in a message isn't
+// sent, since a part of it would be taken for the whole record.
 func (e *Exchange) TellRecorded(recorded map[usage.Window]usage.Counts) {
 	e.mu.Lock()
 	supervisors := e.peers.supervisors()
