--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -204,15 +204,15 @@
 
 // tick sends what is due, and returns the time until something may be due again.
 func (e *Exchange) tick(now time.Time) time.Duration {
-	due, atRest := e.outbox.due(now)
+	due, periodic := e.outbox.due(now)
 	if !due {
 		return e.outbox.untilDue(now)
 	}
-	reports := atRest && now.Sub(e.lastReport) >= reportInterval(e.Nodes())
+	reports := periodic && now.Sub(e.lastReport) >= reportInterval(e.Nodes())
 	if reports {
 		e.lastReport = now
 	}
-	e.sendLoads(now, atRest, reports)
+	e.sendLoads(now, periodic, reports)
 	if reports {
 		e.sendUsage(now)
 	}
@@ -228,10 +228,10 @@
 // sendLoads sends each home of a changed worker what this node has placed on that home's
 // workers. A periodic message goes to the homes of all workers on which this node has placed
 // anything. A report goes to the supervisors too, and to peers that may not know this node.
-func (e *Exchange) sendLoads(now time.Time, atRest, reports bool) {
+func (e *Exchange) sendLoads(now time.Time, periodic, reports bool) {
 	snapshot := e.registry.Snapshot()
 	e.outbox.add(snapshot)
-	snapshot.CacheUpdates, snapshot.Failures = e.outbox.next(now, atRest)
+	snapshot.CacheUpdates, snapshot.Failures = e.outbox.next(now, periodic)
 	e.sequence++
 	base := Message{Node: e.node, Sequence: e.sequence}
 	e.mu.Lock()
@@ -242,9 +242,9 @@
 		snapshot.Demand, snapshot.RegionDemand = nil, nil // it changes slowly, so that reports suffice
 	}
 	base.SteppedBack = now.Before(e.asideUntil)
-	parcels, supervisors := e.workersByRecipient(snapshot, atRest, reports), e.peers.supervisors()
+	workersByRecipient, supervisors := e.workersByRecipient(snapshot, periodic, reports), e.peers.supervisors()
 	e.mu.Unlock()
-	e.sendSnapshot(parcels, supervisors, snapshot, base)
+	e.sendSnapshot(workersByRecipient, supervisors, snapshot, base)
 	e.sendContents(snapshot.CacheUpdates, now)
 }
 
@@ -262,35 +262,35 @@
 
 // workersByRecipient returns the nodes that are to get a load message, each with the workers
 // that the message is to cover.
-func (e *Exchange) workersByRecipient(snapshot worker.Snapshot, atRest, reports bool) map[netip.AddrPort][]string {
+func (e *Exchange) workersByRecipient(snapshot worker.Snapshot, periodic, reports bool) map[netip.AddrPort][]string {
 	subjects := workersIn(snapshot)
-	parcels := make(map[netip.AddrPort][]string)
+	recipients := make(map[netip.AddrPort][]string)
 	for _, id := range subjects {
-		if atRest || snapshot.Concerns(id) {
+		if periodic || snapshot.Concerns(id) {
 			for _, home := range e.peers.homes(id) {
-				parcels[home] = nil
+				recipients[home] = nil
 			}
 		}
 	}
 	if reports {
 		for _, address := range e.reportTargets() {
-			parcels[address] = nil
+			recipients[address] = nil
 		}
 	}
-	if atRest && e.peers.supervises() {
+	if periodic && e.peers.supervises() {
 		for _, address := range e.peers.supervisors() {
-			parcels[address] = nil
+			recipients[address] = nil
 		}
 	}
-	delete(parcels, e.peers.address)
+	delete(recipients, e.peers.address)
 	for _, id := range subjects {
 		for _, home := range e.peers.homes(id) {
-			if workers, told := parcels[home]; told {
-				parcels[home] = append(workers, id)
+			if workers, told := recipients[home]; told {
+				recipients[home] = append(workers, id)
 			}
 		}
 	}
-	return parcels
+	return recipients
 }
 
 // reportTargets returns the nodes that get a report whether or not this node has load: the
@@ -312,9 +312,9 @@
 
 // sendSnapshot sends each node its part of a snapshot. Only supervisors get the demand by
 // region, which is long and used for planning only.
-func (e *Exchange) sendSnapshot(parcels map[netip.AddrPort][]string, supervisors []netip.AddrPort, snapshot worker.Snapshot, base Message) {
+func (e *Exchange) sendSnapshot(workersByRecipient map[netip.AddrPort][]string, supervisors []netip.AddrPort, snapshot worker.Snapshot, base Message) {
 	datagrams := make(map[datagramKey][]byte)
-	for address, workers := range parcels {
+	for address, workers := range workersByRecipient {
 		key := datagramKey{strings.Join(workers, " "), slices.Contains(supervisors, address)}
 		datagram, rendered := datagrams[key]
 		if !rendered {
--- a/internal/nodeexchange/memory.go
+++ b/internal/nodeexchange/memory.go
@@ -25,21 +25,21 @@
 // their caches and their throughputs. It returns the workers for which no complete answer
 // arrived, which may be all of them if all nodes have just started.
 func (e *Exchange) AskMemory(ctx context.Context, workers []string) []string {
-	untold := make(map[string]bool, len(workers))
+	missing := make(map[string]bool, len(workers))
 	for _, id := range workers {
-		untold[id] = true
+		missing[id] = true
 	}
 	for round := range memoryRounds {
-		for to, asked := range e.memorySources(untold, round) {
+		for to, asked := range e.memorySources(missing, round) {
 			e.sendTo(to, Message{Node: e.node, WantMemory: asked})
 		}
-		e.awaitMemory(ctx, untold)
-		if len(untold) == 0 || ctx.Err() != nil {
+		e.awaitMemory(ctx, missing)
+		if len(missing) == 0 || ctx.Err() != nil {
 			break
 		}
 	}
-	left := make([]string, 0, len(untold))
-	for id := range untold {
+	left := make([]string, 0, len(missing))
+	for id := range missing {
 		left = append(left, id)
 	}
 	return left
@@ -65,14 +65,14 @@
 
 // awaitMemory removes the workers with complete answers from untold, until none is left or the
 // round ends.
-func (e *Exchange) awaitMemory(ctx context.Context, untold map[string]bool) {
+func (e *Exchange) awaitMemory(ctx context.Context, missing map[string]bool) {
 	timer := time.NewTimer(memoryRoundTimeout)
 	defer timer.Stop()
-	for len(untold) > 0 {
+	for len(missing) > 0 {
 		select {
 		case told := <-e.memoryComplete:
 			for _, id := range told {
-				delete(untold, id)
+				delete(missing, id)
 			}
 		case <-ctx.Done():
 			return
--- a/internal/nodeexchange/outbox.go
+++ b/internal/nodeexchange/outbox.go
@@ -31,7 +31,7 @@
 }
 
 // due reports whether a message is to be sent now, and whether it is a periodic one.
-func (o *outbox) due(now time.Time) (due, atRest bool) {
+func (o *outbox) due(now time.Time) (due, periodic bool) {
 	if now.Sub(o.lastPeriodic) >= periodicInterval {
 		return true, true
 	}
@@ -51,10 +51,10 @@
 }
 
 // next returns the cache updates and failures for the message that is sent now.
-func (o *outbox) next(now time.Time, atRest bool) (reads []worker.CacheUpdate, failures []string) {
+func (o *outbox) next(now time.Time, periodic bool) (reads []worker.CacheUpdate, failures []string) {
 	fresh := o.takePending()
 	reads = fresh
-	if atRest {
+	if periodic {
 		reads = append(o.takeRepeated(), fresh...)
 		o.lastPeriodic = now
 	}
--- a/internal/nodeexchange/quota_reports.go
+++ b/internal/nodeexchange/quota_reports.go
@@ -29,7 +29,7 @@
 	ticker := time.NewTicker(keeperReportInterval)
 	defer ticker.Stop()
 	var soon <-chan time.Time
-	rested := time.Now()
+	lastPeriodic := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -43,11 +43,11 @@
 			q.reportChanged(time.Now())
 		case now := <-ticker.C:
 			q.checkForPause(now)
-			atRest := now.Sub(rested) >= quotaReportInterval
-			if atRest {
-				rested = now
+			periodic := now.Sub(lastPeriodic) >= quotaReportInterval
+			if periodic {
+				lastPeriodic = now
 			}
-			q.reportAtRest(atRest, now)
+			q.reportPeriodic(periodic, now)
 		}
 	}
 }
@@ -60,9 +60,9 @@
 	q.sendReports(reports, now)
 }
 
-// reportAtRest sends periodic reports: of the accounts that this node keeps, so that their
+// reportPeriodic sends periodic reports: of the accounts that this node keeps, so that their
 // keepers hear from each other, and, if all is set, of all accounts that it uses.
-func (q *quotaExchange) reportAtRest(all bool, now time.Time) {
+func (q *quotaExchange) reportPeriodic(all bool, now time.Time) {
 	q.dropMovedAccounts(now)
 	q.mu.Lock()
 	reports := q.keeper.InUse(now)
@@ -127,28 +127,28 @@
 // sendReports sends reports to the keepers of their accounts, usually one message to each
 // keeper. If this node is a keeper, it processes its own reports.
 func (q *quotaExchange) sendReports(reports map[string]quota.Report, now time.Time) {
-	parcels := make(map[netip.AddrPort]map[string]wireQuotaReport)
+	reportsByKeeper := make(map[netip.AddrPort]map[string]wireQuotaReport)
 	for account, report := range reports {
 		for _, keeper := range q.keepersOf(account) {
-			if parcels[keeper] == nil {
-				parcels[keeper] = make(map[string]wireQuotaReport)
+			if reportsByKeeper[keeper] == nil {
+				reportsByKeeper[keeper] = make(map[string]wireQuotaReport)
 			}
-			parcels[keeper][account] = renderQuotaReport(report)
-			if len(parcels[keeper]) == maxQuotaReports {
-				q.sendReport(keeper, parcels[keeper], now)
-				delete(parcels, keeper)
+			reportsByKeeper[keeper][account] = renderQuotaReport(report)
+			if len(reportsByKeeper[keeper]) == maxQuotaReports {
+				q.sendReportsTo(keeper, reportsByKeeper[keeper], now)
+				delete(reportsByKeeper, keeper)
 			}
 		}
 	}
-	for keeper, parcel := range parcels {
-		q.sendReport(keeper, parcel, now)
+	for keeper, forms := range reportsByKeeper {
+		q.sendReportsTo(keeper, forms, now)
 	}
 }
 
-func (q *quotaExchange) sendReport(to netip.AddrPort, parcel map[string]wireQuotaReport, now time.Time) {
+func (q *quotaExchange) sendReportsTo(to netip.AddrPort, reports map[string]wireQuotaReport, now time.Time) {
 	if to == q.exchange.peers.address {
-		q.receiveReports(q.self(), parcel, now)
+		q.receiveReports(q.self(), reports, now)
 		return
 	}
-	q.exchange.sendTo(to, q.message(&quotaMessage{Reports: parcel}))
+	q.exchange.sendTo(to, q.message(&quotaMessage{Reports: reports}))
 }
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -30,8 +30,8 @@
 const maxFanOut = 30
 
 // SpreadWords broadcasts announcements of what the store has confirmed.
-func (e *Exchange) SpreadWords(words []tablerelay.Announcement) {
-	e.broadcast(Message{Node: e.node, Words: words, CreatedMillis: clock.Boottime().UnixMilli()})
+func (e *Exchange) SpreadWords(announcements []tablerelay.Announcement) {
+	e.broadcast(Message{Node: e.node, Words: announcements, CreatedMillis: clock.Boottime().UnixMilli()})
 }
 
 // SpreadNews broadcasts changes of a table. Changes that are too large aren't sent: the other
@@ -188,8 +188,8 @@
 	if e.board == nil {
 		return
 	}
-	if words := e.board.Known(time.Now()); len(words) > 0 {
-		e.sendTo(to, Message{Node: e.node, Words: words, CreatedMillis: clock.Boottime().UnixMilli(), Relayed: true})
+	if announcements := e.board.Known(time.Now()); len(announcements) > 0 {
+		e.sendTo(to, Message{Node: e.node, Words: announcements, CreatedMillis: clock.Boottime().UnixMilli(), Relayed: true})
 	}
 }
 
@@ -204,15 +204,15 @@
 	if e.board == nil {
 		return
 	}
-	words := message.Words
+	announcements := message.Words
 	if message.CreatedMillis != 0 {
-		late := e.delays.excess(message.Node, time.UnixMilli(message.CreatedMillis), now)
-		words = slices.Clone(words)
-		for i := range words {
-			words[i].AgeMillis += late.Milliseconds()
+		delay := e.delays.excess(message.Node, time.UnixMilli(message.CreatedMillis), now)
+		announcements = slices.Clone(announcements)
+		for i := range announcements {
+			announcements[i].AgeMillis += delay.Milliseconds()
 		}
 	}
-	e.board.Take(words, time.Now())
+	e.board.Take(announcements, time.Now())
 	e.relay(from, message)
 }
 
--- a/internal/nodeexchange/transit.go
+++ b/internal/nodeexchange/transit.go
@@ -27,14 +27,14 @@
 // excess returns how much longer than the fastest recent message of its originator a message
 // took, given the originator's clock at its creation and the receiver's now. It is zero for the
 // first message.
-func (t *delayEstimator) excess(maker string, made, now time.Time) time.Duration {
+func (t *delayEstimator) excess(originator string, created, now time.Time) time.Duration {
 	t.advance(now)
-	way := t.byOriginator[maker]
+	way := t.byOriginator[originator]
 	if way == nil {
 		way = &minDelay{}
-		t.byOriginator[maker] = way
+		t.byOriginator[originator] = way
 	}
-	took := now.Sub(made)
+	took := now.Sub(created)
 	if !way.known || took < way.current {
 		way.current, way.known = took, true
 	}
@@ -55,9 +55,9 @@
 		return
 	}
 	t.began = now
-	for maker, way := range t.byOriginator {
+	for originator, way := range t.byOriginator {
 		if !way.known {
-			delete(t.byOriginator, maker)
+			delete(t.byOriginator, originator)
 			continue
 		}
 		*way = minDelay{before: way.current, knownBefore: true}
--- a/internal/nodeexchange/turns.go
+++ b/internal/nodeexchange/turns.go
@@ -41,10 +41,10 @@
 	HeardMillis int64   `json:"h"`
 }
 
-func renderLimit(said worker.LimitStatement, now time.Time) wireLimit {
+func renderLimit(stated worker.LimitStatement, now time.Time) wireLimit {
 	return wireLimit{
-		Named: said.Named, Rate: said.Rate,
-		SentMillis: now.Sub(said.Sent).Milliseconds(), HeardMillis: now.Sub(said.Heard).Milliseconds(),
+		Named: stated.Named, Rate: stated.Rate,
+		SentMillis: now.Sub(stated.Sent).Milliseconds(), HeardMillis: now.Sub(stated.Heard).Milliseconds(),
 	}
 }
 
@@ -58,11 +58,11 @@
 
 func renderLimits(limits map[string]worker.LimitStatement, now time.Time) map[string]wireLimit {
 	var rendered map[string]wireLimit
-	for id, said := range limits {
+	for id, stated := range limits {
 		if rendered == nil {
 			rendered = make(map[string]wireLimit, len(limits))
 		}
-		rendered[id] = renderLimit(said, now)
+		rendered[id] = renderLimit(stated, now)
 	}
 	return rendered
 }
@@ -162,11 +162,11 @@
 
 // of returns a worker's limit with its version, which is valid on this node only.
 func (l *turnLimits) of(id string) (quota.Limit, uint64) {
-	said, version, _ := l.registry.Limit(id)
-	return limitOf(said.Rate), version
+	stated, version, _ := l.registry.Limit(id)
+	return limitFor(stated.Rate), version
 }
 
-func limitOf(perSecond float64) quota.Limit {
+func limitFor(perSecond float64) quota.Limit {
 	return quota.Limit{Rate: max(perSecond, worker.MinRate), Burst: turnBurst, Unit: quota.Requests}
 }
 
@@ -176,16 +176,16 @@
 	if l == nil {
 		return true
 	}
-	said, version, known := l.registry.Limit(workerOfAccount(account))
+	stated, version, known := l.registry.Limit(workerOfAccount(account))
 	switch {
 	case !known:
 		report.Version = 0 // any limit that becomes known here replaces it
 		return true
-	case !said.Named:
+	case !stated.Named:
 		report.Version = 0
 		return false
 	}
-	report.Limit, report.Version = limitOf(said.Rate), version
+	report.Limit, report.Version = limitFor(stated.Rate), version
 	return true
 }
 
@@ -194,11 +194,11 @@
 	if l == nil {
 		return nil
 	}
-	said, _, _ := l.registry.Limit(workerOfAccount(account))
-	if said.Heard.IsZero() {
+	stated, _, _ := l.registry.Limit(workerOfAccount(account))
+	if stated.Heard.IsZero() {
 		return nil
 	}
-	form := renderLimit(said, now)
+	form := renderLimit(stated, now)
 	return &form
 }
 
