--- a/internal/nodeexchange/contents.go
+++ b/internal/nodeexchange/contents.go
@@ -56,12 +56,12 @@
 func parseContent(text string) (contentRecord, error) {
 	fields := strings.Fields(text)
 	if len(fields) != 3 {
-		return contentRecord{}, eris.Errorf("a kept content has %d fields", len(fields))
+		return contentRecord{}, eris.Errorf("a content record has %d fields, want 3", len(fields))
 	}
 	content, contentErr := strconv.ParseUint(fields[0], partBase, 64)
 	tokens, tokensErr := strconv.Atoi(fields[2])
 	if contentErr != nil || tokensErr != nil || tokens < 0 {
-		return contentRecord{}, eris.Errorf("the kept content %q is malformed", text)
+		return contentRecord{}, eris.Errorf("content record %q is malformed", text)
 	}
 	return contentRecord{content: content, holder: scheduling.Holder{Worker: fields[1], Tokens: tokens}}, nil
 }
--- a/internal/nodeexchange/detour.go
+++ b/internal/nodeexchange/detour.go
@@ -67,7 +67,7 @@
 	}
 	value, err := json.Marshal(usage.NodeRow{Incarnation: e.node, Entries: entries})
 	if err != nil {
-		log.WithError(err).Error("this node's usage can't be rendered")
+		log.WithError(err).Error("this node's usage counts can't be encoded")
 		return true
 	}
 	callCtx, cancel := context.WithTimeout(ctx, storeUsageTimeout)
@@ -84,6 +84,6 @@
 	callCtx, cancel := context.WithTimeout(ctx, storeUsageTimeout)
 	defer cancel()
 	if err := store.Remove(callCtx, usage.Table, usage.NodeKey(name)); err != nil {
-		e.log.WithField("cause", err.Error()).Warn("this node's row of usage stays in the store")
+		e.log.WithField("cause", err.Error()).Warn("this node's usage row could not be deleted from the store")
 	}
 }
--- a/internal/nodeexchange/digest.go
+++ b/internal/nodeexchange/digest.go
@@ -264,7 +264,7 @@
 func parseRead(text string) (worker.CacheUpdate, error) {
 	fields := strings.Fields(text)
 	if len(fields) == 0 {
-		return worker.CacheUpdate{}, eris.New("a read without a worker")
+		return worker.CacheUpdate{}, eris.New("a cache update names no worker")
 	}
 	parts, err := parseParts(fields[1:])
 	return worker.CacheUpdate{Worker: fields[0], Parts: parts}, err
@@ -277,7 +277,7 @@
 		number, idErr := strconv.ParseUint(id, partBase, 64)
 		count, countErr := strconv.Atoi(tokens)
 		if !found || idErr != nil || countErr != nil || count < 0 {
-			return nil, eris.Errorf("part %q of a prompt is malformed", field)
+			return nil, eris.Errorf("prompt part %q is malformed", field)
 		}
 		parts = append(parts, prefixcache.Part{ID: prefixcache.PartID(number), Tokens: count})
 	}
@@ -290,7 +290,7 @@
 		return Message{}, err
 	}
 	if message.Node == "" {
-		return Message{}, eris.New("a digest without its sender")
+		return Message{}, eris.New("a message names no sender")
 	}
 	return message, nil
 }
--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -379,11 +379,11 @@
 func (e *Exchange) encode(message Message) []byte {
 	datagram, err := json.Marshal(message)
 	if err != nil {
-		e.log.WithError(err).Error("a digest can't be rendered and was not sent")
+		e.log.WithError(err).Error("a message to other nodes can't be encoded and was not sent")
 		return nil
 	}
 	if len(datagram) > maxDatagram {
-		e.log.WithFields(logrus.Fields{"bytes": len(datagram), "kind": message.kind()}).Error("a digest is too large and was not sent")
+		e.log.WithFields(logrus.Fields{"bytes": len(datagram), "kind": message.kind()}).Error("a message to other nodes is too large and was not sent")
 		return nil
 	}
 	return datagram
@@ -406,7 +406,7 @@
 }
 
 func (e *Exchange) logMalformed(from netip.AddrPort, err error) {
-	e.log.WithFields(logrus.Fields{"from": from.String(), "cause": err.Error()}).Warn("a malformed digest was dropped")
+	e.log.WithFields(logrus.Fields{"from": from.String(), "cause": err.Error()}).Warn("a malformed message of another node was dropped")
 }
 
 func (e *Exchange) handle(from netip.AddrPort, message Message) {
--- a/internal/nodeexchange/news.go
+++ b/internal/nodeexchange/news.go
@@ -43,7 +43,7 @@
 	case err != nil:
 		return tablefeed.News{}, err
 	case len(content) > maxUnpackedNews:
-		return tablefeed.News{}, eris.Errorf("news of more than %d bytes", maxUnpackedNews)
+		return tablefeed.News{}, eris.Errorf("decompressed news exceed %d bytes", maxUnpackedNews)
 	}
 	var news tablefeed.News
 	err = json.Unmarshal(content, &news)
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -39,11 +39,11 @@
 func (e *Exchange) SpreadNews(news tablefeed.News) {
 	packed, err := packNews(news)
 	if err != nil {
-		e.log.WithError(err).Error("changes of a table can't be rendered for the other nodes")
+		e.log.WithError(err).Error("changes of a table can't be encoded for the other nodes")
 		return
 	}
 	if len(packed) > e.newsLimit() {
-		e.log.WithField("table", news.Table).WithField("bytes", len(packed)).Info("changes of a table are too large to be told; the other nodes fetch them")
+		e.log.WithField("table", news.Table).WithField("bytes", len(packed)).Info("changes of a table are too large to be broadcast; the other nodes fetch them")
 		return
 	}
 	e.broadcast(Message{Node: e.node, News: packed})
