--- a/internal/nodeexchange/ask_test.go
+++ b/internal/nodeexchange/ask_test.go
@@ -13,7 +13,7 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-func TestAccountsSurviveTheirForm(t *testing.T) {
+func TestLoadReportSurvivesEncoding(t *testing.T) {
 	account := scheduling.LoadReport{
 		Requests: 3, ReadTokens: 900, ReadAhead: 400, LateTokens: 50, MemoryTokens: 7000, CachedTokens: 12, Changing: true,
 		HandleFailure: true, FailureRate: 0.25,
@@ -23,26 +23,26 @@
 	}
 }
 
-// cluster runs exchanges that know each other, over real datagrams.
+// cluster runs exchanges that know each other and communicate over UDP.
 func cluster(t *testing.T, nodes int, workers ...string) ([]*Exchange, []*worker.Registry) {
 	t.Helper()
-	return clusterWithBoards(t, make([]TableCoordinator, nodes), workers...)
+	return clusterWithCoordinators(t, make([]TableCoordinator, nodes), workers...)
 }
 
-// clusterWithBoards runs an exchange for each board.
-func clusterWithBoards(t *testing.T, boards []TableCoordinator, workers ...string) ([]*Exchange, []*worker.Registry) {
+// clusterWithCoordinators runs one exchange for each coordinator.
+func clusterWithCoordinators(t *testing.T, coordinators []TableCoordinator, workers ...string) ([]*Exchange, []*worker.Registry) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var exchanges []*Exchange
 	var registries []*worker.Registry
 	var listed []Peer
-	for i := range boards {
-		registries = append(registries, registryWith(workers...))
+	for i := range coordinators {
+		registries = append(registries, newRegistry(workers...))
 		exchange, err := Listen("127.0.0.1:0", fmt.Sprint("n", i), "zone", registries[i], quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
-		exchange.SetTableCoordinator(boards[i])
+		exchange.SetTableCoordinator(coordinators[i])
 		exchanges = append(exchanges, exchange)
 		listed = append(listed, Peer{Node: exchange.node, Address: exchange.peers.address, Zone: "zone"})
 	}
@@ -59,8 +59,9 @@
 	return exchanges, registries
 }
 
-// TestLoadIsKnownByAsking: a node that doesn't keep a worker's account learns of the load
-// that another has placed, of what the worker keeps, and of its failures.
+// TestLoadIsKnownByAsking checks that a node that doesn't track a worker's load learns, by
+// asking, of the load that another node has placed, of what the worker has cached, and of its
+// failures.
 func TestLoadIsKnownByAsking(t *testing.T) {
 	exchanges, registries := cluster(t, 30, "w")
 	placing, asking := -1, -1
@@ -89,9 +90,9 @@
 	}
 }
 
-// TestQuestionsEndWithoutAnAnswer: a home that is gone holds a request up once.
+// TestQuestionsEndWithoutAnAnswer checks that a home that is gone delays a request only once.
 func TestQuestionsEndWithoutAnAnswer(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone", registryWith("w"), quiet())
+	exchange, err := Listen("127.0.0.1:0", "me", "zone", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,10 +119,10 @@
 	}
 }
 
-// TestCrossedAnswerIsDropped: an answer counts for its own question and from the node
-// that was asked.
+// TestCrossedAnswerIsDropped checks that an answer counts only for its own question and only
+// from the node that was asked.
 func TestCrossedAnswerIsDropped(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone", registryWith("w"), quiet())
+	exchange, err := Listen("127.0.0.1:0", "me", "zone", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,9 +149,10 @@
 	}
 }
 
-// TestKeepingIsWhatIsKept, also after nodes and workers have come and gone.
-func TestKeepingIsWhatIsKept(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+// TestKeepingAgreesWithKept checks that Keeping and Kept agree, also after nodes and workers
+// were added and removed.
+func TestKeepingAgreesWithKept(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/nodeexchange/compatibility_test.go
+++ b/internal/nodeexchange/compatibility_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestMessageOfThePreviousBuildIsRead: it has a value in each field that the build knows.
+// TestMessageOfThePreviousBuildIsRead decodes a message of the previous build that has a value
+// in each field which that build knows, and checks that it is encoded in the same way again.
 func TestMessageOfThePreviousBuildIsRead(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/previous-message.json")
 	if err != nil {
@@ -30,7 +31,7 @@
 	}
 }
 
-func TestFieldsOfALaterBuildArePassedOver(t *testing.T) {
+func TestUnknownFieldsAreIgnored(t *testing.T) {
 	message, err := decode([]byte(`{"n":"x","s":4,"later":{"a":[1]},"v":{"i":2,"later":true}}`))
 	if err != nil || message.Sequence != 4 || message.Reply == nil || message.Reply.ID != 2 {
 		t.Errorf("%+v, %v", message, err)
--- a/internal/nodeexchange/contents_test.go
+++ b/internal/nodeexchange/contents_test.go
@@ -13,7 +13,7 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-func TestContentsSurviveTheirForm(t *testing.T) {
+func TestContentRecordSurvivesEncoding(t *testing.T) {
 	kept := contentRecord{content: 0xfedcba9876543210, holder: scheduling.Holder{Worker: "i-1", Tokens: 13300}}
 	parsed, err := parseContent(renderContent(kept))
 	if err != nil || parsed != kept {
@@ -26,8 +26,9 @@
 	}
 }
 
-// TestIndexKnowsTheNewestHolders: few of them, and none that has read long ago.
-func TestIndexKnowsTheNewestHolders(t *testing.T) {
+// TestIndexReturnsTheNewestHolders checks that the index returns a bounded number of holders,
+// and none that prefilled the content too long ago.
+func TestIndexReturnsTheNewestHolders(t *testing.T) {
 	index, begun := newContentIndex(), time.Now()
 	read := func(worker string, after time.Duration) {
 		index.add(contentRecord{content: 7, holder: scheduling.Holder{Worker: worker, Tokens: 2000}}, begun.Add(after))
@@ -52,9 +53,9 @@
 	}
 }
 
-// TestContentIsFoundWhereverItWasRead: in a fleet of which no node knows all caches, a
-// node that asks for a prompt learns of a worker that read its shared part at another's
-// request.
+// TestContentIsFoundWhereverItWasRead checks that in a fleet in which no node knows all caches,
+// a node that asks about a prompt learns of a worker that prefilled its shared part for a
+// request of another node.
 func TestContentIsFoundWhereverItWasRead(t *testing.T) {
 	const nodes = fullTrackingFleet + 5
 	exchanges, registries := cluster(t, nodes, "w", "other")
--- a/internal/nodeexchange/departed_test.go
+++ b/internal/nodeexchange/departed_test.go
@@ -11,8 +11,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// supervisorOf returns what a supervisor of some nodes knows when it has heard all but one
-// for a while, and since when it supervises.
+// supervisorOf returns what a supervisor of a fleet knows after it has heard all nodes but one
+// for some time, and since when it supervises.
 func supervisorOf(nodes int, silent netip.AddrPort, span time.Duration) (*peerSet, *silenceMonitor) {
 	sets := fleetOf(nodes)
 	index := slices.IndexFunc(sets, func(set *peerSet) bool { return set.supervises() && set.address != silent })
@@ -32,7 +32,8 @@
 	return set, &w
 }
 
-// TestReplacedNodeIsDropped when it was silent for long: nothing rests on it any more.
+// TestReplacedNodeIsDropped checks that a node is dropped after a long silence and is no home
+// of any worker any more.
 func TestReplacedNodeIsDropped(t *testing.T) {
 	gone := addressOf(3)
 	set, w := supervisorOf(60, gone, departedAfter)
@@ -54,7 +55,8 @@
 	}
 }
 
-// TestCutOffSupervisorDropsNobody: it hears less than half of all nodes.
+// TestCutOffSupervisorDropsNobody checks that a supervisor that hears less than half of all
+// nodes, and so may be cut off itself, drops none of them.
 func TestCutOffSupervisorDropsNobody(t *testing.T) {
 	set, w := supervisorOf(60, addressOf(3), 0)
 	now := origin.Add(2 * departedAfter)
@@ -67,7 +69,8 @@
 	}
 }
 
-// TestNewSupervisorDropsNobody at first: before, most nodes told it nothing.
+// TestNewSupervisorDropsNobody checks that a node that has just become a supervisor drops no
+// node for its silence: most nodes didn't report to it before.
 func TestNewSupervisorDropsNobody(t *testing.T) {
 	set, w := supervisorOf(60, addressOf(3), 2*departedAfter)
 	now := origin.Add(2 * departedAfter)
@@ -78,8 +81,8 @@
 	}
 }
 
-// TestStoppedSupervisorDropsNobody when it goes on: it has heard some of the others again, and
-// the rest not yet.
+// TestStoppedSupervisorDropsNobody checks that a supervisor whose process was stopped drops no
+// node when it resumes: it has heard only some of the others again.
 func TestStoppedSupervisorDropsNobody(t *testing.T) {
 	set, w := supervisorOf(60, addressOf(3), 0)
 	now := origin.Add(2 * departedAfter)
@@ -93,7 +96,8 @@
 	}
 }
 
-// TestNodeThatIsHeardIsNotDropped, whatever another node says.
+// TestNodeThatIsHeardIsNotDropped checks that a node that was heard recently isn't dropped even
+// if another node declares it gone.
 func TestNodeThatIsHeardIsNotDropped(t *testing.T) {
 	set := newPeerSet("me", self, "zone")
 	set.recordMessage(there, Message{Node: "other", Sequence: 1}, origin)
@@ -105,11 +109,11 @@
 	}
 }
 
-// TestDroppedNodeThatComesBackAnnouncesItself, over real datagrams: the others drop it when
-// they are told, and tell it that it isn't listed when they hear it.
+// TestDroppedNodeThatComesBackAnnouncesItself checks over UDP that the other nodes drop a node
+// when they are told to, and that they tell it that it isn't listed when they hear it again.
 func TestDroppedNodeThatComesBackAnnouncesItself(t *testing.T) {
-	exchanges, _ := clusterWithBoards(t, []TableCoordinator{nil, nil}, "w")
-	cut, err := Listen("127.0.0.1:0", "cut", "zone", registryWith("w"), quiet())
+	exchanges, _ := clusterWithCoordinators(t, []TableCoordinator{nil, nil}, "w")
+	cut, err := Listen("127.0.0.1:0", "cut", "zone", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,10 +143,10 @@
 	}
 }
 
-// listening returns an exchange that takes messages in and sends nothing of its own.
+// listening returns an exchange that processes messages and sends none on its own.
 func listening(t *testing.T, node string) *Exchange {
 	t.Helper()
-	exchange, err := Listen("127.0.0.1:0", node, "zone", registryWith("w"), quiet())
+	exchange, err := Listen("127.0.0.1:0", node, "zone", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,8 +155,8 @@
 	return exchange
 }
 
-// TestUnlistedNodeIsTold though it can't make itself heard at the node that drops it, or was
-// heard again meanwhile: its row is gone.
+// TestUnlistedNodeIsTold checks that a node whose row was deleted learns of it even if its
+// messages don't reach the node that drops it, or if it was heard again in the meantime.
 func TestUnlistedNodeIsTold(t *testing.T) {
 	for _, heard := range []bool{false, true} {
 		supervisor, unlisted := listening(t, "supervisor"), listening(t, "unlisted")
@@ -170,9 +174,9 @@
 	}
 }
 
-// TestBytesAreCountedByDistance.
+// TestBytesAreCountedByDistance checks the metrics of a message to another region.
 func TestBytesAreCountedByDistance(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "north-a", registryWith("w"), quiet())
+	exchange, err := Listen("127.0.0.1:0", "me", "north-a", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/nodeexchange/digest_test.go
+++ b/internal/nodeexchange/digest_test.go
@@ -24,7 +24,7 @@
 	return log
 }
 
-func registryWith(workers ...string) *worker.Registry {
+func newRegistry(workers ...string) *worker.Registry {
 	registry := worker.NewRegistry(topology.New("a", nil))
 	var listed []worker.Worker
 	for _, id := range workers {
@@ -34,11 +34,11 @@
 	return registry
 }
 
-func TestMessageKeepsASnapshot(t *testing.T) {
+func TestSnapshotSurvivesEncoding(t *testing.T) {
 	snapshot := worker.Snapshot{
 		Loads:        map[string]worker.Load{"w": {Requests: 1, Unread: worker.UnreadTokens{0, 2}, MemoryTokens: 3}},
 		CacheUpdates: []worker.CacheUpdate{{Worker: "w", Parts: []prefixcache.Part{{ID: 0xabc, Tokens: 10}, {ID: 1 << 63, Tokens: 0}}}},
-		// A read of nothing is possible too.
+		// A cache update without tokens is possible too.
 		Failures: []string{"w", "x"},
 		Demand:   map[string]worker.Demand{"s": {ReadTokens: 900, Requests: 1.25, MemoryTokens: 70}},
 		RegionDemand: map[string]map[string]worker.Demand{
@@ -85,14 +85,15 @@
 			return
 		}
 		if snapshot, err := message.snapshot(); err == nil {
-			registryWith("w").Merge(message.Node, snapshot, time.Unix(0, 0))
+			newRegistry("w").Merge(message.Node, snapshot, time.Unix(0, 0))
 		}
 	})
 }
 
-// TestOldMessagesAreDropped: datagrams may overtake one another.
+// TestOldMessagesAreDropped checks that a load message that arrives after a newer one is
+// ignored.
 func TestOldMessagesAreDropped(t *testing.T) {
-	registry := registryWith("w")
+	registry := newRegistry("w")
 	exchange, err := Listen("127.0.0.1:0", "me", "zone", registry, quiet())
 	if err != nil {
 		t.Fatal(err)
@@ -113,10 +114,10 @@
 	}
 }
 
-// TestNodesHearOfEachOther over real datagrams.
+// TestNodesHearOfEachOther checks over UDP that one node's load becomes known to another.
 func TestNodesHearOfEachOther(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	registries := []*worker.Registry{registryWith("w"), registryWith("w")}
+	registries := []*worker.Registry{newRegistry("w"), newRegistry("w")}
 	var exchanges []*Exchange
 	for i, name := range []string{"a", "b"} {
 		exchange, err := Listen("127.0.0.1:0", name, "zone", registries[i], quiet())
@@ -146,10 +147,11 @@
 	<-ended
 }
 
-// TestNewbornLearnsFromAPeer: a node that has just started is told what workers
-// keep, and of those of which a peer has itself learned nothing yet it isn't.
-func TestNewbornLearnsFromAPeer(t *testing.T) {
-	old, young := registryWith("w", "unlearned"), registryWith("w", "unlearned")
+// TestStartingNodeLearnsFromAPeer checks that a node that has just started learns from a peer
+// what workers have cached, but not for workers of which the peer itself has learned nothing
+// yet.
+func TestStartingNodeLearnsFromAPeer(t *testing.T) {
+	old, young := newRegistry("w", "unlearned"), newRegistry("w", "unlearned")
 	parts := []prefixcache.Part{{ID: 1, Tokens: 700}, {ID: 2, Tokens: 30}}
 	old.ObserveCached("w", parts, time.Unix(1, 0))
 	old.ObserveReading("w", latency.Reading{Tokens: 5000, Elapsed: 100 * time.Millisecond})
@@ -190,7 +192,7 @@
 	}
 }
 
-func TestMemoryIsDividedIntoDatagrams(t *testing.T) {
+func TestMemoryIsSplitIntoDatagrams(t *testing.T) {
 	var parts []prefixcache.Part
 	for i := range 1000 {
 		parts = append(parts, prefixcache.Part{ID: prefixcache.PartID(1<<62 + i), Tokens: 100_000})
--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -45,8 +45,8 @@
 type Exchange struct {
 	node, zone string
 	registry   *worker.Registry
-	// board is nil where this node follows no tables.
-	board TableCoordinator
+	// coordinator is nil where this node follows no tables.
+	coordinator TableCoordinator
 	// contents indexes which workers hold the contents that this node is a home of; guarded by
 	// mu.
 	contents *contentIndex
@@ -126,7 +126,7 @@
 
 // SetTableCoordinator sets where announcements and news about tables are delivered. It must be
 // called before Run.
-func (e *Exchange) SetTableCoordinator(board TableCoordinator) { e.board = board }
+func (e *Exchange) SetTableCoordinator(board TableCoordinator) { e.coordinator = board }
 
 // Done returns a channel that is closed when Run has ended.
 func (e *Exchange) Done() <-chan struct{} { return e.done }
--- a/internal/nodeexchange/listing_test.go
+++ b/internal/nodeexchange/listing_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// listedFleet returns the nodes of a fleet in five zones, each as it is when it has just read
-// the rows of its zone: those of nodes that wrote theirs before it.
+// listedFleet returns the nodes of a fleet in five zones, each in the state in which it has
+// just read the rows of its zone: those of nodes that wrote theirs before it.
 func listedFleet(nodes int) []*peerSet {
 	var sets []*peerSet
 	for i := range nodes {
@@ -24,10 +24,10 @@
 	return sets
 }
 
-// TestTablesReachAllNodesByATree: whatever the size of the fleet, two nodes of a zone read at
-// the store, each gives copies to a few others at most, and few stand between it and any
-// node.
-func TestTablesReachAllNodesByATree(t *testing.T) {
+// TestTableSourcesFormATree checks for fleets of several sizes that two nodes of each zone read
+// tables from the store, that each node passes copies to a few others at most, and that the
+// tree is shallow.
+func TestTableSourcesFormATree(t *testing.T) {
 	for nodes, deepest := range map[int]int{10: 0, 30: 1, 100: 3, 300: 3, 985: 4, 2000: 5} {
 		reading, children := 0, make(map[netip.AddrPort]int)
 		depths := make(map[netip.AddrPort]int)
@@ -54,7 +54,8 @@
 	}
 }
 
-// TestUnlistedNodeAsksListedOnes: its own row may still wait to be written.
+// TestUnlistedNodeAsksListedOnes checks that a node whose own row isn't in the list yet asks
+// nodes of its zone that are.
 func TestUnlistedNodeAsksListedOnes(t *testing.T) {
 	set := newPeerSet("new", self, "zone0")
 	for _, known := range listedFleet(40) {
@@ -69,9 +70,10 @@
 	}
 }
 
-// TestGiversAreWaitedFor until the list was read.
-func TestGiversAreWaitedFor(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+// TestGiversWaitsForTheZoneList checks that Givers waits until the list of the zone has been
+// read.
+func TestGiversWaitsForTheZoneList(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +89,8 @@
 	}
 }
 
-// TestLargeFleetIsNotGreeted: all follow the list, but for those of a build that didn't.
+// TestLargeFleetIsNotGreeted checks that in a large fleet a node greets only nodes of a build
+// that doesn't follow the list.
 func TestLargeFleetIsNotGreeted(t *testing.T) {
 	for nodes, want := range map[int]int{20: 19, 100: 0, 985: 0} {
 		if greeted := len(fleetOf(nodes)[0].greetTargets()); greeted != want {
@@ -101,10 +104,10 @@
 	}
 }
 
-// TestWithdrawnNodeStaysAway although it still sends while it stops, until it is listed again
-// or another process has its address.
-func TestWithdrawnNodeStaysAway(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+// TestLateMessageDoesNotReAddAWithdrawnNode checks that messages which a withdrawn node sends
+// while it shuts down don't add it again. Another process at its address, or a new row, does.
+func TestLateMessageDoesNotReAddAWithdrawnNode(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,9 +129,10 @@
 	}
 }
 
-// TestWholeListReplacesThePeers, but for those that were heard lately.
-func TestWholeListReplacesThePeers(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+// TestReplacePeersRemovesUnlistedOnes checks that ReplacePeers removes the listed peers that
+// the new list lacks, except those that were heard recently.
+func TestReplacePeersRemovesUnlistedOnes(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/nodeexchange/news_test.go
+++ b/internal/nodeexchange/news_test.go
@@ -12,8 +12,8 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// TestConfigurationFitsADatagram: news that are too large cost each node of the zone
-// a call to the store.
+// TestConfigurationFitsADatagram checks that the news of a whole configuration fit in a
+// datagram: larger ones cost a call to the store for each node of the zone.
 func TestConfigurationFitsADatagram(t *testing.T) {
 	var value strings.Builder
 	for i := range 60 {
@@ -45,11 +45,12 @@
 	}
 }
 
-// TestHeadsOfLargeZonesPassOnLess: what is told to all at once takes no head's link for long.
-func TestHeadsOfLargeZonesPassOnLess(t *testing.T) {
+// TestNewsLimitBoundsTheBytesOfAHead checks that relaying one change doesn't occupy the link of
+// a head for long, whatever the size of its zone.
+func TestNewsLimitBoundsTheBytesOfAHead(t *testing.T) {
 	for _, nodes := range []int{10, 75, 300, 985, 2000} {
 		exchange := largeExchange(t)
-		exchange.peers = aSupervisor(t, nodes)
+		exchange.peers = supervisorSet(t, nodes)
 		limit := exchange.newsLimit()
 		if sent := limit * exchange.peers.largestZoneSize(); sent > maxHeadBytes || limit > maxNews {
 			t.Errorf("%d nodes: news of %d bytes are told, %d by a head", nodes, limit, sent)
--- a/internal/nodeexchange/outbox_test.go
+++ b/internal/nodeexchange/outbox_test.go
@@ -9,7 +9,7 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-func TestReadsAreToldTwiceAndFailuresOnce(t *testing.T) {
+func TestCacheUpdatesAreSentTwiceAndFailuresOnce(t *testing.T) {
 	box := outbox{lastPeriodic: origin}
 	box.add(worker.Snapshot{CacheUpdates: []worker.CacheUpdate{{Worker: "w"}}, Failures: []string{"w"}})
 	reads, failures, messages := 0, 0, 0
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestMessagesKeepTheirDistance(t *testing.T) {
+func TestTimeBetweenMessages(t *testing.T) {
 	for name, test := range map[string]struct {
 		after       time.Duration
 		changed     bool
@@ -51,10 +51,10 @@
 	}
 }
 
-// TestManyReadsAreDivided: lists of what many workers keep, told after all nodes have
-// started again, don't fit one datagram; a message that is too large was dropped
-// whole, and the load with it.
-func TestManyReadsAreDivided(t *testing.T) {
+// TestManyCacheUpdatesAreSplit guards against the loss of a whole load message that is too
+// large: the cache lists of many workers, which are sent after all nodes have restarted, don't
+// fit in one datagram.
+func TestManyCacheUpdatesAreSplit(t *testing.T) {
 	box := outbox{lastPeriodic: origin}
 	var parts []prefixcache.Part
 	for i := range maxParts {
--- a/internal/nodeexchange/peers_test.go
+++ b/internal/nodeexchange/peers_test.go
@@ -15,12 +15,12 @@
 	there  = netip.MustParseAddrPort("10.0.0.2:7000")
 )
 
-// addressOf is that of the machine with a number.
+// addressOf returns the address of the machine with the given number.
 func addressOf(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(number >> 8), byte(number)}), 7000)
 }
 
-// fleetOf returns what each of some nodes in five zones knows of the others.
+// fleetOf returns the peer set of each node of a fleet in five zones.
 func fleetOf(nodes int) []*peerSet {
 	var sets []*peerSet
 	for i := range nodes {
@@ -35,7 +35,7 @@
 	return sets
 }
 
-func TestProcessThatStartsAgainTakesTheOldOnesPlace(t *testing.T) {
+func TestRestartedProcessReplacesTheOldPeer(t *testing.T) {
 	peers := newPeerSet("me", self, "zone")
 	peers.addFullList([]Peer{{Node: "me", Address: self}, {Node: "old", Address: there, Zone: "far"}})
 	peers.recordMessage(there, Message{Node: "old", Sequence: 70}, origin)
@@ -47,7 +47,8 @@
 	}
 }
 
-// TestSilentPeerIsKept: nodes that were cut off find each other again.
+// TestSilentPeerIsKept checks that nodes that were cut off from each other find each other
+// again.
 func TestSilentPeerIsKept(t *testing.T) {
 	peers := newPeerSet("me", self, "zone")
 	peers.recordMessage(there, Message{Node: "other", Sequence: 1}, origin)
@@ -65,8 +66,8 @@
 	}
 }
 
-// TestNewPeersAreGreetedTwice: one that was read in the store's list may not know of this
-// node, and a datagram may be lost.
+// TestNewPeersAreGreetedTwice checks that a peer from the store's list is greeted twice: it may
+// not know this node, and a datagram may be lost.
 func TestNewPeersAreGreetedTwice(t *testing.T) {
 	peers := newPeerSet("me", self, "zone")
 	for range 2 {
@@ -81,7 +82,8 @@
 	}
 }
 
-// TestAccountsAreKeptByFewNodes, by all in a small fleet, and all nodes agree by whom.
+// TestAccountsAreKeptByFewNodes checks that few nodes track a worker's load, or all in a small
+// fleet, and that all nodes agree on which.
 func TestAccountsAreKeptByFewNodes(t *testing.T) {
 	for nodes, want := range map[int]int{1: 1, 7: 7, 20: 20, 22: 18, 66: 6, 295: 2} {
 		sets := fleetOf(nodes)
@@ -103,8 +105,9 @@
 	}
 }
 
-// TestMessagesOfAFleetAreBounded: a node's accounts are told to at most as many nodes as
-// twelve nodes tell each other.
+// TestMessagesOfAFleetAreBounded checks that all nodes together send a worker's homes no more
+// messages than the nodes of a fleet of fullTrackingFleet nodes send each other, unless the
+// worker has only minHomes.
 func TestMessagesOfAFleetAreBounded(t *testing.T) {
 	for nodes := 2; nodes <= 370; nodes++ {
 		if homes := homeCount(nodes); homes > minHomes && homes*nodes > fullTrackingFleet*fullTrackingFleet {
@@ -113,7 +116,8 @@
 	}
 }
 
-// TestSilentHomeIsPassedOver, for a time, and longer each time, until it is heard.
+// TestSilentHomeIsPassedOver checks that a home that doesn't answer isn't asked for some time,
+// longer after each further silence, until it is heard.
 func TestSilentHomeIsPassedOver(t *testing.T) {
 	sets := fleetOf(100)
 	set := sets[0]
@@ -170,7 +174,8 @@
 	}
 }
 
-// TestOneOfManyIsDesignated: in a large fleet most nodes don't hear each other.
+// TestOneOfManyIsDesignated checks that exactly one node is designated in a large fleet, in
+// which most nodes don't hear each other.
 func TestOneOfManyIsDesignated(t *testing.T) {
 	sets := fleetOf(295)
 	for _, set := range sets {
@@ -194,14 +199,14 @@
 	}
 }
 
-// TestUnlistedNodeIsKnownByItsDigest over real datagrams: only one of two nodes has
-// read the other's row.
-func TestUnlistedNodeIsKnownByItsDigest(t *testing.T) {
+// TestUnlistedNodeIsKnownByItsLoadMessage checks over UDP that two nodes know each other
+// although only one of them has read the other's row.
+func TestUnlistedNodeIsKnownByItsLoadMessage(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var exchanges []*Exchange
 	for _, name := range []string{"a", "b"} {
-		exchange, err := Listen("127.0.0.1:0", name, "zone", registryWith("w"), quiet())
+		exchange, err := Listen("127.0.0.1:0", name, "zone", newRegistry("w"), quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -217,8 +222,9 @@
 	}
 }
 
-// TestNodesThatStandAsideAreNotDesignated, unless all do.
-func TestNodesThatStandAsideAreNotDesignated(t *testing.T) {
+// TestNodesThatSteppedBackAreNotDesignated checks that a node that has stepped back is
+// designated only if all have.
+func TestNodesThatSteppedBackAreNotDesignated(t *testing.T) {
 	peers := newPeerSet("b", self, "zone")
 	peers.recordMessage(there, Message{Node: "a", Sequence: 1, SteppedBack: true}, origin)
 	if !peers.designated(false) {
@@ -233,8 +239,8 @@
 	}
 }
 
-// TestOneNodeReadsATable, and each zone has one that is next: the places of all nodes
-// differ where it matters.
+// TestOneNodeReadsATable checks that exactly one node ranks first among the readers of a table,
+// that each zone has one that ranks second, and that the nodes agree on their order.
 func TestOneNodeReadsATable(t *testing.T) {
 	sets := fleetOf(60)
 	first, second := 0, make(map[string]bool)
@@ -259,11 +265,11 @@
 	}
 }
 
-// TestAccountsAreFoundWithoutRankingAllNodes: whoever is a home of a worker knows it, and few
-// workers have to be ranked for that, whatever their number.
-func TestAccountsAreFoundWithoutRankingAllNodes(t *testing.T) {
+// TestHomesAreFoundWithoutRankingAllNodes checks that mayBeHome is true for every worker that a
+// node is a home of, and for few others, so that the nodes need to be ranked for few workers.
+func TestHomesAreFoundWithoutRankingAllNodes(t *testing.T) {
 	for _, nodes := range []int{22, 66, 295, 985} {
-		set := aSupervisor(t, nodes)
+		set := supervisorSet(t, nodes)
 		const workers = 5000
 		maybe := 0
 		for i := range workers {
--- a/internal/nodeexchange/quota_test.go
+++ b/internal/nodeexchange/quota_test.go
@@ -15,19 +15,19 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// exact tolerates nothing, so that what is granted can be counted.
-var exact = quota.Tolerance{Window: 8 * time.Second}
+// quotaZeroTolerance permits no excess, so that a test can count what is granted.
+var quotaZeroTolerance = quota.Tolerance{Window: 8 * time.Second}
 
-// claimOf is a tenant's of a limit that hardly comes back within a test.
-func claimOf(tenant string, cost float64) quota.ChargeRequest {
+// requestOf returns a tenant's request to charge a limit that hardly refills during a test.
+func requestOf(tenant string, cost float64) quota.ChargeRequest {
 	limit := quota.Limit{Rate: 0.001, Burst: 1000, Unit: quota.Tokens}
 	return quota.ChargeRequest{Tenant: tenant, Limit: limit, Version: 1, Cost: cost}
 }
 
-// longKnown is in how much time even a limit of claimOf comes back.
-const longKnown = 1_000_000 * time.Hour
+// refillTime is longer than the limit of requestOf takes to refill.
+const refillTime = 1_000_000 * time.Hour
 
-// quotaNodes returns nodes that have known each other, and silent ones, for long.
+// quotaNodes returns nodes that have known each other, and the silent nodes, for a long time.
 func quotaNodes(t *testing.T, nodes int, tolerance quota.Tolerance, silent ...*net.UDPConn) []*Exchange {
 	t.Helper()
 	return exchangesWith(t, nodes, func(exchange *Exchange) *quotaExchange {
@@ -36,7 +36,8 @@
 	}, silent...)
 }
 
-// exchangesWith returns nodes that keep accounts of some kind, and know a worker.
+// exchangesWith returns nodes that keep accounts of the kind that set turns on, and that know
+// one worker.
 func exchangesWith(t *testing.T, nodes int, set func(*Exchange) *quotaExchange, silent ...*net.UDPConn) []*Exchange {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -44,7 +45,7 @@
 	var kinds []*quotaExchange
 	var listed []Peer
 	for i := range nodes {
-		exchange, err := Listen("127.0.0.1:0", fmt.Sprint("n", i), "zone", registryWith("w"), quiet())
+		exchange, err := Listen("127.0.0.1:0", fmt.Sprint("n", i), "zone", newRegistry("w"), quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,11 +54,11 @@
 		listed = append(listed, Peer{Node: exchange.node, Address: exchange.peers.address, Zone: "zone"})
 	}
 	for i, conn := range silent {
-		listed = append(listed, Peer{Node: fmt.Sprint("silent", i), Address: addressOfConn(conn), Zone: "zone"})
+		listed = append(listed, Peer{Node: fmt.Sprint("silent", i), Address: connAddress(conn), Zone: "zone"})
 	}
 	for i, exchange := range exchanges {
 		exchange.AddPeers(listed)
-		kinds[i].dropMovedAccounts(time.Now().Add(-longKnown))
+		kinds[i].dropMovedAccounts(time.Now().Add(-refillTime))
 		go exchange.Run(ctx)
 	}
 	t.Cleanup(func() {
@@ -69,7 +70,7 @@
 	return exchanges
 }
 
-// silentNode is a socket that a test reads and that answers nothing.
+// silentNode returns the socket of a node that never answers by itself.
 func silentNode(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -80,11 +81,11 @@
 	return conn
 }
 
-func addressOfConn(conn *net.UDPConn) netip.AddrPort {
+func connAddress(conn *net.UDPConn) netip.AddrPort {
 	return netip.MustParseAddrPort(conn.LocalAddr().String())
 }
 
-// nextQuota reads a node's messages on quotas until one is wanted.
+// nextQuota reads the messages about quotas that arrive at a socket until wanted accepts one.
 func nextQuota(t *testing.T, conn *net.UDPConn, wanted func(quotaMessage) bool) (quotaMessage, netip.AddrPort) {
 	t.Helper()
 	buffer := make([]byte, maxDatagram)
@@ -106,12 +107,12 @@
 
 func isAsk(form quotaMessage) bool { return form.Ask != nil }
 
-// reportsOf waits for a report of an account of which something was taken.
+// reportsOf returns a function that accepts a report of an account with charges.
 func reportsOf(account string) func(quotaMessage) bool {
 	return func(form quotaMessage) bool { return form.Reports[account].Taken > 0 }
 }
 
-// answerQuota answers an ask in a silent node's place.
+// answerQuota answers a request on behalf of a silent node.
 func answerQuota(t *testing.T, conn *net.UDPConn, to netip.AddrPort, reply wireQuotaReply) {
 	t.Helper()
 	datagram, err := json.Marshal(Message{Node: "silent", Quota: &quotaMessage{Reply: &reply}})
@@ -123,7 +124,7 @@
 	}
 }
 
-// tenantKeptFirstBy returns a tenant whose account a node keeps as the first.
+// tenantKeptFirstBy returns a tenant whose account has the given node as its first keeper.
 func tenantKeptFirstBy(t *testing.T, exchange *Exchange, first netip.AddrPort) string {
 	t.Helper()
 	for i := range 10_000 {
@@ -136,34 +137,36 @@
 	return ""
 }
 
-// TestQuotaHoldsOverAllNodes whichever keeper decides.
+// TestQuotaHoldsOverAllNodes checks that all nodes together don't exceed a quota, whichever
+// keeper decides.
 func TestQuotaHoldsOverAllNodes(t *testing.T) {
-	exchanges := quotaNodes(t, 5, exact)
+	exchanges := quotaNodes(t, 5, quotaZeroTolerance)
 	granted := 0
 	for range 60 {
 		for _, exchange := range exchanges {
-			if exchange.ChargeQuota(t.Context(), claimOf("a", 10)).Granted {
+			if exchange.ChargeQuota(t.Context(), requestOf("a", 10)).Granted {
 				granted += 10
 			}
 			exchange.quota.reportChanged(time.Now())
 		}
 	}
-	// A keeper whose answer is late may be followed by one that wasn't told of the last.
+	// If a keeper's answer is late, the next keeper decides, which may not have the last report
+	// yet.
 	if granted < 1000 || granted > 1000+5*10 {
 		t.Errorf("%d granted, want 1000", granted)
 	}
 }
 
 func TestReturnedQuotaIsGrantedElsewhere(t *testing.T) {
-	exchanges := quotaNodes(t, 3, exact)
-	if !exchanges[0].ChargeQuota(t.Context(), claimOf("a", 1000)).Granted {
+	exchanges := quotaNodes(t, 3, quotaZeroTolerance)
+	if !exchanges[0].ChargeQuota(t.Context(), requestOf("a", 1000)).Granted {
 		t.Fatal("a burst is refused")
 	}
-	if verdict := exchanges[1].ChargeQuota(t.Context(), claimOf("a", 1000)); verdict.Granted || verdict.Private || verdict.RetryAfter <= 0 {
+	if verdict := exchanges[1].ChargeQuota(t.Context(), requestOf("a", 1000)); verdict.Granted || verdict.Private || verdict.RetryAfter <= 0 {
 		t.Errorf("a second burst: %+v", verdict)
 	}
-	exchanges[0].ReturnQuota(claimOf("a", 1000).Charge())
-	for end := time.Now().Add(20 * time.Second); !exchanges[1].ChargeQuota(t.Context(), claimOf("a", 1000)).Granted; {
+	exchanges[0].ReturnQuota(requestOf("a", 1000).Charge())
+	for end := time.Now().Add(20 * time.Second); !exchanges[1].ChargeQuota(t.Context(), requestOf("a", 1000)).Granted; {
 		if time.Now().After(end) {
 			t.Fatal("what was returned is never granted")
 		}
@@ -171,15 +174,16 @@
 	}
 }
 
-// TestRepeatedRunIsCharged at all keepers.
-func TestRepeatedRunIsCharged(t *testing.T) {
-	exchanges := quotaNodes(t, 3, exact)
-	exchanges[0].ChargeQuota(t.Context(), claimOf("a", 100))
-	exchanges[0].RecordQuotaCharge(claimOf("a", 100).Charge())
-	account := claimOf("a", 1).Charge().Account
+// TestRecordedChargeReachesAllKeepers checks that all keepers learn of a charge that was
+// recorded without asking any.
+func TestRecordedChargeReachesAllKeepers(t *testing.T) {
+	exchanges := quotaNodes(t, 3, quotaZeroTolerance)
+	exchanges[0].ChargeQuota(t.Context(), requestOf("a", 100))
+	exchanges[0].RecordQuotaCharge(requestOf("a", 100).Charge())
+	account := requestOf("a", 1).Charge().Account
 	for _, exchange := range exchanges {
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-			decision := exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: "asker"}, Account: account, Cost: 2000, Report: quota.Report{Limit: claimOf("a", 1).Limit, Version: 1}}, time.Now())
+			decision := exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: "asker"}, Account: account, Cost: 2000, Report: quota.Report{Limit: requestOf("a", 1).Limit, Version: 1}}, time.Now())
 			if int(decision.Level+0.5) == 800 {
 				break
 			}
@@ -190,15 +194,16 @@
 	}
 }
 
-// TestKeeperThatDoesNotAnswer: the next decides, and the silent one isn't asked soon again.
-func TestKeeperThatDoesNotAnswer(t *testing.T) {
+// TestSilentKeeperIsSkipped checks that the next keeper decides if the first doesn't answer,
+// and that the silent one isn't asked again soon.
+func TestSilentKeeperIsSkipped(t *testing.T) {
 	silent := silentNode(t)
-	exchange := quotaNodes(t, 4, exact, silent)[0]
-	tenant := tenantKeptFirstBy(t, exchange, addressOfConn(silent))
-	if verdict := exchange.ChargeQuota(t.Context(), claimOf(tenant, 10)); !verdict.Granted || verdict.Private || verdict.Unanswered == 0 {
+	exchange := quotaNodes(t, 4, quotaZeroTolerance, silent)[0]
+	tenant := tenantKeptFirstBy(t, exchange, connAddress(silent))
+	if verdict := exchange.ChargeQuota(t.Context(), requestOf(tenant, 10)); !verdict.Granted || verdict.Private || verdict.Unanswered == 0 {
 		t.Errorf("%+v", verdict)
 	}
-	if verdict := exchange.ChargeQuota(t.Context(), claimOf(tenant, 10)); !verdict.Granted || verdict.Keeper == addressOfConn(silent).String() {
+	if verdict := exchange.ChargeQuota(t.Context(), requestOf(tenant, 10)); !verdict.Granted || verdict.Keeper == connAddress(silent).String() {
 		t.Errorf("%+v", verdict)
 	}
 	if asked := waitingAsks(silent); asked != 1 {
@@ -206,7 +211,7 @@
 	}
 }
 
-// waitingAsks reads the asks that have come to a silent node.
+// waitingAsks counts the requests that have arrived at a silent node.
 func waitingAsks(conn *net.UDPConn) int {
 	buffer := make([]byte, maxDatagram)
 	_ = conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
@@ -222,13 +227,13 @@
 	}
 }
 
-// TestLateGrantIsVoid: a keeper that wakes and grants what nobody waits for any more is
-// told that it was not used.
-func TestLateGrantIsVoid(t *testing.T) {
+// TestLateGrantIsReturned checks that a keeper that was paused, and grants a charge for which
+// nobody waits any more, is told that the charge was not used.
+func TestLateGrantIsReturned(t *testing.T) {
 	silent := []*net.UDPConn{silentNode(t), silentNode(t), silentNode(t), silentNode(t), silentNode(t), silentNode(t)}
-	exchange := quotaNodes(t, 1, exact, silent...)[0]
+	exchange := quotaNodes(t, 1, quotaZeroTolerance, silent...)[0]
 	tenant := tenantKeptByOthers(exchange)
-	claim := claimOf(tenant, 10)
+	claim := requestOf(tenant, 10)
 	if verdict := exchange.ChargeQuota(t.Context(), claim); verdict.Granted || !verdict.Private {
 		t.Fatalf("nothing is tolerated, and yet: %+v", verdict)
 	}
@@ -244,7 +249,7 @@
 	}
 }
 
-// tenantKeptByOthers returns a tenant whose account a node doesn't keep.
+// tenantKeptByOthers returns a tenant of whose account a node isn't a keeper.
 func tenantKeptByOthers(exchange *Exchange) string {
 	for i := 0; ; i++ {
 		tenant := fmt.Sprint("tenant", i)
@@ -254,63 +259,66 @@
 	}
 }
 
-// firstKeeper returns the one of some silent nodes that is asked first for a tenant.
+// firstKeeper returns the silent node that is the first keeper of a tenant's account.
 func firstKeeper(exchange *Exchange, tenant string, silent []*net.UDPConn) *net.UDPConn {
 	keepers := exchange.quota.keepersOf(quota.AccountName(tenant, quota.Tokens))
 	for _, conn := range silent {
-		if keepers[0] == addressOfConn(conn) {
+		if keepers[0] == connAddress(conn) {
 			return conn
 		}
 	}
 	return nil
 }
 
-// TestColdRefusalIsAskedElsewhere, and a warm one isn't.
-func TestColdRefusalIsAskedElsewhere(t *testing.T) {
+// TestRefusalByAColdKeeperIsNotFinal checks that the next keeper is asked after a refusal by a
+// cold keeper, which doesn't know what was used, but not after one by a warm keeper.
+func TestRefusalByAColdKeeperIsNotFinal(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		conn := silentNode(t)
-		exchange := quotaNodes(t, 4, exact, conn)[0]
-		tenant := tenantKeptFirstBy(t, exchange, addressOfConn(conn))
+		exchange := quotaNodes(t, 4, quotaZeroTolerance, conn)[0]
+		tenant := tenantKeptFirstBy(t, exchange, connAddress(conn))
 		answered := make(chan struct{})
 		go func() {
 			defer close(answered)
 			form, from := nextQuota(t, conn, isAsk)
 			answerQuota(t, conn, from, wireQuotaReply{ID: form.Ask.ID, Cold: cold, WaitMillis: 70})
 		}()
-		verdict := exchange.ChargeQuota(t.Context(), claimOf(tenant, 10))
+		verdict := exchange.ChargeQuota(t.Context(), requestOf(tenant, 10))
 		<-answered
-		// A late answer leaves the decision to the next keeper as well.
+		// If the answer is late, the next keeper decides too.
 		if cold && !verdict.Granted || !cold && verdict.Granted && verdict.Unanswered == 0 {
 			t.Errorf("cold %v: %+v", cold, verdict)
 		}
 	}
 }
 
-// TestAllKeepersStartedAgain: after all power was lost nobody has a second burst.
-func TestAllKeepersStartedAgain(t *testing.T) {
+// TestRestartOfAllKeepersGrantsNoSecondBurst checks that no tenant gets a second burst after
+// all nodes lost power and restarted.
+func TestRestartOfAllKeepersGrantsNoSecondBurst(t *testing.T) {
 	exchanges := quotaNodes(t, 3, quota.Tolerance{Window: 8 * time.Second, Slack: 400})
 	for _, exchange := range exchanges {
 		exchange.quota.mu.Lock()
 		exchange.quota.keeper = quota.NewKeeper(quota.Tolerance{Window: 8 * time.Second, Slack: 400}, time.Now())
 		exchange.quota.mu.Unlock()
 	}
-	if verdict := exchanges[0].ChargeQuota(t.Context(), claimOf("a", 400)); verdict.Granted || verdict.Private {
+	if verdict := exchanges[0].ChargeQuota(t.Context(), requestOf("a", 400)); verdict.Granted || verdict.Private {
 		t.Errorf("%+v", verdict)
 	}
-	if verdict := exchanges[0].ChargeQuota(t.Context(), claimOf("a", 90)); !verdict.Granted {
+	if verdict := exchanges[0].ChargeQuota(t.Context(), requestOf("a", 90)); !verdict.Granted {
 		t.Errorf("%+v", verdict)
 	}
 }
 
-// TestNodeThatReachesNoKeeper uses its allowance, and asks again once they answer.
-func TestNodeThatReachesNoKeeper(t *testing.T) {
+// TestNodeWithoutKeepersUsesItsAllowance checks that a node that reaches no keeper grants its
+// own allowance, and asks the keepers again once they answer.
+func TestNodeWithoutKeepersUsesItsAllowance(t *testing.T) {
 	tolerance := quota.Tolerance{Window: 8 * time.Second, Slack: 800}
 	silent := []*net.UDPConn{silentNode(t), silentNode(t), silentNode(t)}
 	exchange := quotaNodes(t, 1, tolerance, silent...)[0]
 	tenant := tenantKeptByOthers(exchange)
 	granted := 0.0
 	for range 20 {
-		verdict := exchange.ChargeQuota(t.Context(), claimOf(tenant, 10))
+		verdict := exchange.ChargeQuota(t.Context(), requestOf(tenant, 10))
 		if !verdict.Private {
 			t.Fatalf("%+v", verdict)
 		}
@@ -318,15 +326,16 @@
 			granted += 10
 		}
 	}
-	// Of four nodes, half of 800 in a window, and what comes back meanwhile.
+	// Each of four nodes may grant a quarter of half of 800 in a window, plus what refills in the
+	// meantime.
 	if granted < 100 || granted > 150 {
 		t.Errorf("%v used without a keeper, want 100", granted)
 	}
 	first := firstKeeper(exchange, tenant, silent)
-	account := claimOf(tenant, 10).Charge().Account
+	account := requestOf(tenant, 10).Charge().Account
 	go grantAll(first, account)
 	for end := time.Now().Add(20 * time.Second); ; {
-		verdict := exchange.ChargeQuota(t.Context(), claimOf(tenant, 10))
+		verdict := exchange.ChargeQuota(t.Context(), requestOf(tenant, 10))
 		if !verdict.Private && verdict.Granted {
 			return
 		}
@@ -336,7 +345,7 @@
 	}
 }
 
-// grantAll answers in a silent node's place until its socket is closed.
+// grantAll grants all requests on behalf of a silent node until its socket is closed.
 func grantAll(conn *net.UDPConn, account string) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -356,20 +365,21 @@
 	}
 }
 
-// TestKeeperOutOfHearingOfTheOthers keeps the share of nodes that may use theirs.
-func TestKeeperOutOfHearingOfTheOthers(t *testing.T) {
+// TestKeeperReservesAShareForSilentNodes checks that a keeper that doesn't hear the other
+// keepers reserves the share of the nodes that may be using theirs with those keepers.
+func TestKeeperReservesAShareForSilentNodes(t *testing.T) {
 	silent := []*net.UDPConn{silentNode(t), silentNode(t)}
-	exchange := quotaNodes(t, 1, exact, silent...)[0]
-	account := claimOf("a", 1).Charge().Account
+	exchange := quotaNodes(t, 1, quotaZeroTolerance, silent...)[0]
+	account := requestOf("a", 1).Charge().Account
 	now := time.Now()
 	ask := func(node string, address netip.AddrPort, age time.Duration, at time.Time) quota.Decision {
-		report := quota.Report{Limit: claimOf("a", 1).Limit, Version: 1, Age: age}
+		report := quota.Report{Limit: requestOf("a", 1).Limit, Version: 1, Age: age}
 		return exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: node, Address: address}, Account: account, Cost: 100, Report: report}, at)
 	}
 	ask("here", exchange.peers.address, 0, now)
-	ask("beyond", addressOfConn(silent[0]), 0, now)
-	exchange.quota.heardFrom(addressOfConn(silent[0]), now.Add(time.Second))
-	exchange.quota.heardFrom(addressOfConn(silent[1]), now.Add(time.Second))
+	ask("beyond", connAddress(silent[0]), 0, now)
+	exchange.quota.heardFrom(connAddress(silent[0]), now.Add(time.Second))
+	exchange.quota.heardFrom(connAddress(silent[1]), now.Add(time.Second))
 	if decision := ask("here", exchange.peers.address, time.Second, now.Add(time.Second+quota.SilentAfter)); decision.Reserved != 0 {
 		t.Errorf("all are heard, and %v is reserved", decision.Reserved)
 	}
@@ -378,13 +388,13 @@
 	}
 }
 
-func TestKeeperThatStoodStillGrantsNoBurstBeforeItHearsOthers(t *testing.T) {
+func TestPausedKeeperGrantsNoBurst(t *testing.T) {
 	silent := []*net.UDPConn{silentNode(t), silentNode(t)}
-	exchange := quotaNodes(t, 1, exact, silent...)[0]
+	exchange := quotaNodes(t, 1, quotaZeroTolerance, silent...)[0]
 	now := time.Now()
 	ask := quota.DecisionRequest{
-		From: quota.Spender{Node: "other", Address: addressOfConn(silent[0])}, Account: claimOf("a", 1).Charge().Account,
-		Cost: 10, Report: quota.Report{Limit: claimOf("a", 1).Limit, Version: 1},
+		From: quota.Spender{Node: "other", Address: connAddress(silent[0])}, Account: requestOf("a", 1).Charge().Account,
+		Cost: 10, Report: quota.Report{Limit: requestOf("a", 1).Limit, Version: 1},
 	}
 	if !exchange.quota.decide(ask, now).Granted {
 		t.Error("a warm keeper refuses")
@@ -397,25 +407,26 @@
 	}
 }
 
-// TestKeeperThatHeardNobody: one that was frozen or cut off doesn't know what others used.
-func TestKeeperThatHeardNobody(t *testing.T) {
+// TestIsolatedKeeperGrantsNoBurst checks that a keeper that heard no other node, because it was
+// frozen or cut off, doesn't assume that nothing was used.
+func TestIsolatedKeeperGrantsNoBurst(t *testing.T) {
 	silent := []*net.UDPConn{silentNode(t), silentNode(t)}
-	exchange := quotaNodes(t, 1, exact, silent...)[0]
+	exchange := quotaNodes(t, 1, quotaZeroTolerance, silent...)[0]
 	now := time.Now()
-	report := quota.Report{Limit: claimOf("a", 1).Limit, Version: 1}
-	account := claimOf("a", 1).Charge().Account
+	report := quota.Report{Limit: requestOf("a", 1).Limit, Version: 1}
+	account := requestOf("a", 1).Charge().Account
 	decide := func(at time.Time) quota.Decision {
-		return exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: "other", Address: addressOfConn(silent[0])}, Account: account, Cost: 10, Report: report}, at)
+		return exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: "other", Address: connAddress(silent[0])}, Account: account, Cost: 10, Report: report}, at)
 	}
-	exchange.quota.heardFrom(addressOfConn(silent[0]), now)
+	exchange.quota.heardFrom(connAddress(silent[0]), now)
 	if !decide(now).Granted {
 		t.Error("a warm keeper refuses")
 	}
-	exchange.quota.heardFrom(addressOfConn(silent[0]), now.Add(quota.SilentAfter))
+	exchange.quota.heardFrom(connAddress(silent[0]), now.Add(quota.SilentAfter))
 	if decision := decide(now.Add(quota.SilentAfter)); decision.Level < 900 {
 		t.Errorf("a keeper that was in hearing forgets: %+v", decision)
 	}
-	exchange.quota.heardFrom(addressOfConn(silent[0]), now.Add(3*quota.SilentAfter))
+	exchange.quota.heardFrom(connAddress(silent[0]), now.Add(3*quota.SilentAfter))
 	if decision := decide(now.Add(3 * quota.SilentAfter)); decision.Granted || !decision.Cold {
 		t.Errorf("a keeper that heard nobody grants a burst: %+v", decision)
 	}
@@ -433,59 +444,60 @@
 	}
 }
 
-// TestQuietNodesAreProbed where another keeper isn't heard: one that only uses little
-// answers, and keeps its part.
+// TestQuietNodesAreProbed checks that a keeper probes the nodes that use an account if another
+// keeper is silent, and reserves nothing for one that answers, even if it uses little.
 func TestQuietNodesAreProbed(t *testing.T) {
 	silent := []*net.UDPConn{silentNode(t), silentNode(t)}
-	exchange := quotaNodes(t, 1, exact, silent...)[0]
-	account := claimOf("a", 1).Charge().Account
+	exchange := quotaNodes(t, 1, quotaZeroTolerance, silent...)[0]
+	account := requestOf("a", 1).Charge().Account
 	user := silent[0]
-	report := quota.Report{Limit: claimOf("a", 1).Limit, Version: 1}
-	exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: "user", Address: addressOfConn(user)}, Account: account, Cost: 100, Report: report}, time.Now())
+	report := quota.Report{Limit: requestOf("a", 1).Limit, Version: 1}
+	exchange.quota.decide(quota.DecisionRequest{From: quota.Spender{Node: "user", Address: connAddress(user)}, Account: account, Cost: 100, Report: report}, time.Now())
 	nextQuota(t, user, func(form quotaMessage) bool { return form.Probe == account })
-	exchange.quota.receive(addressOfConn(user), "user", quotaMessage{Reports: map[string]wireQuotaReport{account: renderQuotaReport(report)}})
+	exchange.quota.receive(connAddress(user), "user", quotaMessage{Reports: map[string]wireQuotaReport{account: renderQuotaReport(report)}})
 	if decision := exchange.quota.decide(quota.DecisionRequest{From: exchange.quota.self(), Account: account, Cost: 1, Report: report}, time.Now()); decision.Reserved != 0 {
 		t.Errorf("%v is reserved for a node that answers", decision.Reserved)
 	}
 }
 
-// TestProbedNodeAnswers also one that doesn't keep the account.
+// TestProbedNodeAnswers checks that a node answers a probe even from a node that isn't a keeper
+// of the account.
 func TestProbedNodeAnswers(t *testing.T) {
 	silent := []*net.UDPConn{silentNode(t), silentNode(t), silentNode(t), silentNode(t)}
-	exchange := quotaNodes(t, 1, exact, silent...)[0]
+	exchange := quotaNodes(t, 1, quotaZeroTolerance, silent...)[0]
 	for _, conn := range silent {
 		for i := 0; ; i++ {
-			account := claimOf(fmt.Sprint("tenant", i), 10).Charge().Account
-			if slices.Contains(exchange.quota.keepersOf(account), addressOfConn(conn)) {
+			account := requestOf(fmt.Sprint("tenant", i), 10).Charge().Account
+			if slices.Contains(exchange.quota.keepersOf(account), connAddress(conn)) {
 				continue
 			}
-			exchange.ChargeQuota(t.Context(), claimOf(fmt.Sprint("tenant", i), 10))
-			exchange.quota.receive(addressOfConn(conn), "prober", quotaMessage{Probe: account})
+			exchange.ChargeQuota(t.Context(), requestOf(fmt.Sprint("tenant", i), 10))
+			exchange.quota.receive(connAddress(conn), "prober", quotaMessage{Probe: account})
 			nextQuota(t, conn, func(form quotaMessage) bool { _, told := form.Reports[account]; return told })
 			break
 		}
 	}
 }
 
-// TestNewRankingHoldsBeforeAnyDecision: after nodes were added an account is new to this one,
-// whichever of the decisions under way notices first.
-func TestNewRankingHoldsBeforeAnyDecision(t *testing.T) {
+// TestDecisionsFollowTheNewRanking checks that after nodes were added every decision counts an
+// account as new on this node, whichever of the concurrent decisions notices the change first.
+func TestDecisionsFollowTheNewRanking(t *testing.T) {
 	exchange := quotaNodes(t, 1, quota.Tolerance{Window: 8 * time.Second, Slack: 400})[0]
-	for i := range 200 { // accounts whose keepers are to be ranked again
-		exchange.quota.decide(quota.DecisionRequest{From: exchange.quota.self(), Account: claimOf(fmt.Sprint("known", i), 1).Charge().Account, Cost: 1, Report: quota.Report{Limit: claimOf("a", 1).Limit}}, time.Now())
+	for i := range 200 { // accounts for which the keepers must be ranked again
+		exchange.quota.decide(quota.DecisionRequest{From: exchange.quota.self(), Account: requestOf(fmt.Sprint("known", i), 1).Charge().Account, Cost: 1, Report: quota.Report{Limit: requestOf("a", 1).Limit}}, time.Now())
 	}
-	report := quota.Report{Limit: claimOf("a", 1).Limit, Version: 1}
+	report := quota.Report{Limit: requestOf("a", 1).Limit, Version: 1}
 	for round := range 50 {
 		exchange.quota.mu.Lock()
-		exchange.quota.keeper.KeepersChanged(func(string) bool { return true }, time.Now().Add(-longKnown))
+		exchange.quota.keeper.KeepersChanged(func(string) bool { return true }, time.Now().Add(-refillTime))
 		exchange.quota.mu.Unlock()
 		exchange.AddPeers([]Peer{{Node: fmt.Sprint("added", round), Address: netip.AddrPortFrom(exchange.peers.address.Addr(), uint16(1+round))}})
 		var deciding sync.WaitGroup
 		for i := range 8 {
 			deciding.Go(func() {
-				account := claimOf(fmt.Sprintf("new%d-%d", round, i), 1).Charge().Account
+				account := requestOf(fmt.Sprintf("new%d-%d", round, i), 1).Charge().Account
 				decision := exchange.quota.decide(quota.DecisionRequest{From: exchange.quota.self(), Account: account, Cost: 1, Report: report}, time.Now())
-				if decision.Level > 101 { // a fourth of the slack, and what has come back
+				if decision.Level > 101 { // a quarter of the slack, and what refills in the meantime
 					t.Errorf("round %d: an account is new here, and its level is %v", round, decision.Level)
 				}
 			})
--- a/internal/nodeexchange/regions_test.go
+++ b/internal/nodeexchange/regions_test.go
@@ -15,7 +15,7 @@
 
 var twoRegions = topology.New("north-a", map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"})
 
-// regionalSet returns the peers of a node in the north, so many a zone.
+// regionalSet returns the peers of a node in the north, with perZone nodes in each zone.
 func regionalSet(perZone int) *peerSet {
 	set := newPeerSet("me", addressOf(0), "north-a")
 	set.places = twoRegions
@@ -29,8 +29,9 @@
 	return set
 }
 
-// TestAccountsAreKeptInTheRegionOfTheWorker, by all nodes where its region has none.
-func TestAccountsAreKeptInTheRegionOfTheWorker(t *testing.T) {
+// TestHomesAreInTheRegionOfTheWorker checks that the homes of a worker are in its region, or
+// anywhere if that region has no nodes.
+func TestHomesAreInTheRegionOfTheWorker(t *testing.T) {
 	set := regionalSet(30)
 	for _, region := range []string{"north", "south"} {
 		for _, home := range set.homes(region) {
@@ -50,16 +51,18 @@
 	}
 }
 
-// TestSmallFleetsKeepAllAccounts, whatever the region.
-func TestSmallFleetsKeepAllAccounts(t *testing.T) {
+// TestSmallFleetTracksAllWorkers checks that in a small fleet all nodes track a worker's load,
+// whatever its region.
+func TestSmallFleetTracksAllWorkers(t *testing.T) {
 	set := regionalSet(5)
 	if !set.isHome("south") || len(set.homes("south")) != 16 {
 		t.Errorf("kept %v, by %d of 16 nodes", set.isHome("south"), len(set.homes("south")))
 	}
 }
 
-// TestAnswersOfAnotherRegionAreWaitedFor by the time of the way there, which is measured.
-func TestAnswersOfAnotherRegionAreWaitedFor(t *testing.T) {
+// TestAskWaitsLongerForAnotherRegion checks that Ask waits longer for an answer from another
+// region, by the measured round trip, and that it measures the round trip.
+func TestAskWaitsLongerForAnotherRegion(t *testing.T) {
 	registry := worker.NewRegistry(twoRegions)
 	exchange, err := Listen("127.0.0.1:0", "me", "north-a", registry, quiet())
 	if err != nil {
@@ -92,7 +95,7 @@
 	}
 }
 
-// answerAfter answers one question after a pause.
+// answerAfter answers one question after the given time.
 func answerAfter(conn *net.UDPConn, pause time.Duration) {
 	buffer := make([]byte, maxDatagram)
 	count, from, err := conn.ReadFromUDPAddrPort(buffer)
@@ -111,9 +114,10 @@
 	}
 }
 
-// TestOneRegionWaitsAsBefore, for nodes whose zone isn't known yet too.
-func TestOneRegionWaitsAsBefore(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "north-a", registryWith("w"), quiet())
+// TestNoExtraWaitInOneRegion checks that a node with an unknown zone isn't waited for longer if
+// there is only one region.
+func TestNoExtraWaitInOneRegion(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "north-a", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +128,7 @@
 	}
 }
 
-func TestTripsFollowWhatIsMeasured(t *testing.T) {
+func TestRoundTripFollowsMeasurements(t *testing.T) {
 	way := &roundTrip{}
 	for range 60 {
 		way.observe(24 * time.Millisecond)
--- a/internal/nodeexchange/relay_test.go
+++ b/internal/nodeexchange/relay_test.go
@@ -12,13 +12,12 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// threeRegions are those of six zones.
+// threeRegions maps six zones to three regions.
 var threeRegions = map[string]string{
 	"zone0": "region0", "zone1": "region0", "zone2": "region1", "zone3": "region1", "zone4": "region2", "zone5": "region2",
 }
 
-// regionalFleetOf returns what each of some nodes in six zones of three regions knows of
-// the others.
+// regionalFleetOf returns the peer set of each node of a fleet in six zones of three regions.
 func regionalFleetOf(nodes int) map[netip.AddrPort]*peerSet {
 	sets := make(map[netip.AddrPort]*peerSet)
 	for i := range nodes {
@@ -35,9 +34,9 @@
 	return sets
 }
 
-// spreadOver carries a message of a node to all others that are alive. It returns how often
-// each gets it, and how many datagrams cross between regions.
-func spreadOver(sets map[netip.AddrPort]*peerSet, from netip.AddrPort, dead []netip.AddrPort) (got map[netip.AddrPort]int, crossings int) {
+// broadcastOver simulates a broadcast of a node to all others that are alive. It returns how
+// often each node gets it, and how many datagrams cross between regions.
+func broadcastOver(sets map[netip.AddrPort]*peerSet, from netip.AddrPort, dead []netip.AddrPort) (got map[netip.AddrPort]int, crossings int) {
 	got = make(map[netip.AddrPort]int)
 	passed := make(map[netip.AddrPort]bool)
 	var carry func(sender, to netip.AddrPort, across, relayed bool)
@@ -74,7 +73,7 @@
 	return got, crossings
 }
 
-// missing counts the nodes that are alive and didn't get a message.
+// missing counts the nodes that didn't get a broadcast, apart from some.
 func missing(sets map[netip.AddrPort]*peerSet, got map[netip.AddrPort]int, except []netip.AddrPort) int {
 	count := 0
 	for address := range sets {
@@ -85,12 +84,12 @@
 	return count
 }
 
-// TestWordsCrossOnceForEachHeadOfARegion: they reach all nodes, and two datagrams of a
-// change go to each other region.
-func TestWordsCrossOnceForEachHeadOfARegion(t *testing.T) {
+// TestBroadcastCrossesOnceForEachHeadOfARegion checks that a broadcast reaches all nodes, and
+// that only two datagrams of it go to each other region.
+func TestBroadcastCrossesOnceForEachHeadOfARegion(t *testing.T) {
 	sets := regionalFleetOf(67)
 	from := addressOf(0)
-	got, crossings := spreadOver(sets, from, nil)
+	got, crossings := broadcastOver(sets, from, nil)
 	if left := missing(sets, got, []netip.AddrPort{from}); left > 0 {
 		t.Errorf("%d nodes get nothing", left)
 	}
@@ -104,9 +103,9 @@
 	}
 }
 
-// TestWordsReachAllNodesWithoutTheFirstHeads: of each pair of heads, of regions and of
-// zones, the first is dead.
-func TestWordsReachAllNodesWithoutTheFirstHeads(t *testing.T) {
+// TestBroadcastReachesAllNodesWithoutTheFirstHeads checks that a broadcast reaches all nodes
+// although the first of each pair of heads, of regions and of zones, is dead.
+func TestBroadcastReachesAllNodesWithoutTheFirstHeads(t *testing.T) {
 	sets := regionalFleetOf(67)
 	from := addressOf(0)
 	var dead []netip.AddrPort
@@ -128,7 +127,7 @@
 	if len(dead) < 6 {
 		t.Fatalf("%d dead heads show nothing", len(dead))
 	}
-	got, _ := spreadOver(sets, from, dead)
+	got, _ := broadcastOver(sets, from, dead)
 	if left := missing(sets, got, append(dead, from)); left > 0 {
 		t.Errorf("%d nodes get nothing", left)
 	}
@@ -154,9 +153,10 @@
 	return len(alive) < 9
 }
 
-// TestMessageIsPassedOnOnce, though two heads of the region send it; one without a number
-// comes from a node that knows no regions.
-func TestMessageIsPassedOnOnce(t *testing.T) {
+// TestMessageIsRelayedOnce checks that a node relays a broadcast once although two heads of the
+// region send it. One without a number comes from a node that knows no regions and is always
+// relayed.
+func TestMessageIsRelayedOnce(t *testing.T) {
 	var r relayHistory
 	message := Message{Node: "a", Sequence: 7}
 	if !r.isNew(message) || r.isNew(message) {
@@ -172,9 +172,9 @@
 	}
 }
 
-// TestSupervisorsOfAllRegions: whichever region is lost, some are left, and all nodes agree
-// on them.
-func TestSupervisorsOfAllRegions(t *testing.T) {
+// TestEachRegionHasSupervisors checks that each region has supervisors, so that some remain if
+// any region is lost, and that all nodes agree on them.
+func TestEachRegionHasSupervisors(t *testing.T) {
 	sets := regionalFleetOf(67)
 	supervisors := sets[addressOf(0)].supervisors()
 	regions := make(map[string]int)
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestLostRegionOfTheDesignatedSupervisor: a supervisor of another region takes over when
-// those of the lost one are silent.
-func TestLostRegionOfTheDesignatedSupervisor(t *testing.T) {
+// TestSupervisorOfAnotherRegionTakesOver checks that one supervisor of another region is
+// designated when the region of the designated one is lost.
+func TestSupervisorOfAnotherRegionTakesOver(t *testing.T) {
 	sets := regionalFleetOf(67)
 	supervisors := sets[addressOf(0)].supervisors()
 	for _, address := range supervisors {
@@ -233,9 +233,10 @@
 	}
 }
 
-// TestOnlySupervisorsAreToldTheDemandOfRegions.
-func TestOnlySupervisorsAreToldTheDemandOfRegions(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+// TestOnlySupervisorsGetTheDemandOfRegions checks that other nodes get load messages without
+// the demand by region.
+func TestOnlySupervisorsGetTheDemandOfRegions(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -266,11 +267,11 @@
 	}
 }
 
-// amongSockets returns an exchange in zone0 that knows 36 other nodes in six zones of three
-// regions, and the sockets of these nodes.
-func amongSockets(t *testing.T) (*Exchange, map[netip.AddrPort]*net.UDPConn) {
+// exchangeWithSockets returns an exchange in zone0 that knows 36 other nodes in six zones of
+// three regions, and the sockets of these nodes.
+func exchangeWithSockets(t *testing.T) (*Exchange, map[netip.AddrPort]*net.UDPConn) {
 	t.Helper()
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -292,7 +293,7 @@
 	return exchange, sockets
 }
 
-// next reads the next message that came to a socket.
+// next reads the next message that arrives at a socket.
 func next(t *testing.T, conn *net.UDPConn) Message {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
@@ -310,9 +311,10 @@
 	return message
 }
 
-// TestOnlyHeadsOfOtherRegionsAreToPassNewsOnInTheirRegion: each message has a number.
-func TestOnlyHeadsOfOtherRegionsAreToPassNewsOnInTheirRegion(t *testing.T) {
-	exchange, sockets := amongSockets(t)
+// TestOnlyHeadsOfOtherRegionsRelayInTheirRegion checks that only the heads of other regions are
+// told to relay a broadcast in their region, and that each broadcast has a number.
+func TestOnlyHeadsOfOtherRegionsRelayInTheirRegion(t *testing.T) {
+	exchange, sockets := exchangeWithSockets(t)
 	near, across := exchange.peers.broadcastTargets()
 	if len(near) == 0 || len(across) != 2*minHomes {
 		t.Fatalf("%d near and %d across", len(near), len(across))
@@ -328,9 +330,10 @@
 	}
 }
 
-// TestNewsOfAnotherRegionArePassedOnOnce to the heads of this region's zones.
-func TestNewsOfAnotherRegionArePassedOnOnce(t *testing.T) {
-	exchange, sockets := amongSockets(t)
+// TestNewsOfAnotherRegionAreRelayedOnce checks that a broadcast from another region is relayed
+// once to the heads of this region's zones.
+func TestNewsOfAnotherRegionAreRelayedOnce(t *testing.T) {
+	exchange, sockets := exchangeWithSockets(t)
 	heads, _ := exchange.peers.relayTargets(true, false)
 	from := netip.MustParseAddrPort("127.0.0.1:9")
 	for _, number := range []uint64{7, 7, 8} {
@@ -354,11 +357,11 @@
 	}
 }
 
-// TestNodeTakenForAHeadPassesOn: the maker of a message knows fewer or other nodes while a
-// large fleet starts, and the nodes of a zone hear nothing if the one that it sends to looks
-// for itself among the heads that it knows.
-func TestNodeTakenForAHeadPassesOn(t *testing.T) {
-	set := aSupervisor(t, 300)
+// TestNodeTakenForAHeadRelays guards against a zone that gets no broadcasts while a large fleet
+// starts: the originator knows fewer or other nodes then, and may send to a node that doesn't
+// count itself among the heads.
+func TestNodeTakenForAHeadRelays(t *testing.T) {
+	set := supervisorSet(t, 300)
 	if slices.Contains(set.heads(set.zone), set.address) {
 		t.Fatal("it is a head by itself")
 	}
--- a/internal/nodeexchange/reports_test.go
+++ b/internal/nodeexchange/reports_test.go
@@ -9,12 +9,12 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// TestWhatIsToldLessOftenCountsLonger: in a large fleet a node reports to the supervisors
-// each few seconds, and what it wants must count until the next report, and one that may be
-// lost.
-func TestWhatIsToldLessOftenCountsLonger(t *testing.T) {
+// TestPresenceTimeoutFollowsTheReportInterval checks that a node counts as present although one
+// of its reports is lost: in a large fleet the nodes report only every few seconds. It also
+// checks that a supervisor gets a bounded number of reports.
+func TestPresenceTimeoutFollowsTheReportInterval(t *testing.T) {
 	for _, nodes := range []int{10, 240, 985, 2000} {
-		supervisor := aSupervisor(t, nodes)
+		supervisor := supervisorSet(t, nodes)
 		every := reportInterval(nodes)
 		const rounding = 1
 		if time.Duration(nodes)*periodicInterval > fullRateFleet*(every+rounding) {
@@ -25,7 +25,7 @@
 		}
 		lost := supervisor.markSilent(origin.Add(2*every + time.Millisecond))
 		for _, other := range supervisor.supervisors() {
-			// These tell each other more often.
+			// Supervisors report to each other more often.
 			if known, exists := supervisor.peers[other]; exists {
 				delete(lost, known.node)
 			}
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestSupervisorsHearEachOtherAsOftenInAnyFleet: the next one must act soon for one that is
-// lost.
-func TestSupervisorsHearEachOtherAsOftenInAnyFleet(t *testing.T) {
+// TestSupervisorsReportToEachOtherPeriodically checks that supervisors report to each other
+// equally often in a fleet of any size, since another one must take over soon if one is lost.
+func TestSupervisorsReportToEachOtherPeriodically(t *testing.T) {
 	exchange := largeExchange(t)
 	supervisors := exchange.peers.others(exchange.peers.supervisors())
 	for range 2 {
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestHomesAreToldAtRestInAnyFleet: a load that isn't told again within a second is taken
-// for over.
-func TestHomesAreToldAtRestInAnyFleet(t *testing.T) {
+// TestHomesGetPeriodicMessages checks that homes get periodic messages about load: a load that
+// isn't repeated within a second is taken to have ended.
+func TestHomesGetPeriodicMessages(t *testing.T) {
 	exchange := largeExchange(t)
 	snapshot := worker.Snapshot{Loads: map[string]worker.Load{"w7": {Requests: 1}}}
 	parcels := exchange.workersByRecipient(snapshot, true, false)
@@ -65,8 +65,8 @@
 	}
 }
 
-// aSupervisor returns a supervisor of a fleet.
-func aSupervisor(t *testing.T, nodes int) *peerSet {
+// supervisorSet returns the peer set of a supervisor of a fleet.
+func supervisorSet(t *testing.T, nodes int) *peerSet {
 	t.Helper()
 	var listed []Peer
 	for i := range nodes {
@@ -87,14 +87,14 @@
 	return nil
 }
 
-// largeExchange returns a supervisor's exchange in a fleet of 985 nodes.
+// largeExchange returns the exchange of a supervisor in a fleet of 985 nodes.
 func largeExchange(t *testing.T) *Exchange {
 	t.Helper()
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = exchange.conn.Close() })
-	exchange.peers = aSupervisor(t, 985)
+	exchange.peers = supervisorSet(t, 985)
 	return exchange
 }
--- a/internal/nodeexchange/suspects_test.go
+++ b/internal/nodeexchange/suspects_test.go
@@ -10,13 +10,13 @@
 	"github.com/tinarch/tinarch/internal/quarantine"
 )
 
-// quarantineNode is an exchange with its keeper.
+// quarantineNode is an exchange with its quarantine manager.
 type quarantineNode struct {
 	*Exchange
 	keeper *quarantine.Manager
 }
 
-// quarantineNodes runs exchanges that know each other and keep a quarantine.
+// quarantineNodes runs exchanges that know each other and have quarantine managers.
 func quarantineNodes(t *testing.T, count int) []quarantineNode {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -39,7 +39,7 @@
 
 func newQuarantineNode(t *testing.T, name string) quarantineNode {
 	t.Helper()
-	exchange, err := Listen("127.0.0.1:0", name, "zone", registryWith(), quiet())
+	exchange, err := Listen("127.0.0.1:0", name, "zone", newRegistry(), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,12 +65,12 @@
 
 var poison = quarantine.Content{Target: "/poison"}.Fingerprint()
 
-// crash has a node see the end of a worker under the poison request.
+// crash lets a node see a worker end during the poison request.
 func (n quarantineNode) crash(worker string) {
 	n.keeper.Crashed(map[quarantine.Fingerprint]quarantine.Crash{poison: {Worker: worker, Address: "at " + worker}}, time.Now())
 }
 
-// awaitQuarantine waits until a node gives the poison request to no worker.
+// awaitQuarantine waits until a node has quarantined the poison request.
 func (n quarantineNode) awaitQuarantine(t *testing.T) {
 	t.Helper()
 	const patience = 20 * time.Second
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestCrashesSeenByDifferentNodesAddUp at all nodes, in a fleet of which all are supervisors
-// and in one of which few are.
+// TestCrashesSeenByDifferentNodesAddUp checks that crashes seen by different nodes lead to a
+// quarantine on all nodes, in a fleet in which all are supervisors and in one in which few are.
 func TestCrashesSeenByDifferentNodesAddUp(t *testing.T) {
 	for _, count := range []int{3, 40} {
 		nodes := quarantineNodes(t, count)
@@ -104,8 +104,9 @@
 	}
 }
 
-// TestNodeThatIsHeardLaterIsTold what every node is to know.
-func TestNodeThatIsHeardLaterIsTold(t *testing.T) {
+// TestNewNodeGetsSharedSuspects checks that a node that is heard for the first time gets the
+// records that all nodes must know.
+func TestNewNodeGetsSharedSuspects(t *testing.T) {
 	nodes := quarantineNodes(t, 3)
 	for i, node := range nodes {
 		node.crash(fmt.Sprint("w", i))
@@ -113,7 +114,7 @@
 	for _, node := range nodes {
 		node.awaitQuarantine(t)
 	}
-	time.Sleep(time.Second) // what is told of changes has been told
+	time.Sleep(time.Second) // until the messages about changes have been sent
 	added := newQuarantineNode(t, "added")
 	ctx, cancel := context.WithCancel(context.Background())
 	added.AddPeers(listOf(nodes))
@@ -123,7 +124,8 @@
 	<-added.Done()
 }
 
-// TestSuspectsFitDatagrams, as many as a worker ran when it ended, and with many crashes.
+// TestSuspectsFitDatagrams checks that the suspects of a worker that ended with many running
+// requests fit in datagrams, even with many crashes each.
 func TestSuspectsFitDatagrams(t *testing.T) {
 	var records []quarantine.Record
 	for number := range 128 {
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -185,10 +185,10 @@
 
 // sendAnnouncements answers a node that asks for announcements.
 func (e *Exchange) sendAnnouncements(to netip.AddrPort) {
-	if e.board == nil {
+	if e.coordinator == nil {
 		return
 	}
-	if announcements := e.board.Known(time.Now()); len(announcements) > 0 {
+	if announcements := e.coordinator.Known(time.Now()); len(announcements) > 0 {
 		e.sendTo(to, Message{Node: e.node, Words: announcements, CreatedMillis: clock.Boottime().UnixMilli(), Relayed: true})
 	}
 }
@@ -201,7 +201,7 @@
 // ages were correct when the message was created, so it adds the time that the message was
 // delayed.
 func (e *Exchange) receiveAnnouncementsAt(from netip.AddrPort, message Message, now time.Time) {
-	if e.board == nil {
+	if e.coordinator == nil {
 		return
 	}
 	announcements := message.Words
@@ -212,7 +212,7 @@
 			announcements[i].AgeMillis += delay.Milliseconds()
 		}
 	}
-	e.board.Take(announcements, time.Now())
+	e.coordinator.Take(announcements, time.Now())
 	e.relay(from, message)
 }
 
@@ -222,8 +222,8 @@
 		e.logMalformed(from, err)
 		return
 	}
-	if e.board != nil {
-		e.board.TakeNews(news)
+	if e.coordinator != nil {
+		e.coordinator.TakeNews(news)
 	}
 	e.relay(from, message)
 }
--- a/internal/nodeexchange/tables_test.go
+++ b/internal/nodeexchange/tables_test.go
@@ -9,27 +9,27 @@
 	"github.com/tinarch/tinarch/internal/tablerelay"
 )
 
-// boardStub records what comes to it.
-type boardStub struct {
-	words chan []tablerelay.Announcement
+// coordinatorStub records the announcements that it receives.
+type coordinatorStub struct {
+	received chan []tablerelay.Announcement
 }
 
-func (b *boardStub) Words(time.Time) []tablerelay.Announcement { return nil }
-func (b *boardStub) Known(time.Time) []tablerelay.Announcement {
+func (b *coordinatorStub) Words(time.Time) []tablerelay.Announcement { return nil }
+func (b *coordinatorStub) Known(time.Time) []tablerelay.Announcement {
 	return []tablerelay.Announcement{{Table: "known"}}
 }
-func (b *boardStub) Take(words []tablerelay.Announcement, _ time.Time) { b.words <- words }
-func (b *boardStub) TakeNews(tablefeed.News)                           {}
+func (b *coordinatorStub) Take(words []tablerelay.Announcement, _ time.Time) { b.received <- words }
+func (b *coordinatorStub) TakeNews(tablefeed.News)                           {}
 
-// TestWordsReachAllNodes: in a large fleet two nodes of each zone pass them on, so that
-// each node hears them at least once, and no node sends to all.
+// TestWordsReachAllNodes checks that announcements reach every node of a large fleet through
+// two nodes of each zone, and that no node sends to all others.
 func TestWordsReachAllNodes(t *testing.T) {
 	const nodes = 50
 	boards := make([]TableCoordinator, nodes)
 	for i := range boards {
-		boards[i] = &boardStub{words: make(chan []tablerelay.Announcement, 100)}
+		boards[i] = &coordinatorStub{received: make(chan []tablerelay.Announcement, 100)}
 	}
-	exchanges, _ := clusterWithBoards(t, boards, "w")
+	exchanges, _ := clusterWithCoordinators(t, boards, "w")
 	exchanges[0].mu.Lock()
 	near, across := exchanges[0].peers.broadcastTargets()
 	targets := len(near) + len(across)
@@ -40,7 +40,7 @@
 	exchanges[0].SpreadWords([]tablerelay.Announcement{{Table: "spread"}})
 	for i, board := range boards[1:] {
 		select {
-		case words := <-board.(*boardStub).words:
+		case words := <-board.(*coordinatorStub).received:
 			if words[0].Table != "spread" {
 				t.Errorf("node %d heard %v", i+1, words)
 			}
@@ -50,13 +50,13 @@
 	}
 }
 
-// TestWordsAreAskedFor where none has come.
-func TestWordsAreAskedFor(t *testing.T) {
-	asking, asked := &boardStub{words: make(chan []tablerelay.Announcement, 100)}, &boardStub{words: make(chan []tablerelay.Announcement, 100)}
-	exchanges, _ := clusterWithBoards(t, []TableCoordinator{asking, asked}, "w")
+// TestAnnouncementsCanBeRequested checks that a node gets announcements when it asks for them.
+func TestAnnouncementsCanBeRequested(t *testing.T) {
+	asking, asked := &coordinatorStub{received: make(chan []tablerelay.Announcement, 100)}, &coordinatorStub{received: make(chan []tablerelay.Announcement, 100)}
+	exchanges, _ := clusterWithCoordinators(t, []TableCoordinator{asking, asked}, "w")
 	exchanges[0].AskWords("table")
 	select {
-	case words := <-asking.words:
+	case words := <-asking.received:
 		if words[0].Table != "known" {
 			t.Errorf("%v", words)
 		}
@@ -65,10 +65,11 @@
 	}
 }
 
-// TestNobodyIsAskedForWordsByAll: in a large fleet the nodes that lack them ask near them.
-func TestNobodyIsAskedForWordsByAll(t *testing.T) {
+// TestNoNodeIsAskedForAnnouncementsByAll checks that in a large fleet nodes without
+// announcements ask nodes of their zone, so that no node is asked by too many.
+func TestNoNodeIsAskedForAnnouncementsByAll(t *testing.T) {
 	for _, nodes := range []int{100, 300, 985} {
-		supervisor := aSupervisor(t, nodes)
+		supervisor := supervisorSet(t, nodes)
 		var listed []Peer
 		for address, known := range supervisor.peers {
 			listed = append(listed, Peer{Node: known.node, Address: address, Zone: known.zone, Listed: uint64(2 + len(listed))})
@@ -80,7 +81,7 @@
 			set.addFullList(listed)
 			isRoot := len(set.tableSources()) == 0
 			if isRoot {
-				roots++ // those ask the node that reads the table
+				roots++ // these ask the node that reads the table
 			}
 			for _, to := range set.announcementSources("servers") {
 				asked[to]++
@@ -93,16 +94,16 @@
 			t.Errorf("%d nodes: %d ask outside their zones", nodes, roots)
 		}
 		for address, times := range asked {
-			if times > 40 { // of 100, where one zone's 20 may draw the same head
+			if times > 40 { // of 100, where the 20 nodes of one zone may choose the same head
 				t.Errorf("%d nodes: %v is asked by %d of 100", nodes, address, times)
 			}
 		}
 	}
 }
 
-// TestWordsReachALargeZoneInSmallBursts: the head of a zone and those that pass on in its
-// groups send few datagrams at once, and reach all nodes.
-func TestWordsReachALargeZoneInSmallBursts(t *testing.T) {
+// TestBroadcastReachesALargeZoneInSmallBursts checks that the head of a large zone and the
+// nodes that relay in its groups send few datagrams at once, and reach all nodes together.
+func TestBroadcastReachesALargeZoneInSmallBursts(t *testing.T) {
 	for _, count := range []int{40, 200, 400} {
 		var zone []netip.AddrPort
 		for i := range count {
--- a/internal/nodeexchange/transit_test.go
+++ b/internal/nodeexchange/transit_test.go
@@ -8,8 +8,9 @@
 	"github.com/tinarch/tinarch/internal/tablerelay"
 )
 
-// TestTimeOnTheWayIsCounted, whatever the clocks of the two nodes say.
-func TestTimeOnTheWayIsCounted(t *testing.T) {
+// TestDelayIsMeasuredWithoutCommonClocks checks that the delay of a message is found although
+// the clocks of the two nodes differ.
+func TestDelayIsMeasuredWithoutCommonClocks(t *testing.T) {
 	const apart = 1000 * time.Hour
 	begun := time.Unix(0, 0)
 	var ways delayEstimator
@@ -28,18 +29,19 @@
 	}
 }
 
-// TestWordThatLayInABufferIsAsOldAsItIs: the node didn't run while it came.
+// TestWordThatLayInABufferIsAsOldAsItIs checks that the age of an announcement includes the
+// time for which it lay in a buffer while the receiving process didn't run.
 func TestWordThatLayInABufferIsAsOldAsItIs(t *testing.T) {
-	board := &boardStub{words: make(chan []tablerelay.Announcement, 2)}
-	exchanges, _ := clusterWithBoards(t, []TableCoordinator{board}, "w")
+	board := &coordinatorStub{received: make(chan []tablerelay.Announcement, 2)}
+	exchanges, _ := clusterWithCoordinators(t, []TableCoordinator{board}, "w")
 	now := time.Now()
 	word := []tablerelay.Announcement{{Table: "table", Changed: tablefeed.Version(1), AgeMillis: 100}}
 	for _, late := range []time.Duration{0, 2 * time.Second} {
 		made := now.Add(-late - 5*time.Millisecond)
 		exchanges[0].receiveAnnouncementsAt(exchanges[0].peers.address, Message{Node: "maker", Words: word, CreatedMillis: made.UnixMilli()}, now)
 	}
-	<-board.words
-	if got := <-board.words; got[0].AgeMillis != 2100 {
+	<-board.received
+	if got := <-board.received; got[0].AgeMillis != 2100 {
 		t.Errorf("a word of 100 ms that lay 2 s in a buffer is taken for one of %d ms", got[0].AgeMillis)
 	}
 	if word[0].AgeMillis != 100 {
--- a/internal/nodeexchange/turns_test.go
+++ b/internal/nodeexchange/turns_test.go
@@ -10,10 +10,10 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// noTolerance bears nothing beyond a limit, so that turns can be counted.
-var noTolerance = quota.Tolerance{Window: 4 * time.Second}
+// turnZeroTolerance permits no excess, so that a test can count the turns.
+var turnZeroTolerance = quota.Tolerance{Window: 4 * time.Second}
 
-// turnNodes returns nodes that have known each other and a worker for long.
+// turnNodes returns nodes that have known each other and a worker for a long time.
 func turnNodes(t *testing.T, nodes int, tolerance quota.Tolerance) []*Exchange {
 	t.Helper()
 	return exchangesWith(t, nodes, func(exchange *Exchange) *quotaExchange {
@@ -22,20 +22,21 @@
 	})
 }
 
-// named has a worker name a limit to a node now.
-func named(e *Exchange, rate float64) {
+// stateLimit lets a worker state a limit to a node now.
+func stateLimit(e *Exchange, rate float64) {
 	now := time.Now()
 	e.registry.ObserveLimit("w", "request", worker.LimitStatement{Named: true, Rate: rate, Sent: now, Heard: now})
 }
 
-// hourly is a limit that hardly comes back within a test.
+// hourly is a limit that hardly refills during a test.
 const hourly = worker.MinRate
 
-// TestTurnsHoldOverAllNodes that were told of the limit by one.
+// TestTurnsHoldOverAllNodes checks that all nodes together keep to a limit that a worker stated
+// to one of them.
 func TestTurnsHoldOverAllNodes(t *testing.T) {
-	exchanges := turnNodes(t, 5, noTolerance)
-	named(exchanges[0], hourly)
-	awaitThat(t, "all nodes know the limit", func() bool {
+	exchanges := turnNodes(t, 5, turnZeroTolerance)
+	stateLimit(exchanges[0], hourly)
+	waitUntil(t, "all nodes know the limit", func() bool {
 		for _, exchange := range exchanges {
 			if !exchange.registry.HasLimit("w") {
 				return false
@@ -56,56 +57,62 @@
 			exchange.turns.reportChanged(time.Now())
 		}
 	}
-	// A keeper whose answer is late may be followed by one that wasn't told of the last turn.
+	// If a keeper's answer is late, the next keeper decides, which may not have the last report
+	// yet.
 	if granted < turnBurst || granted > turnBurst+2 {
 		t.Errorf("%d turns, want %d", granted, turnBurst)
 	}
 }
 
-// TestRequestsWithoutATurnCount: orders and the like are sent without asking.
-func TestRequestsWithoutATurnCount(t *testing.T) {
-	exchanges := turnNodes(t, 2, noTolerance)
-	named(exchanges[0], hourly)
+// TestRequestsWithoutATurnAreCounted checks that requests which are sent without asking for a
+// turn, such as orders, count too.
+func TestRequestsWithoutATurnAreCounted(t *testing.T) {
+	exchanges := turnNodes(t, 2, turnZeroTolerance)
+	stateLimit(exchanges[0], hourly)
 	exchanges[0].CountTurn("w")
-	awaitThat(t, "the next turn is refused everywhere", func() bool {
+	waitUntil(t, "the next turn is refused everywhere", func() bool {
 		return !exchanges[1].TakeTurn(t.Context(), "w", 0).Granted && !exchanges[0].TakeTurn(t.Context(), "w", 0).Granted
 	})
 }
 
-// TestNodeThatAsksLearnsOfTheEnd from the keeper, which has heard of it.
-func TestNodeThatAsksLearnsOfTheEnd(t *testing.T) {
-	exchanges := turnNodes(t, 3, noTolerance)
+// TestAskingNodeLearnsThatALimitEnded checks that a node that asks for turns learns from the
+// keeper that the worker has ended its limit.
+func TestAskingNodeLearnsThatALimitEnded(t *testing.T) {
+	exchanges := turnNodes(t, 3, turnZeroTolerance)
 	for _, exchange := range exchanges {
-		named(exchange, hourly)
+		stateLimit(exchange, hourly)
 	}
 	for exchanges[0].TakeTurn(t.Context(), "w", 0).Granted {
 	}
-	// The end is said well after the limit was: else a message's way makes its order unknown.
+	// The end is stated well after the limit: within limitTimeSlack their order would be
+	// unknown.
 	time.Sleep(2 * limitTimeSlack)
 	now := time.Now()
 	for _, exchange := range exchanges[1:] {
 		exchange.registry.MergeLimit("w", "other", worker.LimitStatement{Sent: now, Heard: now})
 	}
-	awaitThat(t, "the node is granted all it asks for", func() bool {
+	waitUntil(t, "the node is granted all it asks for", func() bool {
 		first, second := exchanges[0].TakeTurn(t.Context(), "w", 0), exchanges[0].TakeTurn(t.Context(), "w", 0)
 		return first.Granted && second.Granted && !exchanges[0].registry.HasLimit("w")
 	})
 }
 
-// TestNewNodeIsToldOfLimits of which it can't have heard.
-func TestNewNodeIsToldOfLimits(t *testing.T) {
-	exchanges := turnNodes(t, 2, noTolerance)
+// TestNewNodeGetsTheLimits checks that a new node gets limits that were stated before it
+// started.
+func TestNewNodeGetsTheLimits(t *testing.T) {
+	exchanges := turnNodes(t, 2, turnZeroTolerance)
 	now := time.Now()
 	exchanges[0].registry.MergeLimit("w", "other", worker.LimitStatement{Named: true, Rate: 2, Sent: now, Heard: now})
-	awaitThat(t, "the nodes hear each other", func() bool { return exchanges[1].OldestDigest() > 0 && exchanges[0].OldestDigest() > 0 })
+	waitUntil(t, "the nodes hear each other", func() bool { return exchanges[1].OldestDigest() > 0 && exchanges[0].OldestDigest() > 0 })
 	exchanges[0].shareLimits(exchanges[1].peers.address)
-	awaitThat(t, "the other node knows the limit", func() bool { return exchanges[1].registry.HasLimit("w") })
+	waitUntil(t, "the other node knows the limit", func() bool { return exchanges[1].registry.HasLimit("w") })
 }
 
-// TestOneNodeAsksASilentWorker: the first of those that count its requests and are heard.
-func TestOneNodeAsksASilentWorker(t *testing.T) {
-	exchanges := turnNodes(t, 4, noTolerance)
-	awaitThat(t, "one node of four asks", func() bool {
+// TestOneNodeIsTheFirstTurnKeeper checks that exactly one node, the first present keeper of a
+// worker's turns, is the one that is to ask a silent worker.
+func TestOneNodeIsTheFirstTurnKeeper(t *testing.T) {
+	exchanges := turnNodes(t, 4, turnZeroTolerance)
+	waitUntil(t, "one node of four asks", func() bool {
 		count := 0
 		for _, exchange := range exchanges {
 			if exchange.IsFirstTurnKeeper("w") {
@@ -116,7 +123,7 @@
 	})
 }
 
-func TestLimitsTravelAsAges(t *testing.T) {
+func TestLimitTimesAreSentAsAges(t *testing.T) {
 	now := time.Now()
 	before := worker.LimitStatement{Named: true, Rate: 2.6, Sent: now.Add(-30 * time.Millisecond), Heard: now.Add(-10 * time.Millisecond)}
 	later := now.Add(time.Hour) // another node's clock
@@ -127,8 +134,9 @@
 	}
 }
 
-// TestTurnsAreKeptByThoseWhoKeepTheAccount: they are told what the worker says.
-func TestTurnsAreKeptByThoseWhoKeepTheAccount(t *testing.T) {
+// TestTurnKeepersAreTheFirstHomes checks that the keepers of a worker's turns are among its
+// homes, which are told the worker's limit.
+func TestTurnKeepersAreTheFirstHomes(t *testing.T) {
 	set := newPeerSet("self", netip.MustParseAddrPort("10.0.0.1:1"), "zone")
 	var listed []Peer
 	for i := range 100 {
@@ -147,8 +155,8 @@
 	}
 }
 
-// awaitThat waits until something holds.
-func awaitThat(t *testing.T, what string, holds func() bool) {
+// waitUntil waits until a condition holds.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
