--- a/internal/nodeexchange/ask_test.go
+++ b/internal/nodeexchange/ask_test.go
@@ -72,7 +72,7 @@
 		placing, asking = asking, i
 	}
 	if placing < 0 {
-		t.Fatal("fewer than two nodes of thirty don't keep the account")
+		t.Fatal("fewer than two of thirty nodes are no homes of the worker")
 	}
 	parts := []prefixcache.Part{{ID: 7, Tokens: 500}}
 	registries[placing].Begin("w", worker.Load{Requests: 2, MemoryTokens: 30})
@@ -112,10 +112,10 @@
 		}
 	}
 	if _, _, questions := exchange.prepareQuestions([]string{id}, 0); len(questions) != 0 {
-		t.Errorf("nodes that gave no answer are asked: %v", questions)
+		t.Errorf("nodes that didn't answer are asked again: %v", questions)
 	}
 	if len(exchange.pendingQuestions) != 0 {
-		t.Errorf("%d questions are kept", len(exchange.pendingQuestions))
+		t.Errorf("%d questions are still pending", len(exchange.pendingQuestions))
 	}
 }
 
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	if _, some := exchange.Keeping(); some {
-		t.Error("in a small fleet a node keeps some accounts only")
+		t.Error("in a small fleet a node tracks only some workers")
 	}
 	var engines []worker.Worker
 	var ids []string
@@ -169,11 +169,11 @@
 		t.Helper()
 		keeping, some := exchange.Keeping()
 		if !some {
-			t.Fatal("a node of a large fleet keeps all accounts")
+			t.Fatal("a node of a large fleet tracks all workers")
 		}
 		for i, kept := range exchange.Kept(ids) {
 			if known := exchange.registry.CandidatesAmong("llm", ids[i:i+1], nil, 0, time.Now()); kept != keeping[ids[i]] && len(known) > 0 {
-				t.Errorf("%s: keeping %v, kept %v", ids[i], keeping[ids[i]], kept)
+				t.Errorf("%s: Keeping says %v, Kept %v", ids[i], keeping[ids[i]], kept)
 			}
 		}
 	}
--- a/internal/nodeexchange/compatibility_test.go
+++ b/internal/nodeexchange/compatibility_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(rendered, recorded) {
-		t.Errorf("a field has another name or form than in the build before, in which it was\n%s\nand is now\n%s", recorded, rendered)
+		t.Errorf("a field is encoded differently than in the previous build: was\n%s\nis\n%s", recorded, rendered)
 	}
 }
 
--- a/internal/nodeexchange/contents_test.go
+++ b/internal/nodeexchange/contents_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, broken := range []string{"", "a b", "x i-1 5", "a i-1 -5", "a i-1 5 6"} {
 		if _, err := parseContent(broken); err == nil {
-			t.Errorf("%q was taken", broken)
+			t.Errorf("%q was accepted", broken)
 		}
 	}
 }
@@ -45,11 +45,11 @@
 		t.Error(diff)
 	}
 	if left := index.of(7, begun.Add(7*time.Second+holderLife)); len(left) != 0 {
-		t.Errorf("%v are still said to keep it", left)
+		t.Errorf("%v are still returned as holders", left)
 	}
 	index.add(contentRecord{content: 8}, begun.Add(time.Minute))
 	if len(index.holders) != 1 {
-		t.Errorf("%d contents are known, want 1", len(index.holders))
+		t.Errorf("the index has %d contents, want 1", len(index.holders))
 	}
 }
 
@@ -76,11 +76,11 @@
 	for asking := range nodes {
 		for end := time.Now().Add(20 * time.Second); !found(asking); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("node %d never learns who keeps the content", asking)
+				t.Fatalf("node %d never learns which worker holds the content", asking)
 			}
 		}
 	}
 	if _, isContent := contentRecordOf(worker.CacheUpdate{Worker: "w", Parts: []prefixcache.Part{{ID: 1, Tokens: 10}, {ID: 2, Tokens: 5000}}}); isContent {
-		t.Error("a prompt that shares next to nothing is told as a content")
+		t.Error("a prompt that shares next to nothing counts as a content")
 	}
 }
--- a/internal/nodeexchange/departed_test.go
+++ b/internal/nodeexchange/departed_test.go
@@ -38,7 +38,7 @@
 	gone := addressOf(3)
 	set, w := supervisorOf(60, gone, departedAfter)
 	if departed := set.departed(w, origin.Add(departedAfter)); len(departed) != 0 {
-		t.Errorf("gone too early: %v", departed)
+		t.Errorf("departed too early: %v", departed)
 	}
 	later := origin.Add(departedAfter + 1)
 	departed := set.departed(w, later)
@@ -50,7 +50,7 @@
 	}
 	for i := range 100 {
 		if slices.Contains(set.homes(fmt.Sprint("w", i)), gone) {
-			t.Fatal("a node that is gone keeps accounts")
+			t.Fatal("a node that is gone is a home")
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	set := newPeerSet("me", self, "zone")
 	set.recordMessage(there, Message{Node: "other", Sequence: 1}, origin)
 	if set.drop(there, origin.Add(peerTimeout)) {
-		t.Error("a node that was heard just now was dropped")
+		t.Error("a node that was heard recently was dropped")
 	}
 	if !set.drop(there, origin.Add(peerTimeout+1)) {
 		t.Error("a node that is silent wasn't dropped")
@@ -128,7 +128,7 @@
 	for exchanges[1].Nodes() != 2 {
 		select {
 		case <-end:
-			t.Fatal("the other node still counts it")
+			t.Fatal("the other node hasn't dropped it")
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
@@ -139,7 +139,7 @@
 	select {
 	case <-cut.Unlisted():
 	case <-end:
-		t.Fatal("a node that was dropped doesn't learn of it")
+		t.Fatal("a node that was dropped doesn't learn that it isn't listed")
 	}
 }
 
@@ -169,7 +169,7 @@
 		select {
 		case <-unlisted.Unlisted():
 		case <-time.After(20 * time.Second):
-			t.Errorf("heard again: %v: a node whose row is gone isn't told", heard)
+			t.Errorf("heard again %v: a node whose row was deleted isn't told", heard)
 		}
 	}
 }
--- a/internal/nodeexchange/digest_test.go
+++ b/internal/nodeexchange/digest_test.go
@@ -72,7 +72,7 @@
 			_, err = message.snapshot()
 		}
 		if err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	}
 	exchange.receiveLoads(other, Message{Node: "other", Sequence: 3, Leaving: true})
 	if exchange.Nodes() != 1 {
-		t.Errorf("%d nodes after one has left", exchange.Nodes())
+		t.Errorf("%d nodes after one has left, want 1", exchange.Nodes())
 	}
 }
 
@@ -138,7 +138,7 @@
 	registries[0].Begin("w", worker.Load{Requests: 3})
 	for end := time.Now().Add(20 * time.Second); registries[1].Candidates("s", nil, 0, time.Now())[0].Requests != 3; {
 		if time.Now().After(end) {
-			t.Fatal("the load of one node isn't known at the other")
+			t.Fatal("the load of one node isn't known to the other")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -170,7 +170,7 @@
 		go exchange.Run(ctx)
 	}
 	if untold := exchanges[1].AskMemory(ctx, []string{"w"}); len(untold) != 1 {
-		t.Error("a peer that has learned nothing told something")
+		t.Error("a peer that has learned nothing gave a complete answer")
 	}
 	old.MarkCachesKnown([]string{"w"})
 	for end := time.Now().Add(20 * time.Second); ; {
@@ -179,7 +179,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("untold: %v", untold)
+			t.Fatalf("without a complete answer: %v", untold)
 		}
 	}
 	for _, candidate := range young.Candidates("s", parts, 0, time.Now()) {
@@ -188,7 +188,7 @@
 		}
 	}
 	if unlisted := young.UnknownCaches(); len(unlisted) != 1 || unlisted[0].ID != "unlearned" {
-		t.Errorf("to be asked: %v", unlisted)
+		t.Errorf("workers with unknown caches: %v", unlisted)
 	}
 }
 
--- a/internal/nodeexchange/listing_test.go
+++ b/internal/nodeexchange/listing_test.go
@@ -40,15 +40,15 @@
 			children[asked[0]]++
 			depths[set.address] = depths[asked[0]] + 1
 			if depths[set.address] > deepest {
-				t.Fatalf("%d nodes: a node is %d deep, want %d at most", nodes, depths[set.address], deepest)
+				t.Fatalf("%d nodes: a node is at depth %d, want %d at most", nodes, depths[set.address], deepest)
 			}
 		}
 		if want := 5 * sourcesPerZone; reading != min(want, nodes) {
-			t.Errorf("%d nodes: %d read at the store, want %d", nodes, reading, want)
+			t.Errorf("%d nodes: %d read from the store, want %d", nodes, reading, want)
 		}
 		for address, count := range children {
 			if count > tableFanOut {
-				t.Errorf("%d nodes: %v gives copies to %d others", nodes, address, count)
+				t.Errorf("%d nodes: %v passes copies to %d others", nodes, address, count)
 			}
 		}
 	}
@@ -66,7 +66,7 @@
 		t.Errorf("asked: %v", asked)
 	}
 	if set.listed {
-		t.Error("a node takes its zone for the whole fleet")
+		t.Error("the nodes of a zone count as the whole list")
 	}
 }
 
@@ -116,11 +116,11 @@
 	exchange.WithdrawPeers([]netip.AddrPort{there})
 	exchange.peers.recordMessage(there, Message{Node: "n", Sequence: 7}, origin)
 	if exchange.Nodes() != 1 {
-		t.Error("a node that withdrew is back by a late message")
+		t.Error("a late message added a withdrawn node again")
 	}
 	exchange.peers.recordMessage(there, Message{Node: "next", Sequence: 1}, origin)
 	if exchange.Nodes() != 2 {
-		t.Error("the process after it isn't known")
+		t.Error("a new process at the same address isn't known")
 	}
 	exchange.WithdrawPeers([]netip.AddrPort{there})
 	exchange.AddPeers([]Peer{node})
--- a/internal/nodeexchange/news_test.go
+++ b/internal/nodeexchange/news_test.go
@@ -53,10 +53,10 @@
 		exchange.peers = supervisorSet(t, nodes)
 		limit := exchange.newsLimit()
 		if sent := limit * exchange.peers.largestZoneSize(); sent > maxHeadBytes || limit > maxNews {
-			t.Errorf("%d nodes: news of %d bytes are told, %d by a head", nodes, limit, sent)
+			t.Errorf("%d nodes: the limit is %d bytes, so that a head sends %d", nodes, limit, sent)
 		}
 		if nodes <= 75 && limit != maxNews {
-			t.Errorf("%d nodes: news of %d bytes are told only", nodes, limit)
+			t.Errorf("%d nodes: the limit is only %d bytes", nodes, limit)
 		}
 	}
 }
--- a/internal/nodeexchange/outbox_test.go
+++ b/internal/nodeexchange/outbox_test.go
@@ -24,7 +24,7 @@
 		messages++
 	}
 	if reads != 2 || failures != 1 || messages != 3 {
-		t.Errorf("a read is told %d times, a failure %d times, in %d messages", reads, failures, messages)
+		t.Errorf("a cache update is sent %d times and a failure %d times, in %d messages", reads, failures, messages)
 	}
 }
 
@@ -46,7 +46,7 @@
 		now := origin.Add(test.after)
 		due, atRest := box.due(now)
 		if due != test.due || atRest != test.atRest || box.untilDue(now) != test.wait {
-			t.Errorf("%s: due %v, at rest %v, wait %v", name, due, atRest, box.untilDue(now))
+			t.Errorf("%s: due %v, periodic %v, wait %v", name, due, atRest, box.untilDue(now))
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	}
 	for _, list := range lists {
 		if told[list.Worker] != 2 {
-			t.Errorf("%s is told %d times", list.Worker, told[list.Worker])
+			t.Errorf("the cache list of %s is sent %d times", list.Worker, told[list.Worker])
 		}
 	}
 }
--- a/internal/nodeexchange/peers_test.go
+++ b/internal/nodeexchange/peers_test.go
@@ -59,10 +59,10 @@
 		t.Errorf("lost: %v", lost)
 	}
 	if !slices.Contains(peers.homes("w"), there) || !slices.Contains(peers.supervisors(), there) {
-		t.Error("a silent node is told nothing any more")
+		t.Error("a silent node gets no messages any more")
 	}
 	if first, _ := peers.recordMessage(there, Message{Node: "other", Sequence: 2}, origin.Add(time.Minute)); !first {
-		t.Error("a node that is heard again isn't told of")
+		t.Error("a node that is heard again isn't reported as new")
 	}
 }
 
@@ -92,14 +92,14 @@
 			keeping := 0
 			for _, set := range sets {
 				if !slices.Equal(set.homes(id), homes) && nodes > fullTrackingFleet {
-					t.Fatalf("%d nodes: they don't agree on who keeps the account of %s", nodes, id)
+					t.Fatalf("%d nodes: they don't agree on the homes of %s", nodes, id)
 				}
 				if set.isHome(id) {
 					keeping++
 				}
 			}
 			if keeping != want {
-				t.Errorf("%d nodes: %d keep the account of %s, want %d", nodes, keeping, id, want)
+				t.Errorf("%d nodes: %d are homes of %s, want %d", nodes, keeping, id, want)
 			}
 		}
 	}
@@ -134,7 +134,7 @@
 		set.suspect(want, now)
 	}
 	if _, found := set.reachableHome(id, now); found {
-		t.Error("a node is asked that gave no answer")
+		t.Error("a node that didn't answer is asked")
 	}
 	if got, _ := set.reachableHome(id, now.Add(suspicionTime)); got != homes[0] {
 		t.Error("a silent node is never asked again")
@@ -154,7 +154,7 @@
 	peers.recordMessage(there, Message{Node: "new", Sequence: 1}, origin)
 	peers.recordMessage(there, Message{Node: "old", Sequence: 9, Leaving: true}, origin)
 	if peers.nodes() != 2 {
-		t.Error("the farewell of the process before counts")
+		t.Error("the leaving message of the previous process removed the new one")
 	}
 }
 
@@ -162,15 +162,15 @@
 	peers := newPeerSet("b", self, "zone")
 	peers.addFullList([]Peer{{Node: "a", Address: there}})
 	if !peers.designated(false) {
-		t.Error("a node that was never heard counts")
+		t.Error("a node that was never heard prevents the designation")
 	}
 	peers.recordMessage(there, Message{Node: "a", Sequence: 1}, origin)
 	if peers.designated(false) {
-		t.Error("a lower node is present")
+		t.Error("designated although a node with a lower incarnation is present")
 	}
 	peers.recordMessage(there, Message{Node: "a", Sequence: 2, Leaving: true}, origin)
 	if !peers.designated(false) {
-		t.Error("a node that has left counts")
+		t.Error("a node that has left prevents the designation")
 	}
 }
 
@@ -228,14 +228,14 @@
 	peers := newPeerSet("b", self, "zone")
 	peers.recordMessage(there, Message{Node: "a", Sequence: 1, SteppedBack: true}, origin)
 	if !peers.designated(false) {
-		t.Error("a node that stands aside counts")
+		t.Error("a node that has stepped back prevents the designation")
 	}
 	if !peers.designated(true) {
-		t.Error("nobody is designated where all stand aside")
+		t.Error("no node is designated if all have stepped back")
 	}
 	peers.recordMessage(there, Message{Node: "a", Sequence: 2}, origin)
 	if peers.designated(false) || peers.designated(true) {
-		t.Error("a node with a lower incarnation doesn't count")
+		t.Error("designated although a node with a lower incarnation is back")
 	}
 }
 
@@ -258,10 +258,10 @@
 		}
 	}
 	if first != 1 || len(second) < 4 {
-		t.Errorf("%d nodes read the table; the next are in the zones %v", first, second)
+		t.Errorf("%d nodes rank first; those that rank second are in the zones %v", first, second)
 	}
 	if unread := newPeerSet("new", self, "zone"); unread.readerRank("servers") != lowestRank {
-		t.Error("a node that doesn't know the others takes the first place")
+		t.Error("a node that doesn't know the others doesn't rank last")
 	}
 }
 
@@ -277,12 +277,12 @@
 			if set.mayBeHome(id) {
 				maybe++
 			} else if slices.Contains(set.homes(id), set.address) {
-				t.Fatalf("%d nodes: a home of %s doesn't know it", nodes, id)
+				t.Fatalf("%d nodes: mayBeHome excludes a home of %s", nodes, id)
 			}
 		}
 		share := float64(20+2*homeCount(nodes)) / float64(nodes)
 		if most := 1.3 * share * workers; float64(maybe) > most+20 {
-			t.Errorf("%d nodes: %d of %d workers have to be ranked, want %.0f", nodes, maybe, workers, most)
+			t.Errorf("%d nodes: rankings are needed for %d of %d workers, want at most %.0f", nodes, maybe, workers, most)
 		}
 	}
 }
--- a/internal/nodeexchange/quota_test.go
+++ b/internal/nodeexchange/quota_test.go
@@ -207,7 +207,7 @@
 		t.Errorf("%+v", verdict)
 	}
 	if asked := waitingAsks(silent); asked != 1 {
-		t.Errorf("the silent keeper was asked %d times", asked)
+		t.Errorf("the silent keeper was asked %d times, want 1", asked)
 	}
 }
 
@@ -235,12 +235,12 @@
 	tenant := tenantKeptByOthers(exchange)
 	claim := requestOf(tenant, 10)
 	if verdict := exchange.ChargeQuota(t.Context(), claim); verdict.Granted || !verdict.Private {
-		t.Fatalf("nothing is tolerated, and yet: %+v", verdict)
+		t.Fatalf("granted without any tolerance: %+v", verdict)
 	}
 	first := firstKeeper(exchange, tenant, silent)
 	form, from := nextQuota(t, first, isAsk)
 	if form.Ask.Report.Taken != 0 {
-		t.Errorf("the ask counts itself: %+v", form.Ask)
+		t.Errorf("the request counts its own cost as used: %+v", form.Ask)
 	}
 	answerQuota(t, first, from, wireQuotaReply{ID: form.Ask.ID, Granted: true})
 	reported, _ := nextQuota(t, first, reportsOf(claim.Charge().Account))
@@ -329,7 +329,7 @@
 	// Each of four nodes may grant a quarter of half of 800 in a window, plus what refills in the
 	// meantime.
 	if granted < 100 || granted > 150 {
-		t.Errorf("%v used without a keeper, want 100", granted)
+		t.Errorf("%v granted without a keeper, want 100", granted)
 	}
 	first := firstKeeper(exchange, tenant, silent)
 	account := requestOf(tenant, 10).Charge().Account
@@ -340,7 +340,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("with a keeper that answers: %+v", verdict)
+			t.Fatalf("although a keeper answers: %+v", verdict)
 		}
 	}
 }
@@ -381,10 +381,10 @@
 	exchange.quota.heardFrom(connAddress(silent[0]), now.Add(time.Second))
 	exchange.quota.heardFrom(connAddress(silent[1]), now.Add(time.Second))
 	if decision := ask("here", exchange.peers.address, time.Second, now.Add(time.Second+quota.SilentAfter)); decision.Reserved != 0 {
-		t.Errorf("all are heard, and %v is reserved", decision.Reserved)
+		t.Errorf("%v is reserved although all keepers are heard", decision.Reserved)
 	}
 	if decision := ask("here", exchange.peers.address, time.Second, now.Add(4*time.Second)); decision.Reserved < 0.2 || decision.Reserved > 0.6 {
-		t.Errorf("%v is reserved for the others", decision.Reserved)
+		t.Errorf("%v is reserved for the silent nodes", decision.Reserved)
 	}
 }
 
@@ -403,7 +403,7 @@
 	exchange.quota.lastRan = clock.Boottime().Add(-2 * quota.SilentAfter)
 	exchange.quota.mu.Unlock()
 	if decision := exchange.quota.decide(ask, now); decision.Granted || !decision.Cold {
-		t.Errorf("a keeper that stood still grants a burst: %+v", decision)
+		t.Errorf("a keeper that was paused grants a burst: %+v", decision)
 	}
 }
 
@@ -424,11 +424,11 @@
 	}
 	exchange.quota.heardFrom(connAddress(silent[0]), now.Add(quota.SilentAfter))
 	if decision := decide(now.Add(quota.SilentAfter)); decision.Level < 900 {
-		t.Errorf("a keeper that was in hearing forgets: %+v", decision)
+		t.Errorf("a keeper that heard other nodes lost its counts: %+v", decision)
 	}
 	exchange.quota.heardFrom(connAddress(silent[0]), now.Add(3*quota.SilentAfter))
 	if decision := decide(now.Add(3 * quota.SilentAfter)); decision.Granted || !decision.Cold {
-		t.Errorf("a keeper that heard nobody grants a burst: %+v", decision)
+		t.Errorf("a keeper that heard no other node grants a burst: %+v", decision)
 	}
 }
 
@@ -498,7 +498,7 @@
 				account := requestOf(fmt.Sprintf("new%d-%d", round, i), 1).Charge().Account
 				decision := exchange.quota.decide(quota.DecisionRequest{From: exchange.quota.self(), Account: account, Cost: 1, Report: report}, time.Now())
 				if decision.Level > 101 { // a quarter of the slack, and what refills in the meantime
-					t.Errorf("round %d: an account is new here, and its level is %v", round, decision.Level)
+					t.Errorf("round %d: an account that is new on this node has the level %v", round, decision.Level)
 				}
 			})
 		}
--- a/internal/nodeexchange/regions_test.go
+++ b/internal/nodeexchange/regions_test.go
@@ -56,7 +56,7 @@
 func TestSmallFleetTracksAllWorkers(t *testing.T) {
 	set := regionalSet(5)
 	if !set.isHome("south") || len(set.homes("south")) != 16 {
-		t.Errorf("kept %v, by %d of 16 nodes", set.isHome("south"), len(set.homes("south")))
+		t.Errorf("is a home: %v; %d of 16 nodes are", set.isHome("south"), len(set.homes("south")))
 	}
 }
 
@@ -91,7 +91,7 @@
 		t.Errorf("answered %v: %+v", answered, account)
 	}
 	if got := exchange.RoundTrip("south"); got >= 10*time.Second || exchange.RoundTrip("north") != 0 {
-		t.Errorf("the way to the south takes %v, within the north %v", got, exchange.RoundTrip("north"))
+		t.Errorf("the round trip to the south is %v, within the north %v", got, exchange.RoundTrip("north"))
 	}
 }
 
@@ -124,7 +124,7 @@
 	defer exchange.conn.Close()
 	exchange.SetTopology(topology.New("north-a", map[string]string{"north-a": "north", "north-b": "north"}))
 	if got := exchange.extraWait(exchange.peers.regionOf(addressOf(1))); got != 0 {
-		t.Errorf("a node without a zone is waited for %v longer", got)
+		t.Errorf("a node without a zone gets an extra wait of %v", got)
 	}
 }
 
@@ -134,12 +134,12 @@
 		way.observe(24 * time.Millisecond)
 	}
 	if way.mean != 24*time.Millisecond || way.deviation > time.Millisecond {
-		t.Errorf("%v with a spread of %v", way.mean, way.deviation)
+		t.Errorf("mean %v with a deviation of %v", way.mean, way.deviation)
 	}
 	for range 60 {
 		way.observe(48 * time.Millisecond)
 	}
 	if way.mean < 40*time.Millisecond {
-		t.Errorf("%v after the way became longer", way.mean)
+		t.Errorf("mean %v after the round trip became longer", way.mean)
 	}
 }
--- a/internal/nodeexchange/relay_test.go
+++ b/internal/nodeexchange/relay_test.go
@@ -125,7 +125,7 @@
 		}
 	}
 	if len(dead) < 6 {
-		t.Fatalf("%d dead heads show nothing", len(dead))
+		t.Fatalf("only %d heads are dead, want at least 6", len(dead))
 	}
 	got, _ := broadcastOver(sets, from, dead)
 	if left := missing(sets, got, append(dead, from)); left > 0 {
@@ -160,14 +160,14 @@
 	var r relayHistory
 	message := Message{Node: "a", Sequence: 7}
 	if !r.isNew(message) || r.isNew(message) {
-		t.Error("the same message is passed on twice")
+		t.Error("the same message counts as new twice")
 	}
 	if !r.isNew(Message{Node: "b", Sequence: 7}) || !r.isNew(Message{Node: "a", Sequence: 6}) {
-		t.Error("another message isn't passed on")
+		t.Error("another message doesn't count as new")
 	}
 	for range 2 {
 		if !r.isNew(Message{Node: "old"}) {
-			t.Error("a message without a number isn't passed on")
+			t.Error("a message without a number doesn't count as new")
 		}
 	}
 }
@@ -324,7 +324,7 @@
 		for _, address := range slices.Concat(near, across) {
 			message := next(t, sockets[address])
 			if message.RelayInRegion != slices.Contains(across, address) || message.Sequence != number+1 {
-				t.Errorf("across %v, number %d", message.RelayInRegion, message.Sequence)
+				t.Errorf("relay in region %v, number %d", message.RelayInRegion, message.Sequence)
 			}
 		}
 	}
@@ -363,12 +363,12 @@
 func TestNodeTakenForAHeadRelays(t *testing.T) {
 	set := supervisorSet(t, 300)
 	if slices.Contains(set.heads(set.zone), set.address) {
-		t.Fatal("it is a head by itself")
+		t.Fatal("the node is a head itself")
 	}
 	if _, zone := set.relayTargets(false, false); len(zone) != 0 {
-		t.Errorf("a node that is no head passes on to %d others", len(zone))
+		t.Errorf("a node that is no head relays to %d others", len(zone))
 	}
 	if _, zone := set.relayTargets(false, true); len(zone) != len(set.inZone()) {
-		t.Errorf("a node taken for a head passes on to %d of %d others", len(zone), len(set.inZone()))
+		t.Errorf("a node taken for a head relays to %d of %d others", len(zone), len(set.inZone()))
 	}
 }
--- a/internal/nodeexchange/reports_test.go
+++ b/internal/nodeexchange/reports_test.go
@@ -18,7 +18,7 @@
 		every := reportInterval(nodes)
 		const rounding = 1
 		if time.Duration(nodes)*periodicInterval > fullRateFleet*(every+rounding) {
-			t.Errorf("%d nodes report each %v: a supervisor gets more than of %d nodes", nodes, every, fullRateFleet)
+			t.Errorf("%d nodes report every %v: a supervisor gets more messages than from %d nodes", nodes, every, fullRateFleet)
 		}
 		for i := range nodes {
 			supervisor.recordMessage(addressOf(i), Message{Node: fmt.Sprint("n", i), Sequence: 1}, origin)
@@ -31,7 +31,7 @@
 			}
 		}
 		if len(lost) > 0 {
-			t.Errorf("%d nodes: %d are taken for lost when one report of each is missing", nodes, len(lost))
+			t.Errorf("%d nodes: %d count as lost after one missing report", nodes, len(lost))
 		}
 	}
 }
@@ -44,11 +44,11 @@
 	for range 2 {
 		parcels := exchange.workersByRecipient(worker.Snapshot{}, true, false)
 		if len(parcels) != len(supervisors) {
-			t.Fatalf("%d nodes are told at rest, want the %d other supervisors", len(parcels), len(supervisors))
+			t.Fatalf("%d nodes get a periodic message, want the %d other supervisors", len(parcels), len(supervisors))
 		}
 	}
 	if life := exchange.peers.presenceTimeout(supervisors[0]); life != peerTimeout {
-		t.Errorf("a silent supervisor counts for %v", life)
+		t.Errorf("a silent supervisor counts as present for %v", life)
 	}
 }
 
@@ -60,7 +60,7 @@
 	parcels := exchange.workersByRecipient(snapshot, true, false)
 	for _, home := range exchange.peers.others(exchange.peers.homes("w7")) {
 		if _, told := parcels[home]; !told {
-			t.Errorf("%v keeps the account and isn't told", home)
+			t.Errorf("home %v gets no message", home)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 			return set
 		}
 	}
-	t.Fatal("no node supervises")
+	t.Fatal("no node is a supervisor")
 	return nil
 }
 
--- a/internal/nodeexchange/suspects_test.go
+++ b/internal/nodeexchange/suspects_test.go
@@ -146,6 +146,6 @@
 		told += len(part)
 	}
 	if told != len(records) {
-		t.Errorf("%d of %d records are told", told, len(records))
+		t.Errorf("%d of %d records are sent", told, len(records))
 	}
 }
--- a/internal/nodeexchange/tables_test.go
+++ b/internal/nodeexchange/tables_test.go
@@ -35,17 +35,17 @@
 	targets := len(near) + len(across)
 	exchanges[0].mu.Unlock()
 	if targets > minHomes {
-		t.Errorf("one node tells %d of one zone", targets)
+		t.Errorf("one node sends to %d nodes of one zone", targets)
 	}
 	exchanges[0].SpreadWords([]tablerelay.Announcement{{Table: "spread"}})
 	for i, board := range boards[1:] {
 		select {
 		case words := <-board.(*coordinatorStub).received:
 			if words[0].Table != "spread" {
-				t.Errorf("node %d heard %v", i+1, words)
+				t.Errorf("node %d received %v", i+1, words)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("node %d heard nothing", i+1)
+			t.Fatalf("node %d received nothing", i+1)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 			t.Errorf("%v", words)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("no words came")
+		t.Fatal("no announcements arrived")
 	}
 }
 
@@ -122,7 +122,7 @@
 				}
 			}
 			if sent > 3*groups {
-				t.Errorf("%d nodes: a node passes on to %d others", count, sent)
+				t.Errorf("%d nodes: a node relays to %d others", count, sent)
 			}
 		}
 		if len(reached) != count || len(drawn) > groups {
--- a/internal/nodeexchange/transit_test.go
+++ b/internal/nodeexchange/transit_test.go
@@ -24,7 +24,7 @@
 	} {
 		made := begun.Add(message.made)
 		if got := ways.excess("maker", made.Add(-apart), made.Add(message.way)); got != message.want {
-			t.Errorf("message %d: %v late, want %v", i, got, message.want)
+			t.Errorf("message %d: delayed by %v, want %v", i, got, message.want)
 		}
 	}
 }
@@ -42,9 +42,9 @@
 	}
 	<-board.received
 	if got := <-board.received; got[0].AgeMillis != 2100 {
-		t.Errorf("a word of 100 ms that lay 2 s in a buffer is taken for one of %d ms", got[0].AgeMillis)
+		t.Errorf("an announcement of age 100 ms that lay 2 s in a buffer has the age %d ms", got[0].AgeMillis)
 	}
 	if word[0].AgeMillis != 100 {
-		t.Error("what is passed on counts the time twice")
+		t.Error("the delay was added to the announcement that is relayed")
 	}
 }
--- a/internal/nodeexchange/turns_test.go
+++ b/internal/nodeexchange/turns_test.go
@@ -160,7 +160,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not seen: %s", what)
+			t.Fatalf("not reached: %s", what)
 		}
 	}
 }
