--- a/internal/nodeexchange/ask.go
+++ b/internal/nodeexchange/ask.go
@@ -64,23 +64,23 @@
 // perMille is the number of units of a failure rate.
 const perMille = 1000
 
-func renderLoadReport(account scheduling.LoadReport) wireLoadReport {
+func renderLoadReport(report scheduling.LoadReport) wireLoadReport {
 	flags := 0
-	if account.Changing {
+	if report.Changing {
 		flags |= flagChanging
 	}
-	if account.Avoid {
+	if report.Avoid {
 		flags |= flagAvoid
 	}
-	if account.HandleFailure {
+	if report.HandleFailure {
 		flags |= flagHandleFailure
 	}
-	if account.Leaving {
+	if report.Leaving {
 		flags |= flagLeaving
 	}
 	return wireLoadReport{
-		account.Requests, account.ReadTokens, account.ReadAhead, account.MemoryTokens, account.CachedTokens,
-		flags, int(account.FailureRate * perMille), account.LateTokens,
+		report.Requests, report.ReadTokens, report.ReadAhead, report.MemoryTokens, report.CachedTokens,
+		flags, int(report.FailureRate * perMille), report.LateTokens,
 	}
 }
 
@@ -262,12 +262,12 @@
 		e.logMalformed(to, err)
 		return
 	}
-	accounts := make(map[string]wireLoadReport, len(asked.Workers))
-	for id, account := range e.registry.Accounts(asked.Workers, parts, asked.Rank, asking, time.Now()) {
-		accounts[id] = renderLoadReport(account)
+	reports := make(map[string]wireLoadReport, len(asked.Workers))
+	for id, report := range e.registry.Accounts(asked.Workers, parts, asked.Rank, asking, time.Now()) {
+		reports[id] = renderLoadReport(report)
 	}
 	answered := &reply{
-		ID: asked.ID, Reports: accounts, Sent: asked.Sent,
+		ID: asked.ID, Reports: reports, Sent: asked.Sent,
 		Limits: renderLimits(e.registry.Limits(asked.Workers), time.Now()),
 	}
 	if content, _ := scheduling.Content(parts); asked.Content && content != 0 {
@@ -291,8 +291,8 @@
 	if !waiting || !pending.asked[from] {
 		return
 	}
-	for id, account := range answered.Reports {
-		pending.reports[id] = account.loadReport()
+	for id, report := range answered.Reports {
+		pending.reports[id] = report.loadReport()
 	}
 	if err := pending.addHolders(answered.Holders); err != nil {
 		e.logMalformed(from, err)
--- a/internal/nodeexchange/contents.go
+++ b/internal/nodeexchange/contents.go
@@ -49,8 +49,8 @@
 	return contentRecord{content: content, holder: scheduling.Holder{Worker: read.Worker, Tokens: tokens}}, content != 0
 }
 
-func renderContent(kept contentRecord) string {
-	return strconv.FormatUint(kept.content, partBase) + " " + kept.holder.Worker + " " + strconv.Itoa(kept.holder.Tokens)
+func renderContent(record contentRecord) string {
+	return strconv.FormatUint(record.content, partBase) + " " + record.holder.Worker + " " + strconv.Itoa(record.holder.Tokens)
 }
 
 func parseContent(text string) (contentRecord, error) {
@@ -81,14 +81,14 @@
 func newContentIndex() *contentIndex { return &contentIndex{holders: make(map[uint64][]timedHolder)} }
 
 // add records that a worker has prefilled a content.
-func (c *contentIndex) add(kept contentRecord, now time.Time) {
+func (c *contentIndex) add(record contentRecord, now time.Time) {
 	c.prune(now)
-	known := slices.DeleteFunc(c.holders[kept.content], func(held timedHolder) bool { return held.Worker == kept.holder.Worker })
-	known = append(known, timedHolder{kept.holder, now})
+	known := slices.DeleteFunc(c.holders[record.content], func(held timedHolder) bool { return held.Worker == record.holder.Worker })
+	known = append(known, timedHolder{record.holder, now})
 	if len(known) > maxHolders {
 		known = known[len(known)-maxHolders:]
 	}
-	c.holders[kept.content] = known
+	c.holders[record.content] = known
 }
 
 // of returns the workers that hold a content, the newest first.
@@ -140,15 +140,15 @@
 	e.mu.Lock()
 	if e.peers.nodes() > fullTrackingFleet {
 		for _, read := range reads {
-			kept, found := contentRecordOf(read)
+			record, found := contentRecordOf(read)
 			if !found {
 				continue
 			}
-			for _, home := range e.peers.homesOfContent(kept.content, e.peers.homeRegion(kept.holder.Worker)) {
+			for _, home := range e.peers.homesOfContent(record.content, e.peers.homeRegion(record.holder.Worker)) {
 				if home == e.peers.address {
-					e.contents.add(kept, now)
+					e.contents.add(record, now)
 				} else {
-					told[home] = append(told[home], renderContent(kept))
+					told[home] = append(told[home], renderContent(record))
 				}
 			}
 		}
@@ -163,13 +163,13 @@
 func (e *Exchange) receiveContents(from netip.AddrPort, contents []string) {
 	now := time.Now()
 	for _, text := range contents {
-		kept, err := parseContent(text)
+		record, err := parseContent(text)
 		if err != nil {
 			e.logMalformed(from, err)
 			return
 		}
 		e.mu.Lock()
-		e.contents.add(kept, now)
+		e.contents.add(record, now)
 		e.mu.Unlock()
 	}
 }
@@ -188,11 +188,11 @@
 
 func (p *pendingQuestion) addHolders(rendered []string) error {
 	for _, text := range rendered {
-		kept, err := parseContent(text)
+		record, err := parseContent(text)
 		if err != nil {
 			return err
 		}
-		p.holders = append(p.holders, kept.holder)
+		p.holders = append(p.holders, record.holder)
 	}
 	return nil
 }
--- a/internal/nodeexchange/contents_test.go
+++ b/internal/nodeexchange/contents_test.go
@@ -14,9 +14,9 @@
 )
 
 func TestContentRecordSurvivesEncoding(t *testing.T) {
-	kept := contentRecord{content: 0xfedcba9876543210, holder: scheduling.Holder{Worker: "i-1", Tokens: 13300}}
-	parsed, err := parseContent(renderContent(kept))
-	if err != nil || parsed != kept {
+	record := contentRecord{content: 0xfedcba9876543210, holder: scheduling.Holder{Worker: "i-1", Tokens: 13300}}
+	parsed, err := parseContent(renderContent(record))
+	if err != nil || parsed != record {
 		t.Errorf("%+v, %v", parsed, err)
 	}
 	for _, broken := range []string{"", "a b", "x i-1 5", "a i-1 -5", "a i-1 5 6"} {
--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -20,7 +20,7 @@
 const (
 	// minSendInterval is the shortest time between two load messages. The longer it is, the
 	// more requests other nodes place without knowing of this node's load
-	// (docs/design/decisions.md, round 12).
+	// (docs/design/decisions.md).
 	minSendInterval = 25 * time.Millisecond
 	// periodicInterval is the time between two periodic messages, which are sent even if
 	// nothing changes: to the homes of the workers on which this node has load, and among
@@ -126,7 +126,7 @@
 
 // SetTableCoordinator sets where announcements and news about tables are delivered. It must be
 // called before Run.
-func (e *Exchange) SetTableCoordinator(board TableCoordinator) { e.coordinator = board }
+func (e *Exchange) SetTableCoordinator(coordinator TableCoordinator) { e.coordinator = coordinator }
 
 // Done returns a channel that is closed when Run has ended.
 func (e *Exchange) Done() <-chan struct{} { return e.done }
@@ -263,9 +263,9 @@
 // workersByRecipient returns the nodes that are to get a load message, each with the workers
 // that the message is to cover.
 func (e *Exchange) workersByRecipient(snapshot worker.Snapshot, periodic, reports bool) map[netip.AddrPort][]string {
-	subjects := workersIn(snapshot)
+	ids := workersIn(snapshot)
 	recipients := make(map[netip.AddrPort][]string)
-	for _, id := range subjects {
+	for _, id := range ids {
 		if periodic || snapshot.Concerns(id) {
 			for _, home := range e.peers.homes(id) {
 				recipients[home] = nil
@@ -283,9 +283,9 @@
 		}
 	}
 	delete(recipients, e.peers.address)
-	for _, id := range subjects {
+	for _, id := range ids {
 		for _, home := range e.peers.homes(id) {
-			if workers, told := recipients[home]; told {
+			if workers, isRecipient := recipients[home]; isRecipient {
 				recipients[home] = append(workers, id)
 			}
 		}
--- a/internal/nodeexchange/homes.go
+++ b/internal/nodeexchange/homes.go
@@ -94,12 +94,12 @@
 		return known
 	}
 	s.collectMembers()
-	belongs := s.zoneFilter(zone)
+	accepts := s.zoneFilter(zone)
 	if zone == "" {
-		return s.ranked.Rank(subject, s.members, s.hashes, count, belongs)
+		return s.ranked.Rank(subject, s.members, s.hashes, count, accepts)
 	}
-	near := slices.DeleteFunc(slices.Clone(s.members), func(member netip.AddrPort) bool { return !belongs(member) })
-	return s.ranked.Rank(subject, near, s.hashesOf(near), count, belongs)
+	near := slices.DeleteFunc(slices.Clone(s.members), func(member netip.AddrPort) bool { return !accepts(member) })
+	return s.ranked.Rank(subject, near, s.hashesOf(near), count, accepts)
 }
 
 // collectMembers lists all nodes, once after each change of them: building the list for each of
--- a/internal/nodeexchange/listing.go
+++ b/internal/nodeexchange/listing.go
@@ -117,12 +117,12 @@
 // is to read it from the store. It waits until the nodes of its zone are known.
 func (e *Exchange) Givers(ctx context.Context) []netip.AddrPort {
 	e.mu.Lock()
-	near := e.peers.listing.zoneKnown
+	zoneKnown := e.peers.listing.zoneKnown
 	e.mu.Unlock()
 	timer := time.NewTimer(zoneListTimeout)
 	defer timer.Stop()
 	select {
-	case <-near:
+	case <-zoneKnown:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -139,15 +139,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	holders = holders[:min(len(holders), maxAskedHolders)]
-	givers := e.peers.tableSources()
-	if len(givers) == 0 {
+	sources := e.peers.tableSources()
+	if len(sources) == 0 {
 		return e.peers.others(distinct(slices.Concat(holders, e.peers.storeReaders(table), e.peers.neighbours())))
 	}
-	near := givers[:1:1]
+	near := sources[:1:1]
 	if any, found := e.peers.randomNearPeer(); found {
 		near = append(near, any)
 	}
-	return e.peers.others(distinct(slices.Concat(near, holders, givers[1:])))
+	return e.peers.others(distinct(slices.Concat(near, holders, sources[1:])))
 }
 
 // Neighbours returns some nodes that may have a table already, for a node that is to read it
@@ -197,13 +197,13 @@
 	if before < sourcesPerZone {
 		return nil
 	}
-	givers := []netip.AddrPort{order[(before-sourcesPerZone)/tableFanOut]}
+	sources := []netip.AddrPort{order[(before-sourcesPerZone)/tableFanOut]}
 	for _, address := range append(order[:sourcesPerZone:sourcesPerZone], order[rand.IntN(len(order))]) {
-		if !slices.Contains(givers, address) {
-			givers = append(givers, address)
+		if !slices.Contains(sources, address) {
+			sources = append(sources, address)
 		}
 	}
-	return givers
+	return sources
 }
 
 // storeReaders returns the node that reads a table from the store for all others, or none
--- a/internal/nodeexchange/memory.go
+++ b/internal/nodeexchange/memory.go
@@ -63,7 +63,7 @@
 	return asked
 }
 
-// awaitMemory removes the workers with complete answers from untold, until none is left or the
+// awaitMemory removes the workers with complete answers from missing, until none is left or the
 // round ends.
 func (e *Exchange) awaitMemory(ctx context.Context, missing map[string]bool) {
 	timer := time.NewTimer(memoryRoundTimeout)
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -161,8 +161,8 @@
 // announcementSources returns the nodes to be asked for announcements about a table.
 func (s *peerSet) announcementSources(table string) []netip.AddrPort {
 	first := s.firstRanked("table "+table, 1, "")
-	if givers := s.tableSources(); s.large() && len(givers) > 0 {
-		first = givers[:1]
+	if sources := s.tableSources(); s.large() && len(sources) > 0 {
+		first = sources[:1]
 	}
 	asked := slices.Clone(first)
 	if any, found := s.randomNearPeer(); found && !slices.Contains(asked, any) {
