--- a/internal/nodeexchange/homes.go
+++ b/internal/nodeexchange/homes.go
@@ -18,7 +18,8 @@
 	// them below those that the nodes of a fleet of this size send each other, but at least
 	// minHomes.
 	fullTrackingFleet = 20
-	// minHomes is the smallest number of homes of a worker: one of them may be lost.
+	// minHomes is the smallest number of homes of a worker, and the number of heads of a zone
+	// or a region: one of them may be lost.
 	minHomes = 2
 )
 
