--- a/internal/nodeexchange/quota.go
+++ b/internal/nodeexchange/quota.go
@@ -110,7 +110,7 @@
 // pendingCharge is a charge that is being decided by the keepers of its account.
 type pendingCharge struct {
 	id      uint64
-	claim   quota.ChargeRequest
+	request quota.ChargeRequest
 	account string
 	report  quota.Report
 	// keepers are in the order in which they are asked. suspected tells that all of them are
@@ -139,31 +139,31 @@
 func (a quotaAnswer) final() bool { return a.decision.Granted || !a.decision.Cold }
 
 // ChargeQuota charges the cost of a request to a tenant's account.
-func (e *Exchange) ChargeQuota(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
-	return e.quota.charge(ctx, claim)
+func (e *Exchange) ChargeQuota(ctx context.Context, request quota.ChargeRequest) quota.Outcome {
+	return e.quota.charge(ctx, request)
 }
 
 // charge asks the keepers of an account to decide a charge. It asks the next keeper if one
 // doesn't answer in time or refuses without knowing what was used. If none answers, this node's
 // own allowance decides.
-func (q *quotaExchange) charge(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
+func (q *quotaExchange) charge(ctx context.Context, request quota.ChargeRequest) quota.Outcome {
 	begun := time.Now()
-	ask := q.beginCharge(claim, begun)
-	for i, keeper := range ask.keepers {
-		q.askKeeper(ask, keeper)
-		last := i == len(ask.keepers)-1
-		if ask.suspected && !last {
+	pending := q.beginCharge(request, begun)
+	for i, keeper := range pending.keepers {
+		q.askKeeper(pending, keeper)
+		last := i == len(pending.keepers)-1
+		if pending.suspected && !last {
 			continue
 		}
-		timeout := ask.timeout(keeper)
-		if last && !ask.suspected {
-			timeout = max(quotaTotalTimeout+ask.extraWait[keeper]-time.Since(begun), timeout)
+		timeout := pending.timeout(keeper)
+		if last && !pending.suspected {
+			timeout = max(quotaTotalTimeout+pending.extraWait[keeper]-time.Since(begun), timeout)
 		}
-		if ask.await(ctx, timeout) {
+		if pending.await(ctx, timeout) {
 			break
 		}
 	}
-	verdict := q.finishCharge(ctx, ask, time.Now())
+	verdict := q.finishCharge(ctx, pending, time.Now())
 	verdict.Took = time.Since(begun)
 	return verdict
 }
@@ -174,51 +174,51 @@
 }
 
 // beginCharge registers a charge and selects the keepers to be asked, the suspected ones last.
-func (q *quotaExchange) beginCharge(claim quota.ChargeRequest, now time.Time) *pendingCharge {
-	account := claim.Charge().Account
-	ask := &pendingCharge{
-		claim: claim, account: account, asked: make(map[netip.AddrPort]time.Time),
+func (q *quotaExchange) beginCharge(request quota.ChargeRequest, now time.Time) *pendingCharge {
+	account := request.Charge().Account
+	pending := &pendingCharge{
+		request: request, account: account, asked: make(map[netip.AddrPort]time.Time),
 		answers: make(chan quotaAnswer, quotaKeeperCount), extraWait: make(map[netip.AddrPort]time.Duration),
 	}
 	q.exchange.mu.Lock()
 	var suspected []netip.AddrPort
 	for _, keeper := range q.keepers(q.exchange.peers, account) {
-		ask.extraWait[keeper] = q.exchange.extraWait(q.exchange.peers.regionOf(keeper))
+		pending.extraWait[keeper] = q.exchange.extraWait(q.exchange.peers.regionOf(keeper))
 		if q.exchange.peers.suspected(keeper, now) {
 			suspected = append(suspected, keeper)
 		} else {
-			ask.keepers = append(ask.keepers, keeper)
+			pending.keepers = append(pending.keepers, keeper)
 		}
 	}
 	q.exchange.mu.Unlock()
-	ask.suspected = len(ask.keepers) == 0
-	ask.keepers = append(ask.keepers, suspected...)
+	pending.suspected = len(pending.keepers) == 0
+	pending.keepers = append(pending.keepers, suspected...)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	ask.report = q.meter.Begin(account, claim.Limit, claim.Version, now)
+	pending.report = q.meter.Begin(account, request.Limit, request.Version, now)
 	q.lastCharge++
-	ask.id = q.lastCharge
-	q.pendingCharges[ask.id] = ask
-	return ask
+	pending.id = q.lastCharge
+	q.pendingCharges[pending.id] = pending
+	return pending
 }
 
 // askKeeper asks one keeper, which may be this node.
-func (q *quotaExchange) askKeeper(ask *pendingCharge, keeper netip.AddrPort) {
+func (q *quotaExchange) askKeeper(pending *pendingCharge, keeper netip.AddrPort) {
 	now := time.Now()
-	ask.count++
+	pending.count++
 	if keeper == q.exchange.peers.address {
 		decision := q.decide(quota.DecisionRequest{
-			Account: ask.account, From: q.self(), Report: ask.report, Cost: ask.claim.Cost, Patience: ask.claim.Patience,
+			Account: pending.account, From: q.self(), Report: pending.report, Cost: pending.request.Cost, Patience: pending.request.Patience,
 		}, now)
-		ask.answers <- quotaAnswer{from: keeper, decision: decision}
+		pending.answers <- quotaAnswer{from: keeper, decision: decision}
 		return
 	}
 	q.mu.Lock()
-	ask.asked[keeper] = now
+	pending.asked[keeper] = now
 	q.mu.Unlock()
 	form := &wireQuotaRequest{
-		ID: ask.id, Account: ask.account, Cost: ask.claim.Cost, PatienceMillis: ask.claim.Patience.Milliseconds(),
-		Report: renderQuotaReport(ask.report), Limit: q.limits.currentLimit(ask.account, now),
+		ID: pending.id, Account: pending.account, Cost: pending.request.Cost, PatienceMillis: pending.request.Patience.Milliseconds(),
+		Report: renderQuotaReport(pending.report), Limit: q.limits.currentLimit(pending.account, now),
 	}
 	q.exchange.sendTo(keeper, q.message(&quotaMessage{Ask: form}))
 }
@@ -291,44 +291,46 @@
 }
 
 // finishCharge ends a charge, logs what it revealed about the keepers, and returns its outcome.
-func (q *quotaExchange) finishCharge(ctx context.Context, ask *pendingCharge, now time.Time) quota.Outcome {
-	verdict, end := q.settle(ask, q.exchange.Nodes(), ctx.Err() != nil, now)
+func (q *quotaExchange) finishCharge(ctx context.Context, pending *pendingCharge, now time.Time) quota.Outcome {
+	verdict, result := q.finish(pending, q.exchange.Nodes(), ctx.Err() != nil, now)
 	q.wakeReporter()
-	q.exchange.suspect(end.silent, now)
-	q.logResult(ask, verdict, end)
+	q.exchange.suspect(result.silent, now)
+	q.logResult(pending, verdict, result)
 	if !verdict.Granted {
 		verdict.RetryAfter = quota.AddJitter(verdict.RetryAfter, rand.Float64())
 	}
 	return verdict
 }
 
-func (q *quotaExchange) settle(ask *pendingCharge, nodes int, callerGone bool, now time.Time) (quota.Outcome, chargeResult) {
+// finish ends a pending charge: it determines the outcome, by this node's own allowance if no
+// keeper has answered, and counts what was granted.
+func (q *quotaExchange) finish(pending *pendingCharge, nodes int, callerGone bool, now time.Time) (quota.Outcome, chargeResult) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	delete(q.pendingCharges, ask.id)
-	ask.drain()
-	end := chargeResult{silent: ask.silent(now)}
-	verdict := quota.Outcome{Asked: ask.count, Unanswered: len(ask.asked), Version: ask.claim.Version}
+	delete(q.pendingCharges, pending.id)
+	pending.drain()
+	result := chargeResult{silent: pending.silent(now)}
+	verdict := quota.Outcome{Asked: pending.count, Unanswered: len(pending.asked), Version: pending.request.Version}
 	switch {
-	case ask.best != nil:
-		end.back = q.meter.SetShare(ask.account, ask.best.decision.Share, now)
-		verdict = decidedBy(verdict, *ask.best)
+	case pending.best != nil:
+		result.back = q.meter.SetShare(pending.account, pending.best.decision.Share, now)
+		verdict = outcomeOf(verdict, *pending.best)
 	case !callerGone:
-		private := q.meter.DecidePrivately(ask.account, nodes, ask.claim.Cost, rand.Float64(), now)
-		end.alone = private.First
+		private := q.meter.DecidePrivately(pending.account, nodes, pending.request.Cost, rand.Float64(), now)
+		result.alone = private.First
 		verdict.Private, verdict.Granted = true, private.Granted
 		verdict.Level, verdict.RetryAfter = private.Level, private.Wait
 	}
 	switch {
 	case verdict.Granted:
-		q.meter.Take(ask.account, ask.claim.Cost, now)
-	case len(ask.asked) > 0:
-		q.meter.TakeAndRefund(ask.account, ask.claim.Cost, now)
+		q.meter.Take(pending.account, pending.request.Cost, now)
+	case len(pending.asked) > 0:
+		q.meter.TakeAndRefund(pending.account, pending.request.Cost, now)
 	}
-	return verdict, end
+	return verdict, result
 }
 
-func decidedBy(verdict quota.Outcome, answer quotaAnswer) quota.Outcome {
+func outcomeOf(verdict quota.Outcome, answer quotaAnswer) quota.Outcome {
 	decision := answer.decision
 	verdict.Granted, verdict.RetryAfter = decision.Granted, decision.Wait
 	verdict.Keeper, verdict.Level, verdict.Reserved = answer.from.String(), decision.Level, decision.Reserved
@@ -353,14 +355,14 @@
 	}
 }
 
-func (q *quotaExchange) logResult(ask *pendingCharge, verdict quota.Outcome, end chargeResult) {
+func (q *quotaExchange) logResult(pending *pendingCharge, verdict quota.Outcome, result chargeResult) {
 	entry := q.exchange.log.WithFields(logrus.Fields{
-		"account": ask.account, "asked": verdict.Asked, "unanswered": verdict.Unanswered, "left": verdict.Level,
+		"account": pending.account, "asked": verdict.Asked, "unanswered": verdict.Unanswered, "left": verdict.Level,
 	})
-	if end.alone {
+	if result.alone {
 		entry.Warn("no keeper of a quota answers: this node's own allowance decides")
 	}
-	if end.back {
+	if result.back {
 		entry.Info("a keeper of a quota answers again")
 	}
 }
--- a/internal/nodeexchange/quota_keep.go
+++ b/internal/nodeexchange/quota_keep.go
@@ -189,15 +189,15 @@
 	q.limits.receive(form.Account, node, form.Limit, now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	ask, waiting := q.pendingCharges[form.ID]
+	pending, waiting := q.pendingCharges[form.ID]
 	if !waiting {
 		return
 	}
-	if _, asked := ask.asked[from]; !asked {
+	if _, asked := pending.asked[from]; !asked {
 		return
 	}
-	delete(ask.asked, from)
-	ask.answers <- quotaAnswer{from: from, decision: form.decision()} // the channel has room for one answer of each keeper
+	delete(pending.asked, from)
+	pending.answers <- quotaAnswer{from: from, decision: form.decision()} // the channel has room for one answer of each keeper
 }
 
 // left records that a node shuts down as planned.
