--- a/internal/nodeexchange/ask_test.go
+++ b/internal/nodeexchange/ask_test.go
@@ -13,36 +13,36 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-func TestAccountsSurviveTheirForm(t *testing.T) {
+func TestLoadReportSurvivesEncoding(t *testing.T) {
 	account := scheduling.LoadReport{
 		Requests: 3, ReadTokens: 900, ReadAhead: 400, LateTokens: 50, MemoryTokens: 7000, CachedTokens: 12, Changing: true,
 		HandleFailure: true, FailureRate: 0.25,
 	}
-	if diff := cmp.Diff(account, renderAccount(account).account()); diff != "" {
+	if diff := cmp.Diff(account, renderLoadReport(account).loadReport()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// cluster runs exchanges that know each other, over real datagrams.
+// cluster runs exchanges that know each other and communicate over UDP.
 func cluster(t *testing.T, nodes int, workers ...string) ([]*Exchange, []*worker.Registry) {
 	t.Helper()
-	return clusterWithBoards(t, make([]TableCoordinator, nodes), workers...)
+	return clusterWithCoordinators(t, make([]TableCoordinator, nodes), workers...)
 }
 
-// clusterWithBoards runs an exchange for each board.
-func clusterWithBoards(t *testing.T, boards []TableCoordinator, workers ...string) ([]*Exchange, []*worker.Registry) {
+// clusterWithCoordinators runs one exchange for each coordinator.
+func clusterWithCoordinators(t *testing.T, coordinators []TableCoordinator, workers ...string) ([]*Exchange, []*worker.Registry) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var exchanges []*Exchange
 	var registries []*worker.Registry
 	var listed []Peer
-	for i := range boards {
-		registries = append(registries, registryWith(workers...))
+	for i := range coordinators {
+		registries = append(registries, newRegistry(workers...))
 		exchange, err := Listen("127.0.0.1:0", fmt.Sprint("n", i), "zone", registries[i], quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
-		exchange.SetTableCoordinator(boards[i])
+		exchange.SetTableCoordinator(coordinators[i])
 		exchanges = append(exchanges, exchange)
 		listed = append(listed, Peer{Node: exchange.node, Address: exchange.peers.address, Zone: "zone"})
 	}
@@ -59,8 +59,9 @@
 	return exchanges, registries
 }
 
-// TestLoadIsKnownByAsking: a node that doesn't keep a worker's account learns of the load
-// that another has placed, of what the worker keeps, and of its failures.
+// TestLoadIsKnownByAsking checks that a node that doesn't track a worker's load learns, by
+// asking, of the load that another node has placed, of what the worker has cached, and of its
+// failures.
 func TestLoadIsKnownByAsking(t *testing.T) {
 	exchanges, registries := cluster(t, 30, "w")
 	placing, asking := -1, -1
@@ -71,7 +72,7 @@
 		placing, asking = asking, i
 	}
 	if placing < 0 {
-		t.Fatal("fewer than two nodes of thirty don't keep the account")
+		t.Fatal("fewer than two of thirty nodes are no homes of the worker")
 	}
 	parts := []prefixcache.Part{{ID: 7, Tokens: 500}}
 	registries[placing].Begin("w", worker.Load{Requests: 2, MemoryTokens: 30})
@@ -89,9 +90,9 @@
 	}
 }
 
-// TestQuestionsEndWithoutAnAnswer: a home that is gone holds a request up once.
+// TestQuestionsEndWithoutAnAnswer checks that a home that is gone delays a request only once.
 func TestQuestionsEndWithoutAnAnswer(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone", registryWith("w"), quiet())
+	exchange, err := Listen("127.0.0.1:0", "me", "zone", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,52 +111,53 @@
 			t.Errorf("answers: %v", got)
 		}
 	}
-	if _, _, questions := exchange.prepare([]string{id}, 0); len(questions) != 0 {
-		t.Errorf("nodes that gave no answer are asked: %v", questions)
+	if _, _, questions := exchange.prepareQuestions([]string{id}, 0); len(questions) != 0 {
+		t.Errorf("nodes that didn't answer are asked again: %v", questions)
 	}
-	if len(exchange.asks) != 0 {
-		t.Errorf("%d questions are kept", len(exchange.asks))
+	if len(exchange.pendingQuestions) != 0 {
+		t.Errorf("%d questions are still pending", len(exchange.pendingQuestions))
 	}
 }
 
-// TestCrossedAnswerIsDropped: an answer counts for its own question and from the node
-// that was asked.
+// TestCrossedAnswerIsDropped checks that an answer counts only for its own question and only
+// from the node that was asked.
 func TestCrossedAnswerIsDropped(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone", registryWith("w"), quiet())
+	exchange, err := Listen("127.0.0.1:0", "me", "zone", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = exchange.conn.Close() }()
 	exchange.AddPeers([]Peer{{Node: "a", Address: addressOf(1)}, {Node: "b", Address: addressOf(2)}})
-	id, pending, questions := exchange.prepare([]string{"w"}, 0)
-	answers := map[string]accountForm{"w": {9}}
+	id, pending, questions := exchange.prepareQuestions([]string{"w"}, 0)
+	answers := map[string]wireLoadReport{"w": {9}}
 	for to := range questions {
-		exchange.takeReply(to, "other", reply{ID: id + 1, Accounts: answers})
+		exchange.receiveReply(to, "other", reply{ID: id + 1, Reports: answers})
 		other := addressOf(1)
 		if to == other {
 			other = addressOf(2)
 		}
-		exchange.takeReply(other, "other", reply{ID: id, Accounts: answers})
+		exchange.receiveReply(other, "other", reply{ID: id, Reports: answers})
 	}
-	if len(pending.accounts) != 0 {
-		t.Errorf("%v", pending.accounts)
+	if len(pending.reports) != 0 {
+		t.Errorf("%v", pending.reports)
 	}
 	for to := range questions {
-		exchange.takeReply(to, "other", reply{ID: id, Accounts: answers})
+		exchange.receiveReply(to, "other", reply{ID: id, Reports: answers})
 	}
-	if got := exchange.collected(id, pending, false).Reports; got["w"].Requests != 9 {
+	if got := exchange.collectAnswers(id, pending, false).Reports; got["w"].Requests != 9 {
 		t.Errorf("%v", got)
 	}
 }
 
-// TestKeepingIsWhatIsKept, also after nodes and workers have come and gone.
-func TestKeepingIsWhatIsKept(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+// TestKeepingAgreesWithKept checks that Keeping and Kept agree, also after nodes and workers
+// were added and removed.
+func TestKeepingAgreesWithKept(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, some := exchange.Keeping(); some {
-		t.Error("in a small fleet a node keeps some accounts only")
+		t.Error("in a small fleet a node tracks only some workers")
 	}
 	var engines []worker.Worker
 	var ids []string
@@ -167,11 +169,11 @@
 		t.Helper()
 		keeping, some := exchange.Keeping()
 		if !some {
-			t.Fatal("a node of a large fleet keeps all accounts")
+			t.Fatal("a node of a large fleet tracks all workers")
 		}
 		for i, kept := range exchange.Kept(ids) {
 			if known := exchange.registry.CandidatesAmong("llm", ids[i:i+1], nil, 0, time.Now()); kept != keeping[ids[i]] && len(known) > 0 {
-				t.Errorf("%s: keeping %v, kept %v", ids[i], keeping[ids[i]], kept)
+				t.Errorf("%s: Keeping says %v, Kept %v", ids[i], keeping[ids[i]], kept)
 			}
 		}
 	}
@@ -182,7 +184,7 @@
 		}
 		check()
 		exchange.mu.Lock()
-		exchange.peers.left(addressOf(nodes - 7))
+		exchange.peers.remove(addressOf(nodes - 7))
 		exchange.mu.Unlock()
 		check()
 		exchange.registry.Replace(engines[:300-nodes/2])
--- a/internal/nodeexchange/compatibility_test.go
+++ b/internal/nodeexchange/compatibility_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestMessageOfThePreviousBuildIsRead: it has a value in each field that the build knows.
+// TestMessageOfThePreviousBuildIsRead decodes a message of the previous build that has a value
+// in each field which that build knows, and checks that it is encoded in the same way again.
 func TestMessageOfThePreviousBuildIsRead(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/previous-message.json")
 	if err != nil {
@@ -26,11 +27,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(rendered, recorded) {
-		t.Errorf("a field has another name or form than in the build before, in which it was\n%s\nand is now\n%s", recorded, rendered)
+		t.Errorf("a field is encoded differently than in the previous build: was\n%s\nis\n%s", recorded, rendered)
 	}
 }
 
-func TestFieldsOfALaterBuildArePassedOver(t *testing.T) {
+func TestUnknownFieldsAreIgnored(t *testing.T) {
 	message, err := decode([]byte(`{"n":"x","s":4,"later":{"a":[1]},"v":{"i":2,"later":true}}`))
 	if err != nil || message.Sequence != 4 || message.Reply == nil || message.Reply.ID != 2 {
 		t.Errorf("%+v, %v", message, err)
--- a/internal/nodeexchange/contents.go
+++ b/internal/nodeexchange/contents.go
@@ -15,80 +15,83 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// The figures of the index of contents.
+// Bounds of the index of contents. A content is a prefix that prompts share, identified by a
+// hash.
 const (
-	// contentHomes is the number of nodes that know which workers keep a content: the
-	// second makes up for one that is lost or doesn't answer.
+	// contentHomes is the number of nodes that index the holders of a content. The second one
+	// stands in for a first one that is lost or doesn't answer.
 	contentHomes = 2
-	// holderLife is how long after it read a content a worker is taken to keep it. Engines'
-	// memories turned over in 10 to 18 s on the shifted work (docs/design/shifted-work.md);
-	// where it is too long a fetch brings less than was expected.
+	// holderLife is for how long after it prefilled a content a worker is assumed to hold it.
+	// Engines' KV caches turned over in 10 to 18 s under the shifted workload
+	// (docs/design/shifted-work.md). If holderLife is too long, a fetch of the content brings
+	// less than expected.
 	holderLife = 12 * time.Second
-	// maxHolders is how many workers of a content are known: the newest.
+	// maxHolders is how many holders of a content are remembered: the newest ones.
 	maxHolders = 4
-	// listParts is the number of parts from which a read is a list of all that a worker
-	// keeps, and no prompt (worker.Listed).
-	listParts = 8
+	// minListParts is the number of parts from which a cache update is taken for the list of
+	// all that a worker has cached (worker.Registry.ObserveCacheList) rather than for a prompt.
+	minListParts = 8
 )
 
-// keptContent tells that a worker keeps a content.
-type keptContent struct {
+// contentRecord records that a worker holds a content.
+type contentRecord struct {
 	content uint64
 	holder  scheduling.Holder
 }
 
-// contentOf names what a prompt shares with others, false where that is too little to be
-// looked for.
-func contentOf(read worker.CacheUpdate) (keptContent, bool) {
-	if len(read.Parts) < 2 || len(read.Parts) >= listParts {
-		return keptContent{}, false
+// contentRecordOf returns the content that a cache update adds, or false if the update is a
+// full list or shares too few tokens to be worth looking up.
+func contentRecordOf(read worker.CacheUpdate) (contentRecord, bool) {
+	if len(read.Parts) < 2 || len(read.Parts) >= minListParts {
+		return contentRecord{}, false
 	}
 	content, tokens := scheduling.Content(read.Parts)
-	return keptContent{content: content, holder: scheduling.Holder{Worker: read.Worker, Tokens: tokens}}, content != 0
+	return contentRecord{content: content, holder: scheduling.Holder{Worker: read.Worker, Tokens: tokens}}, content != 0
 }
 
-func renderKept(kept keptContent) string {
-	return strconv.FormatUint(kept.content, partBase) + " " + kept.holder.Worker + " " + strconv.Itoa(kept.holder.Tokens)
+func renderContent(record contentRecord) string {
+	return strconv.FormatUint(record.content, partBase) + " " + record.holder.Worker + " " + strconv.Itoa(record.holder.Tokens)
 }
 
-func parseKept(text string) (keptContent, error) {
+func parseContent(text string) (contentRecord, error) {
 	fields := strings.Fields(text)
 	if len(fields) != 3 {
-		return keptContent{}, eris.Errorf("a kept content has %d fields", len(fields))
+		return contentRecord{}, eris.Errorf("a content record has %d fields, want 3", len(fields))
 	}
 	content, contentErr := strconv.ParseUint(fields[0], partBase, 64)
 	tokens, tokensErr := strconv.Atoi(fields[2])
 	if contentErr != nil || tokensErr != nil || tokens < 0 {
-		return keptContent{}, eris.Errorf("the kept content %q is malformed", text)
+		return contentRecord{}, eris.Errorf("content record %q is malformed", text)
 	}
-	return keptContent{content: content, holder: scheduling.Holder{Worker: fields[1], Tokens: tokens}}, nil
+	return contentRecord{content: content, holder: scheduling.Holder{Worker: fields[1], Tokens: tokens}}, nil
 }
 
-// contentIndex knows which workers keep which contents. It is pure: time is an argument.
+// contentIndex maps contents to the workers that hold them. It doesn't read the clock: callers
+// pass the time.
 type contentIndex struct {
-	holders map[uint64][]heldSince
+	holders map[uint64][]timedHolder
 	pruned  time.Time
 }
 
-type heldSince struct {
+type timedHolder struct {
 	scheduling.Holder
 	at time.Time
 }
 
-func newContentIndex() *contentIndex { return &contentIndex{holders: make(map[uint64][]heldSince)} }
+func newContentIndex() *contentIndex { return &contentIndex{holders: make(map[uint64][]timedHolder)} }
 
-// add records that a worker has read a content.
-func (c *contentIndex) add(kept keptContent, now time.Time) {
+// add records that a worker has prefilled a content.
+func (c *contentIndex) add(record contentRecord, now time.Time) {
 	c.prune(now)
-	known := slices.DeleteFunc(c.holders[kept.content], func(held heldSince) bool { return held.Worker == kept.holder.Worker })
-	known = append(known, heldSince{kept.holder, now})
+	known := slices.DeleteFunc(c.holders[record.content], func(held timedHolder) bool { return held.Worker == record.holder.Worker })
+	known = append(known, timedHolder{record.holder, now})
 	if len(known) > maxHolders {
 		known = known[len(known)-maxHolders:]
 	}
-	c.holders[kept.content] = known
+	c.holders[record.content] = known
 }
 
-// of returns the workers that keep a content, the newest first.
+// of returns the workers that hold a content, the newest first.
 func (c *contentIndex) of(content uint64, now time.Time) []scheduling.Holder {
 	var holders []scheduling.Holder
 	for _, held := range slices.Backward(c.holders[content]) {
@@ -99,25 +102,25 @@
 	return holders
 }
 
-// prune forgets what is old.
+// prune removes expired contents.
 func (c *contentIndex) prune(now time.Time) {
 	if now.Sub(c.pruned) < holderLife {
 		return
 	}
 	c.pruned = now
-	maps.DeleteFunc(c.holders, func(_ uint64, known []heldSince) bool {
-		return !slices.ContainsFunc(known, func(held heldSince) bool { return now.Sub(held.at) < holderLife })
+	maps.DeleteFunc(c.holders, func(_ uint64, known []timedHolder) bool {
+		return !slices.ContainsFunc(known, func(held timedHolder) bool { return now.Sub(held.at) < holderLife })
 	})
 }
 
-// homesOfContent returns the nodes that know who keeps a content in a region: what
-// another region keeps is slow to move.
+// homesOfContent returns the nodes of a region that index the holders of a content. Each region
+// has its own index, since fetching a content from another region is slow.
 func (s *peerSet) homesOfContent(content uint64, region string) []netip.AddrPort {
 	return rendezvous.Top(s.inRegion(region), s.hashOf, content, contentHomes)
 }
 
-// homeOfContent returns the node to be asked for a content in a region, or tells that
-// this one knows itself.
+// homeOfContent returns the node to be asked for the holders of a content in a region. here
+// reports that this node is a home of the content itself.
 func (s *peerSet) homeOfContent(content uint64, region string, now time.Time) (home netip.AddrPort, here bool) {
 	for _, address := range s.homesOfContent(content, region) {
 		if address == s.address {
@@ -130,22 +133,22 @@
 	return home, false
 }
 
-// tellContents tells the nodes that are to know it which contents were read where. In a
-// fleet in which each node knows all caches nobody need be told.
-func (e *Exchange) tellContents(reads []worker.CacheUpdate, now time.Time) {
+// sendContents tells the homes of contents which workers have prefilled them. A small fleet
+// doesn't need this, since every node knows the caches of all workers.
+func (e *Exchange) sendContents(reads []worker.CacheUpdate, now time.Time) {
 	told := make(map[netip.AddrPort][]string)
 	e.mu.Lock()
-	if e.peers.nodes() > wholeFleet {
+	if e.peers.nodes() > fullTrackingFleet {
 		for _, read := range reads {
-			kept, found := contentOf(read)
+			record, found := contentRecordOf(read)
 			if !found {
 				continue
 			}
-			for _, home := range e.peers.homesOfContent(kept.content, e.peers.regionOfKept(kept.holder.Worker)) {
+			for _, home := range e.peers.homesOfContent(record.content, e.peers.homeRegion(record.holder.Worker)) {
 				if home == e.peers.address {
-					e.contents.add(kept, now)
+					e.contents.add(record, now)
 				} else {
-					told[home] = append(told[home], renderKept(kept))
+					told[home] = append(told[home], renderContent(record))
 				}
 			}
 		}
@@ -156,39 +159,40 @@
 	}
 }
 
-// takeContents records what other nodes tell of contents.
-func (e *Exchange) takeContents(from netip.AddrPort, contents []string) {
+// receiveContents records the contents that another node reports.
+func (e *Exchange) receiveContents(from netip.AddrPort, contents []string) {
 	now := time.Now()
 	for _, text := range contents {
-		kept, err := parseKept(text)
+		record, err := parseContent(text)
 		if err != nil {
-			e.dropped(from, err)
+			e.logMalformed(from, err)
 			return
 		}
 		e.mu.Lock()
-		e.contents.add(kept, now)
+		e.contents.add(record, now)
 		e.mu.Unlock()
 	}
 }
 
-// holdersOf answers a question for a content, and addHolders reads the answer.
+// holdersOf returns the encoded holders of a content, for the answer to a question. addHolders
+// decodes them.
 func (e *Exchange) holdersOf(content uint64) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var rendered []string
 	for _, holder := range e.contents.of(content, time.Now()) {
-		rendered = append(rendered, renderKept(keptContent{content: content, holder: holder}))
+		rendered = append(rendered, renderContent(contentRecord{content: content, holder: holder}))
 	}
 	return rendered
 }
 
-func (p *pendingAsk) addHolders(rendered []string) error {
+func (p *pendingQuestion) addHolders(rendered []string) error {
 	for _, text := range rendered {
-		kept, err := parseKept(text)
+		record, err := parseContent(text)
 		if err != nil {
 			return err
 		}
-		p.holders = append(p.holders, kept.holder)
+		p.holders = append(p.holders, record.holder)
 	}
 	return nil
 }
--- a/internal/nodeexchange/contents_test.go
+++ b/internal/nodeexchange/contents_test.go
@@ -13,24 +13,25 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-func TestContentsSurviveTheirForm(t *testing.T) {
-	kept := keptContent{content: 0xfedcba9876543210, holder: scheduling.Holder{Worker: "i-1", Tokens: 13300}}
-	parsed, err := parseKept(renderKept(kept))
-	if err != nil || parsed != kept {
+func TestContentRecordSurvivesEncoding(t *testing.T) {
+	record := contentRecord{content: 0xfedcba9876543210, holder: scheduling.Holder{Worker: "i-1", Tokens: 13300}}
+	parsed, err := parseContent(renderContent(record))
+	if err != nil || parsed != record {
 		t.Errorf("%+v, %v", parsed, err)
 	}
 	for _, broken := range []string{"", "a b", "x i-1 5", "a i-1 -5", "a i-1 5 6"} {
-		if _, err := parseKept(broken); err == nil {
-			t.Errorf("%q was taken", broken)
+		if _, err := parseContent(broken); err == nil {
+			t.Errorf("%q was accepted", broken)
 		}
 	}
 }
 
-// TestIndexKnowsTheNewestHolders: few of them, and none that has read long ago.
-func TestIndexKnowsTheNewestHolders(t *testing.T) {
+// TestIndexReturnsTheNewestHolders checks that the index returns a bounded number of holders,
+// and none that prefilled the content too long ago.
+func TestIndexReturnsTheNewestHolders(t *testing.T) {
 	index, begun := newContentIndex(), time.Now()
 	read := func(worker string, after time.Duration) {
-		index.add(keptContent{content: 7, holder: scheduling.Holder{Worker: worker, Tokens: 2000}}, begun.Add(after))
+		index.add(contentRecord{content: 7, holder: scheduling.Holder{Worker: worker, Tokens: 2000}}, begun.Add(after))
 	}
 	for i := range 6 {
 		read(fmt.Sprint("w", i), time.Duration(i)*time.Second)
@@ -44,19 +45,19 @@
 		t.Error(diff)
 	}
 	if left := index.of(7, begun.Add(7*time.Second+holderLife)); len(left) != 0 {
-		t.Errorf("%v are still said to keep it", left)
+		t.Errorf("%v are still returned as holders", left)
 	}
-	index.add(keptContent{content: 8}, begun.Add(time.Minute))
+	index.add(contentRecord{content: 8}, begun.Add(time.Minute))
 	if len(index.holders) != 1 {
-		t.Errorf("%d contents are known, want 1", len(index.holders))
+		t.Errorf("the index has %d contents, want 1", len(index.holders))
 	}
 }
 
-// TestContentIsFoundWhereverItWasRead: in a fleet of which no node knows all caches, a
-// node that asks for a prompt learns of a worker that read its shared part at another's
-// request.
+// TestContentIsFoundWhereverItWasRead checks that in a fleet in which no node knows all caches,
+// a node that asks about a prompt learns of a worker that prefilled its shared part for a
+// request of another node.
 func TestContentIsFoundWhereverItWasRead(t *testing.T) {
-	const nodes = wholeFleet + 5
+	const nodes = fullTrackingFleet + 5
 	exchanges, registries := cluster(t, nodes, "w", "other")
 	shared := prefixcache.Part{ID: 77, Tokens: 5000}
 	prompt := func(own uint64) []prefixcache.Part {
@@ -75,11 +76,11 @@
 	for asking := range nodes {
 		for end := time.Now().Add(20 * time.Second); !found(asking); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("node %d never learns who keeps the content", asking)
+				t.Fatalf("node %d never learns which worker holds the content", asking)
 			}
 		}
 	}
-	if _, isContent := contentOf(worker.CacheUpdate{Worker: "w", Parts: []prefixcache.Part{{ID: 1, Tokens: 10}, {ID: 2, Tokens: 5000}}}); isContent {
-		t.Error("a prompt that shares next to nothing is told as a content")
+	if _, isContent := contentRecordOf(worker.CacheUpdate{Worker: "w", Parts: []prefixcache.Part{{ID: 1, Tokens: 10}, {ID: 2, Tokens: 5000}}}); isContent {
+		t.Error("a prompt that shares next to nothing counts as a content")
 	}
 }
--- a/internal/nodeexchange/departed_test.go
+++ b/internal/nodeexchange/departed_test.go
@@ -11,33 +11,34 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// supervisorOf returns what a supervisor of some nodes knows when it has heard all but one
-// for a while, and since when it supervises.
-func supervisorOf(nodes int, silent netip.AddrPort, span time.Duration) (*peerSet, *watch) {
+// supervisorOf returns what a supervisor of a fleet knows after it has heard all nodes but one
+// for some time, and since when it supervises.
+func supervisorOf(nodes int, silent netip.AddrPort, span time.Duration) (*peerSet, *silenceMonitor) {
 	sets := fleetOf(nodes)
 	index := slices.IndexFunc(sets, func(set *peerSet) bool { return set.supervises() && set.address != silent })
-	set, w := sets[index], newWatch()
+	set, w := sets[index], newSilenceMonitor()
 	for _, other := range sets {
 		if other != set {
-			set.hear(other.address, Message{Node: other.self, Sequence: 1}, origin)
+			set.recordMessage(other.address, Message{Node: other.self, Sequence: 1}, origin)
 		}
 	}
-	w.look(true, origin)
+	w.check(true, origin)
 	for _, other := range sets {
 		if other != set && other.address != silent {
-			set.hear(other.address, Message{Node: other.self, Sequence: 2}, origin.Add(span))
+			set.recordMessage(other.address, Message{Node: other.self, Sequence: 2}, origin.Add(span))
 		}
 	}
-	set.silent(origin.Add(span))
+	set.markSilent(origin.Add(span))
 	return set, &w
 }
 
-// TestReplacedNodeIsDropped when it was silent for long: nothing rests on it any more.
+// TestReplacedNodeIsDropped checks that a node is dropped after a long silence and is no home
+// of any worker any more.
 func TestReplacedNodeIsDropped(t *testing.T) {
 	gone := addressOf(3)
 	set, w := supervisorOf(60, gone, departedAfter)
 	if departed := set.departed(w, origin.Add(departedAfter)); len(departed) != 0 {
-		t.Errorf("gone too early: %v", departed)
+		t.Errorf("departed too early: %v", departed)
 	}
 	later := origin.Add(departedAfter + 1)
 	departed := set.departed(w, later)
@@ -49,67 +50,70 @@
 	}
 	for i := range 100 {
 		if slices.Contains(set.homes(fmt.Sprint("w", i)), gone) {
-			t.Fatal("a node that is gone keeps accounts")
+			t.Fatal("a node that is gone is a home")
 		}
 	}
 }
 
-// TestCutOffSupervisorDropsNobody: it hears less than half of all nodes.
+// TestCutOffSupervisorDropsNobody checks that a supervisor that hears less than half of all
+// nodes, and so may be cut off itself, drops none of them.
 func TestCutOffSupervisorDropsNobody(t *testing.T) {
 	set, w := supervisorOf(60, addressOf(3), 0)
 	now := origin.Add(2 * departedAfter)
 	for i := range 29 {
-		set.hear(addressOf(30+i), Message{Node: fmt.Sprint("n", 30+i), Sequence: 3}, now)
+		set.recordMessage(addressOf(30+i), Message{Node: fmt.Sprint("n", 30+i), Sequence: 3}, now)
 	}
-	set.silent(now)
+	set.markSilent(now)
 	if departed := set.departed(w, now); len(departed) != 0 {
 		t.Errorf("a node that hears 29 others of 59 drops %d", len(departed))
 	}
 }
 
-// TestNewSupervisorDropsNobody at first: before, most nodes told it nothing.
+// TestNewSupervisorDropsNobody checks that a node that has just become a supervisor drops no
+// node for its silence: most nodes didn't report to it before.
 func TestNewSupervisorDropsNobody(t *testing.T) {
 	set, w := supervisorOf(60, addressOf(3), 2*departedAfter)
 	now := origin.Add(2 * departedAfter)
-	w.look(false, now)
-	w.look(true, now)
+	w.check(false, now)
+	w.check(true, now)
 	if departed := set.departed(w, now.Add(departedAfter)); len(departed) != 0 {
 		t.Errorf("departed: %v", departed)
 	}
 }
 
-// TestStoppedSupervisorDropsNobody when it goes on: it has heard some of the others again, and
-// the rest not yet.
+// TestStoppedSupervisorDropsNobody checks that a supervisor whose process was stopped drops no
+// node when it resumes: it has heard only some of the others again.
 func TestStoppedSupervisorDropsNobody(t *testing.T) {
 	set, w := supervisorOf(60, addressOf(3), 0)
 	now := origin.Add(2 * departedAfter)
 	for i := range 40 {
-		set.hear(addressOf(10+i), Message{Node: fmt.Sprint("n", 10+i), Sequence: 3}, now)
+		set.recordMessage(addressOf(10+i), Message{Node: fmt.Sprint("n", 10+i), Sequence: 3}, now)
 	}
-	set.silent(now)
-	w.look(true, now)
+	set.markSilent(now)
+	w.check(true, now)
 	if departed := set.departed(w, now); len(departed) != 0 {
 		t.Errorf("departed: %v", departed)
 	}
 }
 
-// TestNodeThatIsHeardIsNotDropped, whatever another node says.
+// TestNodeThatIsHeardIsNotDropped checks that a node that was heard recently isn't dropped even
+// if another node declares it gone.
 func TestNodeThatIsHeardIsNotDropped(t *testing.T) {
 	set := newPeerSet("me", self, "zone")
-	set.hear(there, Message{Node: "other", Sequence: 1}, origin)
-	if set.drop(there, origin.Add(peerLife)) {
-		t.Error("a node that was heard just now was dropped")
+	set.recordMessage(there, Message{Node: "other", Sequence: 1}, origin)
+	if set.drop(there, origin.Add(peerTimeout)) {
+		t.Error("a node that was heard recently was dropped")
 	}
-	if !set.drop(there, origin.Add(peerLife+1)) {
+	if !set.drop(there, origin.Add(peerTimeout+1)) {
 		t.Error("a node that is silent wasn't dropped")
 	}
 }
 
-// TestDroppedNodeThatComesBackAnnouncesItself, over real datagrams: the others drop it when
-// they are told, and tell it that it isn't listed when they hear it.
+// TestDroppedNodeThatComesBackAnnouncesItself checks over UDP that the other nodes drop a node
+// when they are told to, and that they tell it that it isn't listed when they hear it again.
 func TestDroppedNodeThatComesBackAnnouncesItself(t *testing.T) {
-	exchanges, _ := clusterWithBoards(t, []TableCoordinator{nil, nil}, "w")
-	cut, err := Listen("127.0.0.1:0", "cut", "zone", registryWith("w"), quiet())
+	exchanges, _ := clusterWithCoordinators(t, []TableCoordinator{nil, nil}, "w")
+	cut, err := Listen("127.0.0.1:0", "cut", "zone", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +128,7 @@
 	for exchanges[1].Nodes() != 2 {
 		select {
 		case <-end:
-			t.Fatal("the other node still counts it")
+			t.Fatal("the other node hasn't dropped it")
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
@@ -135,14 +139,14 @@
 	select {
 	case <-cut.Unlisted():
 	case <-end:
-		t.Fatal("a node that was dropped doesn't learn of it")
+		t.Fatal("a node that was dropped doesn't learn that it isn't listed")
 	}
 }
 
-// listening returns an exchange that takes messages in and sends nothing of its own.
+// listening returns an exchange that processes messages and sends none on its own.
 func listening(t *testing.T, node string) *Exchange {
 	t.Helper()
-	exchange, err := Listen("127.0.0.1:0", node, "zone", registryWith("w"), quiet())
+	exchange, err := Listen("127.0.0.1:0", node, "zone", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,28 +155,28 @@
 	return exchange
 }
 
-// TestUnlistedNodeIsTold though it can't make itself heard at the node that drops it, or was
-// heard again meanwhile: its row is gone.
+// TestUnlistedNodeIsTold checks that a node whose row was deleted learns of it even if its
+// messages don't reach the node that drops it, or if it was heard again in the meantime.
 func TestUnlistedNodeIsTold(t *testing.T) {
 	for _, heard := range []bool{false, true} {
 		supervisor, unlisted := listening(t, "supervisor"), listening(t, "unlisted")
 		address, now := unlisted.peers.address, time.Now()
 		supervisor.AddPeers([]Peer{{Node: "unlisted", Address: address, Zone: "zone"}})
 		if heard {
-			supervisor.peers.hear(address, Message{Node: "unlisted", Sequence: 1}, now)
+			supervisor.peers.recordMessage(address, Message{Node: "unlisted", Sequence: 1}, now)
 		}
 		supervisor.DropPeers([]netip.AddrPort{address}, now)
 		select {
 		case <-unlisted.Unlisted():
 		case <-time.After(20 * time.Second):
-			t.Errorf("heard again: %v: a node whose row is gone isn't told", heard)
+			t.Errorf("heard again %v: a node whose row was deleted isn't told", heard)
 		}
 	}
 }
 
-// TestBytesAreCountedByDistance.
+// TestBytesAreCountedByDistance checks the metrics of a message to another region.
 func TestBytesAreCountedByDistance(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "north-a", registryWith("w"), quiet())
+	exchange, err := Listen("127.0.0.1:0", "me", "north-a", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/nodeexchange/draining.go
+++ b/internal/nodeexchange/draining.go
@@ -8,12 +8,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// maxDrainingTold bounds the workers in one message: of some 30 bytes each, they stay below
-// maxDatagram.
-const maxDrainingTold = 400
+// maxDrainingPerMessage bounds the workers in one message: at some 30 bytes each, they stay
+// below maxDatagram.
+const maxDrainingPerMessage = 400
 
-// takeDraining takes in which workers told another node of their end.
-func (e *Exchange) takeDraining(node string, draining []string, now time.Time) {
+// receiveDraining records which workers announced to another node that they are about to end.
+func (e *Exchange) receiveDraining(node string, draining []string, now time.Time) {
 	if len(draining) == 0 {
 		return
 	}
@@ -22,14 +22,14 @@
 	}
 }
 
-// shareDraining tells a node that is heard for the first time, or again, which of the workers
-// whose accounts it keeps have announced their end.
+// shareDraining tells a node that is heard for the first time, or again after a silence, which
+// of the workers that it is a home of have announced that they are about to end.
 func (e *Exchange) shareDraining(with netip.AddrPort) {
 	draining := e.registry.AnnouncedDraining()
 	e.mu.Lock()
 	draining = slices.DeleteFunc(draining, func(id string) bool { return !slices.Contains(e.peers.homes(id), with) })
 	e.mu.Unlock()
-	for part := range slices.Chunk(draining, maxDrainingTold) {
+	for part := range slices.Chunk(draining, maxDrainingPerMessage) {
 		e.sendTo(with, Message{Node: e.node, Reply: &reply{Draining: part}})
 	}
 }
--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -16,86 +16,91 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// The figures of the exchange.
+// Intervals and bounds of the exchange.
 const (
-	// sendEvery is the least time between two messages: what is told later is placed on
-	// unseen (docs/design/decisions.md, round 12).
-	sendEvery = 25 * time.Millisecond
-	// restEvery is the time between two messages when nothing changes: to the homes of the
-	// workers on which this node has load, and among supervisors.
-	restEvery = 500 * time.Millisecond
-	// restFleet is the number of nodes up to which each tells the supervisors of itself as
-	// often; beyond, it does so less often, and a supervisor gets no more messages.
-	restFleet = 240
-	// restLife is how many of the times between two messages at rest what one of them told
-	// counts: two may be lost.
-	restLife = 3
-	// maxDatagram bounds a message.
+	// minSendInterval is the shortest time between two load messages. The longer it is, the
+	// more requests other nodes place without knowing of this node's load
+	// (docs/design/decisions.md).
+	minSendInterval = 25 * time.Millisecond
+	// periodicInterval is the time between two periodic messages, which are sent even if
+	// nothing changes: to the homes of the workers on which this node has load, and among
+	// supervisors.
+	periodicInterval = 500 * time.Millisecond
+	// fullRateFleet is the largest fleet in which each node reports to the supervisors at every
+	// periodicInterval. In a larger one the interval grows with the number of nodes, so that a
+	// supervisor never receives more messages than from this many nodes.
+	fullRateFleet = 240
+	// demandLifeIntervals is for how many report intervals a reported demand counts: two
+	// messages in a row may be lost.
+	demandLifeIntervals = 3
+	// maxDatagram is the largest message in bytes.
 	maxDatagram = 16 << 10
-	// maxTold bounds the answers to a start's questions that wait to be looked at.
-	maxTold = 64
+	// maxPendingMemory bounds the answers that wait to be processed while this node, which has
+	// just started, asks its peers what they have learned of the workers.
+	maxPendingMemory = 64
 )
 
-// Exchange sends this node's digest to its peers and takes in theirs. It is safe for
+// Exchange sends this node's messages to its peers and processes theirs. It is safe for
 // concurrent use.
 type Exchange struct {
 	node, zone string
 	registry   *worker.Registry
-	// board is nil where no tables are followed.
-	board TableCoordinator
-	// contents are those of which this node is to know who keeps them; guarded by mu.
+	// coordinator is nil where this node follows no tables.
+	coordinator TableCoordinator
+	// contents indexes which workers hold the contents that this node is a home of; guarded by
+	// mu.
 	contents *contentIndex
-	// usage is nil where nobody's usage is counted; what it holds is guarded by mu.
+	// usage is nil where usage isn't counted. Its fields are guarded by mu.
 	usage *usageExchange
-	// quota is nil where no quotas are kept; it has a lock of its own, which is never taken
-	// together with mu.
+	// quota is nil where there are no quotas. It has its own lock, which is never held together
+	// with mu.
 	quota *quotaExchange
-	// turns is the same for workers that take no more than so many requests a second.
+	// turns does the same for workers that limit their requests per second.
 	turns *quotaExchange
-	// quarantine is nil where no requests are quarantined; it has a lock of its own.
+	// quarantine is nil where no requests are quarantined. It has its own lock.
 	quarantine *quarantine.Manager
 	conn       *net.UDPConn
 	log        *logrus.Logger
-	// begun is when this process began to listen.
-	begun time.Time
+	// started is when this exchange was created.
+	started time.Time
 
 	mu    sync.Mutex
 	peers *peerSet
-	// keeping is what Keeping worked out last.
-	keeping keeping
-	// asideUntil is until when this node leaves orders to others.
+	// tracked is the last result of Keeping.
+	tracked trackedEngines
+	// asideUntil is until when this node leaves orders to other nodes.
 	asideUntil time.Time
-	// asks are the questions whose answers are awaited.
-	asks    map[uint64]*pendingAsk
-	lastAsk uint64
-	// spreads counts the words and news that this node made, and relays are those that it
-	// passed on.
-	spreads uint64
-	relays  relays
-	// watch is what a supervisor notes of silent nodes, and unlisted holds a token where
-	// this node must announce itself again.
-	watch    watch
-	unlisted chan struct{}
-	// metrics may be nil.
+	// pendingQuestions are the questions that wait for answers, by ID.
+	pendingQuestions map[uint64]*pendingQuestion
+	lastQuestion     uint64
+	// broadcasts counts the broadcasts of this node. relayHistory remembers those that it has
+	// relayed.
+	broadcasts   uint64
+	relayHistory relayHistory
+	// silenceMonitor records, on a supervisor, which nodes are silent. unlisted holds a token
+	// while this node must write its row in the store's list again.
+	silenceMonitor silenceMonitor
+	unlisted       chan struct{}
+	// metrics is nil where messages aren't counted.
 	metrics *Metrics
-	// roundTrips are the ways to other regions, by region.
+	// roundTrips are the round-trip times to other regions, by region.
 	roundTrips map[string]*roundTrip
 
-	// told are the workers of which peers have told all that they keep.
-	told chan []string
-	done chan struct{}
+	// memoryComplete passes on the workers for which a peer's answer to WantMemory is complete.
+	memoryComplete chan []string
+	done           chan struct{}
 
-	// transits is used by the receiving goroutine only.
-	transits transits
+	// delays is used by the receiving goroutine only.
+	delays delayEstimator
 
-	// box, sequence and reported are used by Run's goroutine only; reported is when the
-	// supervisors were told last.
-	box      outbox
-	sequence uint64
-	reported time.Time
+	// outbox, sequence and lastReport are used by Run's goroutine only. lastReport is when this
+	// node last reported to the supervisors.
+	outbox     outbox
+	sequence   uint64
+	lastReport time.Time
 }
 
-// Listen opens the exchange's port.
+// Listen opens the UDP port of an exchange.
 func Listen(address, node, zone string, registry *worker.Registry, log *logrus.Logger) (*Exchange, error) {
 	bound, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -112,57 +117,60 @@
 	}
 	return &Exchange{
 		node: node, zone: zone, registry: registry, conn: conn, log: log,
-		begun: time.Now(), contents: newContentIndex(),
-		peers: newPeerSet(node, local, zone), asks: make(map[uint64]*pendingAsk),
-		roundTrips: make(map[string]*roundTrip), watch: newWatch(), unlisted: make(chan struct{}, 1),
-		told: make(chan []string, maxTold), done: make(chan struct{}),
+		started: time.Now(), contents: newContentIndex(),
+		peers: newPeerSet(node, local, zone), pendingQuestions: make(map[uint64]*pendingQuestion),
+		roundTrips: make(map[string]*roundTrip), silenceMonitor: newSilenceMonitor(), unlisted: make(chan struct{}, 1),
+		memoryComplete: make(chan []string, maxPendingMemory), done: make(chan struct{}),
 	}, nil
 }
 
-// SetTableCoordinator is called before Run.
-func (e *Exchange) SetTableCoordinator(board TableCoordinator) { e.board = board }
+// SetTableCoordinator sets where announcements and news about tables are delivered. It must be
+// called before Run.
+func (e *Exchange) SetTableCoordinator(coordinator TableCoordinator) { e.coordinator = coordinator }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has ended.
 func (e *Exchange) Done() <-chan struct{} { return e.done }
 
-// AddPeers adds nodes that the store lists. Others are known from their messages.
+// AddPeers adds the nodes that the store lists. Nodes that it doesn't list yet become known by
+// their messages.
 func (e *Exchange) AddPeers(listed []Peer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.peers.list(listed)
+	e.peers.addFullList(listed)
 }
 
-// Nodes returns how many nodes share the limits: this one, those heard lately, and
-// those that may only be out of reach.
+// Nodes returns the number of nodes among which limits are divided: this one, those heard
+// recently, and silent ones that may only be unreachable.
 func (e *Exchange) Nodes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.nodes()
 }
 
-// Designated reports whether this node is the one that the others expect to give orders.
+// Designated reports whether this node is the supervisor that is to give orders to workers.
 func (e *Exchange) Designated() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.designated(time.Now().Before(e.asideUntil))
 }
 
-// StepBack leaves orders to other nodes for a time, and tells them so.
+// StepBack leaves orders to other nodes for the given time, and tells them so.
 func (e *Exchange) StepBack(span time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.asideUntil = time.Now().Add(span)
 }
 
-// OldestDigest returns the time since the node that is silent for longest told its
-// load, zero where no other node is heard.
+// OldestDigest returns the time since the last load message of the node that has been silent
+// longest, or zero if no other node is present.
 func (e *Exchange) OldestDigest() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.oldest(time.Now())
 }
 
-// Run sends and receives until ctx ends, and then says that the node leaves.
+// Run sends and receives messages until ctx ends, and then tells the peers that this node
+// leaves.
 func (e *Exchange) Run(ctx context.Context) {
 	defer close(e.done)
 	go e.receive()
@@ -170,23 +178,24 @@
 		go q.reportAll(ctx)
 	}
 	if e.quarantine != nil {
-		go e.tellSuspects(ctx)
+		go e.sendSuspects(ctx)
 	}
 	e.send(ctx)
 	_ = e.conn.Close()
 }
 
-// send tells what has changed as soon as it may, and all at rest.
+// send sends changes as soon as minSendInterval permits, and everything at each
+// periodicInterval.
 func (e *Exchange) send(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			e.farewell()
+			e.announceLeaving()
 			return
 		case <-e.registry.Changed():
-			e.box.changed = true
+			e.outbox.changed = true
 		case <-timer.C:
 		}
 		timer.Reset(e.tick(time.Now()))
@@ -195,34 +204,34 @@
 
 // tick sends what is due, and returns the time until something may be due again.
 func (e *Exchange) tick(now time.Time) time.Duration {
-	due, atRest := e.box.dueness(now)
+	due, periodic := e.outbox.due(now)
 	if !due {
-		return e.box.wait(now)
+		return e.outbox.untilDue(now)
 	}
-	reports := atRest && now.Sub(e.reported) >= reportEvery(e.Nodes())
+	reports := periodic && now.Sub(e.lastReport) >= reportInterval(e.Nodes())
 	if reports {
-		e.reported = now
+		e.lastReport = now
 	}
-	e.tell(now, atRest, reports)
+	e.sendLoads(now, periodic, reports)
 	if reports {
-		e.tellUsage(now)
+		e.sendUsage(now)
 	}
-	return e.box.wait(now)
+	return e.outbox.untilDue(now)
 }
 
-// reportEvery is the time between two messages to the supervisors in a fleet of so many nodes.
-func reportEvery(nodes int) time.Duration {
-	return restEvery * time.Duration(max(nodes, restFleet)) / restFleet
+// reportInterval returns the time between two reports of a node to the supervisors, by the size
+// of the fleet.
+func reportInterval(nodes int) time.Duration {
+	return periodicInterval * time.Duration(max(nodes, fullRateFleet)) / fullRateFleet
 }
 
-// tell sends each home of a worker that was touched what this node has placed on the
-// workers of that home; at rest also the homes of all workers that it has placed
-// anything on. Where it reports, it tells the supervisors and those that don't know this
-// node too.
-func (e *Exchange) tell(now time.Time, atRest, reports bool) {
+// sendLoads sends each home of a changed worker what this node has placed on that home's
+// workers. A periodic message goes to the homes of all workers on which this node has placed
+// anything. A report goes to the supervisors too, and to peers that may not know this node.
+func (e *Exchange) sendLoads(now time.Time, periodic, reports bool) {
 	snapshot := e.registry.Snapshot()
-	e.box.collect(snapshot)
-	snapshot.CacheUpdates, snapshot.Failures = e.box.next(now, atRest)
+	e.outbox.add(snapshot)
+	snapshot.CacheUpdates, snapshot.Failures = e.outbox.next(now, periodic)
 	e.sequence++
 	base := Message{Node: e.node, Sequence: e.sequence}
 	e.mu.Lock()
@@ -230,19 +239,19 @@
 		base.Zone = e.zone
 		e.logSilent(now)
 	} else {
-		snapshot.Demand, snapshot.RegionDemand = nil, nil // they change slowly
+		snapshot.Demand, snapshot.RegionDemand = nil, nil // it changes slowly, so that reports suffice
 	}
 	base.SteppedBack = now.Before(e.asideUntil)
-	parcels, supervisors := e.parcels(snapshot, atRest, reports), e.peers.supervisors()
+	workersByRecipient, supervisors := e.workersByRecipient(snapshot, periodic, reports), e.peers.supervisors()
 	e.mu.Unlock()
-	e.sendParcels(parcels, supervisors, snapshot, base)
-	e.tellContents(snapshot.CacheUpdates, now)
+	e.sendSnapshot(workersByRecipient, supervisors, snapshot, base)
+	e.sendContents(snapshot.CacheUpdates, now)
 }
 
-// logSilent logs the nodes that have fallen silent. Only supervisors hear all others all
-// the time.
+// logSilent logs the nodes that have become silent. Only supervisors log them, since only they
+// hear from all nodes.
 func (e *Exchange) logSilent(now time.Time) {
-	lost := e.peers.silent(now)
+	lost := e.peers.markSilent(now)
 	if !e.peers.supervises() {
 		return
 	}
@@ -251,60 +260,62 @@
 	}
 }
 
-// parcels returns, by the nodes that are to be told something, the workers of which they
-// are to be told.
-func (e *Exchange) parcels(snapshot worker.Snapshot, atRest, reports bool) map[netip.AddrPort][]string {
-	subjects := subjectsOf(snapshot)
-	parcels := make(map[netip.AddrPort][]string)
-	for _, id := range subjects {
-		if atRest || snapshot.Concerns(id) {
+// workersByRecipient returns the nodes that are to get a load message, each with the workers
+// that the message is to cover.
+func (e *Exchange) workersByRecipient(snapshot worker.Snapshot, periodic, reports bool) map[netip.AddrPort][]string {
+	ids := workersIn(snapshot)
+	recipients := make(map[netip.AddrPort][]string)
+	for _, id := range ids {
+		if periodic || snapshot.Concerns(id) {
 			for _, home := range e.peers.homes(id) {
-				parcels[home] = nil
+				recipients[home] = nil
 			}
 		}
 	}
 	if reports {
 		for _, address := range e.reportTargets() {
-			parcels[address] = nil
+			recipients[address] = nil
 		}
 	}
-	if atRest && e.peers.supervises() {
+	if periodic && e.peers.supervises() {
 		for _, address := range e.peers.supervisors() {
-			parcels[address] = nil
+			recipients[address] = nil
 		}
 	}
-	delete(parcels, e.peers.address)
-	for _, id := range subjects {
+	delete(recipients, e.peers.address)
+	for _, id := range ids {
 		for _, home := range e.peers.homes(id) {
-			if workers, told := parcels[home]; told {
-				parcels[home] = append(workers, id)
+			if workers, isRecipient := recipients[home]; isRecipient {
+				recipients[home] = append(workers, id)
 			}
 		}
 	}
-	return parcels
+	return recipients
 }
 
-// reportTargets are the nodes that hear of this one whatever it does.
+// reportTargets returns the nodes that get a report whether or not this node has load: the
+// peers to be greeted, the supervisors, and a random peer.
 func (e *Exchange) reportTargets() []netip.AddrPort {
-	targets := append(e.peers.toGreet(), e.peers.supervisors()...)
-	if any, found := e.peers.anyPeer(); found {
+	targets := append(e.peers.greetTargets(), e.peers.supervisors()...)
+	if any, found := e.peers.randomPeer(); found {
 		targets = append(targets, any)
 	}
 	return targets
 }
 
-// parcelKey names a datagram: nodes that are told of the same workers get the same one.
-type parcelKey struct {
+// datagramKey identifies a datagram: nodes that are told of the same workers get the same one,
+// but only supervisors get the demand by region.
+type datagramKey struct {
 	workers    string
 	supervisor bool
 }
 
-// sendParcels sends each node its part of a snapshot. The demand of several regions is long,
-// and only supervisors plan by it.
-func (e *Exchange) sendParcels(parcels map[netip.AddrPort][]string, supervisors []netip.AddrPort, snapshot worker.Snapshot, base Message) {
-	datagrams := make(map[parcelKey][]byte)
-	for address, workers := range parcels {
-		key := parcelKey{strings.Join(workers, " "), slices.Contains(supervisors, address)}
+// sendSnapshot sends each node its part of a snapshot. Only supervisors get the demand by
+// region, which is long and used for planning only.
+func (e *Exchange) sendSnapshot(workersByRecipient map[netip.AddrPort][]string, supervisors []netip.AddrPort, snapshot worker.Snapshot, base Message) {
+	datagrams := make(map[datagramKey][]byte)
+	for address, workers := range workersByRecipient {
+		key := datagramKey{strings.Join(workers, " "), slices.Contains(supervisors, address)}
 		datagram, rendered := datagrams[key]
 		if !rendered {
 			part := snapshot.ForWorkers(workers)
@@ -318,9 +329,9 @@
 	}
 }
 
-// farewell says that this node leaves.
-func (e *Exchange) farewell() {
-	e.tellUsage(time.Now())
+// announceLeaving tells the peers that this node shuts down.
+func (e *Exchange) announceLeaving() {
+	e.sendUsage(time.Now())
 	for _, q := range e.quotas() {
 		q.reportChanged(time.Now())
 	}
@@ -332,8 +343,9 @@
 	e.mu.Unlock()
 	e.sendAll(targets, Message{Node: e.node, Sequence: e.sequence + 1, Leaving: true})
 	if large {
-		// Its row is gone from the list, unless the store could not be reached.
-		e.spread(Message{Node: e.node, Departed: []netip.AddrPort{e.peers.address}})
+		// Only the supervisors got the message above. The node's row is already removed from
+		// the store's list, unless the store was unreachable.
+		e.broadcast(Message{Node: e.node, Departed: []netip.AddrPort{e.peers.address}})
 	}
 }
 
@@ -351,7 +363,8 @@
 	e.write(message.kind(), e.encode(message), address)
 }
 
-// write sends a datagram, which may be lost: what matters is told again at rest.
+// write sends a datagram. Errors are ignored since a datagram may be lost anyway: what matters
+// is sent again in the next periodic message.
 func (e *Exchange) write(kind string, datagram []byte, address netip.AddrPort) {
 	if len(datagram) == 0 {
 		return
@@ -362,15 +375,15 @@
 	}
 }
 
-// encode renders a message, to nothing where it can't be sent.
+// encode encodes a message. It returns nil if the message can't be encoded or is too large.
 func (e *Exchange) encode(message Message) []byte {
 	datagram, err := json.Marshal(message)
 	if err != nil {
-		e.log.WithError(err).Error("a digest can't be rendered and was not sent")
+		e.log.WithError(err).Error("a message to other nodes can't be encoded and was not sent")
 		return nil
 	}
 	if len(datagram) > maxDatagram {
-		e.log.WithFields(logrus.Fields{"bytes": len(datagram), "kind": message.kind()}).Error("a digest is too large and was not sent")
+		e.log.WithFields(logrus.Fields{"bytes": len(datagram), "kind": message.kind()}).Error("a message to other nodes is too large and was not sent")
 		return nil
 	}
 	return datagram
@@ -385,15 +398,15 @@
 		}
 		message, err := decode(buffer[:count])
 		if err != nil {
-			e.dropped(from, err)
+			e.logMalformed(from, err)
 			continue
 		}
 		e.handle(from, message)
 	}
 }
 
-func (e *Exchange) dropped(from netip.AddrPort, err error) {
-	e.log.WithFields(logrus.Fields{"from": from.String(), "cause": err.Error()}).Warn("a malformed digest was dropped")
+func (e *Exchange) logMalformed(from netip.AddrPort, err error) {
+	e.log.WithFields(logrus.Fields{"from": from.String(), "cause": err.Error()}).Warn("a malformed message of another node was dropped")
 }
 
 func (e *Exchange) handle(from netip.AddrPort, message Message) {
@@ -401,17 +414,17 @@
 	case message.Question != nil:
 		e.answer(from, message.Node, *message.Question)
 	case message.Reply != nil:
-		e.takeReply(from, message.Node, *message.Reply)
+		e.receiveReply(from, message.Node, *message.Reply)
 	case message.Contents != nil:
-		e.takeContents(from, message.Contents)
+		e.receiveContents(from, message.Contents)
 	case message.Usage != nil:
-		e.takeUsage(from, message)
+		e.receiveUsage(from, message)
 	case message.UsageReply != nil:
-		e.takeUsageReply(from, *message.UsageReply)
+		e.receiveUsageReply(from, *message.UsageReply)
 	case message.WantUsage != 0:
-		e.tellGathered(from, message.WantUsage)
+		e.sendGathered(from, message.WantUsage)
 	case message.Gathered != nil:
-		e.takeGathered(*message.Gathered)
+		e.receiveGathered(*message.Gathered)
 	case message.Quota != nil:
 		if e.quota != nil {
 			e.quota.receive(from, message.Node, *message.Quota)
@@ -421,48 +434,48 @@
 			e.turns.receive(from, message.Node, *message.Turns)
 		}
 	case message.WantMemory != nil:
-		e.tellMemory(from, message.WantMemory)
+		e.sendMemory(from, message.WantMemory)
 	case message.Memory:
-		e.remember(from, message)
+		e.receiveMemory(from, message)
 	case message.News != nil:
-		e.takeNews(from, message)
+		e.receiveNews(from, message)
 	case message.WantWords:
-		e.tellWords(from)
+		e.sendAnnouncements(from)
 	case message.Words != nil:
-		e.takeWords(from, message)
+		e.receiveAnnouncements(from, message)
 	case message.Departed != nil:
-		e.takeDeparted(message, time.Now())
-		e.passOn(from, message)
+		e.receiveDeparted(message, time.Now())
+		e.relay(from, message)
 	case message.Suspects != nil:
-		e.takeSuspects(from, message)
+		e.receiveSuspects(from, message)
 	default:
-		e.take(from, message)
+		e.receiveLoads(from, message)
 	}
 }
 
-// take merges a digest unless a newer one of its sender was merged before.
-func (e *Exchange) take(from netip.AddrPort, message Message) {
+// receiveLoads merges a load message unless a newer one of the same sender was merged before.
+func (e *Exchange) receiveLoads(from netip.AddrPort, message Message) {
 	snapshot, err := message.snapshot()
 	if err != nil {
-		e.dropped(from, err)
+		e.logMalformed(from, err)
 		return
 	}
 	now := time.Now()
-	snapshot.DemandLife = restLife * reportEvery(e.Nodes())
+	snapshot.DemandLife = demandLifeIntervals * reportInterval(e.Nodes())
 	if message.Leaving {
 		for _, q := range e.quotas() {
 			q.left(message.Node)
 		}
 	}
 	e.mu.Lock()
-	first, stale := e.peers.hear(from, message, now)
+	first, stale := e.peers.recordMessage(from, message, now)
 	supervises := e.peers.supervises()
 	e.mu.Unlock()
 	if stale {
 		return
 	}
 	if first {
-		e.returned(from)
+		e.notifyReturned(from)
 		e.shareSuspects(from)
 		e.shareLimits(from)
 		e.shareDraining(from)
@@ -474,6 +487,6 @@
 		e.log.WithFields(logrus.Fields{"node": message.Node, "sequence": message.Sequence, "workers": message.Failures}).Info("another node tells of failures")
 	}
 	e.registry.Merge(message.Node, snapshot, now)
-	e.takeLimits(message.Node, message.Limits, now)
-	e.takeDraining(message.Node, message.Draining, now)
+	e.receiveLimits(message.Node, message.Limits, now)
+	e.receiveDraining(message.Node, message.Draining, now)
 }
--- a/internal/nodeexchange/listing_test.go
+++ b/internal/nodeexchange/listing_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// listedFleet returns the nodes of a fleet in five zones, each as it is when it has just read
-// the rows of its zone: those of nodes that wrote theirs before it.
+// listedFleet returns the nodes of a fleet in five zones, each in the state in which it has
+// just read the rows of its zone: those of nodes that wrote theirs before it.
 func listedFleet(nodes int) []*peerSet {
 	var sets []*peerSet
 	for i := range nodes {
@@ -18,21 +18,21 @@
 		for j := i % 5; j <= i; j += 5 {
 			listed = append(listed, Peer{Node: fmt.Sprint("n", j), Address: addressOf(j), Zone: set.zone, Listed: uint64(j + 1)})
 		}
-		set.include(listed)
+		set.addListed(listed)
 		sets = append(sets, set)
 	}
 	return sets
 }
 
-// TestTablesReachAllNodesByATree: whatever the size of the fleet, two nodes of a zone read at
-// the store, each gives copies to a few others at most, and few stand between it and any
-// node.
-func TestTablesReachAllNodesByATree(t *testing.T) {
+// TestTableSourcesFormATree checks for fleets of several sizes that two nodes of each zone read
+// tables from the store, that each node passes copies to a few others at most, and that the
+// tree is shallow.
+func TestTableSourcesFormATree(t *testing.T) {
 	for nodes, deepest := range map[int]int{10: 0, 30: 1, 100: 3, 300: 3, 985: 4, 2000: 5} {
 		reading, children := 0, make(map[netip.AddrPort]int)
 		depths := make(map[netip.AddrPort]int)
 		for _, set := range listedFleet(nodes) {
-			asked := set.givers()
+			asked := set.tableSources()
 			if len(asked) == 0 {
 				reading++
 				continue
@@ -40,38 +40,40 @@
 			children[asked[0]]++
 			depths[set.address] = depths[asked[0]] + 1
 			if depths[set.address] > deepest {
-				t.Fatalf("%d nodes: a node is %d deep, want %d at most", nodes, depths[set.address], deepest)
+				t.Fatalf("%d nodes: a node is at depth %d, want %d at most", nodes, depths[set.address], deepest)
 			}
 		}
-		if want := 5 * sharingHeads; reading != min(want, nodes) {
-			t.Errorf("%d nodes: %d read at the store, want %d", nodes, reading, want)
+		if want := 5 * sourcesPerZone; reading != min(want, nodes) {
+			t.Errorf("%d nodes: %d read from the store, want %d", nodes, reading, want)
 		}
 		for address, count := range children {
-			if count > sharingFanOut {
-				t.Errorf("%d nodes: %v gives copies to %d others", nodes, address, count)
+			if count > tableFanOut {
+				t.Errorf("%d nodes: %v passes copies to %d others", nodes, address, count)
 			}
 		}
 	}
 }
 
-// TestUnlistedNodeAsksListedOnes: its own row may still wait to be written.
+// TestUnlistedNodeAsksListedOnes checks that a node whose own row isn't in the list yet asks
+// nodes of its zone that are.
 func TestUnlistedNodeAsksListedOnes(t *testing.T) {
 	set := newPeerSet("new", self, "zone0")
 	for _, known := range listedFleet(40) {
-		set.include([]Peer{{Node: known.self, Address: known.address, Zone: known.zone, Listed: 1 + uint64(len(set.peers))}})
+		set.addListed([]Peer{{Node: known.self, Address: known.address, Zone: known.zone, Listed: 1 + uint64(len(set.peers))}})
 	}
-	asked := set.givers()
+	asked := set.tableSources()
 	if len(asked) == 0 || set.peers[asked[0]].zone != "zone0" {
 		t.Errorf("asked: %v", asked)
 	}
 	if set.listed {
-		t.Error("a node takes its zone for the whole fleet")
+		t.Error("the nodes of a zone count as the whole list")
 	}
 }
 
-// TestGiversAreWaitedFor until the list was read.
-func TestGiversAreWaitedFor(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+// TestGiversWaitsForTheZoneList checks that Givers waits until the list of the zone has been
+// read.
+func TestGiversWaitsForTheZoneList(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,48 +89,50 @@
 	}
 }
 
-// TestLargeFleetIsNotGreeted: all follow the list, but for those of a build that didn't.
+// TestLargeFleetIsNotGreeted checks that in a large fleet a node greets only nodes of a build
+// that doesn't follow the list.
 func TestLargeFleetIsNotGreeted(t *testing.T) {
 	for nodes, want := range map[int]int{20: 19, 100: 0, 985: 0} {
-		if greeted := len(fleetOf(nodes)[0].toGreet()); greeted != want {
+		if greeted := len(fleetOf(nodes)[0].greetTargets()); greeted != want {
 			t.Errorf("%d nodes: %d are greeted, want %d", nodes, greeted, want)
 		}
 	}
 	set := fleetOf(100)[0]
-	set.include([]Peer{{Node: "before", Address: self, Zone: "zone0", Unaware: true}})
-	if greeted := set.toGreet(); len(greeted) != 1 || greeted[0] != self {
+	set.addListed([]Peer{{Node: "before", Address: self, Zone: "zone0", Unaware: true}})
+	if greeted := set.greetTargets(); len(greeted) != 1 || greeted[0] != self {
 		t.Errorf("greeted: %v", greeted)
 	}
 }
 
-// TestWithdrawnNodeStaysAway although it still sends while it stops, until it is listed again
-// or another process has its address.
-func TestWithdrawnNodeStaysAway(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+// TestLateMessageDoesNotReAddAWithdrawnNode checks that messages which a withdrawn node sends
+// while it shuts down don't add it again. Another process at its address, or a new row, does.
+func TestLateMessageDoesNotReAddAWithdrawnNode(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	node := Peer{Node: "n", Address: there, Zone: "zone0", Listed: 3}
 	exchange.AddPeers([]Peer{node})
 	exchange.WithdrawPeers([]netip.AddrPort{there})
-	exchange.peers.hear(there, Message{Node: "n", Sequence: 7}, origin)
+	exchange.peers.recordMessage(there, Message{Node: "n", Sequence: 7}, origin)
 	if exchange.Nodes() != 1 {
-		t.Error("a node that withdrew is back by a late message")
+		t.Error("a late message added a withdrawn node again")
 	}
-	exchange.peers.hear(there, Message{Node: "next", Sequence: 1}, origin)
+	exchange.peers.recordMessage(there, Message{Node: "next", Sequence: 1}, origin)
 	if exchange.Nodes() != 2 {
-		t.Error("the process after it isn't known")
+		t.Error("a new process at the same address isn't known")
 	}
 	exchange.WithdrawPeers([]netip.AddrPort{there})
 	exchange.AddPeers([]Peer{node})
-	if exchange.peers.hear(there, Message{Node: "n", Sequence: 8}, origin); exchange.Nodes() != 2 {
+	if exchange.peers.recordMessage(there, Message{Node: "n", Sequence: 8}, origin); exchange.Nodes() != 2 {
 		t.Error("a node that is listed again isn't known")
 	}
 }
 
-// TestWholeListReplacesThePeers, but for those that were heard lately.
-func TestWholeListReplacesThePeers(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "zone0", registryWith("w"), quiet())
+// TestReplacePeersRemovesUnlistedOnes checks that ReplacePeers removes the listed peers that
+// the new list lacks, except those that were heard recently.
+func TestReplacePeersRemovesUnlistedOnes(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,8 +142,8 @@
 	}
 	now := time.Now()
 	exchange.AddPeers(listed)
-	exchange.peers.hear(addressOf(1), Message{Node: "n1", Sequence: 1}, now)
-	exchange.peers.hear(there, Message{Node: "unlisted", Sequence: 1}, now)
+	exchange.peers.recordMessage(addressOf(1), Message{Node: "n1", Sequence: 1}, now)
+	exchange.peers.recordMessage(there, Message{Node: "unlisted", Sequence: 1}, now)
 	exchange.ReplacePeers(listed[:1], now)
 	for address, want := range map[netip.AddrPort]bool{addressOf(0): true, addressOf(1): true, addressOf(2): false, addressOf(3): false, there: true} {
 		if _, known := exchange.peers.peers[address]; known != want {
--- a/internal/nodeexchange/memory.go
+++ b/internal/nodeexchange/memory.go
@@ -10,44 +10,44 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// The figures of a start.
+// Times and bounds of the questions that a node asks when it has just started.
 const (
-	// askEvery is how long a node that has just started waits for the answers of its
-	// peers before it asks others.
-	askEvery = 80 * time.Millisecond
-	// maxAsked bounds the rounds of questions.
-	maxAsked = 4
-	// partsPerMessage bounds the parts in one datagram of an answer.
+	// memoryRoundTimeout is how long the node waits for answers in one round before it asks
+	// other peers.
+	memoryRoundTimeout = 80 * time.Millisecond
+	// memoryRounds is the largest number of rounds.
+	memoryRounds = 4
+	// partsPerMessage bounds the prompt parts in one datagram of an answer.
 	partsPerMessage = 200
 )
 
-// AskMemory asks the other nodes that keep the accounts of workers for what they have
-// learned of them. It returns the workers of which nothing was told: all nodes may have
-// started just now.
+// AskMemory asks the other homes of workers for what they have learned of them: the contents of
+// their caches and their throughputs. It returns the workers for which no complete answer
+// arrived, which may be all of them if all nodes have just started.
 func (e *Exchange) AskMemory(ctx context.Context, workers []string) []string {
-	untold := make(map[string]bool, len(workers))
+	missing := make(map[string]bool, len(workers))
 	for _, id := range workers {
-		untold[id] = true
+		missing[id] = true
 	}
-	for round := range maxAsked {
-		for to, asked := range e.colleagues(untold, round) {
+	for round := range memoryRounds {
+		for to, asked := range e.memorySources(missing, round) {
 			e.sendTo(to, Message{Node: e.node, WantMemory: asked})
 		}
-		e.awaitMemory(ctx, untold)
-		if len(untold) == 0 || ctx.Err() != nil {
+		e.awaitMemory(ctx, missing)
+		if len(missing) == 0 || ctx.Err() != nil {
 			break
 		}
 	}
-	left := make([]string, 0, len(untold))
-	for id := range untold {
+	left := make([]string, 0, len(missing))
+	for id := range missing {
 		left = append(left, id)
 	}
 	return left
 }
 
-// colleagues divides workers by another node that keeps their account, a different one in
-// each round.
-func (e *Exchange) colleagues(workers map[string]bool, round int) map[netip.AddrPort][]string {
+// memorySources assigns each worker to one of its homes other than this node, a different one
+// in each round.
+func (e *Exchange) memorySources(workers map[string]bool, round int) map[netip.AddrPort][]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	asked := make(map[netip.AddrPort][]string)
@@ -63,16 +63,16 @@
 	return asked
 }
 
-// awaitMemory takes the workers that are told of out of those untold, until none is left
-// or the time is over.
-func (e *Exchange) awaitMemory(ctx context.Context, untold map[string]bool) {
-	timer := time.NewTimer(askEvery)
+// awaitMemory removes the workers with complete answers from missing, until none is left or the
+// round ends.
+func (e *Exchange) awaitMemory(ctx context.Context, missing map[string]bool) {
+	timer := time.NewTimer(memoryRoundTimeout)
 	defer timer.Stop()
-	for len(untold) > 0 {
+	for len(missing) > 0 {
 		select {
-		case told := <-e.told:
+		case told := <-e.memoryComplete:
 			for _, id := range told {
-				delete(untold, id)
+				delete(missing, id)
 			}
 		case <-ctx.Done():
 			return
@@ -82,18 +82,18 @@
 	}
 }
 
-// tellMemory answers a node that has just started: it tells what the workers keep that
-// it knows, and then of which workers it has told all.
-func (e *Exchange) tellMemory(to netip.AddrPort, workers []string) {
+// sendMemory answers a node that has just started. It sends what the workers have cached, and
+// then for which workers the answer is complete.
+func (e *Exchange) sendMemory(to netip.AddrPort, workers []string) {
 	memory, known := e.registry.LearnedState(workers)
-	for _, reads := range inMessages(memory.CacheUpdates) {
+	for _, reads := range splitUpdates(memory.CacheUpdates) {
 		e.sendTo(to, Message{Node: e.node, Memory: true, CacheUpdates: renderReads(reads)})
 	}
 	e.sendTo(to, Message{Node: e.node, Memory: true, Paces: memory.Paces, MemoryComplete: known})
 }
 
-// inMessages divides reads so that each message holds few enough parts.
-func inMessages(reads []worker.CacheUpdate) [][]worker.CacheUpdate {
+// splitUpdates splits cache updates so that each message holds at most partsPerMessage parts.
+func splitUpdates(reads []worker.CacheUpdate) [][]worker.CacheUpdate {
 	var messages [][]worker.CacheUpdate
 	for _, read := range reads {
 		for parts := read.Parts; len(parts) > 0; {
@@ -105,10 +105,10 @@
 	return messages
 }
 
-func (e *Exchange) remember(from netip.AddrPort, message Message) {
+func (e *Exchange) receiveMemory(from netip.AddrPort, message Message) {
 	snapshot, err := message.snapshot()
 	if err != nil {
-		e.dropped(from, err)
+		e.logMalformed(from, err)
 		return
 	}
 	e.registry.MergeLearnedState(worker.LearnedState{CacheUpdates: snapshot.CacheUpdates, Paces: message.Paces}, time.Now())
@@ -118,7 +118,7 @@
 	e.registry.MarkCachesKnown(message.MemoryComplete)
 	e.log.WithFields(logrus.Fields{"node": message.Node, "workers": len(message.MemoryComplete)}).Info("another node told what workers keep")
 	select {
-	case e.told <- message.MemoryComplete:
+	case e.memoryComplete <- message.MemoryComplete:
 	default:
 	}
 }
--- a/internal/nodeexchange/digest_test.go
+++ b/internal/nodeexchange/message_test.go
@@ -24,7 +24,7 @@
 	return log
 }
 
-func registryWith(workers ...string) *worker.Registry {
+func newRegistry(workers ...string) *worker.Registry {
 	registry := worker.NewRegistry(topology.New("a", nil))
 	var listed []worker.Worker
 	for _, id := range workers {
@@ -34,11 +34,11 @@
 	return registry
 }
 
-func TestMessageKeepsASnapshot(t *testing.T) {
+func TestSnapshotSurvivesEncoding(t *testing.T) {
 	snapshot := worker.Snapshot{
 		Loads:        map[string]worker.Load{"w": {Requests: 1, Unread: worker.UnreadTokens{0, 2}, MemoryTokens: 3}},
 		CacheUpdates: []worker.CacheUpdate{{Worker: "w", Parts: []prefixcache.Part{{ID: 0xabc, Tokens: 10}, {ID: 1 << 63, Tokens: 0}}}},
-		// A read of nothing is possible too.
+		// A cache update without tokens is possible too.
 		Failures: []string{"w", "x"},
 		Demand:   map[string]worker.Demand{"s": {ReadTokens: 900, Requests: 1.25, MemoryTokens: 70}},
 		RegionDemand: map[string]map[string]worker.Demand{
@@ -72,7 +72,7 @@
 			_, err = message.snapshot()
 		}
 		if err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
@@ -85,38 +85,39 @@
 			return
 		}
 		if snapshot, err := message.snapshot(); err == nil {
-			registryWith("w").Merge(message.Node, snapshot, time.Unix(0, 0))
+			newRegistry("w").Merge(message.Node, snapshot, time.Unix(0, 0))
 		}
 	})
 }
 
-// TestOldMessagesAreDropped: datagrams may overtake one another.
+// TestOldMessagesAreDropped checks that a load message that arrives after a newer one is
+// ignored.
 func TestOldMessagesAreDropped(t *testing.T) {
-	registry := registryWith("w")
+	registry := newRegistry("w")
 	exchange, err := Listen("127.0.0.1:0", "me", "zone", registry, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = exchange.conn.Close() }()
 	other := netip.MustParseAddrPort("127.0.0.1:1")
-	exchange.take(other, Message{Node: "other", Sequence: 2, Loads: map[string][]int{"w": {5}}})
-	exchange.take(other, Message{Node: "other", Sequence: 1, Loads: map[string][]int{"w": {9}}})
+	exchange.receiveLoads(other, Message{Node: "other", Sequence: 2, Loads: map[string][]int{"w": {5}}})
+	exchange.receiveLoads(other, Message{Node: "other", Sequence: 1, Loads: map[string][]int{"w": {9}}})
 	if got := registry.Candidates("s", nil, 0, time.Now())[0].Requests; got != 5 {
 		t.Errorf("%d requests", got)
 	}
 	if exchange.Nodes() != 2 {
 		t.Errorf("%d nodes", exchange.Nodes())
 	}
-	exchange.take(other, Message{Node: "other", Sequence: 3, Leaving: true})
+	exchange.receiveLoads(other, Message{Node: "other", Sequence: 3, Leaving: true})
 	if exchange.Nodes() != 1 {
-		t.Errorf("%d nodes after one has left", exchange.Nodes())
+		t.Errorf("%d nodes after one has left, want 1", exchange.Nodes())
 	}
 }
 
-// TestNodesHearOfEachOther over real datagrams.
+// TestNodesHearOfEachOther checks over UDP that one node's load becomes known to another.
 func TestNodesHearOfEachOther(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	registries := []*worker.Registry{registryWith("w"), registryWith("w")}
+	registries := []*worker.Registry{newRegistry("w"), newRegistry("w")}
 	var exchanges []*Exchange
 	for i, name := range []string{"a", "b"} {
 		exchange, err := Listen("127.0.0.1:0", name, "zone", registries[i], quiet())
@@ -137,7 +138,7 @@
 	registries[0].Begin("w", worker.Load{Requests: 3})
 	for end := time.Now().Add(20 * time.Second); registries[1].Candidates("s", nil, 0, time.Now())[0].Requests != 3; {
 		if time.Now().After(end) {
-			t.Fatal("the load of one node isn't known at the other")
+			t.Fatal("the load of one node isn't known to the other")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -146,10 +147,11 @@
 	<-ended
 }
 
-// TestNewbornLearnsFromAPeer: a node that has just started is told what workers
-// keep, and of those of which a peer has itself learned nothing yet it isn't.
-func TestNewbornLearnsFromAPeer(t *testing.T) {
-	old, young := registryWith("w", "unlearned"), registryWith("w", "unlearned")
+// TestStartingNodeLearnsFromAPeer checks that a node that has just started learns from a peer
+// what workers have cached, but not for workers of which the peer itself has learned nothing
+// yet.
+func TestStartingNodeLearnsFromAPeer(t *testing.T) {
+	old, young := newRegistry("w", "unlearned"), newRegistry("w", "unlearned")
 	parts := []prefixcache.Part{{ID: 1, Tokens: 700}, {ID: 2, Tokens: 30}}
 	old.ObserveCached("w", parts, time.Unix(1, 0))
 	old.ObserveReading("w", latency.Reading{Tokens: 5000, Elapsed: 100 * time.Millisecond})
@@ -168,7 +170,7 @@
 		go exchange.Run(ctx)
 	}
 	if untold := exchanges[1].AskMemory(ctx, []string{"w"}); len(untold) != 1 {
-		t.Error("a peer that has learned nothing told something")
+		t.Error("a peer that has learned nothing gave a complete answer")
 	}
 	old.MarkCachesKnown([]string{"w"})
 	for end := time.Now().Add(20 * time.Second); ; {
@@ -177,7 +179,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("untold: %v", untold)
+			t.Fatalf("without a complete answer: %v", untold)
 		}
 	}
 	for _, candidate := range young.Candidates("s", parts, 0, time.Now()) {
@@ -186,16 +188,16 @@
 		}
 	}
 	if unlisted := young.UnknownCaches(); len(unlisted) != 1 || unlisted[0].ID != "unlearned" {
-		t.Errorf("to be asked: %v", unlisted)
+		t.Errorf("workers with unknown caches: %v", unlisted)
 	}
 }
 
-func TestMemoryIsDividedIntoDatagrams(t *testing.T) {
+func TestMemoryIsSplitIntoDatagrams(t *testing.T) {
 	var parts []prefixcache.Part
 	for i := range 1000 {
 		parts = append(parts, prefixcache.Part{ID: prefixcache.PartID(1<<62 + i), Tokens: 100_000})
 	}
-	messages := inMessages([]worker.CacheUpdate{{Worker: "i-0123456789", Parts: parts}, {Worker: "empty"}})
+	messages := splitUpdates([]worker.CacheUpdate{{Worker: "i-0123456789", Parts: parts}, {Worker: "empty"}})
 	count := 0
 	for _, reads := range messages {
 		datagram, err := json.Marshal(newMessage(Message{Node: "n"}, worker.Snapshot{CacheUpdates: reads}))
--- a/internal/nodeexchange/news_test.go
+++ b/internal/nodeexchange/news_test.go
@@ -12,8 +12,8 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// TestConfigurationFitsADatagram: news that are too large cost each node of the zone
-// a call to the store.
+// TestConfigurationFitsADatagram checks that the news of a whole configuration fit in a
+// datagram: larger ones cost a call to the store for each node of the zone.
 func TestConfigurationFitsADatagram(t *testing.T) {
 	var value strings.Builder
 	for i := range 60 {
@@ -36,7 +36,7 @@
 func TestMalformedNews(t *testing.T) {
 	var bomb bytes.Buffer
 	writer := gzip.NewWriter(&bomb)
-	_, _ = writer.Write(bytes.Repeat([]byte(" "), maxUnpacked+1))
+	_, _ = writer.Write(bytes.Repeat([]byte(" "), maxUnpackedNews+1))
 	_ = writer.Close()
 	for name, packed := range map[string][]byte{"empty": nil, "no gzip": []byte("{}"), "cut": bomb.Bytes()[:20], "too large": bomb.Bytes()} {
 		if _, err := unpackNews(packed); err == nil {
@@ -45,17 +45,18 @@
 	}
 }
 
-// TestHeadsOfLargeZonesPassOnLess: what is told to all at once takes no head's link for long.
-func TestHeadsOfLargeZonesPassOnLess(t *testing.T) {
+// TestNewsLimitBoundsTheBytesOfAHead checks that relaying one change doesn't occupy the link of
+// a head for long, whatever the size of its zone.
+func TestNewsLimitBoundsTheBytesOfAHead(t *testing.T) {
 	for _, nodes := range []int{10, 75, 300, 985, 2000} {
 		exchange := largeExchange(t)
-		exchange.peers = aSupervisor(t, nodes)
+		exchange.peers = supervisorSet(t, nodes)
 		limit := exchange.newsLimit()
-		if sent := limit * exchange.peers.largestZone(); sent > headBytes || limit > maxNews {
-			t.Errorf("%d nodes: news of %d bytes are told, %d by a head", nodes, limit, sent)
+		if sent := limit * exchange.peers.largestZoneSize(); sent > maxHeadBytes || limit > maxNews {
+			t.Errorf("%d nodes: the limit is %d bytes, so that a head sends %d", nodes, limit, sent)
 		}
 		if nodes <= 75 && limit != maxNews {
-			t.Errorf("%d nodes: news of %d bytes are told only", nodes, limit)
+			t.Errorf("%d nodes: the limit is only %d bytes", nodes, limit)
 		}
 	}
 }
--- a/internal/nodeexchange/peers_test.go
+++ b/internal/nodeexchange/peers_test.go
@@ -15,12 +15,12 @@
 	there  = netip.MustParseAddrPort("10.0.0.2:7000")
 )
 
-// addressOf is that of the machine with a number.
+// addressOf returns the address of the machine with the given number.
 func addressOf(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(number >> 8), byte(number)}), 7000)
 }
 
-// fleetOf returns what each of some nodes in five zones knows of the others.
+// fleetOf returns the peer set of each node of a fleet in five zones.
 func fleetOf(nodes int) []*peerSet {
 	var sets []*peerSet
 	for i := range nodes {
@@ -29,17 +29,17 @@
 		for j := range nodes {
 			listed = append(listed, Peer{Node: fmt.Sprint("n", j), Address: addressOf(j), Zone: fmt.Sprint("zone", j%5)})
 		}
-		set.list(listed)
+		set.addFullList(listed)
 		sets = append(sets, set)
 	}
 	return sets
 }
 
-func TestProcessThatStartsAgainTakesTheOldOnesPlace(t *testing.T) {
+func TestRestartedProcessReplacesTheOldPeer(t *testing.T) {
 	peers := newPeerSet("me", self, "zone")
-	peers.list([]Peer{{Node: "me", Address: self}, {Node: "old", Address: there, Zone: "far"}})
-	peers.hear(there, Message{Node: "old", Sequence: 70}, origin)
-	if first, stale := peers.hear(there, Message{Node: "new", Sequence: 1}, origin); !first || stale {
+	peers.addFullList([]Peer{{Node: "me", Address: self}, {Node: "old", Address: there, Zone: "far"}})
+	peers.recordMessage(there, Message{Node: "old", Sequence: 70}, origin)
+	if first, stale := peers.recordMessage(there, Message{Node: "new", Sequence: 1}, origin); !first || stale {
 		t.Errorf("first %v, stale %v", first, stale)
 	}
 	if len(peers.peers) != 1 || peers.peers[there].node != "new" || peers.peers[there].zone != "far" {
@@ -47,41 +47,43 @@
 	}
 }
 
-// TestSilentPeerIsKept: nodes that were cut off find each other again.
+// TestSilentPeerIsKept checks that nodes that were cut off from each other find each other
+// again.
 func TestSilentPeerIsKept(t *testing.T) {
 	peers := newPeerSet("me", self, "zone")
-	peers.hear(there, Message{Node: "other", Sequence: 1}, origin)
-	if lost := peers.silent(origin.Add(peerLife)); len(lost) != 0 {
+	peers.recordMessage(there, Message{Node: "other", Sequence: 1}, origin)
+	if lost := peers.markSilent(origin.Add(peerTimeout)); len(lost) != 0 {
 		t.Errorf("lost too early: %v", lost)
 	}
-	if lost := peers.silent(origin.Add(peerLife + 1)); len(lost) != 1 {
+	if lost := peers.markSilent(origin.Add(peerTimeout + 1)); len(lost) != 1 {
 		t.Errorf("lost: %v", lost)
 	}
 	if !slices.Contains(peers.homes("w"), there) || !slices.Contains(peers.supervisors(), there) {
-		t.Error("a silent node is told nothing any more")
+		t.Error("a silent node gets no messages any more")
 	}
-	if first, _ := peers.hear(there, Message{Node: "other", Sequence: 2}, origin.Add(time.Minute)); !first {
-		t.Error("a node that is heard again isn't told of")
+	if first, _ := peers.recordMessage(there, Message{Node: "other", Sequence: 2}, origin.Add(time.Minute)); !first {
+		t.Error("a node that is heard again isn't reported as new")
 	}
 }
 
-// TestNewPeersAreGreetedTwice: one that was read in the store's list may not know of this
-// node, and a datagram may be lost.
+// TestNewPeersAreGreetedTwice checks that a peer from the store's list is greeted twice: it may
+// not know this node, and a datagram may be lost.
 func TestNewPeersAreGreetedTwice(t *testing.T) {
 	peers := newPeerSet("me", self, "zone")
 	for range 2 {
-		peers.list([]Peer{{Node: "other", Address: there}})
+		peers.addFullList([]Peer{{Node: "other", Address: there}})
 	}
 	count := 0
 	for range 5 {
-		count += len(peers.toGreet())
+		count += len(peers.greetTargets())
 	}
 	if count != greetings {
 		t.Errorf("greeted %d times", count)
 	}
 }
 
-// TestAccountsAreKeptByFewNodes, by all in a small fleet, and all nodes agree by whom.
+// TestAccountsAreKeptByFewNodes checks that few nodes track a worker's load, or all in a small
+// fleet, and that all nodes agree on which.
 func TestAccountsAreKeptByFewNodes(t *testing.T) {
 	for nodes, want := range map[int]int{1: 1, 7: 7, 20: 20, 22: 18, 66: 6, 295: 2} {
 		sets := fleetOf(nodes)
@@ -89,94 +91,97 @@
 			homes := sets[0].homes(id)
 			keeping := 0
 			for _, set := range sets {
-				if !slices.Equal(set.homes(id), homes) && nodes > wholeFleet {
-					t.Fatalf("%d nodes: they don't agree on who keeps the account of %s", nodes, id)
+				if !slices.Equal(set.homes(id), homes) && nodes > fullTrackingFleet {
+					t.Fatalf("%d nodes: they don't agree on the homes of %s", nodes, id)
 				}
-				if set.keeps(id) {
+				if set.isHome(id) {
 					keeping++
 				}
 			}
 			if keeping != want {
-				t.Errorf("%d nodes: %d keep the account of %s, want %d", nodes, keeping, id, want)
+				t.Errorf("%d nodes: %d are homes of %s, want %d", nodes, keeping, id, want)
 			}
 		}
 	}
 }
 
-// TestMessagesOfAFleetAreBounded: a node's accounts are told to at most as many nodes as
-// twelve nodes tell each other.
+// TestMessagesOfAFleetAreBounded checks that all nodes together send a worker's homes no more
+// messages than the nodes of a fleet of fullTrackingFleet nodes send each other, unless the
+// worker has only minHomes.
 func TestMessagesOfAFleetAreBounded(t *testing.T) {
 	for nodes := 2; nodes <= 370; nodes++ {
-		if homes := homeCount(nodes); homes > leastHomes && homes*nodes > wholeFleet*wholeFleet {
+		if homes := homeCount(nodes); homes > minHomes && homes*nodes > fullTrackingFleet*fullTrackingFleet {
 			t.Errorf("%d nodes: %d homes", nodes, homes)
 		}
 	}
 }
 
-// TestSilentHomeIsPassedOver, for a time, and longer each time, until it is heard.
+// TestSilentHomeIsPassedOver checks that a home that doesn't answer isn't asked for some time,
+// longer after each further silence, until it is heard.
 func TestSilentHomeIsPassedOver(t *testing.T) {
 	sets := fleetOf(100)
 	set := sets[0]
 	id := "w"
-	for i := 0; set.keeps(id); i++ {
+	for i := 0; set.isHome(id); i++ {
 		id = fmt.Sprint("w", i)
 	}
 	homes := set.homes(id)
 	now := origin
 	for i, want := range homes {
-		if got, found := set.home(id, now); !found || got != want {
+		if got, found := set.reachableHome(id, now); !found || got != want {
 			t.Errorf("after %d silences %v is asked, want %v", i, got, want)
 		}
 		set.suspect(want, now)
 	}
-	if _, found := set.home(id, now); found {
-		t.Error("a node is asked that gave no answer")
+	if _, found := set.reachableHome(id, now); found {
+		t.Error("a node that didn't answer is asked")
 	}
-	if got, _ := set.home(id, now.Add(suspectedFor)); got != homes[0] {
+	if got, _ := set.reachableHome(id, now.Add(suspicionTime)); got != homes[0] {
 		t.Error("a silent node is never asked again")
 	}
-	set.suspect(homes[0], now.Add(suspectedFor))
-	if got, _ := set.home(id, now.Add(2*suspectedFor)); got != homes[1] {
+	set.suspect(homes[0], now.Add(suspicionTime))
+	if got, _ := set.reachableHome(id, now.Add(2*suspicionTime)); got != homes[1] {
 		t.Error("a node that stays silent is asked as often as before")
 	}
 	set.answered(homes[0])
-	if got, _ := set.home(id, now.Add(2*suspectedFor)); got != homes[0] {
+	if got, _ := set.reachableHome(id, now.Add(2*suspicionTime)); got != homes[0] {
 		t.Error("a node that has answered isn't asked")
 	}
 }
 
 func TestOldMessageOfALeavingNode(t *testing.T) {
 	peers := newPeerSet("b", self, "zone")
-	peers.hear(there, Message{Node: "new", Sequence: 1}, origin)
-	peers.hear(there, Message{Node: "old", Sequence: 9, Leaving: true}, origin)
+	peers.recordMessage(there, Message{Node: "new", Sequence: 1}, origin)
+	peers.recordMessage(there, Message{Node: "old", Sequence: 9, Leaving: true}, origin)
 	if peers.nodes() != 2 {
-		t.Error("the farewell of the process before counts")
+		t.Error("the leaving message of the previous process removed the new one")
 	}
 }
 
 func TestLowestSupervisorIsDesignated(t *testing.T) {
 	peers := newPeerSet("b", self, "zone")
-	peers.list([]Peer{{Node: "a", Address: there}})
+	peers.addFullList([]Peer{{Node: "a", Address: there}})
 	if !peers.designated(false) {
-		t.Error("a node that was never heard counts")
+		t.Error("a node that was never heard prevents the designation")
 	}
-	peers.hear(there, Message{Node: "a", Sequence: 1}, origin)
+	peers.recordMessage(there, Message{Node: "a", Sequence: 1}, origin)
 	if peers.designated(false) {
-		t.Error("a lower node is present")
+		t.Error("designated although a node with a lower incarnation is present")
 	}
-	peers.hear(there, Message{Node: "a", Sequence: 2, Leaving: true}, origin)
+	peers.recordMessage(there, Message{Node: "a", Sequence: 2, Leaving: true}, origin)
 	if !peers.designated(false) {
-		t.Error("a node that has left counts")
+		t.Error("a node that has left prevents the designation")
 	}
 }
 
-// TestOneOfManyIsDesignated: in a large fleet most nodes don't hear each other.
+// TestOneOfManyIsDesignated checks that exactly one node is designated in a large fleet, in
+// which most nodes don't hear each other.
 func TestOneOfManyIsDesignated(t *testing.T) {
 	sets := fleetOf(295)
 	for _, set := range sets {
 		for i := range sets {
 			if addressOf(i) != set.address && set.supervises() {
-				set.hear(addressOf(i), Message{Node: fmt.Sprint("n", i), Sequence: 1}, origin)
+				set.recordMessage(addressOf(i), Message{Node: fmt.Sprint("n", i), Sequence: 1}, origin)
 			}
 		}
 	}
@@ -189,19 +194,19 @@
 			supervisors++
 		}
 	}
-	if designated != 1 || supervisors != leastSupervisors {
+	if designated != 1 || supervisors != minSupervisors {
 		t.Errorf("%d of %d supervisors are designated", designated, supervisors)
 	}
 }
 
-// TestUnlistedNodeIsKnownByItsDigest over real datagrams: only one of two nodes has
-// read the other's row.
-func TestUnlistedNodeIsKnownByItsDigest(t *testing.T) {
+// TestUnlistedNodeIsKnownByItsLoadMessage checks over UDP that two nodes know each other
+// although only one of them has read the other's row.
+func TestUnlistedNodeIsKnownByItsLoadMessage(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var exchanges []*Exchange
 	for _, name := range []string{"a", "b"} {
-		exchange, err := Listen("127.0.0.1:0", name, "zone", registryWith("w"), quiet())
+		exchange, err := Listen("127.0.0.1:0", name, "zone", newRegistry("w"), quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -217,29 +222,30 @@
 	}
 }
 
-// TestNodesThatStandAsideAreNotDesignated, unless all do.
-func TestNodesThatStandAsideAreNotDesignated(t *testing.T) {
+// TestNodesThatSteppedBackAreNotDesignated checks that a node that has stepped back is
+// designated only if all have.
+func TestNodesThatSteppedBackAreNotDesignated(t *testing.T) {
 	peers := newPeerSet("b", self, "zone")
-	peers.hear(there, Message{Node: "a", Sequence: 1, SteppedBack: true}, origin)
+	peers.recordMessage(there, Message{Node: "a", Sequence: 1, SteppedBack: true}, origin)
 	if !peers.designated(false) {
-		t.Error("a node that stands aside counts")
+		t.Error("a node that has stepped back prevents the designation")
 	}
 	if !peers.designated(true) {
-		t.Error("nobody is designated where all stand aside")
+		t.Error("no node is designated if all have stepped back")
 	}
-	peers.hear(there, Message{Node: "a", Sequence: 2}, origin)
+	peers.recordMessage(there, Message{Node: "a", Sequence: 2}, origin)
 	if peers.designated(false) || peers.designated(true) {
-		t.Error("a node with a lower incarnation doesn't count")
+		t.Error("designated although a node with a lower incarnation is back")
 	}
 }
 
-// TestOneNodeReadsATable, and each zone has one that is next: the places of all nodes
-// differ where it matters.
+// TestOneNodeReadsATable checks that exactly one node ranks first among the readers of a table,
+// that each zone has one that ranks second, and that the nodes agree on their order.
 func TestOneNodeReadsATable(t *testing.T) {
 	sets := fleetOf(60)
 	first, second := 0, make(map[string]bool)
 	for _, set := range sets {
-		switch place := set.place("servers"); {
+		switch place := set.readerRank("servers"); {
 		case place == 0:
 			first++
 			for _, other := range sets {
@@ -252,31 +258,31 @@
 		}
 	}
 	if first != 1 || len(second) < 4 {
-		t.Errorf("%d nodes read the table; the next are in the zones %v", first, second)
+		t.Errorf("%d nodes rank first; those that rank second are in the zones %v", first, second)
 	}
-	if unread := newPeerSet("new", self, "zone"); unread.place("servers") != lastPlace {
-		t.Error("a node that doesn't know the others takes the first place")
+	if unread := newPeerSet("new", self, "zone"); unread.readerRank("servers") != lowestRank {
+		t.Error("a node that doesn't know the others doesn't rank last")
 	}
 }
 
-// TestAccountsAreFoundWithoutRankingAllNodes: whoever is a home of a worker knows it, and few
-// workers have to be ranked for that, whatever their number.
-func TestAccountsAreFoundWithoutRankingAllNodes(t *testing.T) {
+// TestHomesAreFoundWithoutRankingAllNodes checks that mayBeHome is true for every worker that a
+// node is a home of, and for few others, so that the nodes need to be ranked for few workers.
+func TestHomesAreFoundWithoutRankingAllNodes(t *testing.T) {
 	for _, nodes := range []int{22, 66, 295, 985} {
-		set := aSupervisor(t, nodes)
+		set := supervisorSet(t, nodes)
 		const workers = 5000
 		maybe := 0
 		for i := range workers {
 			id := fmt.Sprint("w", i)
-			if set.mayKeep(id) {
+			if set.mayBeHome(id) {
 				maybe++
 			} else if slices.Contains(set.homes(id), set.address) {
-				t.Fatalf("%d nodes: a home of %s doesn't know it", nodes, id)
+				t.Fatalf("%d nodes: mayBeHome excludes a home of %s", nodes, id)
 			}
 		}
 		share := float64(20+2*homeCount(nodes)) / float64(nodes)
 		if most := 1.3 * share * workers; float64(maybe) > most+20 {
-			t.Errorf("%d nodes: %d of %d workers have to be ranked, want %.0f", nodes, maybe, workers, most)
+			t.Errorf("%d nodes: rankings are needed for %d of %d workers, want at most %.0f", nodes, maybe, workers, most)
 		}
 	}
 }
--- a/internal/nodeexchange/quota.go
+++ b/internal/nodeexchange/quota.go
@@ -12,85 +12,91 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// The figures of the exchange of quotas.
+// Times and bounds of the exchange about quotas.
 const (
-	// quotaAskTimeout is how long a keeper's answer is waited for before the next is asked
-	// too: as askTimeout.
-	quotaAskTimeout = askTimeout
-	// quotaAskAll is how long any keeper's answer is waited for: four times that, a tenth
-	// of the shortest objectives.
-	quotaAskAll = 4 * quotaAskTimeout
-	// quotaRestEvery is the time between two reports of an account that was used lately,
-	// though nothing has changed, and quotaKeepersEvery that between two of its keepers.
-	quotaRestEvery    = time.Second
-	quotaKeepersEvery = 500 * time.Millisecond
-	// quotaQuiet is when a keeper that isn't heard makes another probe the nodes that use the
-	// account: when one report is late, so that two probes are answered before SilentAfter.
-	quotaQuiet = quotaKeepersEvery + 100*time.Millisecond
-	// maxQuotaReports bounds the reports of one datagram: of up to 200 bytes each, they
-	// stay below maxDatagram.
+	// quotaKeeperTimeout is how long a keeper's answer is waited for before the next keeper is
+	// asked too; the same as askTimeout.
+	quotaKeeperTimeout = askTimeout
+	// quotaTotalTimeout is how long the answer of any keeper is waited for: four times
+	// quotaKeeperTimeout, a tenth of the shortest objectives.
+	quotaTotalTimeout = 4 * quotaKeeperTimeout
+	// quotaReportInterval is the time between two reports of a recently used account even if
+	// nothing has changed. keeperReportInterval is the time between two reports of its keepers
+	// to each other.
+	quotaReportInterval  = time.Second
+	keeperReportInterval = 500 * time.Millisecond
+	// probeAfter is how long a keeper must be silent before another one probes the nodes that
+	// use the account: as soon as one report is late, so that two probes can be answered before
+	// quota.SilentAfter.
+	probeAfter = keeperReportInterval + 100*time.Millisecond
+	// maxQuotaReports bounds the reports in one datagram: at up to 200 bytes each, they stay
+	// below maxDatagram.
 	maxQuotaReports = 80
 )
 
-// quotaKind is what the accounts of an exchange are of.
-type quotaKind struct {
+// accountKind tells apart the accounts of tenants' quotas from those of workers' request
+// limits.
+type accountKind struct {
 	// tolerance is by how much limits may be exceeded.
 	tolerance quota.Tolerance
-	// keepers returns the nodes that keep an account, the first to be asked first. It is
-	// called under the lock of the exchange's peers.
+	// keepers returns the keepers of an account, in the order in which they are to be asked.
+	// The caller must hold the lock of the exchange.
 	keepers func(peers *peerSet, account string) []netip.AddrPort
-	// message carries a form to another node.
-	message func(form *quotaForm) Message
-	// limits holds the limits of accounts that are known here; nil where the nodes that ask
-	// tell those of a configuration.
+	// message wraps a quotaMessage for another node.
+	message func(form *quotaMessage) Message
+	// limits holds the limits that this node knows of accounts. It is nil where the asking
+	// nodes send the limits, which they have from their configuration.
 	limits *turnLimits
 }
 
-// quotaExchange is this node's part in the keeping of accounts of one kind: what tenants use, or
-// the requests that go to workers which take few.
+// quotaExchange is this node's part in accounting of one kind: tenants' quotas, or turns at
+// workers that limit their requests per second. The node may be a keeper of an account, which
+// decides charges to it, a user of it, or both.
 type quotaExchange struct {
-	quotaKind
+	accountKind
 	exchange *Exchange
-	// wake is sent to when a node's own counters have changed.
+	// wake receives a token when this node's own counters have changed.
 	wake chan struct{}
 
 	mu     sync.Mutex
 	keeper *quota.Keeper
 	meter  *quota.Meter
-	// asks are those whose answers are awaited.
-	asks    map[uint64]*quotaAsk
-	lastAsk uint64
-	// heard is when each node's last message on quotas came, and lastHeard when any did.
+	// pendingCharges are the charges that wait for answers of keepers, by ID.
+	pendingCharges map[uint64]*pendingCharge
+	lastCharge     uint64
+	// heard is when the last message about accounts of this kind arrived, by node, and
+	// lastHeard when the last one of any node did.
 	heard     map[netip.AddrPort]time.Time
 	lastHeard time.Time
-	// lastInUse is when accounts were in use here, so that reports were due.
+	// lastInUse is when accounts were last in use on this node, so that reports of other nodes
+	// were due.
 	lastInUse time.Time
-	// ran is when this process was seen to run, by clock.Boot.
-	ran time.Time
-	// generation is that of the nodes for which the keeper's accounts are.
+	// lastRan is when this process last recorded that it runs, by clock.Boottime.
+	lastRan time.Time
+	// generation is the generation of the nodes by which the keeper's accounts were last
+	// selected.
 	generation uint64
-	// reserving are the accounts of which a part is kept for nodes out of hearing.
+	// reserving holds the accounts of which a part is reserved for silent nodes.
 	reserving map[string]bool
 }
 
-// SetQuota has the exchange keep and use the accounts of tenants' quotas. It is called before
-// Run.
+// SetQuota turns on the accounting of tenants' quotas. It must be called before Run.
 func (e *Exchange) SetQuota(tolerance quota.Tolerance) {
-	e.quota = newQuotaExchange(e, quotaKind{
+	e.quota = newQuotaExchange(e, accountKind{
 		tolerance: tolerance, keepers: (*peerSet).quotaKeepers,
-		message: func(form *quotaForm) Message { return Message{Node: e.node, Quota: form} },
+		message: func(form *quotaMessage) Message { return Message{Node: e.node, Quota: form} },
 	})
 }
 
-func newQuotaExchange(e *Exchange, kind quotaKind) *quotaExchange {
+func newQuotaExchange(e *Exchange, kind accountKind) *quotaExchange {
 	return &quotaExchange{
-		quotaKind: kind, exchange: e, wake: make(chan struct{}, 1),
-		keeper: quota.NewKeeper(kind.tolerance, e.begun), meter: quota.NewMeter(kind.tolerance),
-		asks: make(map[uint64]*quotaAsk), heard: make(map[netip.AddrPort]time.Time), reserving: make(map[string]bool),
+		accountKind: kind, exchange: e, wake: make(chan struct{}, 1),
+		keeper: quota.NewKeeper(kind.tolerance, e.started), meter: quota.NewMeter(kind.tolerance),
+		pendingCharges: make(map[uint64]*pendingCharge), heard: make(map[netip.AddrPort]time.Time), reserving: make(map[string]bool),
 	}
 }
 
-// quotas are the exchanges of all kinds.
+// quotas returns the exchanges of all kinds of accounts that are turned on.
 func (e *Exchange) quotas() []*quotaExchange {
 	var kinds []*quotaExchange
 	for _, q := range []*quotaExchange{e.quota, e.turns} {
@@ -101,25 +107,24 @@
 	return kinds
 }
 
-// quotaAsk is a claim for which keepers are asked.
-type quotaAsk struct {
+// pendingCharge is a charge that is being decided by the keepers of its account.
+type pendingCharge struct {
 	id      uint64
-	claim   quota.ChargeRequest
+	request quota.ChargeRequest
 	account string
 	report  quota.Report
-	// keepers are in the order in which they are asked, and suspected tells that none of
-	// them has answered lately.
+	// keepers are in the order in which they are asked. suspected tells that all of them are
+	// suspected.
 	keepers   []netip.AddrPort
 	suspected bool
-	// asked holds when each keeper was asked that hasn't answered.
+	// asked holds when each keeper was asked, for those that haven't answered.
 	asked map[netip.AddrPort]time.Time
-	// patience is for how much longer than within the region each keeper's answer is waited
-	// for.
-	patience map[netip.AddrPort]time.Duration
-	// count and answered count the keepers asked and those of them that answered.
+	// extraWait is how much longer than within the region to wait for each keeper's answer.
+	extraWait map[netip.AddrPort]time.Duration
+	// count is the number of keepers asked, and answered the number of those that answered.
 	count, answered int
 	answers         chan quotaAnswer
-	// best is the decision so far, by a keeper.
+	// best is the best answer so far.
 	best *quotaAnswer
 }
 
@@ -129,102 +134,103 @@
 	decision quota.Decision
 }
 
-// final reports whether no other keeper is to be asked.
+// final reports whether no other keeper needs to be asked: a refusal by a cold keeper, which
+// doesn't know yet what was used, isn't final.
 func (a quotaAnswer) final() bool { return a.decision.Granted || !a.decision.Cold }
 
-// ChargeQuota asks the keepers of a tenant's account for the cost of a request.
-func (e *Exchange) ChargeQuota(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
-	return e.quota.charge(ctx, claim)
+// ChargeQuota charges the cost of a request to a tenant's account.
+func (e *Exchange) ChargeQuota(ctx context.Context, request quota.ChargeRequest) quota.Outcome {
+	return e.quota.charge(ctx, request)
 }
 
-// charge asks the keepers of an account for the cost of a request, one after another where they
-// don't answer in time or don't know enough to refuse. Where none answers, this node's own
-// allowance decides.
-func (q *quotaExchange) charge(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
+// charge asks the keepers of an account to decide a charge. It asks the next keeper if one
+// doesn't answer in time or refuses without knowing what was used. If none answers, this node's
+// own allowance decides.
+func (q *quotaExchange) charge(ctx context.Context, request quota.ChargeRequest) quota.Outcome {
 	begun := time.Now()
-	ask := q.beginAsk(claim, begun)
-	for i, keeper := range ask.keepers {
-		q.askKeeper(ask, keeper)
-		last := i == len(ask.keepers)-1
-		if ask.suspected && !last {
+	pending := q.beginCharge(request, begun)
+	for i, keeper := range pending.keepers {
+		q.askKeeper(pending, keeper)
+		last := i == len(pending.keepers)-1
+		if pending.suspected && !last {
 			continue
 		}
-		timeout := ask.timeout(keeper)
-		if last && !ask.suspected {
-			timeout = max(quotaAskAll+ask.patience[keeper]-time.Since(begun), timeout)
+		timeout := pending.timeout(keeper)
+		if last && !pending.suspected {
+			timeout = max(quotaTotalTimeout+pending.extraWait[keeper]-time.Since(begun), timeout)
 		}
-		if ask.await(ctx, timeout) {
+		if pending.await(ctx, timeout) {
 			break
 		}
 	}
-	verdict := q.settleAsk(ctx, ask, time.Now())
+	verdict := q.finishCharge(ctx, pending, time.Now())
 	verdict.Took = time.Since(begun)
 	return verdict
 }
 
-// timeout is how long one keeper's answer is waited for.
-func (a *quotaAsk) timeout(keeper netip.AddrPort) time.Duration {
-	return quotaAskTimeout + a.patience[keeper]
+// timeout returns how long to wait for one keeper's answer.
+func (a *pendingCharge) timeout(keeper netip.AddrPort) time.Duration {
+	return quotaKeeperTimeout + a.extraWait[keeper]
 }
 
-// beginAsk finds the keepers of an account and what to tell them.
-func (q *quotaExchange) beginAsk(claim quota.ChargeRequest, now time.Time) *quotaAsk {
-	account := claim.Charge().Account
-	ask := &quotaAsk{
-		claim: claim, account: account, asked: make(map[netip.AddrPort]time.Time),
-		answers: make(chan quotaAnswer, quotaKeeperCount), patience: make(map[netip.AddrPort]time.Duration),
+// beginCharge registers a charge and selects the keepers to be asked, the suspected ones last.
+func (q *quotaExchange) beginCharge(request quota.ChargeRequest, now time.Time) *pendingCharge {
+	account := request.Charge().Account
+	pending := &pendingCharge{
+		request: request, account: account, asked: make(map[netip.AddrPort]time.Time),
+		answers: make(chan quotaAnswer, quotaKeeperCount), extraWait: make(map[netip.AddrPort]time.Duration),
 	}
 	q.exchange.mu.Lock()
 	var suspected []netip.AddrPort
 	for _, keeper := range q.keepers(q.exchange.peers, account) {
-		ask.patience[keeper] = q.exchange.patience(q.exchange.peers.regionOf(keeper))
+		pending.extraWait[keeper] = q.exchange.extraWait(q.exchange.peers.regionOf(keeper))
 		if q.exchange.peers.suspected(keeper, now) {
 			suspected = append(suspected, keeper)
 		} else {
-			ask.keepers = append(ask.keepers, keeper)
+			pending.keepers = append(pending.keepers, keeper)
 		}
 	}
 	q.exchange.mu.Unlock()
-	ask.suspected = len(ask.keepers) == 0
-	ask.keepers = append(ask.keepers, suspected...)
+	pending.suspected = len(pending.keepers) == 0
+	pending.keepers = append(pending.keepers, suspected...)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	ask.report = q.meter.Begin(account, claim.Limit, claim.Version, now)
-	q.lastAsk++
-	ask.id = q.lastAsk
-	q.asks[ask.id] = ask
-	return ask
+	pending.report = q.meter.Begin(account, request.Limit, request.Version, now)
+	q.lastCharge++
+	pending.id = q.lastCharge
+	q.pendingCharges[pending.id] = pending
+	return pending
 }
 
 // askKeeper asks one keeper, which may be this node.
-func (q *quotaExchange) askKeeper(ask *quotaAsk, keeper netip.AddrPort) {
+func (q *quotaExchange) askKeeper(pending *pendingCharge, keeper netip.AddrPort) {
 	now := time.Now()
-	ask.count++
+	pending.count++
 	if keeper == q.exchange.peers.address {
 		decision := q.decide(quota.DecisionRequest{
-			Account: ask.account, From: q.self(), Report: ask.report, Cost: ask.claim.Cost, Patience: ask.claim.Patience,
+			Account: pending.account, From: q.self(), Report: pending.report, Cost: pending.request.Cost, Patience: pending.request.Patience,
 		}, now)
-		ask.answers <- quotaAnswer{from: keeper, decision: decision}
+		pending.answers <- quotaAnswer{from: keeper, decision: decision}
 		return
 	}
 	q.mu.Lock()
-	ask.asked[keeper] = now
+	pending.asked[keeper] = now
 	q.mu.Unlock()
-	form := &quotaAskForm{
-		ID: ask.id, Account: ask.account, Cost: ask.claim.Cost, PatienceMillis: ask.claim.Patience.Milliseconds(),
-		Report: renderQuotaReport(ask.report), Limit: q.limits.form(ask.account, now),
+	form := &wireQuotaRequest{
+		ID: pending.id, Account: pending.account, Cost: pending.request.Cost, PatienceMillis: pending.request.Patience.Milliseconds(),
+		Report: renderQuotaReport(pending.report), Limit: q.limits.currentLimit(pending.account, now),
 	}
-	q.exchange.sendTo(keeper, q.message(&quotaForm{Ask: form}))
+	q.exchange.sendTo(keeper, q.message(&quotaMessage{Ask: form}))
 }
 
-// self is this node as one that uses accounts.
+// self identifies this node as a user of accounts.
 func (q *quotaExchange) self() quota.Spender {
 	return quota.Spender{Node: q.exchange.node, Address: q.exchange.peers.address}
 }
 
-// await takes answers until one is final, all keepers asked so far have answered, or the
-// time is over. It reports whether no other is to be asked.
-func (a *quotaAsk) await(ctx context.Context, timeout time.Duration) bool {
+// await processes answers until one is final, all keepers asked so far have answered, or the
+// timeout ends. It reports whether no other keeper is to be asked.
+func (a *pendingCharge) await(ctx context.Context, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
@@ -245,16 +251,16 @@
 	}
 }
 
-// take keeps the better of the decisions: one that grants, else one that knows.
-func (a *quotaAsk) take(answer quotaAnswer) {
+// take keeps the better answer: one that grants the charge, or else one that is final.
+func (a *pendingCharge) take(answer quotaAnswer) {
 	a.answered++
 	if a.best == nil || !a.best.final() || answer.decision.Granted {
 		a.best = &answer
 	}
 }
 
-// drain takes the answers that have come already.
-func (a *quotaAsk) drain() {
+// drain processes the answers that have arrived already.
+func (a *pendingCharge) drain() {
 	for {
 		select {
 		case answer := <-a.answers:
@@ -265,8 +271,8 @@
 	}
 }
 
-// silent returns the keepers that had all the time that an answer is given.
-func (a *quotaAsk) silent(now time.Time) []netip.AddrPort {
+// silent returns the keepers that haven't answered within their timeouts.
+func (a *pendingCharge) silent(now time.Time) []netip.AddrPort {
 	var silent []netip.AddrPort
 	for keeper, at := range a.asked {
 		if now.Sub(at) >= a.timeout(keeper) {
@@ -276,53 +282,55 @@
 	return silent
 }
 
-// settled is what became of a claim, for the log.
-type settled struct {
-	// alone tells that this node has begun to decide without a keeper, and back that it
-	// doesn't any more.
+// chargeResult is what a charge revealed about the keepers, for the log.
+type chargeResult struct {
+	// alone tells that this node has begun to decide without a keeper, and back that keepers
+	// answer again.
 	alone, back bool
 	silent      []netip.AddrPort
 }
 
-// settleAsk ends an ask and counts what became of its claim.
-func (q *quotaExchange) settleAsk(ctx context.Context, ask *quotaAsk, now time.Time) quota.Outcome {
-	verdict, end := q.settle(ask, q.exchange.Nodes(), ctx.Err() != nil, now)
-	q.awake()
-	q.exchange.suspect(end.silent, now)
-	q.logSettled(ask, verdict, end)
+// finishCharge ends a charge, logs what it revealed about the keepers, and returns its outcome.
+func (q *quotaExchange) finishCharge(ctx context.Context, pending *pendingCharge, now time.Time) quota.Outcome {
+	verdict, result := q.finish(pending, q.exchange.Nodes(), ctx.Err() != nil, now)
+	q.wakeReporter()
+	q.exchange.suspect(result.silent, now)
+	q.logResult(pending, verdict, result)
 	if !verdict.Granted {
 		verdict.RetryAfter = quota.AddJitter(verdict.RetryAfter, rand.Float64())
 	}
 	return verdict
 }
 
-func (q *quotaExchange) settle(ask *quotaAsk, nodes int, callerGone bool, now time.Time) (quota.Outcome, settled) {
+// finish ends a pending charge: it determines the outcome, by this node's own allowance if no
+// keeper has answered, and counts what was granted.
+func (q *quotaExchange) finish(pending *pendingCharge, nodes int, callerGone bool, now time.Time) (quota.Outcome, chargeResult) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	delete(q.asks, ask.id)
-	ask.drain()
-	end := settled{silent: ask.silent(now)}
-	verdict := quota.Outcome{Asked: ask.count, Unanswered: len(ask.asked), Version: ask.claim.Version}
+	delete(q.pendingCharges, pending.id)
+	pending.drain()
+	result := chargeResult{silent: pending.silent(now)}
+	verdict := quota.Outcome{Asked: pending.count, Unanswered: len(pending.asked), Version: pending.request.Version}
 	switch {
-	case ask.best != nil:
-		end.back = q.meter.SetShare(ask.account, ask.best.decision.Share, now)
-		verdict = decidedBy(verdict, *ask.best)
+	case pending.best != nil:
+		result.back = q.meter.SetShare(pending.account, pending.best.decision.Share, now)
+		verdict = outcomeOf(verdict, *pending.best)
 	case !callerGone:
-		private := q.meter.DecidePrivately(ask.account, nodes, ask.claim.Cost, rand.Float64(), now)
-		end.alone = private.First
+		private := q.meter.DecidePrivately(pending.account, nodes, pending.request.Cost, rand.Float64(), now)
+		result.alone = private.First
 		verdict.Private, verdict.Granted = true, private.Granted
 		verdict.Level, verdict.RetryAfter = private.Level, private.Wait
 	}
 	switch {
 	case verdict.Granted:
-		q.meter.Take(ask.account, ask.claim.Cost, now)
-	case len(ask.asked) > 0:
-		q.meter.TakeAndRefund(ask.account, ask.claim.Cost, now)
+		q.meter.Take(pending.account, pending.request.Cost, now)
+	case len(pending.asked) > 0:
+		q.meter.TakeAndRefund(pending.account, pending.request.Cost, now)
 	}
-	return verdict, end
+	return verdict, result
 }
 
-func decidedBy(verdict quota.Outcome, answer quotaAnswer) quota.Outcome {
+func outcomeOf(verdict quota.Outcome, answer quotaAnswer) quota.Outcome {
 	decision := answer.decision
 	verdict.Granted, verdict.RetryAfter = decision.Granted, decision.Wait
 	verdict.Keeper, verdict.Level, verdict.Reserved = answer.from.String(), decision.Level, decision.Reserved
@@ -330,15 +338,15 @@
 	return verdict
 }
 
-// awake has the changed counters told.
-func (q *quotaExchange) awake() {
+// wakeReporter lets reportAll report the changed counters.
+func (q *quotaExchange) wakeReporter() {
 	select {
 	case q.wake <- struct{}{}:
-	default: // it is awake already
+	default: // a token is waiting already
 	}
 }
 
-// suspect records that nodes gave no answer.
+// suspect records that nodes didn't answer.
 func (e *Exchange) suspect(silent []netip.AddrPort, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -347,39 +355,40 @@
 	}
 }
 
-func (q *quotaExchange) logSettled(ask *quotaAsk, verdict quota.Outcome, end settled) {
+func (q *quotaExchange) logResult(pending *pendingCharge, verdict quota.Outcome, result chargeResult) {
 	entry := q.exchange.log.WithFields(logrus.Fields{
-		"account": ask.account, "asked": verdict.Asked, "unanswered": verdict.Unanswered, "left": verdict.Level,
+		"account": pending.account, "asked": verdict.Asked, "unanswered": verdict.Unanswered, "left": verdict.Level,
 	})
-	if end.alone {
+	if result.alone {
 		entry.Warn("no keeper of a quota answers: this node's own allowance decides")
 	}
-	if end.back {
+	if result.back {
 		entry.Info("a keeper of a quota answers again")
 	}
 }
 
-// ReturnQuota gives back what was charged for a request that proved not to have run.
+// ReturnQuota refunds what was charged for a request that turned out not to have run.
 func (e *Exchange) ReturnQuota(charge quota.Charge) {
-	e.quota.giveBack(charge)
+	e.quota.refund(charge)
 }
 
-func (q *quotaExchange) giveBack(charge quota.Charge) {
+func (q *quotaExchange) refund(charge quota.Charge) {
 	q.mu.Lock()
 	q.meter.Refund(charge.Account, charge.Cost)
 	q.mu.Unlock()
-	q.awake()
+	q.wakeReporter()
 }
 
-// RecordQuotaCharge charges for another run of a request that may have run already.
+// RecordQuotaCharge charges for another run of a request that may have run before, without
+// asking a keeper.
 func (e *Exchange) RecordQuotaCharge(charge quota.Charge) {
-	e.quota.take(charge, time.Now())
+	e.quota.record(charge, time.Now())
 }
 
-// take counts a charge for which no keeper is asked.
-func (q *quotaExchange) take(charge quota.Charge, now time.Time) {
+// record counts a charge without asking a keeper.
+func (q *quotaExchange) record(charge quota.Charge, now time.Time) {
 	q.mu.Lock()
 	q.meter.Take(charge.Account, charge.Cost, now)
 	q.mu.Unlock()
-	q.awake()
+	q.wakeReporter()
 }
--- a/internal/nodeexchange/quota_keep.go
+++ b/internal/nodeexchange/quota_keep.go
@@ -11,26 +11,26 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// receive takes in a message on accounts of this kind.
-func (q *quotaExchange) receive(from netip.AddrPort, node string, form quotaForm) {
+// receive processes a message about accounts of this kind.
+func (q *quotaExchange) receive(from netip.AddrPort, node string, form quotaMessage) {
 	now := time.Now()
 	q.heardFrom(from, now)
 	switch {
 	case form.Ask != nil:
-		q.limits.take(form.Ask.Account, node, form.Ask.Limit, now)
+		q.limits.receive(form.Ask.Account, node, form.Ask.Limit, now)
 		decision := q.decide(form.Ask.ask(quota.Spender{Node: node, Address: from}), now)
-		q.exchange.sendTo(from, q.message(&quotaForm{Reply: q.renderReply(*form.Ask, decision, now)}))
+		q.exchange.sendTo(from, q.message(&quotaMessage{Reply: q.renderReply(*form.Ask, decision, now)}))
 	case form.Probe != "":
 		q.reportProbed(from, form.Probe, now)
 	case form.Reply != nil:
 		q.answered(from, node, *form.Reply, now)
 	default:
-		q.takeReports(quota.Spender{Node: node, Address: from}, form.Reports, now)
+		q.receiveReports(quota.Spender{Node: node, Address: from}, form.Reports, now)
 	}
 }
 
-// heardFrom records that a node is in hearing, and that reports were missed where none
-// came though some were due.
+// heardFrom records a message from a node. After a silence of all nodes during which reports
+// were due, it marks the keeper's counts as incomplete.
 func (q *quotaExchange) heardFrom(from netip.AddrPort, now time.Time) {
 	q.exchange.mu.Lock()
 	q.exchange.peers.answered(from)
@@ -54,37 +54,38 @@
 	return missed
 }
 
-// awaken notes that this process runs. A keeper that stood still has missed what others used
-// meanwhile, and must not decide by what it knew before it hears them.
-func (q *quotaExchange) awaken(now time.Time) {
+// checkForPause records that this process runs. A keeper whose process was paused has missed
+// what other nodes used in the meantime, and must not decide by its old counts before it hears
+// from them.
+func (q *quotaExchange) checkForPause(now time.Time) {
 	running := clock.Boottime()
 	q.mu.Lock()
-	stood := running.Sub(q.ran)
-	missed := !q.ran.IsZero() && stood > quota.SilentAfter
+	stood := running.Sub(q.lastRan)
+	missed := !q.lastRan.IsZero() && stood > quota.SilentAfter
 	if missed {
 		q.keeper.ReportsMissed(now)
 	}
-	q.ran = running
+	q.lastRan = running
 	q.mu.Unlock()
 	if missed {
 		q.exchange.log.WithField("stood_ms", stood.Milliseconds()).Warn("this process stood still: what is left of quotas is not known")
 	}
 }
 
-// decide decides as a keeper, by the limit that is known here where limits are learned. A cost
-// of an account that has none passes.
+// decide decides a request as a keeper, by the limit that this node knows where workers state
+// limits. Without a limit, every request is granted.
 func (q *quotaExchange) decide(ask quota.DecisionRequest, now time.Time) quota.Decision {
-	q.awaken(now)
-	q.move(now)
+	q.checkForPause(now)
+	q.dropMovedAccounts(now)
 	account := ask.Account
 	limited := q.limits.apply(account, &ask.Report)
 	keepers := q.keepersOf(account)
 	keeps := slices.Contains(keepers, q.exchange.peers.address)
 	q.mu.Lock()
-	split := q.split(account, keepers, q.exchange.peers.address, quota.SilentAfter, now)
-	ask.Split, ask.Alone = split, q.alone(keepers, q.exchange.peers.address)
+	split := q.hasSilentKeeper(account, keepers, q.exchange.peers.address, quota.SilentAfter, now)
+	ask.Split, ask.Alone = split, q.hasHeardNoKeeper(keepers, q.exchange.peers.address)
 	decision := q.keeper.Decide(ask, keeps, now)
-	changed := q.reserves(account, decision.Reserved > 0)
+	changed := q.setReserved(account, decision.Reserved > 0)
 	q.mu.Unlock()
 	if changed {
 		q.exchange.log.WithFields(logrus.Fields{"account": account, "reserved": decision.Reserved, "left": decision.Level, "split": split}).
@@ -96,8 +97,9 @@
 	return decision
 }
 
-// split reports whether another keeper of an account wasn't heard for a time.
-func (q *quotaExchange) split(account string, keepers []netip.AddrPort, self netip.AddrPort, silence time.Duration, now time.Time) bool {
+// hasSilentKeeper reports whether another keeper of the account has been silent for longer than
+// silence.
+func (q *quotaExchange) hasSilentKeeper(account string, keepers []netip.AddrPort, self netip.AddrPort, silence time.Duration, now time.Time) bool {
 	known := q.keeper.KnownSince(account, now)
 	for _, keeper := range keepers {
 		heard := q.heard[keeper]
@@ -111,8 +113,9 @@
 	return false
 }
 
-// alone reports whether none of the other keepers of an account was ever heard.
-func (q *quotaExchange) alone(keepers []netip.AddrPort, self netip.AddrPort) bool {
+// hasHeardNoKeeper reports whether there are other keepers of an account and none of them has
+// ever been heard.
+func (q *quotaExchange) hasHeardNoKeeper(keepers []netip.AddrPort, self netip.AddrPort) bool {
 	others := 0
 	for _, keeper := range keepers {
 		if keeper == self {
@@ -126,8 +129,9 @@
 	return others > 0
 }
 
-// reserves records whether a part of an account is reserved, and reports a change.
-func (q *quotaExchange) reserves(account string, reserved bool) (changed bool) {
+// setReserved records whether a part of an account is reserved, and reports whether this has
+// changed.
+func (q *quotaExchange) setReserved(account string, reserved bool) (changed bool) {
 	if q.reserving[account] == reserved {
 		return false
 	}
@@ -144,14 +148,15 @@
 	return q.keepers(q.exchange.peers, account)
 }
 
-// move has the keeper drop the accounts that other nodes keep, after nodes were added
-// or have left. When it returns, the keeper follows the ranking, whoever had it do so: a
-// decision by an older one would take an account that is new here for one that is full.
-func (q *quotaExchange) move(now time.Time) {
+// dropMovedAccounts lets the keeper drop the accounts that other nodes keep after nodes were
+// added or removed. When it returns, the keeper follows the current ranking, even if another
+// goroutine updated it: a decision by an older ranking would take an account that has just
+// moved to this node for one of which nothing was used.
+func (q *quotaExchange) dropMovedAccounts(now time.Time) {
 	q.exchange.mu.Lock()
 	generation := q.exchange.peers.generation
 	q.exchange.mu.Unlock()
-	accounts, follows := q.followed(generation)
+	accounts, follows := q.isUpToDate(generation)
 	if follows {
 		return
 	}
@@ -162,15 +167,15 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.generation >= generation {
-		return // another has had it do so meanwhile
+		return // another goroutine updated it in the meantime
 	}
 	q.generation = generation
 	q.keeper.KeepersChanged(func(account string) bool { return kept[account] }, now)
 }
 
-// followed reports whether the keeper follows the ranking of a generation of the nodes, else
-// with the accounts that it has.
-func (q *quotaExchange) followed(generation uint64) (accounts []string, follows bool) {
+// isUpToDate reports whether the keeper follows the ranking of a generation of the nodes. If
+// not, it returns the keeper's accounts.
+func (q *quotaExchange) isUpToDate(generation uint64) (accounts []string, follows bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.generation >= generation {
@@ -179,23 +184,23 @@
 	return q.keeper.Accounts(), false
 }
 
-// answered hands a keeper's answer to the claim that waits for it.
-func (q *quotaExchange) answered(from netip.AddrPort, node string, form quotaReplyForm, now time.Time) {
-	q.limits.take(form.Account, node, form.Limit, now)
+// answered passes a keeper's answer to the charge that waits for it.
+func (q *quotaExchange) answered(from netip.AddrPort, node string, form wireQuotaReply, now time.Time) {
+	q.limits.receive(form.Account, node, form.Limit, now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	ask, waiting := q.asks[form.ID]
+	pending, waiting := q.pendingCharges[form.ID]
 	if !waiting {
 		return
 	}
-	if _, asked := ask.asked[from]; !asked {
+	if _, asked := pending.asked[from]; !asked {
 		return
 	}
-	delete(ask.asked, from)
-	ask.answers <- quotaAnswer{from: from, decision: form.decision()} // it holds one of each keeper
+	delete(pending.asked, from)
+	pending.answers <- quotaAnswer{from: from, decision: form.decision()} // the channel has room for one answer of each keeper
 }
 
-// left records that a node stops as planned.
+// left records that a node shuts down as planned.
 func (q *quotaExchange) left(node string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/nodeexchange/quota_reports.go
+++ b/internal/nodeexchange/quota_reports.go
@@ -10,9 +10,9 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// takeReports takes in what a node has used.
-func (q *quotaExchange) takeReports(from quota.Spender, reports map[string]quotaReportForm, now time.Time) {
-	q.move(now)
+// receiveReports processes what a node reports to have used.
+func (q *quotaExchange) receiveReports(from quota.Spender, reports map[string]wireQuotaReport, now time.Time) {
+	q.dropMovedAccounts(now)
 	for account, form := range reports {
 		keeps := slices.Contains(q.keepersOf(account), q.exchange.peers.address)
 		report := form.report()
@@ -23,36 +23,36 @@
 	}
 }
 
-// reportAll reports to the keepers what this node has used, when it has changed and at
-// rest, until ctx ends.
+// reportAll reports to the keepers what this node has used, after each change and periodically,
+// until ctx ends.
 func (q *quotaExchange) reportAll(ctx context.Context) {
-	ticker := time.NewTicker(quotaKeepersEvery)
+	ticker := time.NewTicker(keeperReportInterval)
 	defer ticker.Stop()
 	var soon <-chan time.Time
-	rested := time.Now()
+	lastPeriodic := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-q.wake:
 			if soon == nil {
-				soon = time.After(sendEvery)
+				soon = time.After(minSendInterval)
 			}
 		case <-soon:
 			soon = nil
 			q.reportChanged(time.Now())
 		case now := <-ticker.C:
-			q.awaken(now)
-			atRest := now.Sub(rested) >= quotaRestEvery
-			if atRest {
-				rested = now
+			q.checkForPause(now)
+			periodic := now.Sub(lastPeriodic) >= quotaReportInterval
+			if periodic {
+				lastPeriodic = now
 			}
-			q.reportAtRest(atRest, now)
+			q.reportPeriodic(periodic, now)
 		}
 	}
 }
 
-// reportChanged reports the accounts that this node has used since it did last.
+// reportChanged reports the accounts that this node has used since the last report.
 func (q *quotaExchange) reportChanged(now time.Time) {
 	q.mu.Lock()
 	reports := q.meter.Reports(q.meter.Changed(), now)
@@ -60,10 +60,10 @@
 	q.sendReports(reports, now)
 }
 
-// reportAtRest reports the accounts that this node keeps, so that their keepers hear
-// each other, and all that it uses where that is due.
-func (q *quotaExchange) reportAtRest(all bool, now time.Time) {
-	q.move(now)
+// reportPeriodic sends periodic reports: of the accounts that this node keeps, so that their
+// keepers hear from each other, and, if all is set, of all accounts that it uses.
+func (q *quotaExchange) reportPeriodic(all bool, now time.Time) {
+	q.dropMovedAccounts(now)
 	q.mu.Lock()
 	reports := q.keeper.InUse(now)
 	if len(reports) > 0 {
@@ -85,8 +85,9 @@
 	q.probeQuiet(now)
 }
 
-// probeQuiet asks the nodes that use accounts and weren't heard lately for a report, where
-// another keeper isn't heard: those that answer have their part of the limit here.
+// probeQuiet asks the nodes that use an account and weren't heard recently for a report, if
+// another keeper of the account is silent. The answers show that these nodes reach this keeper,
+// so that their part of the limit needn't be reserved.
 func (q *quotaExchange) probeQuiet(now time.Time) {
 	q.mu.Lock()
 	accounts := slices.Collect(maps.Keys(q.keeper.InUse(now)))
@@ -95,11 +96,11 @@
 		keepers := q.keepersOf(account)
 		q.mu.Lock()
 		var quiet []netip.AddrPort
-		if q.split(account, keepers, q.exchange.peers.address, quotaQuiet, now) {
-			quiet = q.keeper.SilentNodes(account, quotaKeepersEvery, now)
+		if q.hasSilentKeeper(account, keepers, q.exchange.peers.address, probeAfter, now) {
+			quiet = q.keeper.SilentNodes(account, keeperReportInterval, now)
 		}
 		q.mu.Unlock()
-		q.exchange.sendAll(quiet, q.message(&quotaForm{Probe: account}))
+		q.exchange.sendAll(quiet, q.message(&quotaMessage{Probe: account}))
 	}
 }
 
@@ -109,7 +110,7 @@
 	report := q.meter.Report(account, now)
 	q.mu.Unlock()
 	if report.Limit.Limited() {
-		q.exchange.sendTo(to, q.message(&quotaForm{Reports: map[string]quotaReportForm{account: renderQuotaReport(report)}}))
+		q.exchange.sendTo(to, q.message(&quotaMessage{Reports: map[string]wireQuotaReport{account: renderQuotaReport(report)}}))
 	}
 }
 
@@ -123,31 +124,31 @@
 	}
 }
 
-// sendReports sends reports to the keepers of their accounts, each keeper one message
-// as a rule. Where this node is one, it takes them in itself.
+// sendReports sends reports to the keepers of their accounts, usually one message to each
+// keeper. If this node is a keeper, it processes its own reports.
 func (q *quotaExchange) sendReports(reports map[string]quota.Report, now time.Time) {
-	parcels := make(map[netip.AddrPort]map[string]quotaReportForm)
+	reportsByKeeper := make(map[netip.AddrPort]map[string]wireQuotaReport)
 	for account, report := range reports {
 		for _, keeper := range q.keepersOf(account) {
-			if parcels[keeper] == nil {
-				parcels[keeper] = make(map[string]quotaReportForm)
+			if reportsByKeeper[keeper] == nil {
+				reportsByKeeper[keeper] = make(map[string]wireQuotaReport)
 			}
-			parcels[keeper][account] = renderQuotaReport(report)
-			if len(parcels[keeper]) == maxQuotaReports {
-				q.sendParcel(keeper, parcels[keeper], now)
-				delete(parcels, keeper)
+			reportsByKeeper[keeper][account] = renderQuotaReport(report)
+			if len(reportsByKeeper[keeper]) == maxQuotaReports {
+				q.sendReportsTo(keeper, reportsByKeeper[keeper], now)
+				delete(reportsByKeeper, keeper)
 			}
 		}
 	}
-	for keeper, parcel := range parcels {
-		q.sendParcel(keeper, parcel, now)
+	for keeper, forms := range reportsByKeeper {
+		q.sendReportsTo(keeper, forms, now)
 	}
 }
 
-func (q *quotaExchange) sendParcel(to netip.AddrPort, parcel map[string]quotaReportForm, now time.Time) {
+func (q *quotaExchange) sendReportsTo(to netip.AddrPort, reports map[string]wireQuotaReport, now time.Time) {
 	if to == q.exchange.peers.address {
-		q.takeReports(q.self(), parcel, now)
+		q.receiveReports(q.self(), reports, now)
 		return
 	}
-	q.exchange.sendTo(to, q.message(&quotaForm{Reports: parcel}))
+	q.exchange.sendTo(to, q.message(&quotaMessage{Reports: reports}))
 }
--- a/internal/nodeexchange/regions_test.go
+++ b/internal/nodeexchange/regions_test.go
@@ -15,7 +15,7 @@
 
 var twoRegions = topology.New("north-a", map[string]string{"north-a": "north", "north-b": "north", "south-a": "south"})
 
-// regionalSet returns the peers of a node in the north, so many a zone.
+// regionalSet returns the peers of a node in the north, with perZone nodes in each zone.
 func regionalSet(perZone int) *peerSet {
 	set := newPeerSet("me", addressOf(0), "north-a")
 	set.places = twoRegions
@@ -25,12 +25,13 @@
 		zone := []string{"north-a", "north-b", "south-a"}[i%3]
 		listed = append(listed, Peer{Node: fmt.Sprint("n", i+1), Address: addressOf(i + 1), Zone: zone})
 	}
-	set.list(listed)
+	set.addFullList(listed)
 	return set
 }
 
-// TestAccountsAreKeptInTheRegionOfTheWorker, by all nodes where its region has none.
-func TestAccountsAreKeptInTheRegionOfTheWorker(t *testing.T) {
+// TestHomesAreInTheRegionOfTheWorker checks that the homes of a worker are in its region, or
+// anywhere if that region has no nodes.
+func TestHomesAreInTheRegionOfTheWorker(t *testing.T) {
 	set := regionalSet(30)
 	for _, region := range []string{"north", "south"} {
 		for _, home := range set.homes(region) {
@@ -44,22 +45,24 @@
 			delete(set.peers, address)
 		}
 	}
-	set.rerank()
-	if homes := set.homes("south"); len(homes) < leastHomes {
+	set.clearRankings()
+	if homes := set.homes("south"); len(homes) < minHomes {
 		t.Errorf("%d homes for a worker whose region has no nodes", len(homes))
 	}
 }
 
-// TestSmallFleetsKeepAllAccounts, whatever the region.
-func TestSmallFleetsKeepAllAccounts(t *testing.T) {
+// TestSmallFleetTracksAllWorkers checks that in a small fleet all nodes track a worker's load,
+// whatever its region.
+func TestSmallFleetTracksAllWorkers(t *testing.T) {
 	set := regionalSet(5)
-	if !set.keeps("south") || len(set.homes("south")) != 16 {
-		t.Errorf("kept %v, by %d of 16 nodes", set.keeps("south"), len(set.homes("south")))
+	if !set.isHome("south") || len(set.homes("south")) != 16 {
+		t.Errorf("is a home: %v; %d of 16 nodes are", set.isHome("south"), len(set.homes("south")))
 	}
 }
 
-// TestAnswersOfAnotherRegionAreWaitedFor by the time of the way there, which is measured.
-func TestAnswersOfAnotherRegionAreWaitedFor(t *testing.T) {
+// TestAskWaitsLongerForAnotherRegion checks that Ask waits longer for an answer from another
+// region, by the measured round trip, and that it measures the round trip.
+func TestAskWaitsLongerForAnotherRegion(t *testing.T) {
 	registry := worker.NewRegistry(twoRegions)
 	exchange, err := Listen("127.0.0.1:0", "me", "north-a", registry, quiet())
 	if err != nil {
@@ -75,7 +78,7 @@
 	defer far.Close()
 	address := netip.MustParseAddrPort(far.LocalAddr().String())
 	listed := []Peer{{Node: "far", Address: address, Zone: "south-a"}}
-	for i := range wholeFleet + 1 {
+	for i := range fullTrackingFleet + 1 {
 		listed = append(listed, Peer{Node: fmt.Sprint("n", i), Address: addressOf(i + 1), Zone: "north-a"})
 	}
 	exchange.AddPeers(listed)
@@ -88,11 +91,11 @@
 		t.Errorf("answered %v: %+v", answered, account)
 	}
 	if got := exchange.RoundTrip("south"); got >= 10*time.Second || exchange.RoundTrip("north") != 0 {
-		t.Errorf("the way to the south takes %v, within the north %v", got, exchange.RoundTrip("north"))
+		t.Errorf("the round trip to the south is %v, within the north %v", got, exchange.RoundTrip("north"))
 	}
 }
 
-// answerAfter answers one question after a pause.
+// answerAfter answers one question after the given time.
 func answerAfter(conn *net.UDPConn, pause time.Duration) {
 	buffer := make([]byte, maxDatagram)
 	count, from, err := conn.ReadFromUDPAddrPort(buffer)
@@ -104,38 +107,39 @@
 		return
 	}
 	time.Sleep(pause)
-	answer := reply{ID: asked.Question.ID, Sent: asked.Question.Sent, Accounts: map[string]accountForm{"w": {7}}}
+	answer := reply{ID: asked.Question.ID, Sent: asked.Question.Sent, Reports: map[string]wireLoadReport{"w": {7}}}
 	datagram, err := json.Marshal(Message{Node: "far", Reply: &answer})
 	if err == nil {
 		_, _ = conn.WriteToUDPAddrPort(datagram, from)
 	}
 }
 
-// TestOneRegionWaitsAsBefore, for nodes whose zone isn't known yet too.
-func TestOneRegionWaitsAsBefore(t *testing.T) {
-	exchange, err := Listen("127.0.0.1:0", "me", "north-a", registryWith("w"), quiet())
+// TestNoExtraWaitInOneRegion checks that a node with an unknown zone isn't waited for longer if
+// there is only one region.
+func TestNoExtraWaitInOneRegion(t *testing.T) {
+	exchange, err := Listen("127.0.0.1:0", "me", "north-a", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer exchange.conn.Close()
 	exchange.SetTopology(topology.New("north-a", map[string]string{"north-a": "north", "north-b": "north"}))
-	if got := exchange.patience(exchange.peers.regionOf(addressOf(1))); got != 0 {
-		t.Errorf("a node without a zone is waited for %v longer", got)
+	if got := exchange.extraWait(exchange.peers.regionOf(addressOf(1))); got != 0 {
+		t.Errorf("a node without a zone gets an extra wait of %v", got)
 	}
 }
 
-func TestTripsFollowWhatIsMeasured(t *testing.T) {
+func TestRoundTripFollowsMeasurements(t *testing.T) {
 	way := &roundTrip{}
 	for range 60 {
 		way.observe(24 * time.Millisecond)
 	}
-	if way.mean != 24*time.Millisecond || way.spread > time.Millisecond {
-		t.Errorf("%v with a spread of %v", way.mean, way.spread)
+	if way.mean != 24*time.Millisecond || way.deviation > time.Millisecond {
+		t.Errorf("mean %v with a deviation of %v", way.mean, way.deviation)
 	}
 	for range 60 {
 		way.observe(48 * time.Millisecond)
 	}
 	if way.mean < 40*time.Millisecond {
-		t.Errorf("%v after the way became longer", way.mean)
+		t.Errorf("mean %v after the round trip became longer", way.mean)
 	}
 }
--- a/internal/nodeexchange/relay.go
+++ b/internal/nodeexchange/relay.go
@@ -8,42 +8,42 @@
 	"github.com/tinarch/tinarch/internal/rendezvous"
 )
 
-// recentRelays is how many messages a node remembers that it has passed on: some tables'
-// words and news of more than ten seconds.
-const recentRelays = 64
+// relayHistoryLength is the number of relayed broadcasts that a node remembers: the
+// announcements and news of a few tables over more than ten seconds.
+const relayHistoryLength = 64
 
-// relayed names a message that is passed on: its maker and the number that it gave it.
-type relayed struct {
+// messageID identifies a broadcast by its originator and the originator's number for it.
+type messageID struct {
 	node     string
 	sequence uint64
 }
 
-// relays remembers the last messages that were passed on. Two heads of a region send each
-// to each head of its zones.
-type relays struct {
-	recent [recentRelays]relayed
+// relayHistory remembers the last relayed broadcasts, so that each is relayed once: two heads
+// of a region send every broadcast to every head of its zones.
+type relayHistory struct {
+	recent [relayHistoryLength]messageID
 	next   int
 }
 
-// first reports whether a message wasn't passed on before, and records that it is. A message
-// without a number always is.
-func (r *relays) first(message Message) bool {
+// isNew reports whether a broadcast has not been relayed yet, and records it. A message without
+// a number always counts as new.
+func (r *relayHistory) isNew(message Message) bool {
 	if message.Sequence == 0 {
 		return true
 	}
-	named := relayed{message.Node, message.Sequence}
+	named := messageID{message.Node, message.Sequence}
 	if slices.Contains(r.recent[:], named) {
 		return false
 	}
 	r.recent[r.next] = named
-	r.next = (r.next + 1) % recentRelays
+	r.next = (r.next + 1) % relayHistoryLength
 	return true
 }
 
-// ofEachRegion ranks the nodes of each region that has any for a subject, and returns the
-// first ones of all.
-func (s *peerSet) ofEachRegion(subject string, count int) []netip.AddrPort {
-	if known, exists := s.ofRegions[subject]; exists {
+// topOfEachRegion ranks the nodes of each region for a subject, and returns the first count
+// nodes of every region together.
+func (s *peerSet) topOfEachRegion(subject string, count int) []netip.AddrPort {
+	if known, exists := s.regionRankings[subject]; exists {
 		return known
 	}
 	var first []netip.AddrPort
@@ -51,11 +51,11 @@
 	for _, region := range slices.Sorted(maps.Keys(regions)) {
 		first = append(first, rendezvous.Top(regions[region], s.hashOf, rendezvous.Hash(subject), count)...)
 	}
-	s.ofRegions[subject] = first
+	s.regionRankings[subject] = first
 	return first
 }
 
-// nodesByRegion divides the nodes by region; those whose region isn't known are together.
+// nodesByRegion groups the nodes by region. Those whose region isn't known form one group.
 func (s *peerSet) nodesByRegion() map[string][]netip.AddrPort {
 	regions := make(map[string][]netip.AddrPort)
 	for _, address := range append(s.all(), s.address) {
@@ -65,10 +65,9 @@
 	return regions
 }
 
-// regionHeads returns the nodes that pass on what the other nodes of their region are to
-// hear from other regions.
+// regionHeads returns the nodes that relay broadcasts from other regions in their own.
 func (s *peerSet) regionHeads() []netip.AddrPort {
-	return s.ofEachRegion("relay between regions", leastHomes)
+	return s.topOfEachRegion("relay between regions", minHomes)
 }
 
 // zoneHeads returns the heads of the zones of this node's region.
@@ -82,10 +81,10 @@
 	return heads
 }
 
-// spreadTargets are the nodes that get a message for all nodes from its maker: all peers, or
-// in a large fleet the heads of the zones of its region, and in across the heads of the
-// other regions.
-func (s *peerSet) spreadTargets() (near, across []netip.AddrPort) {
+// broadcastTargets returns the nodes to which the originator of a broadcast sends it: all
+// peers, or in a large fleet the heads of the zones of its region (near) and the heads of the
+// other regions (across).
+func (s *peerSet) broadcastTargets() (near, across []netip.AddrPort) {
 	if !s.large() {
 		return s.all(), nil
 	}
@@ -99,10 +98,10 @@
 	return s.others(s.zoneHeads()), across
 }
 
-// relayTargets are the nodes to which this one passes a message on: the heads of its
-// region's zones where it came from another region, and the nodes of its zone where it is
-// one of their heads, or was taken for one by the node that made the message: while a large
-// fleet starts nodes don't agree on the heads yet.
+// relayTargets returns the nodes to which this one relays a broadcast: the heads of the zones
+// of its region if the broadcast came from another region, and the nodes of its zone if it is
+// one of their heads. inZone tells that the sender takes this node for a head even if it
+// doesn't itself, since nodes don't agree on the heads yet while a large fleet starts.
 func (s *peerSet) relayTargets(acrossRegions, inZone bool) (heads, zone []netip.AddrPort) {
 	if !s.large() && !inZone {
 		return nil, nil
@@ -116,7 +115,7 @@
 	return heads, zone
 }
 
-// others leaves out this node.
+// others returns the addresses without this node's own.
 func (s *peerSet) others(addresses []netip.AddrPort) []netip.AddrPort {
 	return slices.DeleteFunc(slices.Clone(addresses), func(address netip.AddrPort) bool { return address == s.address })
 }
--- a/internal/nodeexchange/subjects.go
+++ b/internal/nodeexchange/subjects.go
@@ -6,9 +6,9 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// subjectsOf returns the workers that a snapshot tells of, or of whose load nothing is
-// left, in a fixed order.
-func subjectsOf(snapshot worker.Snapshot) []string {
+// workersIn returns the workers that a snapshot has information about, including those that
+// have no load left, in sorted order.
+func workersIn(snapshot worker.Snapshot) []string {
 	var subjects []string
 	for id := range snapshot.Loads {
 		subjects = append(subjects, id)
--- a/internal/nodeexchange/suspects.go
+++ b/internal/nodeexchange/suspects.go
@@ -8,24 +8,25 @@
 	"github.com/tinarch/tinarch/internal/quarantine"
 )
 
-// maxCrashesTold bounds the crashes in one message: of some 60 bytes each, they stay below
-// maxDatagram.
-const maxCrashesTold = 150
+// maxCrashesPerMessage bounds the crashes in one message: at some 60 bytes each, they stay
+// below maxDatagram.
+const maxCrashesPerMessage = 150
 
-// SetQuarantine has the exchange tell what a keeper learns of requests under which workers
-// end, and give it what other nodes tell. It is called before Run.
+// SetQuarantine connects the exchange with a quarantine manager: the exchange sends other nodes
+// what the manager learns of requests during which workers end, and gives it what other nodes
+// send. It must be called before Run.
 func (e *Exchange) SetQuarantine(keeper *quarantine.Manager) { e.quarantine = keeper }
 
-// ChosenForTrial reports whether this node is the one of all that gives a quarantined request
-// its trials.
+// ChosenForTrial reports whether this node is the one of all nodes that runs the trials of a
+// quarantined request.
 func (e *Exchange) ChosenForTrial(request quarantine.Fingerprint) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.peers.top("trial "+request.String(), 1, "")[0] == e.peers.address
+	return e.peers.firstRanked("trial "+request.String(), 1, "")[0] == e.peers.address
 }
 
-// tellSuspects tells other nodes what this one has learned, until ctx ends.
-func (e *Exchange) tellSuspects(ctx context.Context) {
+// sendSuspects sends other nodes what this one has learned, until ctx ends.
+func (e *Exchange) sendSuspects(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -41,21 +42,21 @@
 	}
 }
 
-// reportSuspects tells the supervisors, which put together what several nodes saw. In a fleet
-// whose nodes aren't all supervisors, one of these tells all nodes what they are to know.
+// reportSuspects sends records to the supervisors, which combine what several nodes saw. If not
+// all nodes are supervisors, a supervisor then broadcasts what all nodes must know.
 func (e *Exchange) reportSuspects(records []quarantine.Record) {
 	e.mu.Lock()
 	supervisors := e.peers.others(e.peers.supervisors())
 	e.mu.Unlock()
-	for _, part := range inDatagrams(records) {
+	for _, part := range splitRecords(records) {
 		e.sendAll(supervisors, Message{Node: e.node, Suspects: part, Relayed: true})
 	}
-	e.spreadSuspects(records)
+	e.broadcastSuspects(records)
 }
 
-// spreadSuspects tells all nodes of the records that they are to know, if this node is a
-// supervisor and others aren't.
-func (e *Exchange) spreadSuspects(records []quarantine.Record) {
+// broadcastSuspects broadcasts the records that all nodes must know, if this node is a
+// supervisor and not all nodes are.
+func (e *Exchange) broadcastSuspects(records []quarantine.Record) {
 	e.mu.Lock()
 	spreads := e.peers.supervises() && e.peers.nodes() > len(e.peers.supervisors())
 	e.mu.Unlock()
@@ -68,18 +69,18 @@
 			shared = append(shared, record)
 		}
 	}
-	for _, part := range inDatagrams(shared) {
-		e.spread(Message{Node: e.node, Suspects: part})
+	for _, part := range splitRecords(shared) {
+		e.broadcast(Message{Node: e.node, Suspects: part})
 	}
 }
 
-// inDatagrams divides records so that each part fits a message.
-func inDatagrams(records []quarantine.Record) [][]quarantine.Record {
+// splitRecords splits records so that each part fits in one message.
+func splitRecords(records []quarantine.Record) [][]quarantine.Record {
 	var parts [][]quarantine.Record
 	var part []quarantine.Record
 	crashes := 0
 	for _, record := range records {
-		if crashes += len(record.Crashes); crashes > maxCrashesTold && len(part) > 0 {
+		if crashes += len(record.Crashes); crashes > maxCrashesPerMessage && len(part) > 0 {
 			parts = append(parts, part)
 			part, crashes = nil, len(record.Crashes)
 		}
@@ -91,26 +92,26 @@
 	return parts
 }
 
-// takeSuspects takes in what another node tells. What was told to supervisors alone is spread
-// by them; such messages have no number.
-func (e *Exchange) takeSuspects(from netip.AddrPort, message Message) {
+// receiveSuspects processes the records of another node. Messages without a number were sent to
+// supervisors only, which broadcast what changes.
+func (e *Exchange) receiveSuspects(from netip.AddrPort, message Message) {
 	if e.quarantine == nil {
 		return
 	}
 	changed := e.quarantine.Receive(message.Node, message.Suspects)
 	if message.Sequence == 0 {
-		e.spreadSuspects(changed)
+		e.broadcastSuspects(changed)
 	}
-	e.passOn(from, message)
+	e.relay(from, message)
 }
 
-// shareSuspects tells a node that is heard for the first time, or again, what every node is
-// to know.
+// shareSuspects sends a node that is heard for the first time, or again after a silence, the
+// records that all nodes must know.
 func (e *Exchange) shareSuspects(with netip.AddrPort) {
 	if e.quarantine == nil {
 		return
 	}
-	for _, part := range inDatagrams(e.quarantine.Shared()) {
+	for _, part := range splitRecords(e.quarantine.Shared()) {
 		e.sendTo(with, Message{Node: e.node, Suspects: part, Relayed: true})
 	}
 }
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -13,59 +13,61 @@
 	"github.com/tinarch/tinarch/internal/tablerelay"
 )
 
-// TableCoordinator is where the words of nodes on the store's tables come from and go to.
+// TableCoordinator processes what other nodes send about tables of the store, and provides what
+// this node sends them.
 type TableCoordinator interface {
-	// Words are what this node itself has from the store, and Known all that it relies
-	// on.
+	// Words returns announcements of what this node itself has read from the store. Known
+	// returns those of all that it relies on.
 	Words(now time.Time) []tablerelay.Announcement
 	Known(now time.Time) []tablerelay.Announcement
 	Take(words []tablerelay.Announcement, now time.Time)
 	TakeNews(news tablefeed.News)
 }
 
-// maxFanOut is the number of nodes that one node tells of a table by itself: in a larger
-// fleet it tells two of each zone of its region and two of each other region, which pass it
-// on.
+// maxFanOut is the largest number of nodes to which one node sends a broadcast directly. In a
+// larger fleet it sends it to two nodes of each zone of its region and two of each other
+// region, which relay it.
 const maxFanOut = 30
 
-// SpreadWords tells the other nodes what the store has confirmed.
-func (e *Exchange) SpreadWords(words []tablerelay.Announcement) {
-	e.spread(Message{Node: e.node, Words: words, CreatedMillis: clock.Boottime().UnixMilli()})
+// SpreadWords broadcasts announcements of what the store has confirmed.
+func (e *Exchange) SpreadWords(announcements []tablerelay.Announcement) {
+	e.broadcast(Message{Node: e.node, Words: announcements, CreatedMillis: clock.Boottime().UnixMilli()})
 }
 
-// SpreadNews tells the other nodes of changes. Changes that are too large aren't told: the
-// others then learn from the next word that there are any, and fetch them.
+// SpreadNews broadcasts changes of a table. Changes that are too large aren't sent: the other
+// nodes learn of them from the next announcement and fetch them.
 func (e *Exchange) SpreadNews(news tablefeed.News) {
 	packed, err := packNews(news)
 	if err != nil {
-		e.log.WithError(err).Error("changes of a table can't be rendered for the other nodes")
+		e.log.WithError(err).Error("changes of a table can't be encoded for the other nodes")
 		return
 	}
 	if len(packed) > e.newsLimit() {
-		e.log.WithField("table", news.Table).WithField("bytes", len(packed)).Info("changes of a table are too large to be told; the other nodes fetch them")
+		e.log.WithField("table", news.Table).WithField("bytes", len(packed)).Info("changes of a table are too large to be broadcast; the other nodes fetch them")
 		return
 	}
-	e.spread(Message{Node: e.node, News: packed})
+	e.broadcast(Message{Node: e.node, News: packed})
 }
 
-// headBytes is what a head of a zone sends at most for one change: a tenth of a second of a
-// link of 20 Mbit/s. What is larger the nodes fetch, each from one of its zone that has it.
-const headBytes = 256 << 10
+// maxHeadBytes is the most that a head of a zone sends for one change: a tenth of a second of a
+// link of 20 Mbit/s. Larger changes are fetched by each node from one in its zone that has
+// them.
+const maxHeadBytes = 256 << 10
 
-// newsLimit is the size of the largest news that are told: small enough that a head of the
-// largest zone passes them on without holding up other messages.
+// newsLimit returns the size of the largest news that are broadcast, such that a head of the
+// largest zone can relay them without delaying other messages.
 func (e *Exchange) newsLimit() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return min(maxNews, headBytes/e.peers.largestZone())
+	return min(maxNews, maxHeadBytes/e.peers.largestZoneSize())
 }
 
-// spread sends a message that all nodes are to get.
-func (e *Exchange) spread(message Message) {
+// broadcast sends a message that all nodes are to get.
+func (e *Exchange) broadcast(message Message) {
 	e.mu.Lock()
-	near, across := e.peers.spreadTargets()
-	e.spreads++
-	message.Sequence = e.spreads
+	near, across := e.peers.broadcastTargets()
+	e.broadcasts++
+	message.Sequence = e.broadcasts
 	message.RelayInZone = e.peers.large()
 	e.mu.Unlock()
 	e.sendAll(near, message)
@@ -73,12 +75,12 @@
 	e.sendAll(across, message)
 }
 
-// passOn sends a message that came from the node that made it, or from a head of the region,
-// to the other nodes of the zone, if this one is to; and one that came from another region
-// to the heads of this region's zones.
-func (e *Exchange) passOn(from netip.AddrPort, message Message) {
+// relay forwards a broadcast that came from its originator or from a head of the region to the
+// other nodes of the zone, if this node is to; and one that came from another region to the
+// heads of the zones of this region.
+func (e *Exchange) relay(from netip.AddrPort, message Message) {
 	if message.Relayed {
-		e.passOnInGroup(from, message)
+		e.relayInGroup(from, message)
 		return
 	}
 	if message.Sequence == 0 && message.Departed != nil {
@@ -86,7 +88,7 @@
 	}
 	e.mu.Lock()
 	heads, zone := e.peers.relayTargets(message.RelayInRegion, message.RelayInZone)
-	if len(heads)+len(zone) > 0 && !e.relays.first(message) {
+	if len(heads)+len(zone) > 0 && !e.relayHistory.isNew(message) {
 		heads, zone = nil, nil
 	}
 	e.mu.Unlock()
@@ -98,13 +100,13 @@
 		e.sendAll(zone, message)
 		return
 	}
-	message.RelayGroups = groupsOf(len(zone))
+	message.RelayGroups = groupCount(len(zone))
 	e.sendAll(leaders(zone, message.RelayGroups), message)
 }
 
-// passOnInGroup sends a message that came from a head of a large zone to the other nodes of
+// relayInGroup forwards a broadcast that came from a head of a large zone to the other nodes of
 // this node's group.
-func (e *Exchange) passOnInGroup(from netip.AddrPort, message Message) {
+func (e *Exchange) relayInGroup(from netip.AddrPort, message Message) {
 	groups := message.RelayGroups
 	if groups <= 0 {
 		return
@@ -117,18 +119,20 @@
 	e.sendAll(group, message)
 }
 
-// groupsOf is the number of groups into which a head divides the nodes of its zone, so that it
-// and those that pass on in the groups send about as many datagrams at once: a burst of two
-// hundred is more than a link of 20 Mbit/s takes, and the rest is lost.
-func groupsOf(nodes int) int { return int(math.Ceil(math.Sqrt(float64(nodes)))) }
+// groupCount returns the number of groups into which a head divides the nodes of its zone. It
+// is the square root of their number, so that the head and the nodes that relay in the groups
+// send about as many datagrams at once: a burst of two hundred exceeds what a link of 20 Mbit/s
+// takes, and the rest is lost.
+func groupCount(nodes int) int { return int(math.Ceil(math.Sqrt(float64(nodes)))) }
 
-// groupOf is the group of a node, the same for all that divide a zone into as many.
+// groupOf returns the group of a node. All nodes that divide a zone into the same number of
+// groups agree on it.
 func groupOf(address netip.AddrPort, groups int) int {
 	return int(rendezvous.Hash(address.String()) % uint64(groups))
 }
 
-// leaders draws a node of each group: heads draw different ones, so that one that is dead
-// keeps no group from hearing.
+// leaders returns a random node of each group. Different heads draw different ones, so that a
+// dead leader doesn't keep its group from getting a broadcast.
 func leaders(nodes []netip.AddrPort, groups int) []netip.AddrPort {
 	byGroup := make(map[int][]netip.AddrPort)
 	for _, address := range nodes {
@@ -142,36 +146,35 @@
 	return drawn
 }
 
-// AskWords asks two nodes for what they know of the tables: the one that should read the
-// table at the store, and another one. In a large fleet, in which too many would ask the one,
-// they are the node that gives this one tables and another one of the zone. It is for when no
-// word has come.
+// AskWords asks two nodes for their announcements, when none has arrived: the node that should
+// read the table from the store, and another one. In a large fleet, where too many nodes would
+// ask the former, it asks the node from which this one gets tables and another one of its zone.
 func (e *Exchange) AskWords(table string) {
 	e.mu.Lock()
-	asked := e.peers.toAsk(table)
+	asked := e.peers.announcementSources(table)
 	e.mu.Unlock()
 	for _, to := range asked {
 		e.sendTo(to, Message{Node: e.node, WantWords: true})
 	}
 }
 
-// toAsk returns the nodes that are asked for words.
-func (s *peerSet) toAsk(table string) []netip.AddrPort {
-	first := s.top("table "+table, 1, "")
-	if givers := s.givers(); s.large() && len(givers) > 0 {
-		first = givers[:1]
+// announcementSources returns the nodes to be asked for announcements about a table.
+func (s *peerSet) announcementSources(table string) []netip.AddrPort {
+	first := s.firstRanked("table "+table, 1, "")
+	if sources := s.tableSources(); s.large() && len(sources) > 0 {
+		first = sources[:1]
 	}
 	asked := slices.Clone(first)
-	if any, found := s.anyNear(); found && !slices.Contains(asked, any) {
+	if any, found := s.randomNearPeer(); found && !slices.Contains(asked, any) {
 		asked = append(asked, any)
 	}
 	return s.others(asked)
 }
 
-// anyNear returns a peer drawn at random, of the own zone in a large fleet.
-func (s *peerSet) anyNear() (netip.AddrPort, bool) {
+// randomNearPeer returns a random peer, in a large fleet one of this node's zone.
+func (s *peerSet) randomNearPeer() (netip.AddrPort, bool) {
 	if !s.large() {
-		return s.anyPeer()
+		return s.randomPeer()
 	}
 	near := s.inZone()
 	if len(near) == 0 {
@@ -180,51 +183,53 @@
 	return near[rand.IntN(len(near))], true
 }
 
-// tellWords answers a node that asks for words.
-func (e *Exchange) tellWords(to netip.AddrPort) {
-	if e.board == nil {
+// sendAnnouncements answers a node that asks for announcements.
+func (e *Exchange) sendAnnouncements(to netip.AddrPort) {
+	if e.coordinator == nil {
 		return
 	}
-	if words := e.board.Known(time.Now()); len(words) > 0 {
-		e.sendTo(to, Message{Node: e.node, Words: words, CreatedMillis: clock.Boottime().UnixMilli(), Relayed: true})
+	if announcements := e.coordinator.Known(time.Now()); len(announcements) > 0 {
+		e.sendTo(to, Message{Node: e.node, Words: announcements, CreatedMillis: clock.Boottime().UnixMilli(), Relayed: true})
 	}
 }
 
-func (e *Exchange) takeWords(from netip.AddrPort, message Message) {
-	e.takeWordsAt(from, message, clock.Boottime())
+func (e *Exchange) receiveAnnouncements(from netip.AddrPort, message Message) {
+	e.receiveAnnouncementsAt(from, message, clock.Boottime())
 }
 
-// takeWordsAt takes words by a clock since boot. Their ages were true when the message was made.
-func (e *Exchange) takeWordsAt(from netip.AddrPort, message Message, now time.Time) {
-	if e.board == nil {
+// receiveAnnouncementsAt processes announcements that arrive at a time of CLOCK_BOOTTIME. Their
+// ages were correct when the message was created, so it adds the time that the message was
+// delayed.
+func (e *Exchange) receiveAnnouncementsAt(from netip.AddrPort, message Message, now time.Time) {
+	if e.coordinator == nil {
 		return
 	}
-	words := message.Words
+	announcements := message.Words
 	if message.CreatedMillis != 0 {
-		late := e.transits.late(message.Node, time.UnixMilli(message.CreatedMillis), now)
-		words = slices.Clone(words)
-		for i := range words {
-			words[i].AgeMillis += late.Milliseconds()
+		delay := e.delays.excess(message.Node, time.UnixMilli(message.CreatedMillis), now)
+		announcements = slices.Clone(announcements)
+		for i := range announcements {
+			announcements[i].AgeMillis += delay.Milliseconds()
 		}
 	}
-	e.board.Take(words, time.Now())
-	e.passOn(from, message)
+	e.coordinator.Take(announcements, time.Now())
+	e.relay(from, message)
 }
 
-func (e *Exchange) takeNews(from netip.AddrPort, message Message) {
+func (e *Exchange) receiveNews(from netip.AddrPort, message Message) {
 	news, err := unpackNews(message.News)
 	if err != nil {
-		e.dropped(from, err)
+		e.logMalformed(from, err)
 		return
 	}
-	if e.board != nil {
-		e.board.TakeNews(news)
+	if e.coordinator != nil {
+		e.coordinator.TakeNews(news)
 	}
-	e.passOn(from, message)
+	e.relay(from, message)
 }
 
-// Outranks reports whether another node comes before this one among those that read a
-// table at the store, and Place tells this one's place.
+// Outranks reports whether another node, given by its address, ranks before this one among
+// those that may read a table from the store.
 func (e *Exchange) Outranks(table, reader string) bool {
 	address, err := netip.ParseAddrPort(reader)
 	if err != nil {
@@ -235,12 +240,13 @@
 	return e.peers.outranks(table, address)
 }
 
-// Place is this node's place among those that read a table at the store, 0 the first.
+// Place returns this node's rank among the nodes that may read a table from the store, 0 being
+// the first.
 func (e *Exchange) Place(table string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.peers.place(table)
+	return e.peers.readerRank(table)
 }
 
-// Address names this node in words.
+// Address returns the address that identifies this node in announcements.
 func (e *Exchange) Address() string { return e.peers.address.String() }
--- a/internal/nodeexchange/usage.go
+++ b/internal/nodeexchange/usage.go
@@ -7,30 +7,31 @@
 	"github.com/tinarch/tinarch/internal/usage"
 )
 
-// usageForm is a usage.Delta.
-type usageForm struct {
+// wireUsage is an encoded usage.Delta.
+type wireUsage struct {
 	After   uint64       `json:"a"`
 	Through uint64       `json:"t"`
 	Closed  usage.Window `json:"c"`
-	// Counts holds counts by window and tenant.
+	// Counts holds the counts by window and tenant.
 	Counts map[usage.Window]map[string]int `json:"w,omitempty"`
 }
 
-// usageReply is a usage.Reply.
+// usageReply is an encoded usage.Reply.
 type usageReply struct {
 	Through uint64       `json:"t"`
 	Closed  usage.Window `json:"c"`
 }
 
-// gatheredForm is a part of what a supervisor has gathered of a node incarnation.
-type gatheredForm struct {
+// wireGathered is a part of the counts that a supervisor has gathered of one incarnation of a
+// node.
+type wireGathered struct {
 	Node   string                          `json:"n"`
 	Counts map[usage.Window]map[string]int `json:"w"`
-	// Recorded are windows as they were recorded; such a form holds nothing else.
+	// Recorded are windows as they were recorded. Such a message holds nothing else.
 	Recorded map[usage.Window]usage.Counts `json:"r,omitempty"`
 }
 
-// maxGathered bounds the entries of one message with gathered counts.
+// maxGathered bounds the entries in one message with gathered counts.
 const maxGathered = 300
 
 func renderCounts(entries []usage.Entry) map[usage.Window]map[string]int {
@@ -57,35 +58,36 @@
 	return entries
 }
 
-// usageExchange is this node's part in the exchange of tallies.
+// usageExchange is this node's part in the exchange of usage counts.
 type usageExchange struct {
 	tally     *usage.Tally
 	collector *usage.Collector
-	// told is the change up to which each supervisor was told.
-	told map[netip.AddrPort]uint64
-	// acknowledged is the newest closed window of which a supervisor has all.
+	// sentThrough holds for each supervisor the last change that was sent to it.
+	sentThrough map[netip.AddrPort]uint64
+	// acknowledged is the newest closed window for which a supervisor has all counts of this
+	// node.
 	acknowledged usage.Window
 }
 
-// SetUsage has the exchange tell the supervisors this node's tally, and gather those of
-// others. It is called before Run.
+// SetUsage lets the exchange send this node's counts to the supervisors and gather those of
+// other nodes. It must be called before Run.
 func (e *Exchange) SetUsage(tally *usage.Tally, collector *usage.Collector) {
-	e.usage = &usageExchange{tally: tally, collector: collector, told: make(map[netip.AddrPort]uint64)}
+	e.usage = &usageExchange{tally: tally, collector: collector, sentThrough: make(map[netip.AddrPort]uint64)}
 }
 
-// UsageAcknowledged returns the newest closed window of which a supervisor, or this node
-// as one, has all that this node counted.
+// UsageAcknowledged returns the newest closed window for which a supervisor, which may be this
+// node, has all that this node counted.
 func (e *Exchange) UsageAcknowledged() usage.Window {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.peers.supervises() && (len(e.peers.peers) == 0 || e.present() > 0) {
+	if e.peers.supervises() && (len(e.peers.peers) == 0 || e.presentPeers() > 0) {
 		return e.usage.tally.WindowLength().WindowAt(e.usage.tally.Now(time.Now()))
 	}
 	return e.usage.acknowledged
 }
 
-// present is the number of other nodes that were heard lately.
-func (e *Exchange) present() int {
+// presentPeers returns the number of other nodes that are present.
+func (e *Exchange) presentPeers() int {
 	count := 0
 	for _, known := range e.peers.peers {
 		if known.present {
@@ -95,8 +97,8 @@
 	return count
 }
 
-// tellUsage tells the supervisors what this node has counted since they were told last.
-func (e *Exchange) tellUsage(now time.Time) {
+// sendUsage sends the supervisors what this node has counted since the last message to each.
+func (e *Exchange) sendUsage(now time.Time) {
 	if e.usage == nil {
 		return
 	}
@@ -104,22 +106,22 @@
 	targets := make(map[netip.AddrPort]uint64)
 	for _, address := range e.peers.supervisors() {
 		if address != e.peers.address {
-			targets[address] = e.usage.told[address]
+			targets[address] = e.usage.sentThrough[address]
 		}
 	}
 	e.mu.Unlock()
 	for address, after := range targets {
 		delta := e.usage.tally.Since(after, now)
-		form := &usageForm{After: delta.After, Through: delta.Through, Closed: delta.Closed, Counts: renderCounts(delta.Entries)}
+		form := &wireUsage{After: delta.After, Through: delta.Through, Closed: delta.Closed, Counts: renderCounts(delta.Entries)}
 		e.sendTo(address, Message{Node: e.node, Usage: form})
 		e.mu.Lock()
-		e.usage.told[address] = delta.Through
+		e.usage.sentThrough[address] = delta.Through
 		e.mu.Unlock()
 	}
 }
 
-// takeUsage takes in what another node has counted.
-func (e *Exchange) takeUsage(from netip.AddrPort, message Message) {
+// receiveUsage processes what another node has counted.
+func (e *Exchange) receiveUsage(from netip.AddrPort, message Message) {
 	if e.usage == nil {
 		return
 	}
@@ -131,35 +133,35 @@
 	}
 }
 
-// takeUsageReply learns what a supervisor has of this node's tally.
-func (e *Exchange) takeUsageReply(from netip.AddrPort, reply usageReply) {
+// receiveUsageReply records which counts of this node a supervisor has.
+func (e *Exchange) receiveUsageReply(from netip.AddrPort, reply usageReply) {
 	if e.usage == nil {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.usage.told[from] = min(e.usage.told[from], reply.Through)
+	e.usage.sentThrough[from] = min(e.usage.sentThrough[from], reply.Through)
 	e.usage.acknowledged = max(e.usage.acknowledged, reply.Closed)
 }
 
-// TellRecorded implements usage.Fleet. A window with more tenants than a message holds isn't told:
-// a part of it would be another record.
+// TellRecorded implements usage.Fleet. A window with more tenants than fit in a message isn't
+// sent, since a part of it would be taken for the whole record.
 func (e *Exchange) TellRecorded(recorded map[usage.Window]usage.Counts) {
 	e.mu.Lock()
 	supervisors := e.peers.supervisors()
 	e.mu.Unlock()
 	for _, address := range supervisors {
 		if address != e.peers.address {
-			e.tellRecorded(address, recorded)
+			e.sendRecorded(address, recorded)
 		}
 	}
 }
 
-func (e *Exchange) tellRecorded(to netip.AddrPort, recorded map[usage.Window]usage.Counts) {
+func (e *Exchange) sendRecorded(to netip.AddrPort, recorded map[usage.Window]usage.Counts) {
 	for window, counts := range recorded {
 		if len(counts) <= maxGathered {
 			recorded := map[usage.Window]usage.Counts{window: counts}
-			e.sendTo(to, Message{Node: e.node, Gathered: &gatheredForm{Recorded: recorded}})
+			e.sendTo(to, Message{Node: e.node, Gathered: &wireGathered{Recorded: recorded}})
 		}
 	}
 }
@@ -176,22 +178,22 @@
 	}
 }
 
-// tellGathered answers another supervisor.
-func (e *Exchange) tellGathered(to netip.AddrPort, after usage.Window) {
+// sendGathered answers another supervisor.
+func (e *Exchange) sendGathered(to netip.AddrPort, after usage.Window) {
 	if e.usage == nil {
 		return
 	}
-	e.tellRecorded(to, e.usage.collector.Recorded(after))
+	e.sendRecorded(to, e.usage.collector.Recorded(after))
 	for node, entries := range e.usage.collector.EntriesAfter(after) {
 		for len(entries) > 0 {
 			count := min(len(entries), maxGathered)
-			e.sendTo(to, Message{Node: e.node, Gathered: &gatheredForm{Node: node, Counts: renderCounts(entries[:count])}})
+			e.sendTo(to, Message{Node: e.node, Gathered: &wireGathered{Node: node, Counts: renderCounts(entries[:count])}})
 			entries = entries[count:]
 		}
 	}
 }
 
-func (e *Exchange) takeGathered(gathered gatheredForm) {
+func (e *Exchange) receiveGathered(gathered wireGathered) {
 	switch {
 	case e.usage == nil:
 	case gathered.Recorded != nil:
@@ -210,7 +212,7 @@
 	for _, known := range e.peers.peers {
 		heard := known.heard
 		if heard.IsZero() {
-			heard = e.begun
+			heard = e.started
 		}
 		members = append(members, usage.Member{Node: known.node, Silent: now.Sub(heard)})
 	}
