--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -185,10 +185,10 @@
 	Next uint64 `json:"next"`
 }
 
-// AttemptMemory is how long an engine remembers the attempts that it has accepted,
+// AttemptRetention is how long an engine remembers the attempts that it has accepted,
 // beyond the life of their streams. Attempts that it was told to refuse it
 // remembers as long as its incarnation lasts.
-const AttemptMemory = time.Hour
+const AttemptRetention = time.Hour
 
 // CancelReply answers the cancellation of an attempt. The engine remembers the
 // attempt and refuses it from then on.
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -181,5 +181,5 @@
 	return bytes.TrimRight(data, "\r\n")
 }
 
-// StreamID returns the identifier that an answer shows its caller.
-func StreamID(attempt Identifier) string { return "cmpl-" + string(attempt) }
+// CompletionID returns the identifier that an answer shows its caller.
+func CompletionID(attempt Identifier) string { return "cmpl-" + string(attempt) }
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -141,7 +141,7 @@
 		return
 	}
 	s.limitWrites(w)
-	writeJSON(w, http.StatusOK, openai.Whole(x.endpoint, engine.StreamID(x.attempt), x.kind.Model, x.received.Unix(), target.text.String(), usageOf(end.usage)))
+	writeJSON(w, http.StatusOK, openai.Whole(x.endpoint, engine.CompletionID(x.attempt), x.kind.Model, x.received.Unix(), target.text.String(), usageOf(end.usage)))
 }
 
 func usageOf(usage engine.Usage) *openai.Usage {
@@ -203,7 +203,7 @@
 	}
 	var last []byte
 	if options := x.request.StreamOptions; options != nil && options.IncludeUsage {
-		chunk := openai.UsageChunk(x.endpoint, engine.StreamID(x.attempt), x.kind.Model, x.received.Unix(), usageOf(end.usage))
+		chunk := openai.UsageChunk(x.endpoint, engine.CompletionID(x.attempt), x.kind.Model, x.received.Unix(), usageOf(end.usage))
 		last = appendData(last, chunk)
 	}
 	_ = target.events(append(last, streamDone...))
--- a/internal/gateway/keyed.go
+++ b/internal/gateway/keyed.go
@@ -51,7 +51,7 @@
 	takeOverPatience = 250 * time.Millisecond
 	// claimAgeLimit is how old a claim may be for the engine's word that it never
 	// saw the attempt to count. It leaves room for clocks that run unevenly.
-	claimAgeLimit = engine.AttemptMemory / 2
+	claimAgeLimit = engine.AttemptRetention / 2
 )
 
 // run joins the execution of the exchange's key, or begins it.
@@ -210,7 +210,7 @@
 		}
 		text = string(content)
 	}
-	chunk, err := openai.TextChunk(x.endpoint, engine.StreamID(claim.Attempt), x.kind.Model, answer.Created, text)
+	chunk, err := openai.TextChunk(x.endpoint, engine.CompletionID(claim.Attempt), x.kind.Model, answer.Created, text)
 	if err != nil {
 		return outcome{err: result.Wrap(err, result.Internal, "encoding a stored answer")}
 	}
--- a/internal/lab/engine/guards_test.go
+++ b/internal/lab/engine/guards_test.go
@@ -138,7 +138,7 @@
 	for e.Counters().Finished == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	e.expire(time.Now().Add(engine.AttemptMemory / 2))
+	e.expire(time.Now().Add(engine.AttemptRetention / 2))
 	if _, err := client.Resume(ctx, e.Address(), status.Incarnation, ticket.Attempt, 1); result.CodeOf(err) != result.StreamUnknown {
 		t.Errorf("the dropped stream: %v", err)
 	}
--- a/internal/lab/engine/handlers.go
+++ b/internal/lab/engine/handlers.go
@@ -232,7 +232,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	controller := http.NewResponseController(w)
-	chunks := openai.NewChunkWriter(s.endpoint, engine.StreamID(s.attempt), s.model, s.created)
+	chunks := openai.NewChunkWriter(s.endpoint, engine.CompletionID(s.attempt), s.model, s.created)
 	e.mu.Lock()
 	faults := e.faults
 	e.mu.Unlock()
--- a/internal/lab/engine/server.go
+++ b/internal/lab/engine/server.go
@@ -333,7 +333,7 @@
 		}
 	}
 	for attempt, at := range e.accepted {
-		if now.Sub(at) > engine.AttemptMemory {
+		if now.Sub(at) > engine.AttemptRetention {
 			delete(e.accepted, attempt)
 		}
 	}
