--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -141,7 +141,7 @@
 		return
 	}
 	s.limitWrites(w)
-	writeJSON(w, http.StatusOK, openai.Whole(x.endpoint, engine.CompletionID(x.attempt), x.kind.Model, x.received.Unix(), target.text.String(), usageOf(end.usage)))
+	writeJSON(w, http.StatusOK, openai.NewAnswer(x.endpoint, engine.CompletionID(x.attempt), x.kind.Model, x.received.Unix(), target.text.String(), usageOf(end.usage)))
 }
 
 func usageOf(usage engine.Usage) *openai.Usage {
--- a/internal/openai/answer.go
+++ b/internal/openai/answer.go
@@ -127,8 +127,8 @@
 	return "", nil
 }
 
-// Whole returns a whole answer.
-func Whole(endpoint Endpoint, id, model string, created int64, text string, usage *Usage) Answer {
+// NewAnswer returns a whole answer.
+func NewAnswer(endpoint Endpoint, id, model string, created int64, text string, usage *Usage) Answer {
 	reason := finishLength
 	answer := Answer{ID: id, Object: objectText, Created: created, Model: model, Usage: usage}
 	choice := Choice{FinishReason: &reason}
