--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -183,7 +183,7 @@
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	view := membership.New(memberSettings, own, random)
 	n.rollout = rollout.NewService(n.manager, rollout.NewStore(n.table, n.objects), n.client, n.log, n.self.Address, n.peerAddresses)
-	n.members = membership.NewDriver(memberSettings, view, n.client, n.log, n.seeds, n.manager.Revision, n.rollout.Observed)
+	n.members = membership.NewDriver(memberSettings, view, n.client, n.log, n.seeds, n.manager.Revision, n.rollout.ObserveRevision)
 	n.host = group.NewHost(n.self.ID, replica.DefaultSettings(), n.newMachine, n.client, n.log, n.addressOf, n.publishLeadership)
 	n.router = group.NewRouter(n.client, n)
 	n.ledger = ledger.NewClient(n.router, n.settings.Cluster.LedgerGroups)
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -117,9 +117,9 @@
 	return nil
 }
 
-// Since returns what a peer with the given revision lacks: the changes where
+// UpdatesSince returns what a peer with the given revision lacks: the changes where
 // they are still kept, else the whole.
-func (m *Manager) Since(have uint64) (pullResponse, error) {
+func (m *Manager) UpdatesSince(have uint64) (pullResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	response := pullResponse{Revision: m.current.Revision}
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -77,15 +77,15 @@
 // Register serves the protocol.
 func (s *Service) Register(server *peer.Server) {
 	peer.Handle(server, MethodPull, func(_ context.Context, _ peer.Identity, request pullRequest) (pullResponse, error) {
-		return s.manager.Since(request.Have)
+		return s.manager.UpdatesSince(request.Have)
 	})
 	peer.Handle(server, MethodPush, func(ctx context.Context, _ peer.Identity, notice pushNotice) (struct{}, error) {
 		return struct{}{}, s.receivePush(ctx, notice)
 	})
 }
 
-// Observed notes the revision of another node.
-func (s *Service) Observed(address string, revision uint64) {
+// ObserveRevision notes the revision of another node.
+func (s *Service) ObserveRevision(address string, revision uint64) {
 	if revision <= s.manager.Revision() {
 		return
 	}
@@ -144,7 +144,7 @@
 	s.passOn(ctx, notice.Delta, notice.Source, notice.Below)
 	complete, err := s.manager.InstallDelta(notice.Delta)
 	if err == nil && !complete {
-		s.Observed(notice.Source, notice.Delta.Revision)
+		s.ObserveRevision(notice.Source, notice.Delta.Revision)
 	}
 	return err
 }
