--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -216,7 +216,7 @@
 		Log:         n.log,
 	})
 	service := &operator.Service{
-		Name: n.self.Node, Manager: n.manager, Rollout: n.rollout, Members: n.members, Router: n.router, Client: n.client, CellsOf: n.cellsOf,
+		Name: n.self.Node, Manager: n.manager, Rollout: n.rollout, Members: n.members, Router: n.router, Client: n.client, PoolsByCell: n.cellsOf,
 	}
 	n.operator = &http.Server{
 		Handler:           service.Routes(operator.NewInterceptor(n.settings.Operators.Tokens, n.log)),
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -74,8 +74,8 @@
 	Members Members
 	Router  Router
 	Client  *peer.Client
-	// CellsOf returns the names of the cells that exist, with their pools.
-	CellsOf func() map[string]string
+	// PoolsByCell returns the names of the cells that exist, with their pools.
+	PoolsByCell func() map[string]string
 }
 
 const (
@@ -142,7 +142,7 @@
 		}
 		response.Nodes = append(response.Nodes, describeNode(view, revisions[i]))
 	}
-	cells := s.CellsOf()
+	cells := s.PoolsByCell()
 	for _, group := range s.Members.Groups() {
 		pool, exists := cells[group.ID]
 		if !exists {
@@ -221,7 +221,7 @@
 
 func (s *Service) cellsOfPool(pool string) []namedCell {
 	var cells []namedCell
-	for name, itsPool := range s.CellsOf() {
+	for name, itsPool := range s.PoolsByCell() {
 		if pool == "" || pool == itsPool {
 			cells = append(cells, namedCell{name, itsPool})
 		}
