--- a/internal/cell/engines.go
+++ b/internal/cell/engines.go
@@ -27,7 +27,7 @@
 		if m.machine.Leaving {
 			continue
 		}
-		status, _ := m.control.Observed()
+		status, _ := m.control.LastStatus()
 		members = append(members, fleet.Engine{Name: m.machine.Name, Serving: status.Deployment, Assigned: m.desired.Deployment})
 	}
 	assigned := fleet.Assign(members, demands)
@@ -59,7 +59,7 @@
 		}
 		mayChange := budget > 0 && s.mayLoad(now, m)
 		wasChanging := m.control.Changing()
-		order, send := m.control.Next(now, m.desired, m.candidate.InFlight, mayChange)
+		order, send := m.control.NextOrder(now, m.desired, m.candidate.InFlight, mayChange)
 		if m.control.Changing() && !wasChanging {
 			budget--
 			s.spaceLoads(now, m)
@@ -91,7 +91,7 @@
 // start: then there is no service to protect.
 func (s *State) servingNothing() bool {
 	for _, m := range s.order {
-		status, seen := m.control.Observed()
+		status, seen := m.control.LastStatus()
 		if seen && s.snapshot.ServedBy(status.Deployment.Model, s.pool) {
 			return false
 		}
@@ -122,7 +122,7 @@
 		s.ObserveStatus(now, instruction.Engine, status)
 		return
 	}
-	m.control.Answered(now, instruction.Order, status, err)
+	m.control.HandleOrderResult(now, instruction.Order, status, err)
 }
 
 // PollTargets lists the engines to ask for their status.
--- a/internal/cell/requests.go
+++ b/internal/cell/requests.go
@@ -297,7 +297,7 @@
 	candidate.Backlog.Add(f.rank, f.pending)
 	candidate.ReservedTokens += f.reserved
 	s.index.RecordPlacement(now, candidate.Slot, w.target.Prefix)
-	status, _ := m.control.Observed()
+	status, _ := m.control.LastStatus()
 	return Placed{Attempt: f.attempt, Ticket: engine.Ticket{
 		Attempt:     f.attempt,
 		Engine:      m.machine.Name,
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -236,7 +236,7 @@
 	if m == nil {
 		return
 	}
-	previous, seen := m.control.Observed()
+	previous, seen := m.control.LastStatus()
 	m.control.Observe(now, status)
 	if seen && previous.Incarnation != status.Incarnation {
 		s.dropFlights(m)
@@ -300,7 +300,7 @@
 	if m == nil {
 		return 0
 	}
-	status, _ := m.control.Observed()
+	status, _ := m.control.LastStatus()
 	return s.index.NextEvent(m.candidate.Slot, status.Incarnation)
 }
 
@@ -308,7 +308,7 @@
 func (s *State) refresh(now time.Duration) {
 	for _, m := range s.order {
 		if s.fence == 0 {
-			m.candidate.Availability = m.control.AvailabilityUnled(now)
+			m.candidate.Availability = m.control.FollowerAvailability(now)
 		} else {
 			m.candidate.Availability = m.control.Availability(now, m.desired)
 		}
@@ -323,7 +323,7 @@
 	s.refresh(now)
 	list := make([]*tinarchv1.EngineStatus, 0, len(s.order))
 	for _, m := range s.order {
-		status, seen := m.control.Observed()
+		status, seen := m.control.LastStatus()
 		description := &tinarchv1.EngineStatus{
 			Name:                m.machine.Name,
 			Pool:                s.pool,
@@ -370,7 +370,7 @@
 func (s *State) HighestFence() engine.Fence {
 	highest := engine.Fence(0)
 	for _, m := range s.order {
-		status, _ := m.control.Observed()
+		status, _ := m.control.LastStatus()
 		highest = max(highest, status.Fence)
 	}
 	return highest
--- a/internal/control/engine.go
+++ b/internal/control/engine.go
@@ -92,9 +92,9 @@
 	e.lastError = ""
 }
 
-// Answered takes the outcome of sending an order. A refusal proves that the
+// HandleOrderResult takes the outcome of sending an order. A refusal proves that the
 // order has no effect; any other failure leaves it outstanding.
-func (e *Reconciler) Answered(now time.Duration, order engine.Order, status engine.Status, err error) {
+func (e *Reconciler) HandleOrderResult(now time.Duration, order engine.Order, status engine.Status, err error) {
 	if err == nil {
 		e.Observe(now, status)
 		return
@@ -109,8 +109,8 @@
 	}
 }
 
-// Observed returns the last status report, and false when there is none.
-func (e *Reconciler) Observed() (engine.Status, bool) { return e.observed, e.seen }
+// LastStatus returns the last status report, and false when there is none.
+func (e *Reconciler) LastStatus() (engine.Status, bool) { return e.observed, e.seen }
 
 // ReportAge returns the time since the last status report.
 func (e *Reconciler) ReportAge(now time.Duration) time.Duration { return now - e.observedAt }
@@ -121,9 +121,11 @@
 // Lost reports whether the engine has been silent for too long.
 func (e *Reconciler) Lost(now time.Duration) bool { return !e.seen || now-e.observedAt > LostAfter }
 
-// Known reports whether the engine was claimed under the current fence and read
+// ClaimConfirmed reports whether the engine was claimed under the current fence and read
 // since.
-func (e *Reconciler) Known() bool { return e.readAfterClaim && e.claimed == e.observed.Incarnation }
+func (e *Reconciler) ClaimConfirmed() bool {
+	return e.readAfterClaim && e.claimed == e.observed.Incarnation
+}
 
 // Changing reports whether a planned change is under way.
 func (e *Reconciler) Changing() bool { return e.changing }
@@ -133,7 +135,7 @@
 	switch {
 	case e.Lost(now):
 		return placement.Lost
-	case !e.Known():
+	case !e.ClaimConfirmed():
 		return placement.Unknown
 	case e.observed.Changing != "":
 		return placement.Changing
@@ -145,10 +147,10 @@
 	return placement.Ready
 }
 
-// AvailabilityUnled tells whether an engine may get work from a node that does
+// FollowerAvailability tells whether an engine may get work from a node that does
 // not lead: some leader has claimed it, and it reports no change under way. The
 // engine itself refuses what does not fit it any more.
-func (e *Reconciler) AvailabilityUnled(now time.Duration) placement.Availability {
+func (e *Reconciler) FollowerAvailability(now time.Duration) placement.Availability {
 	switch {
 	case e.Lost(now):
 		return placement.Lost
@@ -164,9 +166,9 @@
 	return placement.Ready
 }
 
-// Next returns the order to send now, if any. inFlight counts the attempts placed
+// NextOrder returns the order to send now, if any. inFlight counts the attempts placed
 // and not finished; mayChange tells whether a planned change may begin.
-func (e *Reconciler) Next(now time.Duration, desired Desired, inFlight int, mayChange bool) (engine.Order, bool) {
+func (e *Reconciler) NextOrder(now time.Duration, desired Desired, inFlight int, mayChange bool) (engine.Order, bool) {
 	if e.Lost(now) {
 		return engine.Order{}, false
 	}
@@ -176,7 +178,7 @@
 		}
 		return *e.outstanding, true
 	}
-	if !e.Known() {
+	if !e.ClaimConfirmed() {
 		return e.issue(engine.Order{Type: engine.OrderClaim}), true
 	}
 	if e.observed.Changing != "" {
--- a/internal/control/engine_test.go
+++ b/internal/control/engine_test.go
@@ -44,7 +44,7 @@
 
 func next(t *testing.T, e *Reconciler, desired Desired, inFlight int, want engine.OrderType) engine.Order {
 	t.Helper()
-	order, ok := e.Next(0, desired, inFlight, true)
+	order, ok := e.NextOrder(0, desired, inFlight, true)
 	if !ok || order.Type != want {
 		t.Fatalf("next order %q (%v), want %q", order.Type, ok, want)
 	}
@@ -53,7 +53,7 @@
 
 func none(t *testing.T, e *Reconciler, desired Desired, inFlight int) {
 	t.Helper()
-	if order, ok := e.Next(0, desired, inFlight, true); ok {
+	if order, ok := e.NextOrder(0, desired, inFlight, true); ok {
 		t.Fatalf("unexpected order %q", order.Type)
 	}
 }
@@ -66,13 +66,13 @@
 		t.Errorf("unclaimed engine is %v", got)
 	}
 	claim := next(t, e, desired, 0, engine.OrderClaim)
-	e.Answered(0, claim, f.obey(claim), nil)
+	e.HandleOrderResult(0, claim, f.obey(claim), nil)
 	none(t, e, desired, 1) // an attempt is in flight
 	if got := e.Availability(0, desired); got != placement.Draining {
 		t.Errorf("engine before its change is %v", got)
 	}
 	drain := next(t, e, desired, 0, engine.OrderDrain)
-	e.Answered(0, drain, f.obey(drain), nil)
+	e.HandleOrderResult(0, drain, f.obey(drain), nil)
 	f.status.Running = 1
 	e.Observe(0, f.status)
 	none(t, e, desired, 0) // the engine still runs one
@@ -82,9 +82,9 @@
 	if deploy.SizeBytes != 100 || deploy.Fence != 7 || deploy.Incarnation != "i1" {
 		t.Errorf("deploy order %+v", deploy)
 	}
-	e.Answered(0, deploy, f.obey(deploy), nil)
+	e.HandleOrderResult(0, deploy, f.obey(deploy), nil)
 	undrain := next(t, e, desired, 0, engine.OrderUndrain)
-	e.Answered(0, undrain, f.obey(undrain), nil)
+	e.HandleOrderResult(0, undrain, f.obey(undrain), nil)
 	none(t, e, desired, 0)
 	if got := e.Availability(0, desired); got != placement.Ready {
 		t.Errorf("engine after its change is %v", got)
@@ -95,7 +95,7 @@
 	f := newFake()
 	e := tracked(f)
 	claim := next(t, e, Desired{}, 0, engine.OrderClaim)
-	e.Answered(0, claim, engine.Status{}, result.New(result.EngineDown, "no answer"))
+	e.HandleOrderResult(0, claim, engine.Status{}, result.New(result.EngineDown, "no answer"))
 	again := next(t, e, Desired{}, 0, engine.OrderClaim)
 	if again.ID != claim.ID || again.Sequence != claim.Sequence {
 		t.Fatalf("repeated as another order: %+v, first %+v", again, claim)
@@ -108,7 +108,7 @@
 func TestRefusedOrderIsDropped(t *testing.T) {
 	e := tracked(newFake())
 	claim := next(t, e, Desired{}, 0, engine.OrderClaim)
-	e.Answered(0, claim, engine.Status{}, result.New(result.IncarnationMismatch, "restarted"))
+	e.HandleOrderResult(0, claim, engine.Status{}, result.New(result.IncarnationMismatch, "restarted"))
 	if again := next(t, e, Desired{}, 0, engine.OrderClaim); again.ID == claim.ID {
 		t.Error("a refused order was repeated")
 	}
@@ -118,7 +118,7 @@
 	f := newFake()
 	e := tracked(f)
 	claim := next(t, e, Desired{}, 0, engine.OrderClaim)
-	e.Answered(0, claim, f.obey(claim), nil)
+	e.HandleOrderResult(0, claim, f.obey(claim), nil)
 	f.status = engine.Status{Incarnation: "i2"}
 	e.Observe(0, f.status)
 	if got := e.Availability(0, Desired{}); got != placement.Unknown {
@@ -133,7 +133,7 @@
 	f := newFake()
 	e := tracked(f)
 	claim := next(t, e, Desired{}, 0, engine.OrderClaim)
-	e.Answered(0, claim, f.obey(claim), nil)
+	e.HandleOrderResult(0, claim, f.obey(claim), nil)
 	e.SetFence(8)
 	if order := next(t, e, Desired{}, 0, engine.OrderClaim); order.Fence != 8 {
 		t.Errorf("claim has fence %d", order.Fence)
@@ -142,7 +142,7 @@
 
 func TestSilentEngineGetsNothing(t *testing.T) {
 	e := tracked(newFake())
-	if _, ok := e.Next(LostAfter+time.Millisecond, Desired{}, 0, true); ok {
+	if _, ok := e.NextOrder(LostAfter+time.Millisecond, Desired{}, 0, true); ok {
 		t.Error("a lost engine got an order")
 	}
 	if got := e.Availability(LostAfter+time.Millisecond, Desired{}); got != placement.Lost {
@@ -154,8 +154,8 @@
 	f := newFake()
 	e := tracked(f)
 	claim := next(t, e, Desired{}, 0, engine.OrderClaim)
-	e.Answered(0, claim, f.obey(claim), nil)
-	if _, ok := e.Next(0, Desired{Deployment: version2}, 0, false); ok || e.Changing() {
+	e.HandleOrderResult(0, claim, f.obey(claim), nil)
+	if _, ok := e.NextOrder(0, Desired{Deployment: version2}, 0, false); ok || e.Changing() {
 		t.Error("a change began although too many engines are out")
 	}
 }
