--- a/internal/group/keeper.go
+++ b/internal/group/keeper.go
@@ -15,17 +15,17 @@
 type Cluster interface {
 	// Candidates returns the nodes that may be members: alive and not leaving.
 	Candidates() []Member
-	// Known returns the highest epoch of a group that any node has spoken of, the
+	// KnownLeader returns the highest epoch of a group that any node has spoken of, the
 	// leader's node, and whether that node is alive.
-	Known(groupID string) (epoch uint64, leader string, leaderAlive bool)
-	// Gone reports whether the process of a member is proved to have ended: a
+	KnownLeader(groupID string) (epoch uint64, leader string, leaderAlive bool)
+	// HasEnded reports whether the process of a member is proved to have ended: a
 	// later incarnation of its node runs, or the machine list has dropped it.
-	Gone(member Member) bool
-	// LeastEpoch returns the epoch that a group led here must at least have: its
+	HasEnded(member Member) bool
+	// MinEpoch returns the epoch that a group led here must at least have: its
 	// engines may have seen higher fences under another group.
-	LeastEpoch(groupID string) uint64
-	// Wanted returns the groups that should exist.
-	Wanted() []string
+	MinEpoch(groupID string) uint64
+	// DesiredGroups returns the groups that should exist.
+	DesiredGroups() []string
 }
 
 // Manager makes groups exist and replaces members that are lost or leaving.
@@ -85,7 +85,7 @@
 	}
 }
 
-func (k *Manager) gone(member Member) bool { return k.view.Gone(member) }
+func (k *Manager) gone(member Member) bool { return k.view.HasEnded(member) }
 
 // Run keeps groups until ctx ends. Groups are looked after side by side: one
 // whose members are slow to answer does not hold up the others.
@@ -102,7 +102,7 @@
 			return
 		case <-ticker.C:
 		}
-		for _, id := range k.view.Wanted() {
+		for _, id := range k.view.DesiredGroups() {
 			mu.Lock()
 			skip := busy[id]
 			busy[id] = true
@@ -144,7 +144,7 @@
 	if active == nil {
 		return
 	}
-	epoch, _, _ := k.view.Known(id)
+	epoch, _, _ := k.view.KnownLeader(id)
 	if epoch <= active.Config().Epoch {
 		return
 	}
@@ -171,7 +171,7 @@
 }
 
 func (k *Manager) needOfOutsider(id string) (reason, time.Duration) {
-	epoch, leader, alive := k.view.Known(id)
+	epoch, leader, alive := k.view.KnownLeader(id)
 	switch {
 	case leader != "" && alive:
 		return reasonNone, 0
@@ -199,7 +199,7 @@
 		}
 	}
 	switch {
-	case k.view.LeastEpoch(id) > record.Epoch:
+	case k.view.MinEpoch(id) > record.Epoch:
 		return reasonLost, patienceLost
 	case kept < len(record.Members) && len(next) > kept:
 		// A lost member is replaced, also by fewer than it were: what counts is
--- a/internal/group/reconfigure.go
+++ b/internal/group/reconfigure.go
@@ -40,7 +40,7 @@
 	}
 	record := Record{
 		Group:    former.Group,
-		Epoch:    max(former.Epoch+1, k.view.LeastEpoch(former.Group)),
+		Epoch:    max(former.Epoch+1, k.view.MinEpoch(former.Group)),
 		Members:  next,
 		Proposal: string(engine.NewIdentifier()),
 	}
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -121,8 +121,8 @@
 	return candidates
 }
 
-// Known implements group.View.
-func (n *Node) Known(groupID string) (epoch uint64, leader string, leaderAlive bool) {
+// KnownLeader implements group.View.
+func (n *Node) KnownLeader(groupID string) (epoch uint64, leader string, leaderAlive bool) {
 	known, exists := n.members.Group(groupID)
 	if !exists {
 		return 0, "", false
@@ -135,17 +135,17 @@
 // before that counts as the platform's word that it is gone.
 const goneAfter = 15 * time.Second
 
-// Gone implements group.View. It is asked only where a majority of a group can't
+// HasEnded implements group.View. It is asked only where a majority of a group can't
 // be reached, and errs on the side of no.
-func (n *Node) Gone(member group.Member) bool {
+func (n *Node) HasEnded(member group.Member) bool {
 	if node, found := n.members.Node(member.Node); found && node.Incarnation != string(member.ID) && node.State == membership.Alive {
 		return true // its node runs a later process
 	}
 	return n.machines.droppedFor(member.Address) > goneAfter
 }
 
-// LeastEpoch implements group.View.
-func (n *Node) LeastEpoch(groupID string) uint64 {
+// MinEpoch implements group.View.
+func (n *Node) MinEpoch(groupID string) uint64 {
 	n.mu.Lock()
 	service := n.cells[groupID]
 	n.mu.Unlock()
@@ -158,8 +158,8 @@
 	return 0
 }
 
-// Wanted implements group.View.
-func (n *Node) Wanted() []string {
+// DesiredGroups implements group.View.
+func (n *Node) DesiredGroups() []string {
 	if !n.caughtUp.Load() {
 		return nil
 	}
