--- a/internal/node/security.go
+++ b/internal/node/security.go
@@ -14,7 +14,7 @@
 
 // peerSecurity returns the mutual TLS of the peer port, nil where none is set.
 func peerSecurity(files settings.Certificate) (*tlsConfig, error) {
-	if !files.Set() {
+	if !files.IsSet() {
 		return nil, nil
 	}
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
@@ -40,7 +40,7 @@
 
 // serverSecurity puts TLS on a listener, where a certificate is set.
 func serverSecurity(listener net.Listener, files settings.Certificate, key string) (net.Listener, error) {
-	if !files.Set() {
+	if !files.IsSet() {
 		return listener, nil
 	}
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -129,8 +129,8 @@
 	CA          string `yaml:"ca"`
 }
 
-// Set reports whether a certificate is given.
-func (c Certificate) Set() bool { return c.Certificate != "" || c.Key != "" || c.CA != "" }
+// IsSet reports whether a certificate is given.
+func (c Certificate) IsSet() bool { return c.Certificate != "" || c.Key != "" || c.CA != "" }
 
 // Limits bound what callers may do.
 type Limits struct {
@@ -343,7 +343,7 @@
 }
 
 func (c *checker) certificate(key string, certificate Certificate, mutual bool) {
-	if !certificate.Set() {
+	if !certificate.IsSet() {
 		return
 	}
 	c.required(key+".certificate", certificate.Certificate)
