--- a/internal/stageplan/need_test.go
+++ b/internal/stageplan/need_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// inNeed are engines of which some take few requests.
-func inNeed(prefill, decode, limited int) []Worker {
+// rateLimitedFleet are engines of which some take few requests.
+func rateLimitedFleet(prefill, decode, limited int) []Worker {
 	count := 0
 	return fleet(prefill, decode, func(worker *Worker) {
 		worker.Limited = count < limited
@@ -15,8 +15,8 @@
 	})
 }
 
-// orderedInNeed lets a planner see engines for ten seconds and has its orders carried out at once.
-func orderedInNeed(workers []Worker, offered OfferedLoad) (orders []Order) {
+// ordersOf lets a planner see engines for ten seconds and has its orders carried out at once.
+func ordersOf(workers []Worker, offered OfferedLoad) (orders []Order) {
 	planner := New(DefaultPolicy())
 	for elapsed := time.Duration(0); elapsed <= 10*time.Second; elapsed += tick {
 		given := planner.Decide(origin.Add(elapsed), workers, offered)
@@ -26,10 +26,10 @@
 	return orders
 }
 
-// TestEnginesInNeedWrite: what one that only reads takes serves nobody.
-func TestEnginesInNeedWrite(t *testing.T) {
-	workers := inNeed(6, 3, 9)
-	orders := orderedInNeed(workers, OfferedLoad{ReadTokens: 1, Requests: 20})
+// TestRateLimitedEnginesChangeToDecode: what one that only reads takes serves nobody.
+func TestRateLimitedEnginesChangeToDecode(t *testing.T) {
+	workers := rateLimitedFleet(6, 3, 9)
+	orders := ordersOf(workers, OfferedLoad{ReadTokens: 1, Requests: 20})
 	if len(orders) != 5 {
 		t.Fatalf("%d orders, want 5: one engine goes on reading", len(orders))
 	}
@@ -40,12 +40,12 @@
 	}
 }
 
-// TestEnginesInNeedAreLeftAlone where nobody is refused, or where others are enough to plan with.
-func TestEnginesInNeedAreLeftAlone(t *testing.T) {
-	if orders := orderedInNeed(inNeed(6, 3, 9), OfferedLoad{ReadTokens: 1, Requests: 3}); len(orders) > 0 {
+// TestRateLimitedEnginesStayWhileNothingIsRefused where nobody is refused, or where others are enough to plan with.
+func TestRateLimitedEnginesStayWhileNothingIsRefused(t *testing.T) {
+	if orders := ordersOf(rateLimitedFleet(6, 3, 9), OfferedLoad{ReadTokens: 1, Requests: 3}); len(orders) > 0 {
 		t.Errorf("nobody is refused: %+v", orders)
 	}
-	for _, order := range orderedInNeed(inNeed(6, 3, 4), OfferedLoad{ReadTokens: 1, Requests: 3}) {
+	for _, order := range ordersOf(rateLimitedFleet(6, 3, 4), OfferedLoad{ReadTokens: 1, Requests: 3}) {
 		if order.Reason == RateLimitBottleneck || order.Worker < "w04" {
 			t.Errorf("an engine in need is ordered: %+v", order)
 		}
--- a/internal/stageplan/regional.go
+++ b/internal/stageplan/regional.go
@@ -12,8 +12,8 @@
 type RegionalPlanner struct {
 	policy   Policy
 	planners map[string]*Planner
-	// last is the region that was given orders last: the others come before it.
-	last string
+	// lastServed is the region that was given orders lastServed: the others come before it.
+	lastServed string
 }
 
 // NewRegionalPlanner returns a planner for a service in any number of regions.
@@ -37,43 +37,43 @@
 // serve its own callers.
 func (r *RegionalPlanner) Decide(now time.Time, workers []Worker, offered map[string]OfferedLoad, heard func(region string) bool) []Order {
 	regions := byRegion(workers)
-	offered = withoutEngines(regions, offered)
-	room := r.policy.room(workers)
+	offered = reassignOffered(regions, offered)
+	budget := r.policy.budget(workers)
 	var orders []Order
-	first := r.last
-	for _, region := range r.turns(regions, first) {
+	previous := r.lastServed
+	for _, region := range r.regionsInTurn(regions, previous) {
 		planner, engines := r.Planner(region), regions[region]
-		if offered[region].zero() && !heard(region) {
-			planner.hold(now)
+		if offered[region].isZero() && !heard(region) {
+			planner.suspendDecay(now)
 			continue
 		}
-		given := planner.decideWithin(now, engines, offered[region], min(room, r.policy.roomInRegion(engines)))
+		given := planner.decideWithin(now, engines, offered[region], min(budget, r.policy.regionBudget(engines)))
 		if len(given) > 0 {
-			r.last = region
+			r.lastServed = region
 		}
-		room -= len(given)
+		budget -= len(given)
 		orders = append(orders, given...)
 	}
 	return orders
 }
 
-// roomInRegion is how many more engines of a region may be ordered to change now.
-func (p Policy) roomInRegion(workers []Worker) int {
-	return max(int(p.RegionShare*float64(len(workers))), 1) - changing(workers)
+// regionBudget is how many more engines of a region may be ordered to change now.
+func (p Policy) regionBudget(workers []Worker) int {
+	return max(int(p.RegionShare*float64(len(workers))), 1) - countChanging(workers)
 }
 
-// turns are the regions that have engines or had some, in the order in which they come to
+// regionsInTurn are the regions that have engines or had some, in the order in which they come to
 // their orders: those after the one that came last go first.
-func (r *RegionalPlanner) turns(regions map[string][]Worker, last string) []string {
+func (r *RegionalPlanner) regionsInTurn(regions map[string][]Worker, last string) []string {
 	for region := range regions {
 		r.Planner(region)
 	}
-	turns := slices.Sorted(maps.Keys(r.planners))
-	next, _ := slices.BinarySearch(turns, last)
-	if next < len(turns) && turns[next] == last {
+	regionsInTurn := slices.Sorted(maps.Keys(r.planners))
+	next, _ := slices.BinarySearch(regionsInTurn, last)
+	if next < len(regionsInTurn) && regionsInTurn[next] == last {
 		next++
 	}
-	return append(slices.Clone(turns[next:]), turns[:next]...)
+	return append(slices.Clone(regionsInTurn[next:]), regionsInTurn[:next]...)
 }
 
 func byRegion(workers []Worker) map[string][]Worker {
@@ -84,9 +84,9 @@
 	return regions
 }
 
-// withoutEngines divides the work that is offered to regions without a usable engine among
+// reassignOffered divides the work that is offered to regions without a usable engine among
 // the others, by their engines: only there can it be done.
-func withoutEngines(regions map[string][]Worker, offered map[string]OfferedLoad) map[string]OfferedLoad {
+func reassignOffered(regions map[string][]Worker, offered map[string]OfferedLoad) map[string]OfferedLoad {
 	usable, total := make(map[string]int), 0
 	for region, workers := range regions {
 		if count := divide(workers).size(); count > 0 {
@@ -97,33 +97,33 @@
 	if total == 0 {
 		return offered
 	}
-	var homeless OfferedLoad
+	var unserved OfferedLoad
 	shared := make(map[string]OfferedLoad, len(offered))
 	for region, work := range offered {
 		if usable[region] > 0 {
 			shared[region] = work
 		} else {
-			homeless = homeless.plus(work, 1)
+			unserved = unserved.plusShare(work, 1)
 		}
 	}
 	for region, count := range usable {
-		shared[region] = shared[region].plus(homeless, float64(count)/float64(total))
+		shared[region] = shared[region].plusShare(unserved, float64(count)/float64(total))
 	}
 	return shared
 }
 
-// plus returns the work with a share of other work added.
-func (o OfferedLoad) plus(other OfferedLoad, share float64) OfferedLoad {
+// plusShare returns the work with a share of other work added.
+func (o OfferedLoad) plusShare(other OfferedLoad, share float64) OfferedLoad {
 	o.ReadTokens += share * other.ReadTokens
 	o.Requests += share * other.Requests
 	o.MemoryTokens += share * other.MemoryTokens
 	return o
 }
 
-func (o OfferedLoad) zero() bool { return o == OfferedLoad{} }
+func (o OfferedLoad) isZero() bool { return o == OfferedLoad{} }
 
-// hold keeps what is remembered of the demand as it is.
-func (p *Planner) hold(now time.Time) {
+// suspendDecay keeps what is remembered of the demand as it is.
+func (p *Planner) suspendDecay(now time.Time) {
 	for _, observed := range []*time.Time{
 		&p.readingMean.observed, &p.writingMean.observed, &p.readingPeak.observed, &p.writingPeak.observed,
 	} {
--- a/internal/stageplan/regional_test.go
+++ b/internal/stageplan/regional_test.go
@@ -19,11 +19,11 @@
 	return workers
 }
 
-func heardAll(string) bool { return true }
+func hearsAll(string) bool { return true }
 
-// decided lets a planner see the same engines and work for a while, and returns all orders,
+// ordersWithin lets a planner see the same engines and work for a while, and returns all orders,
 // which are not carried out.
-func decided(planner *RegionalPlanner, span time.Duration, workers []Worker, offered map[string]OfferedLoad, heard func(string) bool) []Order {
+func ordersWithin(planner *RegionalPlanner, span time.Duration, workers []Worker, offered map[string]OfferedLoad, heard func(string) bool) []Order {
 	var orders []Order
 	for elapsed := time.Duration(0); elapsed <= span; elapsed += tick {
 		orders = append(orders, planner.Decide(origin.Add(elapsed), workers, offered, heard)...)
@@ -38,7 +38,7 @@
 	planner := NewRegionalPlanner(DefaultPolicy())
 	offered := map[string]OfferedLoad{"north": {ReadTokens: 5 * enginePace}, "south": {Requests: 8 * 60}}
 	for elapsed := time.Duration(0); elapsed <= time.Minute; elapsed += tick {
-		carryOut(workers, planner.Decide(origin.Add(elapsed), workers, offered, heardAll), false)
+		carryOut(workers, planner.Decide(origin.Add(elapsed), workers, offered, hearsAll), false)
 	}
 	regions := byRegion(workers)
 	if north := len(divide(regions["north"]).prefill); north < 8 {
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestOneRegionIsPlannedAsBefore: a deployment in one region gets the same orders as from
+// TestOneRegionIsPlannedAsWithoutRegions: a deployment in one region gets the same orders as from
 // a planner that knows none.
-func TestOneRegionIsPlannedAsBefore(t *testing.T) {
+func TestOneRegionIsPlannedAsWithoutRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain, regional := New(DefaultPolicy()), NewRegionalPlanner(DefaultPolicy())
 		workers := fleet(4, 5, nil)
@@ -59,7 +59,7 @@
 			now := origin.Add(time.Duration(step) * tick)
 			offered := OfferedLoad{ReadTokens: rapid.Float64Range(0, 20*enginePace).Draw(t, "tokens")}
 			want := plain.Decide(now, workers, offered)
-			got := regional.Decide(now, workers, map[string]OfferedLoad{"": offered}, heardAll)
+			got := regional.Decide(now, workers, map[string]OfferedLoad{"": offered}, hearsAll)
 			if fmt.Sprint(got) != fmt.Sprint(want) {
 				t.Fatalf("step %d: %v, want %v", step, got, want)
 			}
@@ -79,7 +79,7 @@
 	}
 	planner := NewRegionalPlanner(DefaultPolicy())
 	served := make(map[string]bool)
-	most := DefaultPolicy().together(len(workers))
+	most := DefaultPolicy().maxChanging(len(workers))
 	if most >= len(workers)/2 || most <= 1 {
 		t.Fatalf("%d at once show nothing", most)
 	}
@@ -89,12 +89,12 @@
 				workers[i].Changing = false
 			}
 		}
-		orders := planner.Decide(origin.Add(elapsed), workers, offered, heardAll)
+		orders := planner.Decide(origin.Add(elapsed), workers, offered, hearsAll)
 		for _, order := range orders {
 			served[order.Region] = true
 		}
 		carryOut(workers, orders, true)
-		if count := changing(workers); count > most {
+		if count := countChanging(workers); count > most {
 			t.Fatalf("%d engines change at once, %d may", count, most)
 		}
 	}
@@ -116,7 +116,7 @@
 	}
 	offered := map[string]OfferedLoad{"south": {ReadTokens: 8 * enginePace}}
 	ordered := make(map[string]int)
-	for _, order := range decided(NewRegionalPlanner(DefaultPolicy()), time.Second, workers, offered, heardAll) {
+	for _, order := range ordersWithin(NewRegionalPlanner(DefaultPolicy()), time.Second, workers, offered, hearsAll) {
 		ordered[order.Region]++
 	}
 	if ordered["south"] == 0 {
@@ -124,9 +124,9 @@
 	}
 }
 
-// TestScarceRoomGoesRound: where one engine of the whole service may change at a time,
+// TestRegionsTakeTurnsForOrders: where one engine of the whole service may change at a time,
 // the regions take turns.
-func TestScarceRoomGoesRound(t *testing.T) {
+func TestRegionsTakeTurnsForOrders(t *testing.T) {
 	workers := regionalFleet(1, 2, "north", "south")
 	for i := range workers {
 		workers[i].Prefill = true // nothing writes anywhere
@@ -134,7 +134,7 @@
 	planner := NewRegionalPlanner(DefaultPolicy())
 	var regions []string
 	for elapsed := time.Duration(0); elapsed < 6*time.Second; elapsed += tick {
-		orders := planner.Decide(origin.Add(elapsed), workers, nil, heardAll)
+		orders := planner.Decide(origin.Add(elapsed), workers, nil, hearsAll)
 		if len(orders) > 1 {
 			t.Fatalf("%d orders at once", len(orders))
 		}
@@ -155,7 +155,7 @@
 		workers[i].Usable = workers[i].Region != "south"
 	}
 	offered := map[string]OfferedLoad{"south": {ReadTokens: 4 * enginePace}}
-	orders := decided(NewRegionalPlanner(DefaultPolicy()), 5*time.Second, workers, offered, heardAll)
+	orders := ordersWithin(NewRegionalPlanner(DefaultPolicy()), 5*time.Second, workers, offered, hearsAll)
 	if len(orders) == 0 {
 		t.Fatal("nobody reads what the region that lost its engines wants")
 	}
@@ -166,13 +166,13 @@
 	}
 }
 
-// TestRegionThatIsCutOffIsLeftAsItIs: its callers and nodes are out of sight, and its
+// TestUnreachableRegionGetsNoOrders: its callers and nodes are out of sight, and its
 // engines must not be taken for idle. What it needed is remembered until it is back.
-func TestRegionThatIsCutOffIsLeftAsItIs(t *testing.T) {
+func TestUnreachableRegionGetsNoOrders(t *testing.T) {
 	workers := regionalFleet(3, 9, "north", "south")
 	planner := NewRegionalPlanner(DefaultPolicy())
 	busy := map[string]OfferedLoad{"south": {Requests: 9 * 60 * 0.95}}
-	if orders := decided(planner, 10*time.Second, workers, busy, heardAll); len(orders) > 0 && orders[0].Prefill && orders[0].Region == "south" {
+	if orders := ordersWithin(planner, 10*time.Second, workers, busy, hearsAll); len(orders) > 0 && orders[0].Prefill && orders[0].Region == "south" {
 		t.Fatalf("%+v", orders)
 	}
 	needed := planner.Planner("south").Demand().Writing
@@ -184,17 +184,17 @@
 			}
 		}
 	}
-	planner.Decide(origin.Add(70*time.Second), workers, nil, heardAll)
+	planner.Decide(origin.Add(70*time.Second), workers, nil, hearsAll)
 	if left := planner.Planner("south").Demand().Writing; left < 0.9*needed {
 		t.Errorf("of a demand of %.1f engines %.1f is left", needed, left)
 	}
 }
 
-// TestRegionWithoutNodesIsPlannedByWhatOthersWantOfIt.
-func TestRegionWithoutNodesIsPlannedByWhatOthersWantOfIt(t *testing.T) {
+// TestRegionWithoutNodesIsPlannedByOfferedLoad.
+func TestRegionWithoutNodesIsPlannedByOfferedLoad(t *testing.T) {
 	workers := regionalFleet(3, 9, "north", "south")
 	offered := map[string]OfferedLoad{"south": {ReadTokens: 4 * enginePace}}
-	orders := decided(NewRegionalPlanner(DefaultPolicy()), 5*time.Second, workers, offered, func(region string) bool { return region == "north" })
+	orders := ordersWithin(NewRegionalPlanner(DefaultPolicy()), 5*time.Second, workers, offered, func(region string) bool { return region == "north" })
 	if len(orders) == 0 || orders[0].Region != "south" || !orders[0].Prefill {
 		t.Errorf("%+v", orders)
 	}
--- a/internal/stageplan/stageplan.go
+++ b/internal/stageplan/stageplan.go
@@ -129,18 +129,18 @@
 // Planner plans the engines of one service.
 type Planner struct {
 	policy                   Policy
-	readingMean, writingMean smooth
-	readingPeak, writingPeak peak
+	readingMean, writingMean movingMean
+	readingPeak, writingPeak decayingPeak
 	demand                   Demand
-	// nextWave is when orders may be given again.
-	nextWave time.Time
-	// seenSince is since when there was demand, zero before any.
-	seenSince time.Time
-	// inNeedSince is since when nearly all engines are limited, zero while they aren't.
-	inNeedSince time.Time
-	// shortSince is since when the last engines that write are too few, zero while there
+	// nextOrders is when orders may be given again.
+	nextOrders time.Time
+	// demandSince is since when there was demand, zero before any.
+	demandSince time.Time
+	// rateLimitedSince is since when nearly all engines are limited, zero while they aren't.
+	rateLimitedSince time.Time
+	// decodeShortSince is since when the last engines that write are too few, zero while there
 	// are enough.
-	shortSince time.Time
+	decodeShortSince time.Time
 }
 
 // New returns a planner.
@@ -154,15 +154,15 @@
 
 // divide counts engines that take what they are given.
 func divide(workers []Worker) division {
-	return divideSome(workers, func(worker Worker) bool { return worker.Usable && !worker.Limited })
+	return divideIf(workers, func(worker Worker) bool { return worker.Usable && !worker.Limited })
 }
 
-// divideInNeed counts limited engines too, but for those that change already.
-func divideInNeed(workers []Worker) division {
-	return divideSome(workers, func(worker Worker) bool { return worker.Usable && !worker.Changing })
+// divideRateLimited counts limited engines too, but for those that change already.
+func divideRateLimited(workers []Worker) division {
+	return divideIf(workers, func(worker Worker) bool { return worker.Usable && !worker.Changing })
 }
 
-func divideSome(workers []Worker, counts func(Worker) bool) division {
+func divideIf(workers []Worker, counts func(Worker) bool) division {
 	var d division
 	for _, worker := range workers {
 		switch {
@@ -178,79 +178,79 @@
 
 func (d division) size() int { return len(d.prefill) + len(d.decode) }
 
-// leastDecode and leastPrefill are the fewest engines of a stage, however few there
+// minDecode and minPrefill are the fewest engines of a stage, however few there
 // are in all.
 const (
-	leastDecode  = 2
-	leastPrefill = 1
+	minDecode  = 2
+	minPrefill = 1
 )
 
 // Decide observes the engines and the work that is offered to them, and returns the orders
 // to be given now, if any. Call it every few hundred milliseconds.
 func (p *Planner) Decide(now time.Time, workers []Worker, offered OfferedLoad) []Order {
-	return p.decideWithin(now, workers, offered, p.policy.room(workers))
+	return p.decideWithin(now, workers, offered, p.policy.budget(workers))
 }
 
 // decideWithin is Decide with no more orders than there is room for.
-func (p *Planner) decideWithin(now time.Time, workers []Worker, offered OfferedLoad, room int) []Order {
+func (p *Planner) decideWithin(now time.Time, workers []Worker, offered OfferedLoad, budget int) []Order {
 	d := divide(workers)
 	p.observe(now, d, offered)
-	if d.size() < leastDecode+leastPrefill {
-		return p.decideInNeed(now, workers, offered)
+	if d.size() < minDecode+minPrefill {
+		return p.decideRateLimited(now, workers, offered)
 	}
-	p.inNeedSince = time.Time{}
-	goal, reason, found := p.compare(now, d)
-	if !found || room < 1 || now.Before(p.nextWave) {
+	p.rateLimitedSince = time.Time{}
+	goal, reason, found := p.bestDivision(now, d)
+	if !found || budget < 1 || now.Before(p.nextOrders) {
 		return nil
 	}
-	orders := p.wave(d, goal, reason, room)
-	p.nextWave = now.Add(p.policy.Settle * time.Duration(len(orders)) / time.Duration(p.policy.together(len(workers))))
+	orders := p.ordersToward(d, goal, reason, budget)
+	p.nextOrders = now.Add(p.policy.Settle * time.Duration(len(orders)) / time.Duration(p.policy.maxChanging(len(workers))))
 	return orders
 }
 
-// decideInNeed plans for engines of which nearly all are limited. Each that writes reads by
+// decideRateLimited plans for engines of which nearly all are limited. Each that writes reads by
 // itself as well, and serves as many requests as it takes; what one that only reads takes adds
 // nothing. So half of these are to write, as long as requests are refused.
-func (p *Planner) decideInNeed(now time.Time, workers []Worker, offered OfferedLoad) []Order {
-	d := divideInNeed(workers)
-	if len(d.prefill) <= leastPrefill || d.size() < leastDecode+leastPrefill {
-		p.inNeedSince = time.Time{}
+func (p *Planner) decideRateLimited(now time.Time, workers []Worker, offered OfferedLoad) []Order {
+	d := divideRateLimited(workers)
+	if len(d.prefill) <= minPrefill || d.size() < minDecode+minPrefill {
+		p.rateLimitedSince = time.Time{}
 		return nil
 	}
-	if p.inNeedSince.IsZero() {
-		p.inNeedSince = now
+	if p.rateLimitedSince.IsZero() {
+		p.rateLimitedSince = now
 	}
 	running := 0
 	for _, worker := range d.decode {
 		running += worker.Requests
 	}
 	refused := offered.Requests > (1+p.policy.Gain)*float64(running)
-	if !refused || now.Sub(p.inNeedSince) < p.policy.Learn || now.Before(p.nextWave) {
+	if !refused || now.Sub(p.rateLimitedSince) < p.policy.Learn || now.Before(p.nextOrders) {
 		return nil
 	}
-	count := min((len(d.prefill)+1)/2, len(d.prefill)-leastPrefill) - changing(workers)
+	count := min((len(d.prefill)+1)/2, len(d.prefill)-minPrefill) - countChanging(workers)
 	var orders []Order
-	for _, worker := range idlest(d.prefill, max(count, 0)) {
+	for _, worker := range leastLoaded(d.prefill, max(count, 0)) {
 		orders = append(orders, Order{Worker: worker.ID, Region: worker.Region, Reason: RateLimitBottleneck})
 	}
-	p.nextWave = now.Add(p.policy.Settle)
+	p.nextOrders = now.Add(p.policy.Settle)
 	return orders
 }
 
-// wave returns the orders that bring a division nearer to a goal, the idlest engines first:
+// ordersToward returns the orders that bring a division nearer to a goal, the idlest engines first:
 // as many as may change at once, and no more than their stage can do without until they
 // are back. A single one is ordered in any case.
-func (p *Planner) wave(d division, goal int, reason Reason, room int) []Order {
+func (p *Planner) ordersToward(d division, goal int, reason Reason, budget int) []Order {
 	from, prefill := d.decode, true
 	if reason == DecodeBottleneck {
 		from, prefill = d.prefill, false
 	}
-	count := min(max(goal-len(d.prefill), len(d.prefill)-goal), room)
+	count := min(max(goal-len(d.prefill), len(d.prefill)-goal), budget)
 	for count > 1 && !p.canSpare(d, prefill, count) {
 		count--
 	}
 	var orders []Order
-	for _, worker := range idlest(from, count) {
+	for _, worker := range leastLoaded(from, count) {
 		orders = append(orders, Order{Worker: worker.ID, Region: worker.Region, Prefill: prefill, Reason: reason})
 	}
 	return orders
@@ -265,13 +265,15 @@
 	return p.demand.Reading/p.policy.Reading <= float64(len(d.prefill)-count)
 }
 
-// together is how many engines of a service may change at once.
-func (p Policy) together(engines int) int { return max(int(p.TogetherShare*float64(engines)), 1) }
+// maxChanging is how many engines of a service may change at once.
+func (p Policy) maxChanging(engines int) int { return max(int(p.TogetherShare*float64(engines)), 1) }
 
-// room is how many more engines may be ordered to change now.
-func (p Policy) room(workers []Worker) int { return p.together(len(workers)) - changing(workers) }
+// budget is how many more engines may be ordered to change now.
+func (p Policy) budget(workers []Worker) int {
+	return p.maxChanging(len(workers)) - countChanging(workers)
+}
 
-func changing(workers []Worker) int {
+func countChanging(workers []Worker) int {
 	count := 0
 	for _, worker := range workers {
 		if worker.Changing {
@@ -285,8 +287,8 @@
 func (p *Planner) observe(now time.Time, d division, offered OfferedLoad) {
 	reading := p.readingMean.observe(now, readingDemand(d, offered.ReadTokens), p.policy.Smoothing)
 	writing := p.writingMean.observe(now, writingDemand(d, offered), p.policy.Smoothing)
-	if p.seenSince.IsZero() && reading+writing > 0 {
-		p.seenSince = now
+	if p.demandSince.IsZero() && reading+writing > 0 {
+		p.demandSince = now
 	}
 	p.demand = Demand{
 		Reading: p.readingPeak.observe(now, reading, p.policy.PeakDecay),
@@ -333,22 +335,22 @@
 	return sum / max(float64(len(workers)), 1)
 }
 
-// compare returns the number of engines that read in the best division, if that is worth an
+// bestDivision returns the number of engines that read in the best division, if that is worth an
 // order, and the reason for it.
-func (p *Planner) compare(at time.Time, d division) (goal int, reason Reason, found bool) {
+func (p *Planner) bestDivision(at time.Time, d division) (goal int, reason Reason, found bool) {
 	prefill, decode := len(d.prefill), len(d.decode)
-	now := p.filled(prefill, decode)
-	if p.lacksWriters(at, decode) {
-		now = fill{late: math.Inf(1)}
+	current := p.estimate(prefill, decode)
+	if p.lacksDecodeEngines(at, decode) {
+		current = utilization{overload: math.Inf(1)}
 	}
-	best, least := prefill, now
-	most := d.size() - p.policy.leastDecode(d.size())
-	for other := leastPrefill; other <= most; other++ {
-		if filled := p.filled(other, d.size()-other); filled.less(least) {
-			best, least = other, filled
+	best, lowest := prefill, current
+	maxPrefill := d.size() - p.policy.minDecode(d.size())
+	for other := minPrefill; other <= maxPrefill; other++ {
+		if estimate := p.estimate(other, d.size()-other); estimate.less(lowest) {
+			best, lowest = other, estimate
 		}
 	}
-	if !p.policy.worthOrder(now, least) || now.late == 1 && !p.hasLearned(at) && prefill >= leastPrefill {
+	if !p.policy.worthOrder(current, lowest) || current.overload == 1 && !p.hasSeenDemand(at) && prefill >= minPrefill {
 		return prefill, "", false
 	}
 	switch {
@@ -360,81 +362,81 @@
 	return prefill, "", false
 }
 
-// hasLearned reports whether demand was seen for long enough to make readers ready.
-func (p *Planner) hasLearned(at time.Time) bool {
-	return !p.seenSince.IsZero() && at.Sub(p.seenSince) >= p.policy.Learn
+// hasSeenDemand reports whether demand was seen for long enough to make readers ready.
+func (p *Planner) hasSeenDemand(at time.Time) bool {
+	return !p.demandSince.IsZero() && at.Sub(p.demandSince) >= p.policy.Learn
 }
 
-// lacksWriters reports whether even the fewest engines that write are missing, and have
+// lacksDecodeEngines reports whether even the fewest engines that write are missing, and have
 // been for longer than an outage lasts.
-func (p *Planner) lacksWriters(at time.Time, decode int) bool {
-	if decode >= leastDecode {
-		p.shortSince = time.Time{}
+func (p *Planner) lacksDecodeEngines(at time.Time, decode int) bool {
+	if decode >= minDecode {
+		p.decodeShortSince = time.Time{}
 		return false
 	}
-	if p.shortSince.IsZero() {
-		p.shortSince = at
+	if p.decodeShortSince.IsZero() {
+		p.decodeShortSince = at
 	}
-	return at.Sub(p.shortSince) >= p.policy.Outage
+	return at.Sub(p.decodeShortSince) >= p.policy.Outage
 }
 
-// leastDecode is the fewest decode engines that a division may have.
-func (p Policy) leastDecode(engines int) int {
-	return max(int(math.Ceil(p.DecodeShare*float64(engines))), leastDecode)
+// minDecode is the fewest decode engines that a division may have.
+func (p Policy) minDecode(engines int) int {
+	return max(int(math.Ceil(p.DecodeShare*float64(engines))), minDecode)
 }
 
-// fill is how far the scarcer stage of a division is filled.
-type fill struct {
-	// late is by how much the work that was seen exceeds what can be done in time, 1
+// utilization is how far the scarcer stage of a division is filled.
+type utilization struct {
+	// overload is by how much the work that was seen exceeds what can be done in time, 1
 	// where it doesn't.
-	late float64
+	overload float64
 	// spare counts the readers that are to be ready as well.
 	spare float64
 }
 
 // less reports whether a division is better than another: work that was seen goes
 // before spare readers.
-func (f fill) less(other fill) bool {
-	if f.late != other.late {
-		return f.late < other.late
+func (f utilization) less(other utilization) bool {
+	if f.overload != other.overload {
+		return f.overload < other.overload
 	}
 	return f.spare < other.spare
 }
 
 // worthOrder reports whether a division is so much better than the present one that an
 // engine is ordered away.
-func (p Policy) worthOrder(now, best fill) bool {
-	if now.late > 1 {
-		return now.late-best.late >= p.LateGain*now.late
+func (p Policy) worthOrder(current, best utilization) bool {
+	if current.overload > 1 {
+		return current.overload-best.overload >= p.LateGain*current.overload
 	}
-	return now.spare-best.spare >= p.Gain*now.spare
+	return current.spare-best.spare >= p.Gain*current.spare
 }
 
-// filled is how far the scarcer stage is filled in a division. That decode engines read
+// estimate is how far the scarcer stage is estimate in a division. That decode engines read
 // too isn't counted: it holds up what they write. Work that was seen counts alike for
 // both stages.
-func (p *Planner) filled(prefill, decode int) fill {
+func (p *Planner) estimate(prefill, decode int) utilization {
 	reading := p.demand.Reading / p.policy.Reading / float64(max(prefill, 1))
 	writing := p.demand.Writing / p.policy.Writing / float64(max(decode, 1))
-	return fill{late: max(reading, writing, 1), spare: max(reading, writing, p.spareFill(prefill, decode))}
+	return utilization{overload: max(reading, writing, 1), spare: max(reading, writing, p.spareUtilization(prefill, decode))}
 }
 
-// spareFill is how far the engines that read would be filled by what they are to be ready
+// spareUtilization is how far the engines that read would be filled by what they are to be ready
 // for: a share of all engines, or where that is less the next peak of the work that was
 // seen. Those that bear the peak are enough.
-func (p *Planner) spareFill(prefill, decode int) float64 {
-	const atLeast = 1.0 // engine kept busy
+func (p *Planner) spareUtilization(prefill, decode int) float64 {
+	const minBusyEngines = 1.0 // engine kept busy
 	share := p.policy.Spare * float64(prefill+decode)
-	peak := p.policy.NextPeak * max(p.demand.Reading, atLeast)
-	readers := p.policy.Reading * float64(max(prefill, 1))
+	peak := p.policy.NextPeak * max(p.demand.Reading, minBusyEngines)
+	capacity := p.policy.Reading * float64(max(prefill, 1))
 	if peak < share {
-		return max(peak/readers, 1)
+		return max(peak/capacity, 1)
 	}
-	return share / readers
+	return share / capacity
 }
 
-// idlest returns the engines with the least work.
-func idlest(workers []Worker, count int) []Worker {
+// leastLoaded returns the engines with the least work.
+func leastLoaded(workers []Worker, count int) []Worker {
 	sorted := slices.SortedFunc(slices.Values(workers), func(left, right Worker) int {
 		if order := left.ReadTokens + left.MemoryTokens - right.ReadTokens - right.MemoryTokens; order != 0 {
 			return order
--- a/internal/stageplan/stageplan_test.go
+++ b/internal/stageplan/stageplan_test.go
@@ -30,9 +30,9 @@
 	return workers
 }
 
-// single returns the only order of a decision. Small fleets get no more than one at a
+// onlyOrder returns the only order of a decision. Small fleets get no more than one at a
 // time.
-func single(orders []Order) (Order, bool) {
+func onlyOrder(orders []Order) (Order, bool) {
 	switch len(orders) {
 	case 0:
 		return Order{}, false
@@ -53,20 +53,20 @@
 	}
 }
 
-// after lets a planner see the same fleet for a while, and returns its first order.
-func after(span time.Duration, workers []Worker, tokensPerSecond float64) (Order, time.Duration, bool) {
+// firstOrder lets a planner see the same fleet for a while, and returns its first order.
+func firstOrder(span time.Duration, workers []Worker, tokensPerSecond float64) (Order, time.Duration, bool) {
 	planner := New(DefaultPolicy())
 	for elapsed := time.Duration(0); elapsed <= span; elapsed += tick {
-		if order, found := single(planner.Decide(origin.Add(elapsed), workers, OfferedLoad{ReadTokens: tokensPerSecond})); found {
+		if order, found := onlyOrder(planner.Decide(origin.Add(elapsed), workers, OfferedLoad{ReadTokens: tokensPerSecond})); found {
 			return order, elapsed, true
 		}
 	}
 	return Order{}, 0, false
 }
 
-// settled carries out a planner's orders until there are none, and returns the
+// prefillAfterOrders carries out a planner's orders until there are none, and returns the
 // engines that read.
-func settled(workers []Worker, tokensPerSecond float64) int {
+func prefillAfterOrders(workers []Worker, tokensPerSecond float64) int {
 	planner := New(DefaultPolicy())
 	for elapsed := time.Duration(0); elapsed <= time.Minute; elapsed += tick {
 		carryOut(workers, planner.Decide(origin.Add(elapsed), workers, OfferedLoad{ReadTokens: tokensPerSecond}), false)
@@ -74,7 +74,7 @@
 	return len(divide(workers).prefill)
 }
 
-func writes(requests int) func(*Worker) {
+func withDecodeRequests(requests int) func(*Worker) {
 	return func(w *Worker) {
 		if !w.Prefill {
 			w.Requests = requests
@@ -82,43 +82,43 @@
 	}
 }
 
-// TestQuietFleetIsLeftAlone: nothing was seen of what the callers want.
-func TestQuietFleetIsLeftAlone(t *testing.T) {
-	if order, _, found := after(time.Minute, fleet(4, 5, nil), 0); found {
+// TestNoOrdersBeforeDemandIsSeen: nothing was seen of what the callers want.
+func TestNoOrdersBeforeDemandIsSeen(t *testing.T) {
+	if order, _, found := firstOrder(time.Minute, fleet(4, 5, nil), 0); found {
 		t.Errorf("%+v", order)
 	}
 }
 
-// TestIdleEnginesStandReadyToRead once callers have come: what writes nothing is worth
+// TestIdleEnginesBecomeSparePrefillEngines once callers have come: what writes nothing is worth
 // nothing, but some are kept. In a larger fleet as many as bear eight times the work of an
 // engine are ready, however many stand idle: 14 at six tenths.
-func TestIdleEnginesStandReadyToRead(t *testing.T) {
+func TestIdleEnginesBecomeSparePrefillEngines(t *testing.T) {
 	for size, want := range map[int]int{3: 1, 6: 4, 9: 6, 12: 9, 57: 14, 570: 14} {
-		if got := settled(fleet(1, size-1, nil), 1); float64(got) < (1-DefaultPolicy().Gain)*float64(want) || got > want {
+		if got := prefillAfterOrders(fleet(1, size-1, nil), 1); float64(got) < (1-DefaultPolicy().Gain)*float64(want) || got > want {
 			t.Errorf("of %d idle engines %d read, want %d", size, got, want)
 		}
 	}
 }
 
-func TestSettledFleetIsLeftAlone(t *testing.T) {
-	if order, _, found := after(time.Minute, fleet(6, 3, nil), 2*enginePace); found {
+func TestNoOrdersForABalancedFleet(t *testing.T) {
+	if order, _, found := firstOrder(time.Minute, fleet(6, 3, nil), 2*enginePace); found {
 		t.Errorf("%+v", order)
 	}
 }
 
-func TestPromptsThatWaitGetAReader(t *testing.T) {
-	order, _, found := after(10*time.Second, fleet(4, 5, nil), 4*enginePace)
+func TestWaitingPromptsGetAPrefillEngine(t *testing.T) {
+	order, _, found := firstOrder(10*time.Second, fleet(4, 5, nil), 4*enginePace)
 	if !found || !order.Prefill || order.Reason != PrefillBottleneck || order.Worker < "w04" {
 		t.Errorf("%+v %v", order, found)
 	}
 }
 
-func TestStreamsThatFillTheirEnginesGetAWriter(t *testing.T) {
+func TestFullDecodeEnginesGetAnother(t *testing.T) {
 	for name, change := range map[string]func(*Worker){
-		"slots":  writes(64),
+		"slots":  withDecodeRequests(64),
 		"memory": func(w *Worker) { w.MemoryTokens = 600_000 },
 	} {
-		order, _, found := after(10*time.Second, fleet(6, 3, change), 0)
+		order, _, found := firstOrder(10*time.Second, fleet(6, 3, change), 0)
 		if !found || order.Prefill || order.Reason != DecodeBottleneck {
 			t.Errorf("%s: %+v %v", name, order, found)
 		}
@@ -128,7 +128,7 @@
 // TestFullMemoryGetsAWriter: as the planner before this one did.
 func TestFullMemoryGetsAWriter(t *testing.T) {
 	full := fleet(5, 4, func(w *Worker) { w.MemoryTokens = 390_000 })
-	if order, _, found := after(10*time.Second, full, 0); !found || order.Prefill {
+	if order, _, found := firstOrder(10*time.Second, full, 0); !found || order.Prefill {
 		t.Errorf("%+v %v", order, found)
 	}
 }
@@ -138,21 +138,21 @@
 // to their slots beside reading for three leave four to six to read: with five, reading
 // is filled to 1.0 and writing to 1.2.
 func TestBothScarce(t *testing.T) {
-	if reading := settled(fleet(4, 8, writes(24)), 12*enginePace); reading != 9 {
+	if reading := prefillAfterOrders(fleet(4, 8, withDecodeRequests(24)), 12*enginePace); reading != 9 {
 		t.Errorf("%d read where reading is scarce, want 9", reading)
 	}
-	if writing := settled(fleet(9, 3, writes(160)), 3*enginePace); writing < 4 || writing > 6 {
+	if writing := prefillAfterOrders(fleet(9, 3, withDecodeRequests(160)), 3*enginePace); writing < 4 || writing > 6 {
 		t.Errorf("%d read where writing is scarce, want 4 to 6", writing)
 	}
 }
 
-// TestRefusedStreamsGetAWriter: streams that were refused for want of slots don't run
+// TestRefusedStreamsGetADecodeEngine: streams that were refused for want of slots don't run
 // anywhere, and are wanted all the same.
-func TestRefusedStreamsGetAWriter(t *testing.T) {
+func TestRefusedStreamsGetADecodeEngine(t *testing.T) {
 	planner := New(DefaultPolicy())
-	workers := fleet(6, 3, writes(40))
+	workers := fleet(6, 3, withDecodeRequests(40))
 	for elapsed := time.Duration(0); elapsed < 10*time.Second; elapsed += tick {
-		order, found := single(planner.Decide(origin.Add(elapsed), workers, OfferedLoad{ReadTokens: enginePace, Requests: 300}))
+		order, found := onlyOrder(planner.Decide(origin.Add(elapsed), workers, OfferedLoad{ReadTokens: enginePace, Requests: 300}))
 		if found && !order.Prefill && order.Reason == DecodeBottleneck {
 			return
 		}
@@ -160,18 +160,18 @@
 	t.Error("no engine was ordered to write")
 }
 
-// TestWritingIsNotHeldBackByReadingThatNobodyAsksFor: on a fleet whose callers want
+// TestSparePrefillEnginesDoNotDelayStreams: on a fleet whose callers want
 // little read and much written, an expected peak of reading kept seven of twelve engines
 // idle while streams waited.
-func TestWritingIsNotHeldBackByReadingThatNobodyAsksFor(t *testing.T) {
-	if got := settled(fleet(8, 4, writes(160)), enginePace); got > 2 {
+func TestSparePrefillEnginesDoNotDelayStreams(t *testing.T) {
+	if got := prefillAfterOrders(fleet(8, 4, withDecodeRequests(160)), enginePace); got > 2 {
 		t.Errorf("%d of 12 engines read, where streams fill ten and reading one", got)
 	}
 }
 
 func TestDecodeWorkersAreNotAllTaken(t *testing.T) {
 	for _, decode := range []int{1, 2} {
-		if order, _, found := after(time.Minute, fleet(6, decode, nil), 50*enginePace); found && order.Prefill {
+		if order, _, found := firstOrder(time.Minute, fleet(6, decode, nil), 50*enginePace); found && order.Prefill {
 			t.Errorf("with %d decode workers: %+v", decode, order)
 		}
 	}
@@ -179,11 +179,11 @@
 
 func TestLostDecodeWorkersAreReplaced(t *testing.T) {
 	fewer := fleet(6, 3, func(w *Worker) { w.Usable = w.Prefill || w.ID != "w06" })
-	if order, _, found := after(time.Minute, fewer, 0); found {
+	if order, _, found := firstOrder(time.Minute, fewer, 0); found {
 		t.Errorf("with one of three lost: %+v", order)
 	}
 	lost := fleet(6, 3, func(w *Worker) { w.Usable = w.Prefill || w.ID == "w06" })
-	order, when, found := after(10*time.Second, lost, 0)
+	order, when, found := firstOrder(10*time.Second, lost, 0)
 	if !found || order.Prefill || order.Reason != DecodeBottleneck {
 		t.Fatalf("%+v %v", order, found)
 	}
@@ -195,7 +195,7 @@
 
 func TestLostPrefillWorkersAreReplaced(t *testing.T) {
 	lost := fleet(4, 5, func(w *Worker) { w.Usable = !w.Prefill })
-	if order, _, found := after(10*time.Second, lost, 0); !found || !order.Prefill || order.Reason != PrefillBottleneck {
+	if order, _, found := firstOrder(10*time.Second, lost, 0); !found || !order.Prefill || order.Reason != PrefillBottleneck {
 		t.Errorf("%+v %v", order, found)
 	}
 }
@@ -210,10 +210,10 @@
 		if step >= 20 {
 			demand = 0
 			for i := range workers {
-				writes(40)(&workers[i])
+				withDecodeRequests(40)(&workers[i])
 			}
 		}
-		if order, found := single(planner.Decide(origin.Add(time.Duration(step)*tick), workers, OfferedLoad{ReadTokens: demand})); found {
+		if order, found := onlyOrder(planner.Decide(origin.Add(time.Duration(step)*tick), workers, OfferedLoad{ReadTokens: demand})); found {
 			t.Fatalf("at step %d: %+v", step, order)
 		}
 	}
@@ -230,7 +230,7 @@
 			orders := planner.Decide(origin.Add(elapsed), waiting, OfferedLoad{ReadTokens: float64(size) * enginePace})
 			ordered += len(orders)
 			carryOut(waiting, orders, true)
-			most = max(most, changing(waiting))
+			most = max(most, countChanging(waiting))
 		}
 		if ordered != want || most != want {
 			t.Errorf("%d engines: %d ordered, %d changing at once, want %d", size, ordered, most, want)
@@ -242,7 +242,7 @@
 // it needs within the time of two changes, and a stage keeps what its own work needs.
 func TestOrdersComeInWaves(t *testing.T) {
 	const size, demand = 90, 40
-	workers := fleet(30, size-30, writes(20))
+	workers := fleet(30, size-30, withDecodeRequests(20))
 	planner := New(DefaultPolicy())
 	waves := 0
 	for elapsed := time.Duration(0); elapsed < 2*time.Second; elapsed += tick {
@@ -250,7 +250,7 @@
 		if len(orders) > 0 {
 			waves++
 		}
-		if len(orders) > DefaultPolicy().together(size) {
+		if len(orders) > DefaultPolicy().maxChanging(size) {
 			t.Errorf("%d orders at once", len(orders))
 		}
 		carryOut(workers, orders, false)
@@ -265,18 +265,18 @@
 		t.Errorf("%d engines read after two seconds, in %d waves", prefill, waves)
 	}
 	// All engines that write are nearly full: only one is taken.
-	full := fleet(30, size-30, writes(57))
+	full := fleet(30, size-30, withDecodeRequests(57))
 	if orders := New(DefaultPolicy()).Decide(origin, full, OfferedLoad{ReadTokens: demand * enginePace}); len(orders) > 1 {
 		t.Errorf("%d engines taken from a stage that needs them", len(orders))
 	}
 }
 
-func TestOneOrderAtATime(t *testing.T) {
+func TestNoOrderWhileAnEngineIsChanging(t *testing.T) {
 	changing := fleet(5, 4, func(w *Worker) {
 		w.Usable = w.Prefill
 		w.Changing = w.ID == "w00"
 	})
-	if order, _, found := after(time.Minute, changing, enginePace); found {
+	if order, _, found := firstOrder(time.Minute, changing, enginePace); found {
 		t.Errorf("%+v", order)
 	}
 }
@@ -293,9 +293,9 @@
 			tokens := rapid.Float64Range(0, 20*enginePace).Draw(t, "tokens")
 			requests := rapid.IntRange(0, 200).Draw(t, "requests")
 			for i := range workers {
-				writes(requests)(&workers[i])
+				withDecodeRequests(requests)(&workers[i])
 			}
-			order, found := single(planner.Decide(now, workers, OfferedLoad{ReadTokens: tokens}))
+			order, found := onlyOrder(planner.Decide(now, workers, OfferedLoad{ReadTokens: tokens}))
 			if !found {
 				continue
 			}
@@ -305,17 +305,17 @@
 			last = now
 			carryOut(workers, []Order{order}, false)
 			d := divide(workers)
-			if len(d.prefill) < leastPrefill || order.Prefill && len(d.decode) < DefaultPolicy().leastDecode(len(workers)) {
+			if len(d.prefill) < minPrefill || order.Prefill && len(d.decode) < DefaultPolicy().minDecode(len(workers)) {
 				t.Fatalf("%d prefill workers of %d", len(d.prefill), len(workers))
 			}
 		}
 	})
 }
 
-// TestIdleFleetIsNotOrderedAbout: where a small part of many engines is kept busy, the next
+// TestMostlyIdleFleetGetsNoOrders: where a small part of many engines is kept busy, the next
 // peak needs no more that read, and an order costs more than it gains. Before, 3,296 engines
 // of 9,695 were ordered to read for work that kept 80 busy.
-func TestIdleFleetIsNotOrderedAbout(t *testing.T) {
+func TestMostlyIdleFleetGetsNoOrders(t *testing.T) {
 	for _, engines := range []int{160, 1600, 9695, 19_390} {
 		prefill := engines * 41 / 100
 		workers := fleet(prefill, engines-prefill, nil)
@@ -333,12 +333,12 @@
 	}
 }
 
-// TestReadersAreMadeReadyForAPeakOfTheWorkSeen: a busy fleet keeps those that it had.
-func TestReadersAreMadeReadyForAPeakOfTheWorkSeen(t *testing.T) {
+// TestBusyFleetKeepsSparePrefillEngines: a busy fleet keeps those that it had.
+func TestBusyFleetKeepsSparePrefillEngines(t *testing.T) {
 	const engines = 60
 	for _, busy := range []float64{4, 8, 16} {
 		workers := fleet(8, engines-8, nil)
-		if got := settled(workers, busy*enginePace); float64(got) < 0.6*engines {
+		if got := prefillAfterOrders(workers, busy*enginePace); float64(got) < 0.6*engines {
 			t.Errorf("%.0f of %d engines kept busy by reading: %d read", busy, engines, got)
 		}
 	}
