--- a/internal/stageplan/need_test.go
+++ b/internal/stageplan/need_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// rateLimitedFleet are engines of which some take few requests.
+// rateLimitedFleet returns engines of which the first few are rate limited.
 func rateLimitedFleet(prefill, decode, limited int) []Worker {
 	count := 0
 	return fleet(prefill, decode, func(worker *Worker) {
@@ -15,7 +15,7 @@
 	})
 }
 
-// ordersOf lets a planner see engines for ten seconds and has its orders carried out at once.
+// ordersOf lets a planner observe engines for ten seconds and carries its orders out at once.
 func ordersOf(workers []Worker, offered OfferedLoad) (orders []Order) {
 	planner := New(DefaultPolicy())
 	for elapsed := time.Duration(0); elapsed <= 10*time.Second; elapsed += tick {
@@ -26,12 +26,13 @@
 	return orders
 }
 
-// TestRateLimitedEnginesChangeToDecode: what one that only reads takes serves nobody.
+// TestRateLimitedEnginesChangeToDecode: a request that a rate-limited prefill engine accepts
+// still needs a decode engine.
 func TestRateLimitedEnginesChangeToDecode(t *testing.T) {
 	workers := rateLimitedFleet(6, 3, 9)
 	orders := ordersOf(workers, OfferedLoad{ReadTokens: 1, Requests: 20})
 	if len(orders) != 5 {
-		t.Fatalf("%d orders, want 5: one engine goes on reading", len(orders))
+		t.Fatalf("%d orders, want 5: one prefill engine stays", len(orders))
 	}
 	for _, order := range orders {
 		if order.Prefill || order.Reason != RateLimitBottleneck {
@@ -40,14 +41,15 @@
 	}
 }
 
-// TestRateLimitedEnginesStayWhileNothingIsRefused where nobody is refused, or where others are enough to plan with.
+// TestRateLimitedEnginesStayWhileNothingIsRefused, and while enough engines without a limit are
+// left to plan with.
 func TestRateLimitedEnginesStayWhileNothingIsRefused(t *testing.T) {
 	if orders := ordersOf(rateLimitedFleet(6, 3, 9), OfferedLoad{ReadTokens: 1, Requests: 3}); len(orders) > 0 {
-		t.Errorf("nobody is refused: %+v", orders)
+		t.Errorf("orders although no request is refused: %+v", orders)
 	}
 	for _, order := range ordersOf(rateLimitedFleet(6, 3, 4), OfferedLoad{ReadTokens: 1, Requests: 3}) {
 		if order.Reason == RateLimitBottleneck || order.Worker < "w04" {
-			t.Errorf("an engine in need is ordered: %+v", order)
+			t.Errorf("order to a rate-limited engine: %+v", order)
 		}
 	}
 }
--- a/internal/stageplan/regional_test.go
+++ b/internal/stageplan/regional_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// regionalFleet returns the same engines in each region.
+// regionalFleet returns the same number of engines for each region.
 func regionalFleet(prefill, decode int, regions ...string) []Worker {
 	var workers []Worker
 	for _, region := range regions {
@@ -21,8 +21,8 @@
 
 func hearsAll(string) bool { return true }
 
-// ordersWithin lets a planner see the same engines and work for a while, and returns all orders,
-// which are not carried out.
+// ordersWithin lets a planner observe the same engines and load for a while and returns all
+// orders, without carrying them out.
 func ordersWithin(planner *RegionalPlanner, span time.Duration, workers []Worker, offered map[string]OfferedLoad, heard func(string) bool) []Order {
 	var orders []Order
 	for elapsed := time.Duration(0); elapsed <= span; elapsed += tick {
@@ -31,8 +31,7 @@
 	return orders
 }
 
-// TestEachRegionIsDividedByItsOwnDemand: prompts that are to be read in one region move no
-// engine in another.
+// TestEachRegionIsDividedByItsOwnDemand: prompts in one region don't change engines in another.
 func TestEachRegionIsDividedByItsOwnDemand(t *testing.T) {
 	workers := regionalFleet(4, 8, "north", "south")
 	planner := NewRegionalPlanner(DefaultPolicy())
@@ -42,15 +41,15 @@
 	}
 	regions := byRegion(workers)
 	if north := len(divide(regions["north"]).prefill); north < 8 {
-		t.Errorf("%d engines read in the region that is to read, want 8 or more", north)
+		t.Errorf("%d prefill engines in the region with prompts, want 8 or more", north)
 	}
 	if south := len(divide(regions["south"]).prefill); south > 4 {
-		t.Errorf("%d engines read in the region that is to write, want 4 or fewer", south)
+		t.Errorf("%d prefill engines in the region with streams, want 4 or fewer", south)
 	}
 }
 
-// TestOneRegionIsPlannedAsWithoutRegions: a deployment in one region gets the same orders as from
-// a planner that knows none.
+// TestOneRegionIsPlannedAsWithoutRegions: a deployment in one region gets the same orders as
+// from a Planner, which knows no regions.
 func TestOneRegionIsPlannedAsWithoutRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain, regional := New(DefaultPolicy()), NewRegionalPlanner(DefaultPolicy())
@@ -69,7 +68,7 @@
 }
 
 // TestOrdersTogetherAreBoundedOverAllRegions: four regions of eight engines that all need
-// readers get no more orders than one of 32, and each region has its turn.
+// prefill engines get no more orders than one region of 32, and every region gets some.
 func TestOrdersTogetherAreBoundedOverAllRegions(t *testing.T) {
 	regions := []string{"east", "north", "south", "west"}
 	workers := regionalFleet(3, 5, regions...)
@@ -81,7 +80,7 @@
 	served := make(map[string]bool)
 	most := DefaultPolicy().maxChanging(len(workers))
 	if most >= len(workers)/2 || most <= 1 {
-		t.Fatalf("%d at once show nothing", most)
+		t.Fatalf("the test needs a limit between 1 and half the engines, got %d", most)
 	}
 	for elapsed := time.Duration(0); elapsed < 10*time.Second; elapsed += tick {
 		if int(elapsed/tick)%4 == 0 {
@@ -95,16 +94,16 @@
 		}
 		carryOut(workers, orders, true)
 		if count := countChanging(workers); count > most {
-			t.Fatalf("%d engines change at once, %d may", count, most)
+			t.Fatalf("%d engines change at once, want at most %d", count, most)
 		}
 	}
 	if len(served) != len(regions) {
-		t.Errorf("only the regions %v got orders", served)
+		t.Errorf("only these regions got orders: %v", served)
 	}
 }
 
-// TestUnansweredOrdersDontStopARegion: engines of which it isn't known whether they change
-// count as changing for long, and the region needs readers meanwhile.
+// TestUnansweredOrdersDontStopARegion: engines whose order was not answered count as changing
+// for a long time, and the region may need prefill engines meanwhile.
 func TestUnansweredOrdersDontStopARegion(t *testing.T) {
 	workers := regionalFleet(3, 9, "east", "north", "south")
 	unanswered := 0
@@ -120,16 +119,15 @@
 		ordered[order.Region]++
 	}
 	if ordered["south"] == 0 {
-		t.Errorf("orders by region: %v", ordered)
+		t.Errorf("no orders for the region with prompts; orders by region: %v", ordered)
 	}
 }
 
-// TestRegionsTakeTurnsForOrders: where one engine of the whole service may change at a time,
-// the regions take turns.
+// TestRegionsTakeTurnsForOrders if only one engine of the whole service may change at a time.
 func TestRegionsTakeTurnsForOrders(t *testing.T) {
 	workers := regionalFleet(1, 2, "north", "south")
 	for i := range workers {
-		workers[i].Prefill = true // nothing writes anywhere
+		workers[i].Prefill = true // no decode engine anywhere
 	}
 	planner := NewRegionalPlanner(DefaultPolicy())
 	var regions []string
@@ -143,12 +141,12 @@
 		}
 	}
 	if len(regions) < 2 || regions[0] == regions[1] {
-		t.Errorf("orders went to %v", regions)
+		t.Errorf("orders went to the regions %v, want alternating ones", regions)
 	}
 }
 
-// TestRegionThatLostAllItsEngines: what its callers want is wanted of the other regions'
-// engines, and these are divided by it.
+// TestRegionThatLostAllItsEngines: the load offered to it counts for the engines of the other
+// regions.
 func TestRegionThatLostAllItsEngines(t *testing.T) {
 	workers := regionalFleet(3, 9, "north", "south")
 	for i := range workers {
@@ -157,7 +155,7 @@
 	offered := map[string]OfferedLoad{"south": {ReadTokens: 4 * enginePace}}
 	orders := ordersWithin(NewRegionalPlanner(DefaultPolicy()), 5*time.Second, workers, offered, hearsAll)
 	if len(orders) == 0 {
-		t.Fatal("nobody reads what the region that lost its engines wants")
+		t.Fatal("no orders for the load of the region that lost its engines")
 	}
 	for _, order := range orders {
 		if order.Region != "north" || !order.Prefill {
@@ -166,8 +164,8 @@
 	}
 }
 
-// TestUnreachableRegionGetsNoOrders: its callers and nodes are out of sight, and its
-// engines must not be taken for idle. What it needed is remembered until it is back.
+// TestUnreachableRegionGetsNoOrders: nothing is known of its callers and nodes, so its engines
+// must not be considered idle. Its demand does not decay until it can be reached again.
 func TestUnreachableRegionGetsNoOrders(t *testing.T) {
 	workers := regionalFleet(3, 9, "north", "south")
 	planner := NewRegionalPlanner(DefaultPolicy())
@@ -186,11 +184,11 @@
 	}
 	planner.Decide(origin.Add(70*time.Second), workers, nil, hearsAll)
 	if left := planner.Planner("south").Demand().Writing; left < 0.9*needed {
-		t.Errorf("of a demand of %.1f engines %.1f is left", needed, left)
+		t.Errorf("of a demand for %.1f engines only %.1f is left", needed, left)
 	}
 }
 
-// TestRegionWithoutNodesIsPlannedByOfferedLoad.
+// TestRegionWithoutNodesIsPlannedByOfferedLoad, as nodes of other regions report it.
 func TestRegionWithoutNodesIsPlannedByOfferedLoad(t *testing.T) {
 	workers := regionalFleet(3, 9, "north", "south")
 	offered := map[string]OfferedLoad{"south": {ReadTokens: 4 * enginePace}}
--- a/internal/stageplan/stageplan_test.go
+++ b/internal/stageplan/stageplan_test.go
@@ -12,7 +12,7 @@
 
 var origin = time.Unix(1000, 0)
 
-// enginePace is that of the prefill engines below, in tokens a second.
+// enginePace is the prefill speed of the test engines in tokens per second.
 const enginePace = 40_000
 
 func fleet(prefill, decode int, change func(*Worker)) []Worker {
@@ -30,8 +30,7 @@
 	return workers
 }
 
-// onlyOrder returns the only order of a decision. Small fleets get no more than one at a
-// time.
+// onlyOrder returns the only order of a decision. A small fleet gets at most one at a time.
 func onlyOrder(orders []Order) (Order, bool) {
 	switch len(orders) {
 	case 0:
@@ -42,7 +41,7 @@
 	panic(fmt.Sprintf("%d orders at once", len(orders)))
 }
 
-// carryOut changes the stages of engines as ordered.
+// carryOut changes the stages of the engines as ordered.
 func carryOut(workers []Worker, orders []Order, changing bool) {
 	for _, order := range orders {
 		for i := range workers {
@@ -53,7 +52,7 @@
 	}
 }
 
-// firstOrder lets a planner see the same fleet for a while, and returns its first order.
+// firstOrder lets a planner observe the same fleet for a while and returns its first order.
 func firstOrder(span time.Duration, workers []Worker, tokensPerSecond float64) (Order, time.Duration, bool) {
 	planner := New(DefaultPolicy())
 	for elapsed := time.Duration(0); elapsed <= span; elapsed += tick {
@@ -64,8 +63,8 @@
 	return Order{}, 0, false
 }
 
-// prefillAfterOrders carries out a planner's orders until there are none, and returns the
-// engines that read.
+// prefillAfterOrders carries out a planner's orders for a minute and returns the resulting
+// number of prefill engines.
 func prefillAfterOrders(workers []Worker, tokensPerSecond float64) int {
 	planner := New(DefaultPolicy())
 	for elapsed := time.Duration(0); elapsed <= time.Minute; elapsed += tick {
@@ -82,20 +81,20 @@
 	}
 }
 
-// TestNoOrdersBeforeDemandIsSeen: nothing was seen of what the callers want.
+// TestNoOrdersBeforeDemandIsSeen: without any load observed, the operators' division stays.
 func TestNoOrdersBeforeDemandIsSeen(t *testing.T) {
 	if order, _, found := firstOrder(time.Minute, fleet(4, 5, nil), 0); found {
 		t.Errorf("%+v", order)
 	}
 }
 
-// TestIdleEnginesBecomeSparePrefillEngines once callers have come: what writes nothing is worth
-// nothing, but some are kept. In a larger fleet as many as bear eight times the work of an
-// engine are ready, however many stand idle: 14 at six tenths.
+// TestIdleEnginesBecomeSparePrefillEngines once some demand was seen, while a few decode
+// engines are kept. In a large fleet the spare engines are limited to eight times the work of
+// one engine, however many are idle: 14 at a target utilization of six tenths.
 func TestIdleEnginesBecomeSparePrefillEngines(t *testing.T) {
 	for size, want := range map[int]int{3: 1, 6: 4, 9: 6, 12: 9, 57: 14, 570: 14} {
 		if got := prefillAfterOrders(fleet(1, size-1, nil), 1); float64(got) < (1-DefaultPolicy().Gain)*float64(want) || got > want {
-			t.Errorf("of %d idle engines %d read, want %d", size, got, want)
+			t.Errorf("%d idle engines: %d prefill engines, want %d", size, got, want)
 		}
 	}
 }
@@ -125,7 +124,8 @@
 	}
 }
 
-// TestFullMemoryGetsAWriter: as the planner before this one did.
+// TestFullMemoryGetsAWriter: a decode stage whose KV caches are nearly full gets another
+// engine.
 func TestFullMemoryGetsAWriter(t *testing.T) {
 	full := fleet(5, 4, func(w *Worker) { w.MemoryTokens = 390_000 })
 	if order, _, found := firstOrder(10*time.Second, full, 0); !found || order.Prefill {
@@ -133,21 +133,21 @@
 	}
 }
 
-// TestBothScarce: the engines are divided by what both kinds of work need. Reading that
-// would fill all twelve engines takes as many as may read. Streams that fill 7.5 engines
-// to their slots beside reading for three leave four to six to read: with five, reading
-// is filled to 1.0 and writing to 1.2.
+// TestBothScarce: the engines are divided by the demand for both stages. Prompts that would
+// keep all twelve engines busy get as many as may prefill. Streams that fill the slots of 7.5
+// engines beside prompts for three engines leave four to six to prefill: with five, the prefill
+// stage has a utilization of 1.0 and the decode stage of 1.2.
 func TestBothScarce(t *testing.T) {
 	if reading := prefillAfterOrders(fleet(4, 8, withDecodeRequests(24)), 12*enginePace); reading != 9 {
-		t.Errorf("%d read where reading is scarce, want 9", reading)
+		t.Errorf("%d prefill engines under many prompts, want 9", reading)
 	}
 	if writing := prefillAfterOrders(fleet(9, 3, withDecodeRequests(160)), 3*enginePace); writing < 4 || writing > 6 {
-		t.Errorf("%d read where writing is scarce, want 4 to 6", writing)
+		t.Errorf("%d prefill engines under many streams, want 4 to 6", writing)
 	}
 }
 
-// TestRefusedStreamsGetADecodeEngine: streams that were refused for want of slots don't run
-// anywhere, and are wanted all the same.
+// TestRefusedStreamsGetADecodeEngine: streams refused for lack of slots run nowhere, but still
+// count as demand.
 func TestRefusedStreamsGetADecodeEngine(t *testing.T) {
 	planner := New(DefaultPolicy())
 	workers := fleet(6, 3, withDecodeRequests(40))
@@ -157,15 +157,14 @@
 			return
 		}
 	}
-	t.Error("no engine was ordered to write")
+	t.Error("no engine was ordered to change to decode")
 }
 
-// TestSparePrefillEnginesDoNotDelayStreams: on a fleet whose callers want
-// little read and much written, an expected peak of reading kept seven of twelve engines
-// idle while streams waited.
+// TestSparePrefillEnginesDoNotDelayStreams: with few prompts and many streams, spare prefill
+// engines for an expected peak once kept seven of twelve engines idle while streams waited.
 func TestSparePrefillEnginesDoNotDelayStreams(t *testing.T) {
 	if got := prefillAfterOrders(fleet(8, 4, withDecodeRequests(160)), enginePace); got > 2 {
-		t.Errorf("%d of 12 engines read, where streams fill ten and reading one", got)
+		t.Errorf("%d of 12 engines are prefill engines, but streams fill ten and prompts one", got)
 	}
 }
 
@@ -180,7 +179,7 @@
 func TestLostDecodeWorkersAreReplaced(t *testing.T) {
 	fewer := fleet(6, 3, func(w *Worker) { w.Usable = w.Prefill || w.ID != "w06" })
 	if order, _, found := firstOrder(time.Minute, fewer, 0); found {
-		t.Errorf("with one of three lost: %+v", order)
+		t.Errorf("order with one of three decode engines lost: %+v", order)
 	}
 	lost := fleet(6, 3, func(w *Worker) { w.Usable = w.Prefill || w.ID == "w06" })
 	order, when, found := firstOrder(10*time.Second, lost, 0)
@@ -189,7 +188,7 @@
 	}
 	const outage = 1200 * time.Millisecond
 	if when < outage || when > outage+tick {
-		t.Errorf("ordered after %v", when)
+		t.Errorf("order after %v, want after the outage time", when)
 	}
 }
 
@@ -200,8 +199,8 @@
 	}
 }
 
-// TestPeaksAreRemembered: the mix swings, and an engine that was needed seconds ago
-// isn't ordered away at once.
+// TestPeaksAreRemembered: the mix of requests swings, so an engine that was needed seconds ago
+// is not moved at once.
 func TestPeaksAreRemembered(t *testing.T) {
 	planner := New(DefaultPolicy())
 	workers := fleet(9, 3, nil)
@@ -219,8 +218,8 @@
 	}
 }
 
-// TestLargeFleetMovesSeveralEnginesAtOnce: one engine at a time would follow a shift of
-// the load in ninety engines after minutes.
+// TestLargeFleetMovesSeveralEnginesAtOnce: moving one engine at a time, ninety engines would
+// need minutes to follow a change of the load.
 func TestLargeFleetMovesSeveralEnginesAtOnce(t *testing.T) {
 	for size, want := range map[int]int{9: 1, 90: 15} {
 		waiting := fleet(size/3, size-size/3, nil)
@@ -238,8 +237,8 @@
 	}
 }
 
-// TestOrdersComeInWaves: a large fleet that is divided wrongly is brought near the division
-// it needs within the time of two changes, and a stage keeps what its own work needs.
+// TestOrdersComeInWaves: a large fleet with a bad division comes close to the right one within
+// the time of two changes, and a stage keeps the engines that its own load needs.
 func TestOrdersComeInWaves(t *testing.T) {
 	const size, demand = 90, 40
 	workers := fleet(30, size-30, withDecodeRequests(20))
@@ -262,12 +261,12 @@
 		}
 	}
 	if prefill := len(divide(workers).prefill); prefill < 50 || waves > 4 {
-		t.Errorf("%d engines read after two seconds, in %d waves", prefill, waves)
+		t.Errorf("%d prefill engines after two seconds and %d waves of orders", prefill, waves)
 	}
-	// All engines that write are nearly full: only one is taken.
+	// All decode engines are nearly full, so only one may be moved.
 	full := fleet(30, size-30, withDecodeRequests(57))
 	if orders := New(DefaultPolicy()).Decide(origin, full, OfferedLoad{ReadTokens: demand * enginePace}); len(orders) > 1 {
-		t.Errorf("%d engines taken from a stage that needs them", len(orders))
+		t.Errorf("%d engines moved from a stage that needs them", len(orders))
 	}
 }
 
@@ -281,8 +280,8 @@
 	}
 }
 
-// TestOrdersAreFew: whatever the load does, orders keep their distance, and an order
-// never takes the last engines of a stage.
+// TestOrdersAreFew: under any load, orders are at least Settle apart and never take the last
+// engines of a stage.
 func TestOrdersAreFew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := fleet(4, 5, nil)
@@ -300,21 +299,21 @@
 				continue
 			}
 			if !last.IsZero() && now.Sub(last) < DefaultPolicy().Settle {
-				t.Fatalf("orders at %v and %v", last, now)
+				t.Fatalf("orders at %v and %v are too close together", last, now)
 			}
 			last = now
 			carryOut(workers, []Order{order}, false)
 			d := divide(workers)
 			if len(d.prefill) < minPrefill || order.Prefill && len(d.decode) < DefaultPolicy().minDecode(len(workers)) {
-				t.Fatalf("%d prefill workers of %d", len(d.prefill), len(workers))
+				t.Fatalf("%d prefill engines of %d: an order took the last engines of a stage", len(d.prefill), len(workers))
 			}
 		}
 	})
 }
 
-// TestMostlyIdleFleetGetsNoOrders: where a small part of many engines is kept busy, the next
-// peak needs no more that read, and an order costs more than it gains. Before, 3,296 engines
-// of 9,695 were ordered to read for work that kept 80 busy.
+// TestMostlyIdleFleetGetsNoOrders: if the load keeps a small part of many engines busy, the
+// next peak needs no more prefill engines, and an order costs more than it gains. A former
+// policy moved 3,296 of 9,695 engines to prefill for a load that kept 80 busy.
 func TestMostlyIdleFleetGetsNoOrders(t *testing.T) {
 	for _, engines := range []int{160, 1600, 9695, 19_390} {
 		prefill := engines * 41 / 100
@@ -328,18 +327,19 @@
 			carryOut(workers, orders, false)
 		}
 		if given > 0 {
-			t.Errorf("%d engines, %.0f kept busy by reading: %d orders", engines, busy, given)
+			t.Errorf("%d engines, %.0f kept busy by prompts: %d orders, want none", engines, busy, given)
 		}
 	}
 }
 
-// TestBusyFleetKeepsSparePrefillEngines: a busy fleet keeps those that it had.
+// TestBusyFleetKeepsSparePrefillEngines: the limit on spare engines must not apply to a busy
+// fleet.
 func TestBusyFleetKeepsSparePrefillEngines(t *testing.T) {
 	const engines = 60
 	for _, busy := range []float64{4, 8, 16} {
 		workers := fleet(8, engines-8, nil)
 		if got := prefillAfterOrders(workers, busy*enginePace); float64(got) < 0.6*engines {
-			t.Errorf("%.0f of %d engines kept busy by reading: %d read", busy, engines, got)
+			t.Errorf("%.0f of %d engines kept busy by prompts: only %d prefill engines", busy, engines, got)
 		}
 	}
 }
