--- a/internal/fleetsize/basis.go
+++ b/internal/fleetsize/basis.go
@@ -18,7 +18,7 @@
 // learnBasis reads what the plan of a service rests on, or writes it down where this node
 // is the first to plan: later nodes find workers that were ordered, not the operators'
 // choice. A basis that a restored store lacks is written again.
-func (c *Controller) learnBasis(ctx context.Context, service Service, fleet *ordered, standing Counts) error {
+func (c *Controller) learnBasis(ctx context.Context, service Service, fleet *fleetState, standing Counts) error {
 	if hold := c.options.Authority.Acquire(ctx); hold != authority.Held {
 		return eris.Errorf("no authority: %s", hold)
 	}
--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -21,17 +21,17 @@
 	// callTimeout bounds a call to the platform's API, storeTimeout one to its store.
 	callTimeout  = 2 * time.Second
 	storeTimeout = 800 * time.Millisecond
-	// patience is how long after its boot time a worker may be missing before the order is
+	// lateMargin is how long after its boot time a worker may be missing before the order is
 	// given once more.
-	patience = 2 * time.Second
-	// unavailableFor is how long a refused order isn't tried again.
-	unavailableFor = 2 * time.Second
-	// paceEvery is the time between two rounds of orders, and pace the workers that may come
+	lateMargin = 2 * time.Second
+	// retryRefusedAfter is how long a refused order isn't tried again.
+	retryRefusedAfter = 2 * time.Second
+	// roundEvery is the time between two rounds of orders, and pace the workers that may come
 	// and go in it for each node: each of them is some changes of the platform's list, which
 	// the heads of a zone tell all its nodes. Three thousand workers replaced at once held
 	// the list up by 5 s at 300 nodes with links of 10 Mbit/s (docs/design/fleet-size.md).
-	paceEvery = 2 * time.Second
-	pace      = 16_000
+	roundEvery      = 2 * time.Second
+	changesPerRound = 16_000
 )
 
 // API is the platform's API for workers.
@@ -80,12 +80,12 @@
 type Controller struct {
 	options Options
 	policy  Policy
-	fleets  map[string]*ordered
+	fleets  map[string]*fleetState
 }
 
 // New returns a controller.
 func New(options Options) *Controller {
-	return &Controller{options: options, policy: DefaultPolicy(), fleets: make(map[string]*ordered)}
+	return &Controller{options: options, policy: DefaultPolicy(), fleets: make(map[string]*fleetState)}
 }
 
 // Run works until ctx ends.
@@ -111,20 +111,20 @@
 	for _, service := range c.options.Services() {
 		fleet, known := c.fleets[service.Name]
 		if !known {
-			fleet = newOrdered()
+			fleet = newFleetState()
 			c.fleets[service.Name] = fleet
 		}
-		if err := c.step(ctx, service, fleet, now); err != nil {
+		if err := c.stepService(ctx, service, fleet, now); err != nil {
 			c.options.Log.WithFields(logrus.Fields{"service": service.Name, "cause": err.Error()}).Warn("workers not ordered")
 		}
 	}
 }
 
-func (c *Controller) step(ctx context.Context, service Service, fleet *ordered, now time.Time) error {
+func (c *Controller) stepService(ctx context.Context, service Service, fleet *fleetState, now time.Time) error {
 	standing := c.options.Workers.Standing(service.Name)
-	fleet.look(standing, now)
+	fleet.observe(standing, now)
 	if fleet.basis == nil {
-		if now.Sub(fleet.since) < c.settled() || standing.total() == 0 {
+		if now.Sub(fleet.since) < c.settleTime() || standing.total() == 0 {
 			return nil
 		}
 		if err := c.learnBasis(ctx, service, fleet, standing); err != nil {
@@ -139,14 +139,14 @@
 	}
 	targets := c.targets(service, fleet, now)
 	due := fleet.due(service.Terms, targets, now)
-	if len(due) == 0 || now.Sub(fleet.ordered) < paceEvery {
+	if len(due) == 0 || now.Sub(fleet.lastRound) < roundEvery {
 		return nil
 	}
-	fleet.ordered = now
-	left := max(pace/max(c.options.Nodes(), 1), 1)
+	fleet.lastRound = now
+	left := max(changesPerRound/max(c.options.Nodes(), 1), 1)
 	for _, kind := range due {
-		count := fleet.within(kind, targets[kind], left)
-		left -= fleet.moves(kind, count)
+		count := fleet.clampChange(kind, targets[kind], left)
+		left -= fleet.changeSize(kind, count)
 		if err := c.order(ctx, service, fleet, kind, count, now); err != nil {
 			return err
 		}
@@ -154,21 +154,21 @@
 	return nil
 }
 
-// settled is for how long workers must have stood unchanged to be all there are.
-func (c *Controller) settled() time.Duration { return c.options.Heartbeat * 5 / 4 }
+// settleTime is for how long workers must have stood unchanged to be all there are.
+func (c *Controller) settleTime() time.Duration { return c.options.Heartbeat * 5 / 4 }
 
 // targets are the numbers of workers of a service to be ordered now.
-func (c *Controller) targets(service Service, fleet *ordered, now time.Time) Counts {
+func (c *Controller) targets(service Service, fleet *fleetState, now time.Time) Counts {
 	idle := c.options.Workers.Idle(service.Name, now)
-	whole := fleet.wholePlan(c.policy, service.Terms)
-	c.options.Metrics.observe(service, fleet.standing, whole)
-	wished := fleet.targets(service.Terms, whole, idle)
-	if len(fleet.unavailable) == 0 {
+	unlimited := fleet.unlimitedPlan(c.policy, service.Terms)
+	c.options.Metrics.observe(service, fleet.standing, unlimited)
+	wished := fleet.targets(service.Terms, unlimited, idle)
+	if len(fleet.unavailableSince) == 0 {
 		return wished
 	}
-	within := fleet.planWithin(c.policy, service.Terms, fleet.mostOf(service.Terms, now))
-	targets := fleet.targets(service.Terms, within, idle)
-	for kind := range fleet.unavailable {
+	limited := fleet.planWithin(c.policy, service.Terms, fleet.availability(service.Terms, now))
+	targets := fleet.targets(service.Terms, limited, idle)
+	for kind := range fleet.unavailableSince {
 		// What is not to be had is asked for again now and then, as if it were.
 		targets[kind] = wished[kind]
 	}
@@ -176,7 +176,7 @@
 }
 
 // order gives an order, if this node has the authority to.
-func (c *Controller) order(ctx context.Context, service Service, fleet *ordered, kind Kind, count int, now time.Time) error {
+func (c *Controller) order(ctx context.Context, service Service, fleet *fleetState, kind Kind, count int, now time.Time) error {
 	if hold := c.options.Authority.Acquire(ctx); hold != authority.Held {
 		return eris.Errorf("no authority: %s", hold)
 	}
@@ -193,15 +193,15 @@
 	}).Info("workers ordered")
 	switch verdict {
 	case duty.Accepted:
-		fleet.wanted[kind], fleet.at[kind] = count, now
-		delete(fleet.unavailable, kind)
+		fleet.wanted[kind], fleet.orderedAt[kind] = count, now
+		delete(fleet.unavailableSince, kind)
 	case duty.Refused:
-		if _, already := fleet.unavailable[kind]; !already {
-			fleet.unavailable[kind] = now
+		if _, already := fleet.unavailableSince[kind]; !already {
+			fleet.unavailableSince[kind] = now
 		}
-		fleet.pause[kind] = now.Add(unavailableFor)
+		fleet.pausedUntil[kind] = now.Add(retryRefusedAfter)
 	case duty.Throttled:
-		fleet.pause[kind] = now.Add(unavailableFor)
+		fleet.pausedUntil[kind] = now.Add(retryRefusedAfter)
 	case duty.Unknown:
 		// An order carried out late, behind a newer one, shows in the workers listed: it is
 		// then given anew. The kinds that are left wait for the next round, since an API
--- a/internal/fleetsize/controller_test.go
+++ b/internal/fleetsize/controller_test.go
@@ -79,9 +79,9 @@
 // heartbeat is that of the tests' workers.
 const heartbeat = 1200 * time.Millisecond
 
-// TestWorkersThatAreStillComingAreWaitedFor: a fleet that writes its entries one by one
+// TestBasisWaitsForAllWorkers: a fleet that writes its entries one by one
 // isn't taken for a small one.
-func TestWorkersThatAreStillComingAreWaitedFor(t *testing.T) {
+func TestBasisWaitsForAllWorkers(t *testing.T) {
 	platform, rows := &cloud{standing: Counts{{Zone: "a"}: 1}, idle: true, least: 1000}, memorystore.New()
 	c := newController(platform, rows, "n")
 	now := time.Now()
@@ -102,7 +102,7 @@
 }
 
 func TestBasisThatTheStoreHasLostIsWrittenAgain(t *testing.T) {
-	platform, rows := &cloud{standing: operators(), idle: true, least: 1000}, memorystore.New()
+	platform, rows := &cloud{standing: operatorsFleet(), idle: true, least: 1000}, memorystore.New()
 	c := newController(platform, rows, "n")
 	now := run(c, platform, time.Now(), 20)
 	before, _, _ := rows.ReadRow(context.Background(), table, "s")
@@ -124,13 +124,13 @@
 	return from
 }
 
-// TestFleetChangesAtThePaceOfTheList: many nodes take longer to hear of each worker.
-func TestFleetChangesAtThePaceOfTheList(t *testing.T) {
+// TestOrdersPerRoundAreBounded: many nodes take longer to hear of each worker.
+func TestOrdersPerRoundAreBounded(t *testing.T) {
 	for _, nodes := range []int{1, 400} {
-		platform := &cloud{standing: operators(), idle: true, nodes: nodes, least: 1000}
+		platform := &cloud{standing: operatorsFleet(), idle: true, nodes: nodes, least: 1000}
 		c := newController(platform, memorystore.New(), "n")
 		run(c, platform, time.Now(), 60)
-		if most := pace / nodes; platform.moved > most {
+		if most := changesPerRound / nodes; platform.moved > most {
 			t.Errorf("%d nodes: %d workers came or went at once, want at most %d", nodes, platform.moved, most)
 		}
 		plan := c.policy.Plan(terms(0.18, 1, 4*time.Second), *c.fleets["s"].basis, nil)
@@ -140,18 +140,18 @@
 	}
 }
 
-// TestFleetIsBroughtToThePlan: before requests come half of the operators' fleet stands at
+// TestFleetReachesThePlan: before requests come half of the operators' fleet stands at
 // all times, later as many as the plan has; then nothing more is ordered.
-func TestFleetIsBroughtToThePlan(t *testing.T) {
+func TestFleetReachesThePlan(t *testing.T) {
 	for _, idle := range []bool{true, false} {
-		platform := &cloud{standing: operators(), idle: idle, least: 1000}
+		platform := &cloud{standing: operatorsFleet(), idle: idle, least: 1000}
 		c := newController(platform, memorystore.New(), "n")
 		now := run(c, platform, time.Now(), 20)
 		plan := c.policy.Plan(terms(0.18, 1, 4*time.Second), *c.fleets["s"].basis, nil)
 		if diff := cmp.Diff(nonzero(plan), platform.Standing("s")); diff != "" {
 			t.Errorf("idle %v: %s", idle, diff)
 		}
-		least := operators().total()
+		least := operatorsFleet().total()
 		if idle {
 			least /= 2
 		}
@@ -179,7 +179,7 @@
 // TestLostWorkersAreOrderedAgain: others at once, and the lost ones when they are to be
 // had; the platform isn't asked at each step meanwhile.
 func TestLostWorkersAreOrderedAgain(t *testing.T) {
-	platform := &cloud{standing: operators(), least: 1000}
+	platform := &cloud{standing: operatorsFleet(), least: 1000}
 	c := newController(platform, memorystore.New(), "n")
 	now := run(c, platform, time.Now(), 20)
 	lost := Kind{Zone: "a", Spot: true}
@@ -201,10 +201,10 @@
 	}
 }
 
-// TestNextHolderKeepsTheBasis: it finds workers that were ordered, and doesn't take them
+// TestNextHolderReadsTheStoredBasis: it finds workers that were ordered, and doesn't take them
 // for the operators' choice.
-func TestNextHolderKeepsTheBasis(t *testing.T) {
-	platform, rows := &cloud{standing: operators(), least: 1000}, memorystore.New()
+func TestNextHolderReadsTheStoredBasis(t *testing.T) {
+	platform, rows := &cloud{standing: operatorsFleet(), least: 1000}, memorystore.New()
 	first := newController(platform, rows, "n")
 	now := run(first, platform, time.Now(), 20)
 	whole := platform.Standing("s")
@@ -221,7 +221,7 @@
 	kind := Kind{Zone: "a", Spot: true}
 	for _, change := range []int{-20, 5} {
 		for _, sameHolder := range []bool{true, false} {
-			platform, rows := &cloud{standing: operators(), least: 1000}, memorystore.New()
+			platform, rows := &cloud{standing: operatorsFleet(), least: 1000}, memorystore.New()
 			c := newController(platform, rows, "n")
 			now := run(c, platform, time.Now(), 20)
 			whole := platform.Standing("s")
@@ -240,11 +240,11 @@
 // TestSilentAPIIsAskedOnceARound: an API that doesn't answer holds a round up for one call,
 // not for one of each kind; when it answers again, the fleet is brought to the plan.
 func TestSilentAPIIsAskedOnceARound(t *testing.T) {
-	platform := &cloud{standing: operators(), least: 1000, silent: true}
+	platform := &cloud{standing: operatorsFleet(), least: 1000, silent: true}
 	c := newController(platform, memorystore.New(), "n")
 	const seconds = 20
 	now := run(c, platform, time.Now(), seconds)
-	if most := int(seconds * time.Second / paceEvery); platform.orders > most {
+	if most := int(seconds * time.Second / roundEvery); platform.orders > most {
 		t.Errorf("%d calls in %d s, want at most %d", platform.orders, seconds, most)
 	}
 	platform.silent = false
--- a/internal/fleetsize/ordered.go
+++ b/internal/fleetsize/ordered.go
@@ -9,8 +9,8 @@
 	"github.com/tinarch/tinarch/internal/routing"
 )
 
-// ordered is what is known of the workers ordered for a service.
-type ordered struct {
+// fleetState is what is known of the workers fleetState for a service.
+type fleetState struct {
 	// standing is what stood at the last look, and since when.
 	standing Counts
 	since    time.Time
@@ -18,45 +18,45 @@
 	// history in which it lies.
 	basis *Basis
 	era   uint64
-	// whole is the plan where all kinds are to be had, on the terms planned.
-	whole   Counts
-	planned *routing.Scaling
+	// unlimited is the plan where all kinds are to be had, on the terms planned.
+	unlimited    Counts
+	plannedTerms *routing.Scaling
 	// limited is the plan within the limits of what can be had.
 	limited Counts
 	limits  map[Kind]int
-	// ordered is when orders were given last.
-	ordered time.Time
+	// lastRound is when orders were given last.
+	lastRound time.Time
 	// wanted is what was ordered, and at when.
-	wanted Counts
-	at     map[Kind]time.Time
-	// fell are the kinds of which workers have gone since the look before.
-	fell map[Kind]bool
-	// unavailable are the kinds of which the last order was refused, by since when orders
+	wanted    Counts
+	orderedAt map[Kind]time.Time
+	// shrunk are the kinds of which workers have gone since the look before.
+	shrunk map[Kind]bool
+	// unavailableSince are the kinds of which the last order was refused, by since when orders
 	// of them are, and pause is until when none is tried again.
-	unavailable map[Kind]time.Time
-	pause       map[Kind]time.Time
+	unavailableSince map[Kind]time.Time
+	pausedUntil      map[Kind]time.Time
 }
 
-func newOrdered() *ordered {
-	return &ordered{
-		wanted: make(Counts), at: make(map[Kind]time.Time),
-		unavailable: make(map[Kind]time.Time), pause: make(map[Kind]time.Time),
+func newFleetState() *fleetState {
+	return &fleetState{
+		wanted: make(Counts), orderedAt: make(map[Kind]time.Time),
+		unavailableSince: make(map[Kind]time.Time), pausedUntil: make(map[Kind]time.Time),
 	}
 }
 
-// outageBoots is for how many boot times spot workers must have been unavailable before
+// spotOutageBoots is for how many boot times spot workers must have been unavailable before
 // workers at full price are ordered in their place: those of most outages are back sooner
 // than that would pay (docs/design/fleet-size.md).
-const outageBoots = 3
+const spotOutageBoots = 3
 
-// mostOf are the most workers of kinds of which no more can be had, or are worth having
+// availability are the most workers of kinds of which no more can be had, or are worth having
 // yet: those that stand.
-func (f *ordered) mostOf(terms *routing.Scaling, now time.Time) map[Kind]int {
+func (f *fleetState) availability(terms *routing.Scaling, now time.Time) map[Kind]int {
 	limits := make(map[Kind]int)
 	lasting := false
-	for kind, since := range f.unavailable {
+	for kind, since := range f.unavailableSince {
 		limits[kind] = f.standing[kind]
-		lasting = lasting || now.Sub(since) >= outageBoots*terms.Boot
+		lasting = lasting || now.Sub(since) >= spotOutageBoots*terms.Boot
 	}
 	for _, kind := range kindsOf(terms) {
 		if !kind.Spot && !lasting {
@@ -66,18 +66,18 @@
 	return limits
 }
 
-// wholePlan is the plan where all kinds are to be had. It is worked out once for the terms
+// unlimitedPlan is the plan where all kinds are to be had. It is worked out once for the terms
 // of a configuration.
-func (f *ordered) wholePlan(policy Policy, terms *routing.Scaling) Counts {
-	if f.planned != terms {
-		f.whole, f.planned = policy.Plan(terms, *f.basis, nil), terms
+func (f *fleetState) unlimitedPlan(policy Policy, terms *routing.Scaling) Counts {
+	if f.plannedTerms != terms {
+		f.unlimited, f.plannedTerms = policy.Plan(terms, *f.basis, nil), terms
 		f.limited, f.limits = nil, nil
 	}
-	return f.whole
+	return f.unlimited
 }
 
 // planWithin is the plan within limits. It is worked out anew when these change.
-func (f *ordered) planWithin(policy Policy, terms *routing.Scaling, limits map[Kind]int) Counts {
+func (f *fleetState) planWithin(policy Policy, terms *routing.Scaling, limits map[Kind]int) Counts {
 	if f.limited == nil || !maps.Equal(limits, f.limits) {
 		f.limited, f.limits = policy.Plan(terms, *f.basis, limits), limits
 	}
@@ -91,7 +91,7 @@
 // targets are the numbers of workers to be ordered now, on the way to a plan. Workers that
 // are too many go only when others stand in their place, or before any requests come, and
 // a zone that is full gets new ones as the others go.
-func (f *ordered) targets(terms *routing.Scaling, plan Counts, idle bool) Counts {
+func (f *fleetState) targets(terms *routing.Scaling, plan Counts, idle bool) Counts {
 	targets := make(Counts)
 	for _, kind := range kindsOf(terms) {
 		targets[kind] = plan[kind]
@@ -103,7 +103,7 @@
 	spare := max(f.standing.total()-least, 0)
 	for _, kind := range kindsOf(terms) {
 		if tooMany := f.standing[kind] - plan[kind]; tooMany > 0 {
-			going := min(tooMany, max(spare, f.toMakeRoom(terms, plan, kind)))
+			going := min(tooMany, max(spare, f.freedForReplacements(terms, plan, kind)))
 			spare = max(spare-going, 0)
 			targets[kind] = f.standing[kind] - going
 		}
@@ -117,30 +117,30 @@
 	return targets
 }
 
-// roomShare is the part of a plan's workers that go at once to make room in a full zone.
-const roomShare = 0.3
+// replaceShare is the part of a plan's workers that go at once to make room in a full zone.
+const replaceShare = 0.3
 
-// toMakeRoom is how many workers of a kind go although none stand in their place yet: those
+// freedForReplacements is how many workers of a kind go although none stand in their place yet: those
 // of the other kind can't come since the zone is full.
-func (f *ordered) toMakeRoom(terms *routing.Scaling, plan Counts, kind Kind) int {
+func (f *fleetState) freedForReplacements(terms *routing.Scaling, plan Counts, kind Kind) int {
 	other := Kind{Zone: kind.Zone, Spot: !kind.Spot}
 	if f.standing.inZone(kind.Zone) < terms.Max || f.standing[other] >= plan[other] {
 		return 0
 	}
-	return max(int(roomShare*float64(plan.total())), 1)
+	return max(int(replaceShare*float64(plan.total())), 1)
 }
 
 // due are the kinds to be ordered now, those of which there are too many first, since they
 // may fill their zone: those of which another number is wanted than was ordered, and those
 // that are missing for long or have just gone.
-func (f *ordered) due(terms *routing.Scaling, targets Counts, now time.Time) []Kind {
+func (f *fleetState) due(terms *routing.Scaling, targets Counts, now time.Time) []Kind {
 	var due []Kind
 	for _, kind := range kindsOf(terms) {
 		target := targets[kind]
 		last, given := f.wanted[kind]
-		late := now.Sub(f.at[kind]) >= terms.Boot+patience || f.fell[kind]
+		late := now.Sub(f.orderedAt[kind]) >= terms.Boot+lateMargin || f.shrunk[kind]
 		switch {
-		case now.Before(f.pause[kind]):
+		case now.Before(f.pausedUntil[kind]):
 		case !given && target == f.standing[kind]:
 		case !given || target != last || f.standing[kind] != target && late:
 			due = append(due, kind)
@@ -152,31 +152,31 @@
 	return due
 }
 
-// before is the number of workers of a kind that an order starts from: what was ordered
+// previous is the number of workers of a kind that an order starts from: what was ordered
 // last, or what stands.
-func (f *ordered) before(kind Kind) int {
+func (f *fleetState) previous(kind Kind) int {
 	if last, given := f.wanted[kind]; given {
 		return last
 	}
 	return f.standing[kind]
 }
 
-// moves is the number of workers that come or go by an order.
-func (f *ordered) moves(kind Kind, count int) int {
-	return max(count-f.before(kind), f.before(kind)-count)
+// changeSize is the number of workers that come or go by an order.
+func (f *fleetState) changeSize(kind Kind, count int) int {
+	return max(count-f.previous(kind), f.previous(kind)-count)
 }
 
-// within is the order nearest to a target by which no more than so many come or go.
-func (f *ordered) within(kind Kind, target, most int) int {
-	before := f.before(kind)
-	return min(max(target, before-max(most, 0)), before+max(most, 0))
+// clampChange is the order nearest to a target by which no more than so many come or go.
+func (f *fleetState) clampChange(kind Kind, target, most int) int {
+	previous := f.previous(kind)
+	return min(max(target, previous-max(most, 0)), previous+max(most, 0))
 }
 
-// look takes in what stands.
-func (f *ordered) look(standing Counts, now time.Time) {
-	f.fell = make(map[Kind]bool)
+// observe takes in what stands.
+func (f *fleetState) observe(standing Counts, now time.Time) {
+	f.shrunk = make(map[Kind]bool)
 	for kind, before := range f.standing {
-		f.fell[kind] = standing[kind] < before && standing[kind] < f.wanted[kind]
+		f.shrunk[kind] = standing[kind] < before && standing[kind] < f.wanted[kind]
 	}
 	if !maps.Equal(standing, f.standing) {
 		f.standing, f.since = standing, now
--- a/internal/fleetsize/plan.go
+++ b/internal/fleetsize/plan.go
@@ -106,36 +106,36 @@
 	return Basis{Lost: price / p.Elasticity, Workers: workers}
 }
 
-// fleet is a plan in the making.
-type fleet struct {
+// planSearch is a plan in the making.
+type planSearch struct {
 	policy   Policy
 	terms    *routing.Scaling
 	observed Basis
 	counts   Counts
-	// most bounds the workers of some kinds.
-	most map[Kind]int
+	// limits bounds the workers of some kinds.
+	limits map[Kind]int
 }
 
-// lost is the worth that is lost in a second with a number of workers.
-func (f *fleet) lost(workers int) float64 {
+// lossWith is the worth that is lossWith in a second with a number of workers.
+func (f *planSearch) lossWith(workers int) float64 {
 	return f.observed.Lost * math.Pow(f.observed.Workers/math.Max(float64(workers), 1), f.policy.Elasticity)
 }
 
 // cost is the price of all workers and the worth that is lost, as an expectation over the
 // zones whose spot workers may be away.
-func (f *fleet) cost() float64 {
+func (f *planSearch) cost() float64 {
 	total := f.counts.total()
 	absence := min(f.policy.AbsenceBase+f.policy.AbsencePerSecond*f.terms.Boot.Seconds(), 1)
 	zones := float64(len(f.terms.PriceByZone))
-	expected := (1 - absence) * f.lost(total)
+	expected := (1 - absence) * f.lossWith(total)
 	for zone := range f.terms.PriceByZone {
-		expected += absence / zones * f.lost(total-f.counts[Kind{Zone: zone, Spot: true}])
+		expected += absence / zones * f.lossWith(total-f.counts[Kind{Zone: zone, Spot: true}])
 	}
 	return priceOfAll(f.terms, f.counts) + expected
 }
 
-// with returns the cost with workers of a kind added, infinite where they may not be.
-func (f *fleet) with(kind Kind, count int) float64 {
+// costWith returns the cost costWith workers of a kind added, infinite where they may not be.
+func (f *planSearch) costWith(kind Kind, count int) float64 {
 	after := f.counts.inZone(kind.Zone) + count
 	if f.counts[kind]+count < 0 || after < f.terms.Min || after > f.terms.Max {
 		return math.Inf(1)
@@ -145,19 +145,19 @@
 	return f.cost()
 }
 
-// steps are the numbers of workers by which a plan grows, coarse ones first: thousands of
-// workers take as many steps as tens.
-var steps = []int{64, 16, 4, 1}
+// stepSizes are the numbers of workers by which a plan grows, coarse ones first: thousands of
+// workers take as many stepSizes as tens.
+var stepSizes = []int{64, 16, 4, 1}
 
 // Plan returns the workers of each kind that cost least, all in all. Of kinds that are not
 // to be had there are at most so many.
-func (p Policy) Plan(terms *routing.Scaling, observed Basis, most map[Kind]int) Counts {
-	f := &fleet{policy: p, terms: terms, observed: observed, counts: make(Counts), most: most}
+func (p Policy) Plan(terms *routing.Scaling, observed Basis, limits map[Kind]int) Counts {
+	f := &planSearch{policy: p, terms: terms, observed: observed, counts: make(Counts), limits: limits}
 	for zone := range terms.PriceByZone {
 		f.counts[Kind{Zone: zone}] = terms.Min
 	}
 	kinds := kindsOf(terms)
-	for _, step := range steps {
+	for _, step := range stepSizes {
 		for f.improve(kinds, step) {
 		}
 	}
@@ -174,22 +174,22 @@
 }
 
 // improve makes the change by a step that saves most. It reports false where none does.
-func (f *fleet) improve(kinds []Kind, step int) bool {
-	best, least := change{}, f.cost()-leastSaved
+func (f *planSearch) improve(kinds []Kind, step int) bool {
+	best, least := change{}, f.cost()-minSaving
 	consider := func(c change, cost float64) {
 		if cost < least {
 			best, least = c, cost
 		}
 	}
 	for _, kind := range kinds {
-		consider(change{kind, -step, kind}, f.with(kind, -step))
-		if limit, limited := f.most[kind]; limited && f.counts[kind]+step > limit {
+		consider(change{kind, -step, kind}, f.costWith(kind, -step))
+		if limit, limited := f.limits[kind]; limited && f.counts[kind]+step > limit {
 			continue
 		}
-		consider(change{kind, step, kind}, f.with(kind, step))
+		consider(change{kind, step, kind}, f.costWith(kind, step))
 		for _, other := range kinds {
 			if other != kind && f.counts[other] >= step {
-				consider(change{kind, step, other}, f.swapped(kind, other, step))
+				consider(change{kind, step, other}, f.costSwapped(kind, other, step))
 			}
 		}
 	}
@@ -203,21 +203,21 @@
 	return true
 }
 
-// leastSaved ends the search where steps save next to nothing, in the unit of prices.
-const leastSaved = 1e-6
+// minSaving ends the search where steps save next to nothing, in the unit of prices.
+const minSaving = 1e-6
 
-// swapped returns the cost with workers of one kind in place of others.
-func (f *fleet) swapped(add, drop Kind, count int) float64 {
+// costSwapped returns the cost with workers of one kind in place of others.
+func (f *planSearch) costSwapped(add, drop Kind, count int) float64 {
 	f.counts[drop] -= count
 	defer func() { f.counts[drop] += count }()
 	if f.counts.inZone(drop.Zone) < f.terms.Min && add.Zone != drop.Zone {
 		return math.Inf(1)
 	}
-	return f.with(add, count)
+	return f.costWith(add, count)
 }
 
 // Cost returns what workers cost in a second, with the worth that is lost.
 func (p Policy) Cost(terms *routing.Scaling, observed Basis, counts Counts) float64 {
-	f := &fleet{policy: p, terms: terms, observed: observed, counts: counts}
+	f := &planSearch{policy: p, terms: terms, observed: observed, counts: counts}
 	return f.cost()
 }
--- a/internal/fleetsize/plan_test.go
+++ b/internal/fleetsize/plan_test.go
@@ -15,10 +15,10 @@
 	}
 }
 
-// operators is the fleet that stands at the start.
-func operators() Counts { return Counts{{Zone: "a"}: 47, {Zone: "b"}: 47, {Zone: "c"}: 46} }
+// operatorsFleet is the fleet that stands at the start.
+func operatorsFleet() Counts { return Counts{{Zone: "a"}: 47, {Zone: "b"}: 47, {Zone: "c"}: 46} }
 
-func spots(counts Counts) int {
+func countSpot(counts Counts) int {
 	sum := 0
 	for kind, count := range counts {
 		if kind.Spot {
@@ -28,16 +28,16 @@
 	return sum
 }
 
-// TestPlanIsNeverDearerThanTheOperatorsFleet: at any prices, and it keeps to the bounds.
-func TestPlanIsNeverDearerThanTheOperatorsFleet(t *testing.T) {
+// TestPlanNeverCostsMoreThanTheOperatorsFleet: at any prices, and it keeps to the bounds.
+func TestPlanNeverCostsMoreThanTheOperatorsFleet(t *testing.T) {
 	policy := DefaultPolicy()
 	for _, spot := range []float64{0, 0.05, 0.18, 0.5, 0.9, 1.2} {
 		for _, times := range []float64{0.05, 1, 4} {
 			for _, boot := range []time.Duration{2 * time.Second, 12 * time.Second} {
 				known := terms(spot, times, boot)
-				basis := policy.Prior(terms(spot, 1, boot), operators())
+				basis := policy.Prior(terms(spot, 1, boot), operatorsFleet())
 				plan := policy.Plan(known, basis, nil)
-				if before, after := policy.Cost(known, basis, operators()), policy.Cost(known, basis, plan); after > before {
+				if before, after := policy.Cost(known, basis, operatorsFleet()), policy.Cost(known, basis, plan); after > before {
 					t.Errorf("spot %v, prices × %v: %v costs %.1f, the operators' fleet %.1f", spot, times, plan, after, before)
 				}
 				for zone := range known.PriceByZone {
@@ -55,16 +55,16 @@
 func TestPricesDecideTheMix(t *testing.T) {
 	policy := DefaultPolicy()
 	plan := func(spot, times float64) Counts {
-		basis := policy.Prior(terms(spot, 1, 4*time.Second), operators())
+		basis := policy.Prior(terms(spot, 1, 4*time.Second), operatorsFleet())
 		return policy.Plan(terms(spot, times, 4*time.Second), basis, nil)
 	}
-	if cheap := plan(0.18, 1); spots(cheap) != cheap.total() || cheap.total() <= operators().total() {
+	if cheap := plan(0.18, 1); countSpot(cheap) != cheap.total() || cheap.total() <= operatorsFleet().total() {
 		t.Errorf("at cheap spot workers: %v", cheap)
 	}
-	if dear := plan(0.95, 1); spots(dear) > dear.total()/10 {
+	if dear := plan(0.95, 1); countSpot(dear) > dear.total()/10 {
 		t.Errorf("at dear spot workers: %v", dear)
 	}
-	if none := plan(0, 1); spots(none) != 0 {
+	if none := plan(0, 1); countSpot(none) != 0 {
 		t.Errorf("without spot workers: %v", none)
 	}
 	if normal, dear := plan(0.18, 1).total(), plan(0.18, 4).total(); dear >= normal {
@@ -77,17 +77,17 @@
 func TestSameFleetAtTheSamePrices(t *testing.T) {
 	policy := DefaultPolicy()
 	flat := &routing.Scaling{Min: 1, Max: 94, PriceByZone: map[string]float64{"a": 1, "b": 1, "c": 1}}
-	plan := policy.Plan(flat, policy.Prior(flat, operators()), nil)
+	plan := policy.Plan(flat, policy.Prior(flat, operatorsFleet()), nil)
 	if total := plan.total(); total < 138 || total > 142 {
 		t.Errorf("%d workers, the operators' fleet has 140", total)
 	}
 }
 
-// TestLostZoneIsMadeUpForElsewhere: what isn't to be had in one zone is ordered in others.
-func TestLostZoneIsMadeUpForElsewhere(t *testing.T) {
+// TestUnavailableZoneIsReplacedElsewhere: what isn't to be had in one zone is ordered in others.
+func TestUnavailableZoneIsReplacedElsewhere(t *testing.T) {
 	policy := DefaultPolicy()
 	known := terms(0.5, 1, 4*time.Second)
-	basis := policy.Prior(known, operators())
+	basis := policy.Prior(known, operatorsFleet())
 	whole := policy.Plan(known, basis, nil)
 	away := Kind{Zone: "a", Spot: true}
 	without := policy.Plan(known, basis, map[Kind]int{away: 0})
@@ -96,17 +96,17 @@
 	}
 }
 
-// TestLargeFleetsArePlannedAlike: a fleet ten times as large has ten times the workers.
-func TestLargeFleetsArePlannedAlike(t *testing.T) {
+// TestPlanScalesWithTheFleet: a fleet ten times as large has ten times the workers.
+func TestPlanScalesWithTheFleet(t *testing.T) {
 	policy := DefaultPolicy()
 	small := terms(0.5, 1, 4*time.Second)
 	large := *small
 	large.Max *= 10
 	times := make(Counts)
-	for kind, count := range operators() {
+	for kind, count := range operatorsFleet() {
 		times[kind] = 10 * count
 	}
-	few := policy.Plan(small, policy.Prior(small, operators()), nil).total()
+	few := policy.Plan(small, policy.Prior(small, operatorsFleet()), nil).total()
 	many := policy.Plan(&large, policy.Prior(&large, times), nil).total()
 	if off := many - 10*few; off < -10*few/20 || off > 10*few/20 {
 		t.Errorf("%d workers, %d in a fleet a tenth as large", many, few)
