--- a/internal/fleetsize/basis.go
+++ b/internal/fleetsize/basis.go
@@ -12,12 +12,13 @@
 	"github.com/tinarch/tinarch/internal/rowstore"
 )
 
-// The rows in which the basis of a service's plan lies.
+// table holds one row per service with the basis of its plan.
 const table = "fleet"
 
-// learnBasis reads what the plan of a service rests on, or writes it down where this node
-// is the first to plan: later nodes find workers that were ordered, not the operators'
-// choice. A basis that a restored store lacks is written again.
+// learnBasis reads the stored basis of a service's plan, or writes it if this node is the first
+// to plan: nodes that plan later find a fleet that was already changed by orders, not the
+// operators' choice. A basis that is missing after the store was restored from a backup is
+// written again.
 func (c *Controller) learnBasis(ctx context.Context, service Service, fleet *fleetState, standing Counts) error {
 	if hold := c.options.Authority.Acquire(ctx); hold != authority.Held {
 		return eris.Errorf("no authority: %s", hold)
--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -14,69 +14,70 @@
 	"github.com/tinarch/tinarch/internal/rowstore"
 )
 
-// The figures of a controller.
+// Intervals and limits of the controller.
 const (
-	// stepEvery is the time between two looks at the fleet.
+	// stepEvery is the time between two checks of the fleet.
 	stepEvery = 500 * time.Millisecond
-	// callTimeout bounds a call to the platform's API, storeTimeout one to its store.
+	// callTimeout bounds a call to the platform's API, storeTimeout a call to its store.
 	callTimeout  = 2 * time.Second
 	storeTimeout = 800 * time.Millisecond
 	// lateMargin is how long after its boot time a worker may be missing before the order is
-	// given once more.
+	// repeated.
 	lateMargin = 2 * time.Second
-	// retryRefusedAfter is how long a refused order isn't tried again.
+	// retryRefusedAfter is the time before a refused order is tried again.
 	retryRefusedAfter = 2 * time.Second
-	// roundEvery is the time between two rounds of orders, and pace the workers that may come
-	// and go in it for each node: each of them is some changes of the platform's list, which
-	// the heads of a zone tell all its nodes. Three thousand workers replaced at once held
-	// the list up by 5 s at 300 nodes with links of 10 Mbit/s (docs/design/fleet-size.md).
+	// roundEvery is the time between two rounds of orders, and changesPerRound, divided by the
+	// number of nodes, the number of workers that one round may start or stop. Each of them
+	// causes several changes of the platform's worker list, which the relay nodes of a zone
+	// forward to all its nodes. Replacing three thousand workers at once delayed the list by 5
+	// s with 300 nodes and links of 10 Mbit/s (docs/design/fleet-size.md).
 	roundEvery      = 2 * time.Second
 	changesPerRound = 16_000
 )
 
-// API is the platform's API for workers.
+// API is the part of the platform's API that orders workers.
 type API interface {
-	// OrderWorkers orders the number of workers of a kind that a service is to have. The
-	// error tells why a verdict isn't duty.Accepted.
+	// OrderWorkers sets the number of workers of a kind that a service is to have. If the
+	// verdict isn't duty.Accepted, the error tells why.
 	OrderWorkers(ctx context.Context, act duty.LeaseToken, service string, kind Kind, count int) (duty.Verdict, error)
 }
 
-// Workers are what is known of the workers.
+// Workers is what the controller needs to know about the workers.
 type Workers interface {
-	// Standing counts the workers of a service that are listed and stay.
+	// Standing counts the workers of a service that are listed and not draining.
 	Standing(service string) Counts
-	// Idle reports whether no request of a service is known to have come lately.
+	// Idle reports whether no recent request of a service is known.
 	Idle(service string, now time.Time) bool
 }
 
-// Service is a service whose workers are ordered.
+// Service is a service whose number of workers is controlled.
 type Service struct {
 	Name  string
 	Terms *routing.Scaling
 }
 
-// Options are what a controller works with.
+// Options configure a controller.
 type Options struct {
-	// Node names this node to the platform.
+	// Node is the name by which this node identifies itself to the platform.
 	Node      string
 	Authority *authority.Authority
 	Store     rowstore.Store
 	API       API
 	Workers   Workers
 	Services  func() []Service
-	// Nodes is the number of nodes that follow the list of workers.
+	// Nodes returns the number of nodes that receive the worker list.
 	Nodes func() int
-	// Heartbeat is the time in which each worker writes its entry: the workers must have
-	// stood unchanged for longer before their number is taken for the operators' choice.
+	// Heartbeat is the interval at which workers write their rows. The number of workers must
+	// have been stable for longer than that to count as the operators' choice.
 	Heartbeat time.Duration
-	// Designated reports whether this is the node that the others expect to order workers.
+	// Designated reports whether the other nodes expect this one to order workers.
 	Designated func() bool
 	Log        *logrus.Logger
 	// Metrics may be nil.
 	Metrics *Metrics
 }
 
-// Controller orders workers. It is used by one goroutine.
+// Controller orders workers. It is not safe for concurrent use.
 type Controller struct {
 	options Options
 	policy  Policy
@@ -88,7 +89,7 @@
 	return &Controller{options: options, policy: DefaultPolicy(), fleets: make(map[string]*fleetState)}
 }
 
-// Run works until ctx ends.
+// Run steps the controller until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(stepEvery)
 	defer ticker.Stop()
@@ -99,14 +100,14 @@
 		case <-ticker.C:
 		}
 		if !c.options.Designated() {
-			clear(c.fleets) // another node orders now: what it has done isn't known here
+			clear(c.fleets) // another node orders now, and its orders are not known here
 			continue
 		}
 		c.Step(ctx, time.Now())
 	}
 }
 
-// Step orders what is missing or too many.
+// Step orders workers to start or stop so that each service approaches its plan.
 func (c *Controller) Step(ctx context.Context, now time.Time) {
 	for _, service := range c.options.Services() {
 		fleet, known := c.fleets[service.Name]
@@ -134,7 +135,7 @@
 	if fleet.era != c.options.Store.Era() {
 		if err := c.learnBasis(ctx, service, fleet, standing); err != nil {
 			c.options.Log.WithFields(logrus.Fields{"service": service.Name, "cause": err.Error()}).
-				Warn("the basis of the plan may be lost with the store's history; it is written again soon")
+				Warn("the basis of the plan may have been lost when the store was restored; it will be written again")
 		}
 	}
 	targets := c.targets(service, fleet, now)
@@ -154,10 +155,11 @@
 	return nil
 }
 
-// settleTime is for how long workers must have stood unchanged to be all there are.
+// settleTime is how long the workers must have been unchanged until all of them are assumed to
+// be listed.
 func (c *Controller) settleTime() time.Duration { return c.options.Heartbeat * 5 / 4 }
 
-// targets are the numbers of workers of a service to be ordered now.
+// targets returns the numbers of workers of a service to order now.
 func (c *Controller) targets(service Service, fleet *fleetState, now time.Time) Counts {
 	idle := c.options.Workers.Idle(service.Name, now)
 	unlimited := fleet.unlimitedPlan(c.policy, service.Terms)
@@ -169,20 +171,21 @@
 	limited := fleet.planWithin(c.policy, service.Terms, fleet.availability(service.Terms, now))
 	targets := fleet.targets(service.Terms, limited, idle)
 	for kind := range fleet.unavailableSince {
-		// What is not to be had is asked for again now and then, as if it were.
+		// Kinds that were unavailable are requested again now and then as if they were
+		// available.
 		targets[kind] = wished[kind]
 	}
 	return targets
 }
 
-// order gives an order, if this node has the authority to.
+// order sends an order if this node holds the authority.
 func (c *Controller) order(ctx context.Context, service Service, fleet *fleetState, kind Kind, count int, now time.Time) error {
 	if hold := c.options.Authority.Acquire(ctx); hold != authority.Held {
 		return eris.Errorf("no authority: %s", hold)
 	}
 	act, held := c.options.Authority.Begin(ctx, callTimeout)
 	if !held {
-		return eris.New("the authority lapsed before the order left")
+		return eris.New("the authority lapsed before the order was sent")
 	}
 	defer act.End()
 	verdict, err := c.options.API.OrderWorkers(act.Context, duty.LeaseToken{Holder: c.options.Node, Fence: act.Fence}, service.Name, kind, count)
@@ -203,9 +206,9 @@
 	case duty.Throttled:
 		fleet.pausedUntil[kind] = now.Add(retryRefusedAfter)
 	case duty.Unknown:
-		// An order carried out late, behind a newer one, shows in the workers listed: it is
-		// then given anew. The kinds that are left wait for the next round, since an API
-		// that doesn't answer would hold each of them up in turn.
+		// If the platform carries the order out later, after a newer one, the listed workers
+		// show it and the newer order is repeated. The remaining kinds wait for the next round,
+		// since an API that doesn't answer would delay each of them in turn.
 		return eris.Errorf("the order of %d workers in %s was not answered: %v", count, kind.Zone, err)
 	}
 	return nil
--- a/internal/fleetsize/metrics.go
+++ b/internal/fleetsize/metrics.go
@@ -8,13 +8,13 @@
 	"github.com/tinarch/tinarch/internal/routing"
 )
 
-// Metrics tell what this node, as the one that orders, wants and sees.
+// Metrics are the wanted and the observed workers, as seen by the node that orders them.
 type Metrics struct {
 	workers *prometheus.GaugeVec
 	price   *prometheus.GaugeVec
 }
 
-// NewMetrics registers the metrics.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(registry *prometheus.Registry) *Metrics {
 	m := &Metrics{
 		workers: prometheus.NewGaugeVec(prometheus.GaugeOpts{
@@ -28,7 +28,7 @@
 	return m
 }
 
-// observe records what stands of a service and what is wanted.
+// observe records the standing and the wanted workers of a service.
 func (m *Metrics) observe(service Service, standing, wanted Counts) {
 	if m == nil {
 		return
@@ -41,7 +41,7 @@
 	m.price.WithLabelValues(service.Name).Set(priceOfAll(service.Terms, standing))
 }
 
-// priceOfAll is the price of a second of workers.
+// priceOfAll returns the price of all workers per second.
 func priceOfAll(terms *routing.Scaling, counts Counts) float64 {
 	sum := 0.0
 	for kind, count := range counts {
--- a/internal/fleetsize/ordered.go
+++ b/internal/fleetsize/ordered.go
@@ -9,30 +9,30 @@
 	"github.com/tinarch/tinarch/internal/routing"
 )
 
-// fleetState is what is known of the workers fleetState for a service.
+// fleetState is the state of the fleet and of the orders for one service.
 type fleetState struct {
-	// standing is what stood at the last look, and since when.
+	// standing counts the workers at the last check, and since is when they last changed.
 	standing Counts
 	since    time.Time
-	// basis is what the plan rests on, nil until it is known, and era that of the store's
-	// history in which it lies.
+	// basis is what the plan is based on, nil until it is known, and era the store's era in
+	// which its row was read or written.
 	basis *Basis
 	era   uint64
-	// unlimited is the plan where all kinds are to be had, on the terms planned.
+	// unlimited is the plan if all kinds are available, computed for plannedTerms.
 	unlimited    Counts
 	plannedTerms *routing.Scaling
-	// limited is the plan within the limits of what can be had.
+	// limited is the plan under the limits of the available kinds.
 	limited Counts
 	limits  map[Kind]int
-	// lastRound is when orders were given last.
+	// lastRound is when the last round of orders was sent.
 	lastRound time.Time
-	// wanted is what was ordered, and at when.
+	// wanted is the last number ordered of each kind, and orderedAt when it was ordered.
 	wanted    Counts
 	orderedAt map[Kind]time.Time
-	// shrunk are the kinds of which workers have gone since the look before.
+	// shrunk are the kinds that lost workers since the check before.
 	shrunk map[Kind]bool
-	// unavailableSince are the kinds of which the last order was refused, by since when orders
-	// of them are, and pause is until when none is tried again.
+	// unavailableSince has the kinds whose last order was refused, with the time of the first
+	// refusal in a row, and pausedUntil the time until which a kind is not ordered again.
 	unavailableSince map[Kind]time.Time
 	pausedUntil      map[Kind]time.Time
 }
@@ -44,13 +44,14 @@
 	}
 }
 
-// spotOutageBoots is for how many boot times spot workers must have been unavailable before
-// workers at full price are ordered in their place: those of most outages are back sooner
-// than that would pay (docs/design/fleet-size.md).
+// spotOutageBoots is how many boot times spot workers must have been unavailable before
+// on-demand workers are ordered in their place. Most outages end sooner than that would pay off
+// (docs/design/fleet-size.md).
 const spotOutageBoots = 3
 
-// availability are the most workers of kinds of which no more can be had, or are worth having
-// yet: those that stand.
+// availability returns the limits for kinds that can't grow, which is the number of workers
+// they have: kinds that are unavailable, and on-demand workers while no outage of spot workers
+// has lasted long enough.
 func (f *fleetState) availability(terms *routing.Scaling, now time.Time) map[Kind]int {
 	limits := make(map[Kind]int)
 	lasting := false
@@ -66,8 +67,8 @@
 	return limits
 }
 
-// unlimitedPlan is the plan where all kinds are to be had. It is worked out once for the terms
-// of a configuration.
+// unlimitedPlan returns the plan if all kinds are available. It is computed once per
+// configuration.
 func (f *fleetState) unlimitedPlan(policy Policy, terms *routing.Scaling) Counts {
 	if f.plannedTerms != terms {
 		f.unlimited, f.plannedTerms = policy.Plan(terms, *f.basis, nil), terms
@@ -76,7 +77,7 @@
 	return f.unlimited
 }
 
-// planWithin is the plan within limits. It is worked out anew when these change.
+// planWithin returns the plan under limits. It is recomputed when the limits change.
 func (f *fleetState) planWithin(policy Policy, terms *routing.Scaling, limits map[Kind]int) Counts {
 	if f.limited == nil || !maps.Equal(limits, f.limits) {
 		f.limited, f.limits = policy.Plan(terms, *f.basis, limits), limits
@@ -84,13 +85,13 @@
 	return f.limited
 }
 
-// idleShare is the part of the operators' fleet that stands at least while there are no
-// requests: they may begin before new workers have booted.
+// idleShare is the share of the operators' fleet to keep running while there are no requests,
+// since requests may begin before new workers have booted.
 const idleShare = 0.5
 
-// targets are the numbers of workers to be ordered now, on the way to a plan. Workers that
-// are too many go only when others stand in their place, or before any requests come, and
-// a zone that is full gets new ones as the others go.
+// targets returns the numbers of workers to order now on the way to a plan. Surplus workers are
+// stopped only once their replacements are running, unless no requests have come yet. In a full
+// zone some are stopped early to make room for their replacements.
 func (f *fleetState) targets(terms *routing.Scaling, plan Counts, idle bool) Counts {
 	targets := make(Counts)
 	for _, kind := range kindsOf(terms) {
@@ -117,11 +118,11 @@
 	return targets
 }
 
-// replaceShare is the part of a plan's workers that go at once to make room in a full zone.
+// replaceShare is the share of a plan's workers stopped at once to make room in a full zone.
 const replaceShare = 0.3
 
-// freedForReplacements is how many workers of a kind go although none stand in their place yet: those
-// of the other kind can't come since the zone is full.
+// freedForReplacements returns how many workers of a kind to stop before their replacements are
+// running: those of the other kind can't start because the zone is full.
 func (f *fleetState) freedForReplacements(terms *routing.Scaling, plan Counts, kind Kind) int {
 	other := Kind{Zone: kind.Zone, Spot: !kind.Spot}
 	if f.standing.inZone(kind.Zone) < terms.Max || f.standing[other] >= plan[other] {
@@ -130,9 +131,9 @@
 	return max(int(replaceShare*float64(plan.total())), 1)
 }
 
-// due are the kinds to be ordered now, those of which there are too many first, since they
-// may fill their zone: those of which another number is wanted than was ordered, and those
-// that are missing for long or have just gone.
+// due returns the kinds to order now: those whose target differs from the last order, and those
+// that have lacked workers for too long or have just lost some. Kinds to shrink come first,
+// since they may fill their zone.
 func (f *fleetState) due(terms *routing.Scaling, targets Counts, now time.Time) []Kind {
 	var due []Kind
 	for _, kind := range kindsOf(terms) {
@@ -152,8 +153,8 @@
 	return due
 }
 
-// previous is the number of workers of a kind that an order starts from: what was ordered
-// last, or what stands.
+// previous returns the number of workers that an order changes: the last number ordered, or the
+// standing workers if there was no order.
 func (f *fleetState) previous(kind Kind) int {
 	if last, given := f.wanted[kind]; given {
 		return last
@@ -161,18 +162,19 @@
 	return f.standing[kind]
 }
 
-// changeSize is the number of workers that come or go by an order.
+// changeSize returns the number of workers that an order starts or stops.
 func (f *fleetState) changeSize(kind Kind, count int) int {
 	return max(count-f.previous(kind), f.previous(kind)-count)
 }
 
-// clampChange is the order nearest to a target by which no more than so many come or go.
+// clampChange returns the count closest to the target that starts or stops no more than most
+// workers.
 func (f *fleetState) clampChange(kind Kind, target, most int) int {
 	previous := f.previous(kind)
 	return min(max(target, previous-max(most, 0)), previous+max(most, 0))
 }
 
-// observe takes in what stands.
+// observe updates the state with the standing workers.
 func (f *fleetState) observe(standing Counts, now time.Time) {
 	f.shrunk = make(map[Kind]bool)
 	for kind, before := range f.standing {
--- a/internal/fleetsize/plan.go
+++ b/internal/fleetsize/plan.go
@@ -1,9 +1,9 @@
-// Package fleetsize decides how many workers of which price stand in which zone, where
-// the platform lets a service's workers be ordered. It weighs the price of one more or
-// one less of each kind against the requests that would be served in time, with the loss
-// of all of a zone's workers that may be taken away in the sum. Planning is pure: time is
-// an argument; Controller gives the orders. docs/design/fleet-size.md tells what was
-// weighed.
+// Package fleetsize decides how many workers of each kind run in each zone, for services whose
+// workers the platform lets us order. It compares the price of one worker more or less of each
+// kind with the value of the requests that would be served in time, including the risk that all
+// spot workers of a zone are reclaimed at once. Planning is pure: the caller passes the time;
+// Controller sends the orders. docs/design/fleet-size.md describes the alternatives that were
+// considered.
 package fleetsize
 
 import (
@@ -14,14 +14,15 @@
 	"github.com/tinarch/tinarch/internal/routing"
 )
 
-// Kind is workers that are ordered together.
+// Kind identifies workers that are ordered together: spot or on-demand workers of one zone.
 type Kind struct {
 	Zone string
-	// Spot workers are cheaper and may be taken away, all of a zone at once.
+	// Spot workers are cheaper, but the provider may reclaim all of them in a zone at once. The
+	// others, on-demand workers, stay.
 	Spot bool
 }
 
-// compareKinds orders kinds by zone, and those that stay first.
+// compareKinds orders kinds by zone, on-demand before spot workers.
 func compareKinds(a, b Kind) int {
 	if a.Zone != b.Zone {
 		return cmp.Compare(a.Zone, b.Zone)
@@ -35,7 +36,7 @@
 	return 1
 }
 
-// priceOf is the price of a second of a worker of a kind.
+// priceOf returns the price per second of a worker of a kind.
 func priceOf(terms *routing.Scaling, kind Kind) float64 {
 	if kind.Spot {
 		return terms.PriceByZone[kind.Zone] * terms.SpotPrice
@@ -43,7 +44,7 @@
 	return terms.PriceByZone[kind.Zone]
 }
 
-// kindsOf are those that may be ordered, in a fixed order.
+// kindsOf returns the kinds that may be ordered, in a fixed order.
 func kindsOf(terms *routing.Scaling) []Kind {
 	var kinds []Kind
 	for zone := range terms.PriceByZone {
@@ -56,35 +57,36 @@
 	return kinds
 }
 
-// Policy are the figures of the planner.
+// Policy holds the parameters of the planner.
 type Policy struct {
-	// Elasticity is the power by which the requests that come late fall as workers are
-	// added: with twice as many workers, 2^Elasticity times fewer.
+	// Elasticity is the exponent by which late requests decrease with more workers: twice as
+	// many workers mean 2^Elasticity times fewer late requests.
 	Elasticity float64
-	// Absence is the share of the time for which the spot workers of some zone are away,
-	// for each second that a new one takes to boot, besides AbsenceBase.
+	// AbsenceBase and AbsencePerSecond give the share of the time for which the spot workers of
+	// some zone are missing: the base plus AbsencePerSecond for each second that a new worker
+	// takes to boot.
 	AbsenceBase, AbsencePerSecond float64
-	// Gain is the part of the whole cost that a change must promise to save.
+	// Gain is the fraction of the total cost that a change must save.
 	Gain float64
 }
 
-// DefaultPolicy returns the figures measured so far; docs/design/fleet-size.md tells how.
+// DefaultPolicy returns the values measured so far; docs/design/fleet-size.md describes how.
 func DefaultPolicy() Policy {
 	return Policy{Elasticity: 2, AbsenceBase: 0.2, AbsencePerSecond: 0.02, Gain: 0.04}
 }
 
-// Basis is what is known of a service's work.
+// Basis is what a plan is based on: an observed loss at an observed number of workers.
 type Basis struct {
-	// Lost is the worth of requests that come late or are refused in a second for want of
-	// workers, in the unit of prices, while Workers stood.
+	// Lost is the value, in the unit of prices, of the requests per second that are late or
+	// refused for lack of workers if there are as many as Workers.
 	Lost    float64 `json:"lost"`
 	Workers float64 `json:"workers"`
 }
 
-// Counts are workers by kind.
+// Counts is a number of workers per kind.
 type Counts map[Kind]int
 
-// total counts the workers of all kinds.
+// total returns the number of workers of all kinds.
 func (c Counts) total() int {
 	sum := 0
 	for _, count := range c {
@@ -95,8 +97,8 @@
 
 func (c Counts) inZone(zone string) int { return c[Kind{Zone: zone}] + c[Kind{Zone: zone, Spot: true}] }
 
-// Prior is what is known before any request has come: that the operators' fleet is right
-// at the prices of workers that stay. There, one more worker is worth its price.
+// Prior returns the basis before any request has come. It assumes that the operators' fleet is
+// optimal at on-demand prices, so that one more worker would save exactly its price.
 func (p Policy) Prior(terms *routing.Scaling, standing Counts) Basis {
 	workers, price := 0.0, 0.0
 	for kind, count := range standing {
@@ -106,23 +108,23 @@
 	return Basis{Lost: price / p.Elasticity, Workers: workers}
 }
 
-// planSearch is a plan in the making.
+// planSearch is the state of the search for the cheapest plan.
 type planSearch struct {
 	policy   Policy
 	terms    *routing.Scaling
 	observed Basis
 	counts   Counts
-	// limits bounds the workers of some kinds.
+	// limits has the maximum number of workers of some kinds.
 	limits map[Kind]int
 }
 
-// lossWith is the worth that is lossWith in a second with a number of workers.
+// lossWith returns the value lost per second with a number of workers.
 func (f *planSearch) lossWith(workers int) float64 {
 	return f.observed.Lost * math.Pow(f.observed.Workers/math.Max(float64(workers), 1), f.policy.Elasticity)
 }
 
-// cost is the price of all workers and the worth that is lost, as an expectation over the
-// zones whose spot workers may be away.
+// cost returns the price of all workers plus the expected loss, averaged over the zones whose
+// spot workers may be missing.
 func (f *planSearch) cost() float64 {
 	total := f.counts.total()
 	absence := min(f.policy.AbsenceBase+f.policy.AbsencePerSecond*f.terms.Boot.Seconds(), 1)
@@ -134,7 +136,8 @@
 	return priceOfAll(f.terms, f.counts) + expected
 }
 
-// costWith returns the cost costWith workers of a kind added, infinite where they may not be.
+// costWith returns the cost with count workers of a kind added, infinite if the bounds of the
+// zone don't allow them.
 func (f *planSearch) costWith(kind Kind, count int) float64 {
 	after := f.counts.inZone(kind.Zone) + count
 	if f.counts[kind]+count < 0 || after < f.terms.Min || after > f.terms.Max {
@@ -145,12 +148,12 @@
 	return f.cost()
 }
 
-// stepSizes are the numbers of workers by which a plan grows, coarse ones first: thousands of
-// workers take as many stepSizes as tens.
+// stepSizes are the numbers of workers by which a plan changes, coarse steps first, so that a
+// plan of thousands of workers takes as many steps as one of tens.
 var stepSizes = []int{64, 16, 4, 1}
 
-// Plan returns the workers of each kind that cost least, all in all. Of kinds that are not
-// to be had there are at most so many.
+// Plan returns the number of workers of each kind with the lowest total cost. limits has the
+// maximum numbers for kinds that can't be had without limit.
 func (p Policy) Plan(terms *routing.Scaling, observed Basis, limits map[Kind]int) Counts {
 	f := &planSearch{policy: p, terms: terms, observed: observed, counts: make(Counts), limits: limits}
 	for zone := range terms.PriceByZone {
@@ -164,16 +167,17 @@
 	return f.counts
 }
 
-// change is a step of a plan: workers of a kind that are added, or fewer where negative, and
-// others that they take the place of.
+// change is one step of the search: workers of a kind that are added, or removed if count is
+// negative, and possibly the same number of another kind that they replace.
 type change struct {
 	add   Kind
 	count int
-	// drop is the kind of the others, the same as add where there are none.
+	// drop is the kind that is replaced, equal to add if there is none.
 	drop Kind
 }
 
-// improve makes the change by a step that saves most. It reports false where none does.
+// improve applies the change of the given step size that saves most. It returns false if none
+// saves anything.
 func (f *planSearch) improve(kinds []Kind, step int) bool {
 	best, least := change{}, f.cost()-minSaving
 	consider := func(c change, cost float64) {
@@ -203,10 +207,10 @@
 	return true
 }
 
-// minSaving ends the search where steps save next to nothing, in the unit of prices.
+// minSaving ends the search once steps save next to nothing, in the unit of prices.
 const minSaving = 1e-6
 
-// costSwapped returns the cost with workers of one kind in place of others.
+// costSwapped returns the cost with count workers of one kind replaced by another kind.
 func (f *planSearch) costSwapped(add, drop Kind, count int) float64 {
 	f.counts[drop] -= count
 	defer func() { f.counts[drop] += count }()
@@ -216,7 +220,7 @@
 	return f.costWith(add, count)
 }
 
-// Cost returns what workers cost in a second, with the worth that is lost.
+// Cost returns the price of the workers per second plus the value lost.
 func (p Policy) Cost(terms *routing.Scaling, observed Basis, counts Counts) float64 {
 	f := &planSearch{policy: p, terms: terms, observed: observed, counts: counts}
 	return f.cost()
