--- a/internal/fleetsize/controller_test.go
+++ b/internal/fleetsize/controller_test.go
@@ -15,18 +15,19 @@
 	"github.com/tinarch/tinarch/internal/lab/memorystore"
 )
 
-// cloud is a platform that carries orders out at once, but for kinds that are away.
+// cloud is a fake platform that carries orders out at once, except for unavailable kinds.
 type cloud struct {
 	standing Counts
 	away     map[Kind]bool
 	idle     bool
 	nodes    int
 	orders   int
-	// moved is the most workers that came or went by the orders of one moment.
+	// moved is the largest number of workers started or stopped in one step, moving the number
+	// in the current one.
 	moved, moving int
-	// least is the fewest workers that ever stood.
+	// least is the smallest number of workers that were ever standing.
 	least int
-	// silent answers no orders, and carries none out.
+	// silent makes orders time out without effect.
 	silent bool
 }
 
@@ -51,7 +52,7 @@
 		return duty.Refused, errors.New("no fence or holder")
 	}
 	if c.away[kind] && count > c.standing[kind] {
-		return duty.Refused, errors.New("none to be had")
+		return duty.Refused, errors.New("none available")
 	}
 	c.moving += max(count-c.standing[kind], c.standing[kind]-count)
 	c.moved = max(c.moved, c.moving)
@@ -76,11 +77,11 @@
 	})
 }
 
-// heartbeat is that of the tests' workers.
+// heartbeat is the interval at which the tests' workers write their rows.
 const heartbeat = 1200 * time.Millisecond
 
-// TestBasisWaitsForAllWorkers: a fleet that writes its entries one by one
-// isn't taken for a small one.
+// TestBasisWaitsForAllWorkers: a fleet whose workers write their rows one after the other must
+// not be taken for a small fleet.
 func TestBasisWaitsForAllWorkers(t *testing.T) {
 	platform, rows := &cloud{standing: Counts{{Zone: "a"}: 1}, idle: true, least: 1000}, memorystore.New()
 	c := newController(platform, rows, "n")
@@ -93,7 +94,7 @@
 		platform.standing[Kind{Zone: zone}]++
 	}
 	if platform.orders != 0 {
-		t.Fatal("orders were given before all workers had come")
+		t.Fatal("orders were sent before all workers were listed")
 	}
 	run(c, platform, now, 3)
 	if basis := c.fleets["s"].basis; basis == nil || basis.Workers != 5 {
@@ -110,11 +111,12 @@
 	run(c, platform, now, 2)
 	after, _, _ := rows.ReadRow(context.Background(), table, "s")
 	if diff := cmp.Diff(string(before), string(after)); before == nil || diff != "" {
-		t.Errorf("the basis of the plan is another one: %s", diff)
+		t.Errorf("the basis of the plan has changed: %s", diff)
 	}
 }
 
-// run steps a controller over some seconds from a moment.
+// run steps a controller for some seconds, beginning at from, and returns the time after the
+// last step.
 func run(c *Controller, platform *cloud, from time.Time, seconds int) time.Time {
 	for range 2 * seconds {
 		platform.moving = 0
@@ -124,14 +126,15 @@
 	return from
 }
 
-// TestOrdersPerRoundAreBounded: many nodes take longer to hear of each worker.
+// TestOrdersPerRoundAreBounded: with many nodes, each change of the worker list takes longer to
+// reach them all.
 func TestOrdersPerRoundAreBounded(t *testing.T) {
 	for _, nodes := range []int{1, 400} {
 		platform := &cloud{standing: operatorsFleet(), idle: true, nodes: nodes, least: 1000}
 		c := newController(platform, memorystore.New(), "n")
 		run(c, platform, time.Now(), 60)
 		if most := changesPerRound / nodes; platform.moved > most {
-			t.Errorf("%d nodes: %d workers came or went at once, want at most %d", nodes, platform.moved, most)
+			t.Errorf("%d nodes: %d workers started or stopped at once, want at most %d", nodes, platform.moved, most)
 		}
 		plan := c.policy.Plan(terms(0.18, 1, 4*time.Second), *c.fleets["s"].basis, nil)
 		if diff := cmp.Diff(nonzero(plan), platform.Standing("s")); diff != "" {
@@ -140,8 +143,9 @@
 	}
 }
 
-// TestFleetReachesThePlan: before requests come half of the operators' fleet stands at
-// all times, later as many as the plan has; then nothing more is ordered.
+// TestFleetReachesThePlan: before any request at least half of the operators' fleet runs at all
+// times, later at least as many workers as in the operators' fleet. Once the plan is reached
+// nothing more is ordered.
 func TestFleetReachesThePlan(t *testing.T) {
 	for _, idle := range []bool{true, false} {
 		platform := &cloud{standing: operatorsFleet(), idle: idle, least: 1000}
@@ -156,12 +160,12 @@
 			least /= 2
 		}
 		if platform.least < least {
-			t.Errorf("idle %v: only %d workers stood on the way", idle, platform.least)
+			t.Errorf("idle %v: only %d workers were left before the plan was reached", idle, platform.least)
 		}
 		before := platform.orders
 		run(c, platform, now, 20)
 		if platform.orders != before {
-			t.Errorf("idle %v: %d orders of a fleet that is as planned", idle, platform.orders-before)
+			t.Errorf("idle %v: %d orders after the plan was reached", idle, platform.orders-before)
 		}
 	}
 }
@@ -176,8 +180,8 @@
 	return left
 }
 
-// TestLostWorkersAreOrderedAgain: others at once, and the lost ones when they are to be
-// had; the platform isn't asked at each step meanwhile.
+// TestLostWorkersAreOrderedAgain: they are replaced by other kinds at once and ordered again
+// when they are available. Meanwhile the platform isn't asked at each step.
 func TestLostWorkersAreOrderedAgain(t *testing.T) {
 	platform := &cloud{standing: operatorsFleet(), least: 1000}
 	c := newController(platform, memorystore.New(), "n")
@@ -189,7 +193,7 @@
 	before := platform.orders
 	now = run(c, platform, now, 10)
 	if platform.standing[Kind{Zone: "b", Spot: true}] <= whole[Kind{Zone: "b", Spot: true}] {
-		t.Errorf("nothing stands in for the lost: %v", platform.standing)
+		t.Errorf("the lost workers were not replaced: %v", platform.standing)
 	}
 	if asked := platform.orders - before; asked > 12 {
 		t.Errorf("%d orders in ten seconds", asked)
@@ -201,22 +205,22 @@
 	}
 }
 
-// TestNextHolderReadsTheStoredBasis: it finds workers that were ordered, and doesn't take them
-// for the operators' choice.
+// TestNextHolderReadsTheStoredBasis: the next holder of the lease finds workers that were
+// ordered, and must not take them for the operators' choice.
 func TestNextHolderReadsTheStoredBasis(t *testing.T) {
 	platform, rows := &cloud{standing: operatorsFleet(), least: 1000}, memorystore.New()
 	first := newController(platform, rows, "n")
 	now := run(first, platform, time.Now(), 20)
 	whole := platform.Standing("s")
-	next := newController(platform, rows, "n") // the same name: the lease is its own
+	next := newController(platform, rows, "n") // with the same name it can take over its own lease
 	run(next, platform, now, 20)
 	if diff := cmp.Diff(whole, platform.Standing("s")); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestLateOrderIsUndone: one that was given up is carried out behind newer ones, and what it
-// changed is ordered back, by the holder that gave it or by the next.
+// TestLateOrderIsUndone: an order that was given up is carried out after newer ones. The holder
+// that sent it, or the next one, orders its effect to be reverted.
 func TestLateOrderIsUndone(t *testing.T) {
 	kind := Kind{Zone: "a", Spot: true}
 	for _, change := range []int{-20, 5} {
@@ -227,18 +231,18 @@
 			whole := platform.Standing("s")
 			platform.standing[kind] += change
 			if !sameHolder {
-				c = newController(platform, rows, "n") // the same name: the lease is its own
+				c = newController(platform, rows, "n") // with the same name it can take over its own lease
 			}
 			run(c, platform, now, 10)
 			if diff := cmp.Diff(whole, platform.Standing("s")); diff != "" {
-				t.Errorf("%+d workers by a late order, same holder %v: %s", change, sameHolder, diff)
+				t.Errorf("late order changed %+d workers, same holder %v: %s", change, sameHolder, diff)
 			}
 		}
 	}
 }
 
-// TestSilentAPIIsAskedOnceARound: an API that doesn't answer holds a round up for one call,
-// not for one of each kind; when it answers again, the fleet is brought to the plan.
+// TestSilentAPIIsAskedOnceARound: an API that doesn't answer must delay a round by one call,
+// not by one call for each kind. Once it answers again, the fleet reaches the plan.
 func TestSilentAPIIsAskedOnceARound(t *testing.T) {
 	platform := &cloud{standing: operatorsFleet(), least: 1000, silent: true}
 	c := newController(platform, memorystore.New(), "n")
--- a/internal/fleetsize/plan_test.go
+++ b/internal/fleetsize/plan_test.go
@@ -7,7 +7,7 @@
 	"github.com/tinarch/tinarch/internal/routing"
 )
 
-// terms are those of three zones, at a multiple of the prices.
+// terms returns the scaling terms of three zones with all prices multiplied by times.
 func terms(spot, times float64, boot time.Duration) *routing.Scaling {
 	return &routing.Scaling{
 		Min: 1, Max: 94, Boot: boot, SpotPrice: spot,
@@ -15,7 +15,7 @@
 	}
 }
 
-// operatorsFleet is the fleet that stands at the start.
+// operatorsFleet is the fleet that the operators started.
 func operatorsFleet() Counts { return Counts{{Zone: "a"}: 47, {Zone: "b"}: 47, {Zone: "c"}: 46} }
 
 func countSpot(counts Counts) int {
@@ -28,7 +28,8 @@
 	return sum
 }
 
-// TestPlanNeverCostsMoreThanTheOperatorsFleet: at any prices, and it keeps to the bounds.
+// TestPlanNeverCostsMoreThanTheOperatorsFleet at any prices, and it stays within the bounds of
+// each zone.
 func TestPlanNeverCostsMoreThanTheOperatorsFleet(t *testing.T) {
 	policy := DefaultPolicy()
 	for _, spot := range []float64{0, 0.05, 0.18, 0.5, 0.9, 1.2} {
@@ -50,8 +51,8 @@
 	}
 }
 
-// TestPricesDecideTheMix: cheap spot workers are taken and more of them, dear ones are
-// not; dear workers are fewer.
+// TestPricesDecideTheMix: cheap spot workers are used, and more workers with them; expensive
+// spot workers are not. If all workers are expensive there are fewer.
 func TestPricesDecideTheMix(t *testing.T) {
 	policy := DefaultPolicy()
 	plan := func(spot, times float64) Counts {
@@ -59,10 +60,10 @@
 		return policy.Plan(terms(spot, times, 4*time.Second), basis, nil)
 	}
 	if cheap := plan(0.18, 1); countSpot(cheap) != cheap.total() || cheap.total() <= operatorsFleet().total() {
-		t.Errorf("at cheap spot workers: %v", cheap)
+		t.Errorf("with cheap spot workers: %v", cheap)
 	}
 	if dear := plan(0.95, 1); countSpot(dear) > dear.total()/10 {
-		t.Errorf("at dear spot workers: %v", dear)
+		t.Errorf("with expensive spot workers: %v", dear)
 	}
 	if none := plan(0, 1); countSpot(none) != 0 {
 		t.Errorf("without spot workers: %v", none)
@@ -72,8 +73,8 @@
 	}
 }
 
-// TestSameFleetAtTheSamePrices: an operator's fleet that can't be had cheaper stays about
-// as large as it is.
+// TestSameFleetAtTheSamePrices: if there is no cheaper kind, the operators' fleet keeps about
+// its size.
 func TestSameFleetAtTheSamePrices(t *testing.T) {
 	policy := DefaultPolicy()
 	flat := &routing.Scaling{Min: 1, Max: 94, PriceByZone: map[string]float64{"a": 1, "b": 1, "c": 1}}
@@ -83,7 +84,8 @@
 	}
 }
 
-// TestUnavailableZoneIsReplacedElsewhere: what isn't to be had in one zone is ordered in others.
+// TestUnavailableZoneIsReplacedElsewhere: spot workers that one zone lacks are ordered in
+// others.
 func TestUnavailableZoneIsReplacedElsewhere(t *testing.T) {
 	policy := DefaultPolicy()
 	known := terms(0.5, 1, 4*time.Second)
@@ -92,11 +94,12 @@
 	away := Kind{Zone: "a", Spot: true}
 	without := policy.Plan(known, basis, map[Kind]int{away: 0})
 	if without[away] != 0 || without.total()-without[away] <= whole.total()-whole[away] {
-		t.Errorf("%v, with zone a %v", without, whole)
+		t.Errorf("%v without spot workers in zone a, %v with them", without, whole)
 	}
 }
 
-// TestPlanScalesWithTheFleet: a fleet ten times as large has ten times the workers.
+// TestPlanScalesWithTheFleet: the plan for a fleet ten times as large has ten times as many
+// workers.
 func TestPlanScalesWithTheFleet(t *testing.T) {
 	policy := DefaultPolicy()
 	small := terms(0.5, 1, 4*time.Second)
