--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -81,13 +81,13 @@
 	settings Settings
 
 	row Row
-	// seen is when this node first saw the row's version.
-	seen  time.Time
-	known bool
-	// until is when this node's lease ends, zero where it has none.
-	until time.Time
-	fence uint64
-	next  time.Time
+	// firstSeen is when this node first saw the row's version.
+	firstSeen time.Time
+	known     bool
+	// heldUntil is when this node's lease ends, zero where it has none.
+	heldUntil time.Time
+	fence     uint64
+	nextWrite time.Time
 	// pending is the write whose answer is awaited.
 	pending *Proposal
 }
@@ -105,14 +105,14 @@
 		return
 	}
 	if restored {
-		m.pending, m.next = nil, time.Time{} // what is pending is for another row
+		m.pending, m.nextWrite = nil, time.Time{} // what is pending is for another row
 	}
-	m.row, m.seen, m.known = row, now, true
+	m.row, m.firstSeen, m.known = row, now, true
 	if restored && row.Version == 0 {
 		return
 	}
 	if row.Holder != m.self || row.Released {
-		m.until, m.fence = time.Time{}, 0
+		m.heldUntil, m.fence = time.Time{}, 0
 	}
 }
 
@@ -122,11 +122,11 @@
 // Next returns what is to be done now. A proposal stays pending until Done or Lost.
 func (m *StateMachine) Next(now time.Time) Proposal {
 	switch {
-	case !m.known || m.pending != nil || now.Before(m.next):
+	case !m.known || m.pending != nil || now.Before(m.nextWrite):
 		return Proposal{Action: Wait}
-	case m.Holds(now) || m.resumes():
+	case m.Holds(now) || m.canResume():
 		return m.propose(Proposal{Action: Renew, Era: m.row.Era, IfVersion: m.row.Version, Fence: m.fence, sent: now})
-	case m.free(now):
+	case m.isFree(now):
 		return m.propose(Proposal{Action: Take, Era: m.row.Era, IfVersion: m.row.Version, sent: now})
 	}
 	return Proposal{Action: Wait}
@@ -134,24 +134,24 @@
 
 func (m *StateMachine) propose(proposal Proposal) Proposal {
 	m.pending = &proposal
-	m.next = proposal.sent.Add(m.settings.RenewEvery)
+	m.nextWrite = proposal.sent.Add(m.settings.RenewEvery)
 	return proposal
 }
 
-// resumes reports whether this node may go on under the fence of its last lease. The row
+// canResume reports whether this node may go on under the fence of its last lease. The row
 // still being its own means that no higher fence exists.
-func (m *StateMachine) resumes() bool {
+func (m *StateMachine) canResume() bool {
 	return m.settings.KeepFence && m.fence != 0 && m.row.Holder == m.self && !m.row.Released
 }
 
-// free reports whether nobody else can hold the lease any more: the row has not
+// isFree reports whether nobody else can hold the lease any more: the row has not
 // changed for a whole life since this node first saw it, was given back, or is this
 // incarnation's own; or there never was one.
-func (m *StateMachine) free(now time.Time) bool {
+func (m *StateMachine) isFree(now time.Time) bool {
 	if m.row.Released || m.row.Holder == m.self || m.row.Version == 0 && m.row.Era == 0 {
 		return true
 	}
-	return now.Sub(m.seen) >= m.settings.Life+m.settings.Margin
+	return now.Sub(m.firstSeen) >= m.settings.Life+m.settings.Margin
 }
 
 // WriteSucceeded takes in that the pending write was carried out at a version. It holds from
@@ -170,9 +170,9 @@
 		return // a later write is known already
 	}
 	m.row = Row{Era: proposal.Era, Version: version, Holder: m.self, Fence: fence}
-	m.seen = now
+	m.firstSeen = now
 	m.fence = fence
-	m.until = proposal.sent.Add(m.settings.Life - m.settings.Margin)
+	m.heldUntil = proposal.sent.Add(m.settings.Life - m.settings.Margin)
 }
 
 // WriteFailed takes in that the pending write was refused or not answered. It may still be
@@ -180,10 +180,10 @@
 func (m *StateMachine) WriteFailed() { m.pending = nil }
 
 // Holds reports whether this node may act now. Ask it just before each order.
-func (m *StateMachine) Holds(now time.Time) bool { return m.fence != 0 && now.Before(m.until) }
+func (m *StateMachine) Holds(now time.Time) bool { return m.fence != 0 && now.Before(m.heldUntil) }
 
 // Until returns when this node's lease ends, the zero time where it has none.
-func (m *StateMachine) Until() time.Time { return m.until }
+func (m *StateMachine) Until() time.Time { return m.heldUntil }
 
 // Fence returns the fence of this node's lease, zero where it holds none.
 func (m *StateMachine) Fence(now time.Time) uint64 {
@@ -195,7 +195,7 @@
 
 // Renounce ends this node's lease without a write: another node was seen to act under a
 // higher fence. The row is looked at again before the lease is taken anew.
-func (m *StateMachine) Renounce() { m.until, m.fence = time.Time{}, 0 }
+func (m *StateMachine) Renounce() { m.heldUntil, m.fence = time.Time{}, 0 }
 
 // Holder returns the incarnation that wrote the row last, as far as is known.
 func (m *StateMachine) Holder() string { return m.row.Holder }
@@ -207,7 +207,7 @@
 	if !m.known || m.row.Holder != m.self || m.row.Released {
 		return Proposal{}, false
 	}
-	m.until, m.fence = time.Time{}, 0
+	m.heldUntil, m.fence = time.Time{}, 0
 	return Proposal{Action: Renew, Era: m.row.Era, IfVersion: m.row.Version}, true
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-const life = 3 * time.Second
+const leaseLife = 3 * time.Second
 
 var origin = time.Unix(1000, 0)
 
-func TestTakesAFreeLease(t *testing.T) {
-	m := New("a", DefaultSettings(life))
+func TestTakesFreeLease(t *testing.T) {
+	m := New("a", DefaultSettings(leaseLife))
 	if got := m.Next(origin); got.Action != Wait {
 		t.Errorf("acts before it knows the row: %+v", got)
 	}
@@ -26,7 +26,7 @@
 	if m.Fence(origin.Add(time.Second)) != 7 {
 		t.Errorf("fence %d", m.Fence(origin))
 	}
-	if m.Holds(origin.Add(life)) {
+	if m.Holds(origin.Add(leaseLife)) {
 		t.Error("the lease is counted from the answer, not from the sending")
 	}
 	renew := m.Next(origin.Add(time.Second))
@@ -35,28 +35,28 @@
 	}
 }
 
-func TestWaitsForAWholeLife(t *testing.T) {
-	m := New("b", DefaultSettings(life))
+func TestWaitsUntilLeaseExpires(t *testing.T) {
+	m := New("b", DefaultSettings(leaseLife))
 	m.Observe(Row{Version: 3, Holder: "a"}, origin)
-	if got := m.Next(origin.Add(life)); got.Action != Wait {
+	if got := m.Next(origin.Add(leaseLife)); got.Action != Wait {
 		t.Errorf("took the lease while its holder may act: %+v", got)
 	}
-	m.Observe(Row{Version: 4, Holder: "a", Fence: 3}, origin.Add(life))
-	if got := m.Next(origin.Add(2 * life)); got.Action != Wait {
+	m.Observe(Row{Version: 4, Holder: "a", Fence: 3}, origin.Add(leaseLife))
+	if got := m.Next(origin.Add(2 * leaseLife)); got.Action != Wait {
 		t.Errorf("took the lease after a renewal: %+v", got)
 	}
-	if got := m.Next(origin.Add(2*life + life/10)); got.Action != Take || got.IfVersion != 4 {
+	if got := m.Next(origin.Add(2*leaseLife + leaseLife/10)); got.Action != Take || got.IfVersion != 4 {
 		t.Errorf("%+v", got)
 	}
 }
 
 func TestReleasedLeaseIsFreeAtOnce(t *testing.T) {
-	m := New("b", DefaultSettings(life))
+	m := New("b", DefaultSettings(leaseLife))
 	m.Observe(Row{Version: 3, Holder: "a", Released: true}, origin)
 	if got := m.Next(origin); got.Action != Take {
 		t.Errorf("%+v", got)
 	}
-	a := New("a", DefaultSettings(life))
+	a := New("a", DefaultSettings(leaseLife))
 	a.Observe(Row{}, origin)
 	a.Next(origin)
 	a.WriteSucceeded(1, origin)
@@ -67,7 +67,7 @@
 
 // TestLapsedLeaseIsGivenBack: by the node whose row it still is, once, and by no other.
 func TestLapsedLeaseIsGivenBack(t *testing.T) {
-	a := New("a", DefaultSettings(life))
+	a := New("a", DefaultSettings(leaseLife))
 	if _, own := a.Release(); own {
 		t.Error("gave back what it doesn't know")
 	}
@@ -77,7 +77,7 @@
 	if release, own := a.Release(); !own || release.IfVersion != 1 || a.Holds(origin) {
 		t.Errorf("%+v, %v", release, own)
 	}
-	a.Observe(Row{Version: 2, Holder: "b"}, origin.Add(2*life))
+	a.Observe(Row{Version: 2, Holder: "b"}, origin.Add(2*leaseLife))
 	if _, own := a.Release(); own {
 		t.Error("gave back another's lease")
 	}
@@ -86,17 +86,17 @@
 // TestLostAnswerDoesNotLengthen: a renewal whose answer was lost shows in the row,
 // and counts for nothing.
 func TestLostAnswerDoesNotLengthen(t *testing.T) {
-	m := New("a", DefaultSettings(life))
+	m := New("a", DefaultSettings(leaseLife))
 	m.Observe(Row{}, origin)
 	m.Next(origin)
 	m.WriteSucceeded(1, origin)
-	m.Next(origin.Add(life / 3))
+	m.Next(origin.Add(leaseLife / 3))
 	m.WriteFailed()
-	m.Observe(Row{Version: 2, Holder: "a", Fence: 1}, origin.Add(life/2))
-	if m.Holds(origin.Add(life)) {
+	m.Observe(Row{Version: 2, Holder: "a", Fence: 1}, origin.Add(leaseLife/2))
+	if m.Holds(origin.Add(leaseLife)) {
 		t.Error("an unanswered renewal lengthened the lease")
 	}
-	if !m.Holds(origin.Add(life / 2)) {
+	if !m.Holds(origin.Add(leaseLife / 2)) {
 		t.Error("an unanswered renewal ended the lease")
 	}
 }
@@ -104,9 +104,9 @@
 // TestOwnFenceIsKept: a node whose lease ran out goes on under its fence while the row is
 // its own, and never after it renounced the lease or another took it.
 func TestOwnFenceIsKept(t *testing.T) {
-	settings := DefaultSettings(life)
+	settings := DefaultSettings(leaseLife)
 	settings.KeepFence = true
-	lapsed := origin.Add(2 * life)
+	lapsed := origin.Add(2 * leaseLife)
 	for _, example := range []struct {
 		name   string
 		before func(m *StateMachine)
@@ -174,7 +174,7 @@
 }
 
 func atMostOneHolder(t *testing.T, keepFence bool) {
-	settings := DefaultSettings(life)
+	settings := DefaultSettings(leaseLife)
 	settings.KeepFence = keepFence
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{now: origin, settings: settings}
