--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,76 +1,77 @@
-// Package lease decides who may give orders: a lease that lies in one row of a
-// store with conditional writes. It is pure: the driver makes the calls and owns
-// the clock. spec/storelease.pml is its model.
+// Package lease implements a lease that decides which node may act for all. The lease is one
+// row of a store with conditional writes. The package is pure: the caller makes the store calls
+// and passes the time. spec/storelease.pml is its model.
 //
-// Guarantees, as long as clocks run at nearly the same pace:
-//   - at most one node holds the lease at any time, whatever is delayed, lost or
-//     paused, since a node takes it only after it has seen the row unchanged for as
-//     long as its holder may act on it, and a holder counts its time from before it
-//     sent the write that renewed it;
-//   - fences rise: the fence is the store's version of the write that took the
-//     lease. A renewal keeps it;
-//   - both hold where the store comes back from an older copy. Each era of its history has a
-//     row of its own: a write that was meant for an earlier one can't touch it, and nobody
-//     takes the lease there before any holder's of an earlier one has run out.
+// Guarantees, as long as all clocks run at nearly the same rate:
+//   - at most one node holds the lease at any time, even if calls or nodes are delayed, lost or
+//     paused: a node takes the lease only after it has seen the row unchanged for as long as the
+//     holder may act on it, and a holder counts that time from before it sent the write that
+//     renewed the lease;
+//   - fences (fencing tokens) increase: the fence is the store's version of the write that took
+//     the lease. A renewal keeps it;
+//   - both still hold after the store is restored from a backup. Each era of its history has its
+//     own row: a write meant for an earlier era can't touch it, and nobody takes the lease in the
+//     new era before the lease of any holder in an earlier one has expired.
 package lease
 
 import "time"
 
-// Row is the state of the lease in the store.
+// Row is the content of the lease's row in the store.
 type Row struct {
-	// Era is that of the store's history. Each has a row of its own.
+	// Era is the era of the store's history. Each era has its own row.
 	Era uint64
-	// Version of the row, zero where there is none.
+	// Version of the row, zero if it doesn't exist.
 	Version uint64
-	// Holder is the incarnation that wrote it.
+	// Holder is the node incarnation that wrote the row.
 	Holder string
-	// Fence is that of the holder's lease. It is zero in the write that takes the
-	// lease: there the version is the fence.
+	// Fence is the fence of the holder's lease. It is zero in the write that takes the lease,
+	// whose fence is the row's version.
 	Fence uint64
-	// Released tells that the holder gave the lease back.
+	// Released tells that the holder has released the lease.
 	Released bool
 }
 
-// Action is what the driver is to do.
+// Action is what the caller is to do next.
 type Action string
 
 // The actions.
 const (
-	// Wait for the row to change or for time to pass.
+	// Wait means to do nothing until the row changes or time passes.
 	Wait Action = "wait"
-	// Take the lease by a write under the condition that the row has the version of
-	// Proposal.
+	// Take means to take the lease by a write on the condition that the row has the version
+	// IfVersion of the Proposal.
 	Take Action = "take"
-	// Renew the lease by such a write.
+	// Renew means to renew the lease by such a write.
 	Renew Action = "renew"
 )
 
-// Proposal is a conditional write.
+// Proposal is a conditional write that the caller is to make.
 type Proposal struct {
 	Action Action
-	// Era is that of the row, and IfVersion the version that it must have, zero for none.
+	// Era is the era of the row, and IfVersion the version that the row must have, zero if it
+	// must not exist.
 	Era       uint64
 	IfVersion uint64
 	Fence     uint64
-	// sent is when the driver asked for the proposal.
+	// sent is when the caller asked for the proposal.
 	sent time.Time
 }
 
-// Settings are the times of a lease.
+// Settings configure a lease.
 type Settings struct {
 	// Life is how long a holder may act after a renewal.
 	Life time.Duration
-	// Margin covers clocks that run at different paces.
+	// Margin covers the difference between the rates of the nodes' clocks.
 	Margin time.Duration
 	// RenewEvery is the time between renewals.
 	RenewEvery time.Duration
-	// KeepFence lets a node whose lease has run out go on under the fence that it had,
-	// as long as nobody else has taken the lease since. Then calls of its own that come
-	// late have no lower fence than newer ones of its own. Otherwise the fence rises.
+	// KeepFence lets a node whose lease has expired continue under the same fence if nobody
+	// else has taken the lease since. Then its own late calls never have a lower fence than its
+	// newer ones. Without KeepFence the fence increases.
 	KeepFence bool
 }
 
-// DefaultSettings returns the times for a lease of a life.
+// DefaultSettings returns the settings for a lease with the given life.
 func DefaultSettings(life time.Duration) Settings {
 	return Settings{Life: life, Margin: life / 10, RenewEvery: life / 3}
 }
@@ -81,31 +82,31 @@
 	settings Settings
 
 	row Row
-	// firstSeen is when this node first saw the row's version.
+	// firstSeen is when this node first saw the row's current version.
 	firstSeen time.Time
 	known     bool
-	// heldUntil is when this node's lease ends, zero where it has none.
+	// heldUntil is when this node's lease expires, zero if it holds none.
 	heldUntil time.Time
 	fence     uint64
 	nextWrite time.Time
-	// pending is the write whose answer is awaited.
+	// pending is the write whose answer is still outstanding.
 	pending *Proposal
 }
 
-// New returns a machine of a node incarnation.
+// New returns the state machine of a node incarnation.
 func New(self string, settings Settings) *StateMachine {
 	return &StateMachine{self: self, settings: settings}
 }
 
-// Observe takes in the row as the store has it. A holder that finds no row in a new era goes on:
-// nobody else can have the lease before its own has run out.
+// Observe updates the state with the row as read from the store. A holder that finds no row in
+// a new era keeps its lease: nobody else can take one before it has expired.
 func (m *StateMachine) Observe(row Row, now time.Time) {
 	restored := m.known && row.Era > m.row.Era
 	if m.known && !restored && (row.Era < m.row.Era || row.Version <= m.row.Version) {
 		return
 	}
 	if restored {
-		m.pending, m.nextWrite = nil, time.Time{} // what is pending is for another row
+		m.pending, m.nextWrite = nil, time.Time{} // the pending write is for the row of the earlier era
 	}
 	m.row, m.firstSeen, m.known = row, now, true
 	if restored && row.Version == 0 {
@@ -116,10 +117,10 @@
 	}
 }
 
-// Era is that of the row that was seen last.
+// Era returns the era of the row seen last.
 func (m *StateMachine) Era() uint64 { return m.row.Era }
 
-// Next returns what is to be done now. A proposal stays pending until Done or Lost.
+// Next returns what to do now. A proposal stays pending until WriteSucceeded or WriteFailed.
 func (m *StateMachine) Next(now time.Time) Proposal {
 	switch {
 	case !m.known || m.pending != nil || now.Before(m.nextWrite):
@@ -138,15 +139,15 @@
 	return proposal
 }
 
-// canResume reports whether this node may go on under the fence of its last lease. The row
-// still being its own means that no higher fence exists.
+// canResume reports whether this node may continue under the fence of its expired lease. As
+// long as the row is its own, no higher fence exists.
 func (m *StateMachine) canResume() bool {
 	return m.settings.KeepFence && m.fence != 0 && m.row.Holder == m.self && !m.row.Released
 }
 
-// isFree reports whether nobody else can hold the lease any more: the row has not
-// changed for a whole life since this node first saw it, was given back, or is this
-// incarnation's own; or there never was one.
+// isFree reports whether no other node can hold the lease: the row has not changed for a whole
+// life since this node first saw it, was released, or was written by this incarnation, or it
+// never existed.
 func (m *StateMachine) isFree(now time.Time) bool {
 	if m.row.Released || m.row.Holder == m.self || m.row.Version == 0 && m.row.Era == 0 {
 		return true
@@ -154,8 +155,8 @@
 	return now.Sub(m.firstSeen) >= m.settings.Life+m.settings.Margin
 }
 
-// WriteSucceeded takes in that the pending write was carried out at a version. It holds from
-// when the write was sent.
+// WriteSucceeded records that the pending write was carried out and gave the row this version.
+// The lease counts from when the write was sent.
 func (m *StateMachine) WriteSucceeded(version uint64, now time.Time) {
 	if m.pending == nil {
 		return
@@ -175,17 +176,17 @@
 	m.heldUntil = proposal.sent.Add(m.settings.Life - m.settings.Margin)
 }
 
-// WriteFailed takes in that the pending write was refused or not answered. It may still be
-// carried out: then the row shows it, and does not lengthen the lease.
+// WriteFailed records that the pending write was refused or not answered. It may still be
+// carried out: then the row will show it, but it doesn't extend the lease.
 func (m *StateMachine) WriteFailed() { m.pending = nil }
 
-// Holds reports whether this node may act now. Ask it just before each order.
+// Holds reports whether this node may act now. Call it just before each operation.
 func (m *StateMachine) Holds(now time.Time) bool { return m.fence != 0 && now.Before(m.heldUntil) }
 
-// Until returns when this node's lease ends, the zero time where it has none.
+// Until returns when this node's lease expires, the zero time if it holds none.
 func (m *StateMachine) Until() time.Time { return m.heldUntil }
 
-// Fence returns the fence of this node's lease, zero where it holds none.
+// Fence returns the fence of this node's lease, zero if it holds none.
 func (m *StateMachine) Fence(now time.Time) uint64 {
 	if !m.Holds(now) {
 		return 0
@@ -193,16 +194,16 @@
 	return m.fence
 }
 
-// Renounce ends this node's lease without a write: another node was seen to act under a
-// higher fence. The row is looked at again before the lease is taken anew.
+// Renounce ends this node's lease without a write, because another node has acted under a
+// higher fence. The row must be read again before the lease can be taken again.
 func (m *StateMachine) Renounce() { m.heldUntil, m.fence = time.Time{}, 0 }
 
-// Holder returns the incarnation that wrote the row last, as far as is known.
+// Holder returns the incarnation known to have written the row last.
 func (m *StateMachine) Holder() string { return m.row.Holder }
 
-// Release ends this node's lease, and returns the write that gives it back; false where the
-// row isn't its own. One that has run out is given back too, so that nobody waits for it:
-// the write fails if another node has taken it since.
+// Release ends this node's lease and returns the write that releases it; false if the row isn't
+// this node's own. An expired lease is released too, so that nobody has to wait for it: the
+// write fails if another node has taken the lease since.
 func (m *StateMachine) Release() (Proposal, bool) {
 	if !m.known || m.row.Holder != m.self || m.row.Released {
 		return Proposal{}, false
@@ -211,5 +212,5 @@
 	return Proposal{Action: Renew, Era: m.row.Era, IfVersion: m.row.Version}, true
 }
 
-// Released reports whether the row was given back by its holder.
+// Released reports whether the holder has released the lease.
 func (m *StateMachine) Released() bool { return m.row.Released }
