--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -15,7 +15,7 @@
 func TestTakesFreeLease(t *testing.T) {
 	m := New("a", DefaultSettings(leaseLife))
 	if got := m.Next(origin); got.Action != Wait {
-		t.Errorf("acts before it knows the row: %+v", got)
+		t.Errorf("proposes a write before it has read the row: %+v", got)
 	}
 	m.Observe(Row{}, origin)
 	take := m.Next(origin)
@@ -27,7 +27,7 @@
 		t.Errorf("fence %d", m.Fence(origin))
 	}
 	if m.Holds(origin.Add(leaseLife)) {
-		t.Error("the lease is counted from the answer, not from the sending")
+		t.Error("the lease counts from the answer, not from when the write was sent")
 	}
 	renew := m.Next(origin.Add(time.Second))
 	if renew.Action != Renew || renew.IfVersion != 7 || renew.Fence != 7 {
@@ -39,7 +39,7 @@
 	m := New("b", DefaultSettings(leaseLife))
 	m.Observe(Row{Version: 3, Holder: "a"}, origin)
 	if got := m.Next(origin.Add(leaseLife)); got.Action != Wait {
-		t.Errorf("took the lease while its holder may act: %+v", got)
+		t.Errorf("took the lease while its holder may still act: %+v", got)
 	}
 	m.Observe(Row{Version: 4, Holder: "a", Fence: 3}, origin.Add(leaseLife))
 	if got := m.Next(origin.Add(2 * leaseLife)); got.Action != Wait {
@@ -61,15 +61,15 @@
 	a.Next(origin)
 	a.WriteSucceeded(1, origin)
 	if release, held := a.Release(); !held || release.IfVersion != 1 || a.Holds(origin) {
-		t.Error("a release is not the end of a lease")
+		t.Error("a released lease is still held")
 	}
 }
 
-// TestLapsedLeaseIsGivenBack: by the node whose row it still is, once, and by no other.
+// TestLapsedLeaseIsGivenBack: only the node that wrote the row may release an expired lease.
 func TestLapsedLeaseIsGivenBack(t *testing.T) {
 	a := New("a", DefaultSettings(leaseLife))
 	if _, own := a.Release(); own {
-		t.Error("gave back what it doesn't know")
+		t.Error("released a lease without having read the row")
 	}
 	a.Observe(Row{}, origin)
 	a.Next(origin)
@@ -79,12 +79,12 @@
 	}
 	a.Observe(Row{Version: 2, Holder: "b"}, origin.Add(2*leaseLife))
 	if _, own := a.Release(); own {
-		t.Error("gave back another's lease")
+		t.Error("released another node's lease")
 	}
 }
 
-// TestLostAnswerDoesNotLengthen: a renewal whose answer was lost shows in the row,
-// and counts for nothing.
+// TestLostAnswerDoesNotLengthen: a renewal whose answer was lost shows in the row, but doesn't
+// extend the lease.
 func TestLostAnswerDoesNotLengthen(t *testing.T) {
 	m := New("a", DefaultSettings(leaseLife))
 	m.Observe(Row{}, origin)
@@ -94,15 +94,15 @@
 	m.WriteFailed()
 	m.Observe(Row{Version: 2, Holder: "a", Fence: 1}, origin.Add(leaseLife/2))
 	if m.Holds(origin.Add(leaseLife)) {
-		t.Error("an unanswered renewal lengthened the lease")
+		t.Error("an unanswered renewal extended the lease")
 	}
 	if !m.Holds(origin.Add(leaseLife / 2)) {
 		t.Error("an unanswered renewal ended the lease")
 	}
 }
 
-// TestOwnFenceIsKept: a node whose lease ran out goes on under its fence while the row is
-// its own, and never after it renounced the lease or another took it.
+// TestOwnFenceIsKept: a node whose lease expired keeps its fence while the row is its own, but
+// not after it renounced the lease or another node took it.
 func TestOwnFenceIsKept(t *testing.T) {
 	settings := DefaultSettings(leaseLife)
 	settings.KeepFence = true
@@ -123,7 +123,7 @@
 		m.WriteSucceeded(1, origin)
 		example.before(m)
 		if m.Holds(lapsed) {
-			t.Errorf("%s: a lease that ran out is held", example.name)
+			t.Errorf("%s: an expired lease is held", example.name)
 		}
 		if got := m.Next(lapsed); got.Action != example.action || got.Fence != example.fence {
 			t.Errorf("%s: %+v", example.name, got)
@@ -131,8 +131,8 @@
 	}
 }
 
-// world is a store with one row, nodes with clocks of their own, and writes that
-// are delayed, lost or answered late.
+// world simulates a store with one row, nodes with skewed clocks, and writes that are delayed,
+// lost or answered late.
 type world struct {
 	now      time.Time
 	settings Settings
@@ -140,7 +140,8 @@
 	row      Row
 	nodes    []*node
 	writes   []*write
-	// answers are of writes that were carried out, on their way back.
+	// answers belong to writes that were carried out or refused and have not been delivered
+	// yet.
 	answers []answer
 }
 
@@ -165,8 +166,8 @@
 	proposal Proposal
 }
 
-// TestAtMostOneHolder: whatever is delayed, lost, paused or restarted, no two nodes
-// hold the lease at the same moment, and fences only rise.
+// TestAtMostOneHolder: under any delays, losses, pauses and restarts, no two nodes hold the
+// lease at the same time, and fences never decrease.
 func TestAtMostOneHolder(t *testing.T) {
 	for _, keepFence := range []bool{false, true} {
 		t.Run(fmt.Sprintf("keep fence %v", keepFence), func(t *testing.T) { atMostOneHolder(t, keepFence) })
@@ -232,7 +233,7 @@
 	}
 }
 
-// apply carries one of the writes out, whenever it was sent.
+// apply carries out one of the writes, in any order.
 func (w *world) apply(t *rapid.T) {
 	if len(w.writes) == 0 {
 		return
@@ -249,7 +250,7 @@
 	w.answers = append(w.answers, answer{write: pending, version: w.version})
 }
 
-// answer delivers one of the answers, unless its caller has given it up.
+// answer delivers one of the answers, unless its caller has given up waiting.
 func (w *world) answer(t *rapid.T) {
 	if len(w.answers) == 0 {
 		return
