--- a/internal/fleetsize/basis.go
+++ b/internal/fleetsize/basis.go
@@ -20,8 +20,8 @@
 // operators' choice. A basis that is missing after the store was restored from a backup is
 // written again.
 func (c *Controller) learnBasis(ctx context.Context, service Service, fleet *fleetState, standing Counts) error {
-	if hold := c.options.Authority.Acquire(ctx); hold != authority.Held {
-		return eris.Errorf("no authority: %s", hold)
+	if status := c.options.Authority.Acquire(ctx); status != authority.Held {
+		return eris.Errorf("no authority: %s", status)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -180,8 +180,8 @@
 
 // order sends an order if this node holds the authority.
 func (c *Controller) order(ctx context.Context, service Service, fleet *fleetState, kind Kind, count int, now time.Time) error {
-	if hold := c.options.Authority.Acquire(ctx); hold != authority.Held {
-		return eris.Errorf("no authority: %s", hold)
+	if status := c.options.Authority.Acquire(ctx); status != authority.Held {
+		return eris.Errorf("no authority: %s", status)
 	}
 	act, held := c.options.Authority.Begin(ctx, callTimeout)
 	if !held {
