--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -41,8 +41,8 @@
 	Released bool   `json:"released,omitempty"`
 }
 
-// keyIn is the key of the lease's row in an era of the store's history.
-func keyIn(era uint64) string {
+// keyForEra is the key of the lease's row in an era of the store's history.
+func keyForEra(era uint64) string {
 	if era == 0 {
 		return key
 	}
@@ -68,11 +68,11 @@
 	Clock clock.Clock
 }
 
-// asideMargin is for how long a node that can't reach the store leaves its duties to
+// stepBackMargin is for how long a node that can't reach the store leaves its duties to
 // others, besides a life of the lease and a tenth: one of them must first hear of it,
 // which takes up to two seconds, and then see the lease unchanged for that time before
 // it takes it (inc-6b64).
-const asideMargin = 3 * time.Second
+const stepBackMargin = 3 * time.Second
 
 // Authority is this node's part in the lease. It is safe for concurrent use: several
 // duties share it.
@@ -81,24 +81,24 @@
 
 	mu      sync.Mutex
 	machine *lease.StateMachine
-	// created is when this process began.
-	created time.Time
-	// leaving tells that the lease is being given back: no act begins any more.
-	leaving bool
-	// acts are those under way.
-	acts int
+	// startedAt is when this process began.
+	startedAt time.Time
+	// releasing tells that the lease is being given back: no act begins any more.
+	releasing bool
+	// inFlight are those under way.
+	inFlight int
 	// version is that of the row while this node holds the lease.
 	version uint64
 }
 
 // New returns the authority of a node.
 func New(options Options) *Authority {
-	terms := lease.DefaultSettings(options.Life)
-	terms.KeepFence = options.Unfenced
+	settings := lease.DefaultSettings(options.Life)
+	settings.KeepFence = options.Unfenced
 	if options.Clock == nil {
 		options.Clock = clock.Boottime
 	}
-	return &Authority{options: options, machine: lease.New(options.Self, terms), created: options.Clock()}
+	return &Authority{options: options, machine: lease.New(options.Self, settings), startedAt: options.Clock()}
 }
 
 // Term is a span in which this node may act.
@@ -134,12 +134,12 @@
 		end = term.Until
 	}
 	bounded, cancel := clock.WithDeadline(ctx, a.options.Clock, end)
-	a.acts++
+	a.inFlight++
 	return Operation{Fence: term.Fence, Context: bounded, end: sync.OnceFunc(func() {
 		cancel()
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.acts--
+		a.inFlight--
 	})}, true
 }
 
@@ -159,28 +159,28 @@
 func (a *Authority) Acquire(ctx context.Context) Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	hold := a.acquire(ctx)
-	if hold == StoreUnavailable && a.options.StepBack != nil {
-		a.options.StepBack(a.options.Life*11/10 + asideMargin)
+	status := a.acquire(ctx)
+	if status == StoreUnavailable && a.options.StepBack != nil {
+		a.options.StepBack(a.options.Life*11/10 + stepBackMargin)
 	}
-	return hold
+	return status
 }
 
 func (a *Authority) acquire(ctx context.Context) Status {
 	now := a.options.Clock()
-	if a.leaving {
+	if a.releasing {
 		return MaybeHeldElsewhere
 	}
 	if a.machine.Holds(now) {
 		restored := a.options.Store.Era() > a.machine.Era()
-		if a.roomy(now) && !restored {
+		if a.hasTimeLeft(now) && !restored {
 			return Held
 		}
 		if restored {
 			a.observe(ctx)
 		}
 		a.renew(ctx)
-		if a.roomy(a.options.Clock()) {
+		if a.hasTimeLeft(a.options.Clock()) {
 			return Held
 		}
 		return MaybeHeldElsewhere
@@ -188,7 +188,7 @@
 	if !a.observe(ctx) {
 		return StoreUnavailable
 	}
-	if a.machine.Released() && a.options.Clock().Sub(a.created) < a.options.Life {
+	if a.machine.Released() && a.options.Clock().Sub(a.startedAt) < a.options.Life {
 		// An earlier process of this machine may have acted before the holder that gave the
 		// lease back: the two would have acted in turns within the life of a lease.
 		a.options.Log.Info("the authority was given back, and this process is too young to take it; waiting")
@@ -199,12 +199,12 @@
 		a.options.Log.WithField("holder", a.machine.Holder()).Info("another node may hold the authority; waiting")
 		return MaybeHeldElsewhere
 	}
-	return a.take(ctx, proposal)
+	return a.writeLease(ctx, proposal)
 }
 
-// roomy reports whether an act may begin: fenced ones as long as the lease is held, others
+// hasTimeLeft reports whether an act may begin: fenced ones as long as the lease is held, others
 // only while enough of it is left for the act to end.
-func (a *Authority) roomy(now time.Time) bool {
+func (a *Authority) hasTimeLeft(now time.Time) bool {
 	if !a.machine.Holds(now) {
 		return false
 	}
@@ -215,7 +215,7 @@
 // renew lengthens the lease before it runs out.
 func (a *Authority) renew(ctx context.Context) {
 	if proposal := a.machine.Next(a.options.Clock()); proposal.Action == lease.Renew {
-		a.take(ctx, proposal)
+		a.writeLease(ctx, proposal)
 	}
 }
 
@@ -228,7 +228,7 @@
 
 func (a *Authority) term() (Term, bool) {
 	now := a.options.Clock()
-	if a.leaving || !a.roomy(now) {
+	if a.releasing || !a.hasTimeLeft(now) {
 		return Term{}, false
 	}
 	term := Term{Fence: a.machine.Fence(now)}
@@ -252,7 +252,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	held := a.machine.Holds(a.options.Clock())
-	return rowstore.Condition{Table: table, Key: keyIn(tablefeed.Version(a.version).Era()), Version: a.version}, held
+	return rowstore.Condition{Table: table, Key: keyForEra(tablefeed.Version(a.version).Era()), Version: a.version}, held
 }
 
 // Renounce ends this node's lease, since an act was refused for its fence: another node
@@ -280,7 +280,7 @@
 func (a *Authority) Release(ctx context.Context) {
 	waitCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	for !a.leave() {
+	for !a.beginRelease() {
 		select {
 		case <-waitCtx.Done():
 			a.options.Log.Warn("the authority was not given back: an act is still under way")
@@ -304,12 +304,12 @@
 	a.options.Log.WithFields(logrus.Fields{"written": done, "cause": causeOf(err)}).Info("authority given back")
 }
 
-// leave has no act begin any more, and reports whether none is under way.
-func (a *Authority) leave() bool {
+// beginRelease has no act begin any more, and reports whether none is under way.
+func (a *Authority) beginRelease() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.leaving = true
-	return a.acts == 0
+	a.releasing = true
+	return a.inFlight == 0
 }
 
 // ConditionFailed takes in that a write under a condition of this node's was not carried out.
@@ -345,7 +345,7 @@
 func (a *Authority) readRow(ctx context.Context) (era uint64, content []byte, version uint64, err error) {
 	for range maxReads {
 		era = a.options.Store.Era()
-		content, version, err = a.options.Store.ReadRow(ctx, table, keyIn(era))
+		content, version, err = a.options.Store.ReadRow(ctx, table, keyForEra(era))
 		if err != nil || a.options.Store.Era() == era {
 			return era, content, version, err
 		}
@@ -353,8 +353,8 @@
 	return 0, nil, 0, rowstore.ErrRestored
 }
 
-// take writes the row, to take the lease or to renew it.
-func (a *Authority) take(ctx context.Context, proposal lease.Proposal) Status {
+// writeLease writes the row, to writeLease the lease or to renew it.
+func (a *Authority) writeLease(ctx context.Context, proposal lease.Proposal) Status {
 	content, err := json.Marshal(rowValue{Holder: a.options.Self, Fence: proposal.Fence})
 	if err != nil {
 		a.machine.WriteFailed()
@@ -385,7 +385,7 @@
 func (a *Authority) write(ctx context.Context, proposal lease.Proposal, content []byte) (version uint64, done bool, err error) {
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	rowKey := keyIn(proposal.Era)
+	rowKey := keyForEra(proposal.Era)
 	version, done, err = a.options.Store.Transact(callCtx, rowstore.Transaction{
 		Conditions: []rowstore.Condition{{Table: table, Key: rowKey, Version: proposal.IfVersion}},
 		Writes:     []rowstore.Write{{Table: table, Key: rowKey, Value: content}},
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -27,13 +27,13 @@
 	return New(Options{Self: self, Life: life, Store: store, Log: log, Unfenced: true})
 }
 
-func newAuthority(store *memorystore.Store, self string, life time.Duration, standAside func(time.Duration)) *Authority {
+func newAuthority(store *memorystore.Store, self string, life time.Duration, stepBack func(time.Duration)) *Authority {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return New(Options{Self: self, Life: life, Store: store, Log: log, StepBack: standAside})
+	return New(Options{Self: self, Life: life, Store: store, Log: log, StepBack: stepBack})
 }
 
-func TestNothingIsHeldUnasked(t *testing.T) {
+func TestNothingIsHeldBeforeAcquire(t *testing.T) {
 	a := newAuthority(memorystore.New(), "a", longLife, nil)
 	if _, held := a.Condition(); held || a.Fence() != 0 {
 		t.Errorf("held %v, fence %d", held, a.Fence())
@@ -68,13 +68,13 @@
 	if a.Fence() != 0 {
 		t.Error("a renounced lease is held")
 	}
-	awaitHold(t, a)
+	awaitHeld(t, a)
 	if a.Fence() <= before {
 		t.Errorf("fence %d after %d", a.Fence(), before)
 	}
 }
 
-func awaitHold(t *testing.T, a *Authority) {
+func awaitHeld(t *testing.T, a *Authority) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); a.Acquire(context.Background()) != Held; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -93,7 +93,7 @@
 	if !held {
 		t.Fatal("the lease lapsed at once")
 	}
-	awaitHold(t, second)
+	awaitHeld(t, second)
 	_, done, err := store.Transact(context.Background(), rowstore.Transaction{
 		Conditions: []rowstore.Condition{condition}, Writes: []rowstore.Write{{Table: "t", Key: "k", Value: []byte("v")}},
 	})
@@ -102,20 +102,20 @@
 	}
 }
 
-// handClock is a clock that is set by hand.
-type handClock struct{ now time.Time }
+// manualClock is a clock that is set by hand.
+type manualClock struct{ now time.Time }
 
-func (c *handClock) read() time.Time { return c.now }
+func (c *manualClock) read() time.Time { return c.now }
 
 // newClocked returns an authority that goes by a clock.
-func newClocked(store *memorystore.Store, self string, clock *handClock) *Authority {
+func newClocked(store *memorystore.Store, self string, clock *manualClock) *Authority {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return New(Options{Self: self, Life: longLife, Store: store, Log: log, Clock: clock.read})
 }
 
 func TestRestoredStoreMakesNoSecondHolder(t *testing.T) {
-	store, clock := memorystore.New(), &handClock{time.Unix(1000, 0)}
+	store, clock := memorystore.New(), &manualClock{time.Unix(1000, 0)}
 	first, second := newClocked(store, "first", clock), newClocked(store, "second", clock)
 	first.Acquire(context.Background())
 	before := first.Fence()
@@ -135,7 +135,7 @@
 }
 
 func TestHolderGoesOnAfterARestore(t *testing.T) {
-	store, clock := memorystore.New(), &handClock{time.Unix(1000, 0)}
+	store, clock := memorystore.New(), &manualClock{time.Unix(1000, 0)}
 	a := newClocked(store, "a", clock)
 	a.Acquire(context.Background())
 	lost, _ := a.Condition()
@@ -153,7 +153,7 @@
 
 // TestLateWriteOfALostHistoryIsRefused, also where the new holder's row has the lost one's number.
 func TestLateWriteOfALostHistoryIsRefused(t *testing.T) {
-	store, clock := memorystore.New(), &handClock{time.Unix(1000, 0)}
+	store, clock := memorystore.New(), &manualClock{time.Unix(1000, 0)}
 	first, second := newClocked(store, "first", clock), newClocked(store, "second", clock)
 	first.Acquire(context.Background())
 	condition, _ := first.Condition()
@@ -169,8 +169,8 @@
 	}
 }
 
-// TestNodeWithoutTheStoreLeavesItsDuties: and says so.
-func TestNodeWithoutTheStoreLeavesItsDuties(t *testing.T) {
+// TestNodeWithoutTheStoreStepsBack: and says so.
+func TestNodeWithoutTheStoreStepsBack(t *testing.T) {
 	store := memorystore.New()
 	var aside time.Duration
 	a := newAuthority(store, "a", shortLife, func(span time.Duration) { aside = span })
@@ -207,7 +207,7 @@
 		act.End()
 	}
 	fenced := newAuthority(memorystore.New(), "a", shortLife, nil)
-	awaitHold(t, fenced)
+	awaitHeld(t, fenced)
 	if term, held := fenced.Term(); !held || !term.Until.IsZero() {
 		t.Errorf("%+v, held %v", term, held)
 	}
@@ -218,32 +218,32 @@
 func TestOwnFenceOutlivesTheLease(t *testing.T) {
 	store := memorystore.New()
 	a, b := newUnfenced(store, "a", shortLife), newUnfenced(store, "b", shortLife)
-	awaitHold(t, a)
+	awaitHeld(t, a)
 	first := a.Fence()
 	for a.Fence() != 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
-	awaitHold(t, a)
+	awaitHeld(t, a)
 	if a.Fence() != first {
 		t.Errorf("fence %d after %d", a.Fence(), first)
 	}
-	awaitHold(t, b)
-	awaitHold(t, a)
+	awaitHeld(t, b)
+	awaitHeld(t, a)
 	if a.Fence() <= first {
 		t.Errorf("fence %d after another node had the lease", a.Fence())
 	}
 }
 
-// TestRenewalIsNoLoss: a write under a condition from before a renewal is refused, and the
+// TestFailedConditionAfterRenewalKeepsTheLease: a write under a condition from before a renewal is refused, and the
 // lease goes on; one under the newest condition tells that it is lost.
-func TestRenewalIsNoLoss(t *testing.T) {
+func TestFailedConditionAfterRenewalKeepsTheLease(t *testing.T) {
 	a := newUnfenced(memorystore.New(), "a", shortLife)
-	awaitHold(t, a)
+	awaitHeld(t, a)
 	old, _ := a.Condition()
 	current := old
 	for current.Version == old.Version {
 		time.Sleep(5 * time.Millisecond)
-		awaitHold(t, a)
+		awaitHeld(t, a)
 		current, _ = a.Condition()
 	}
 	a.ConditionFailed(old)
@@ -261,9 +261,9 @@
 func TestReleasedAuthorityIsFreeAtOnce(t *testing.T) {
 	store := memorystore.New()
 	a, b := newUnfenced(store, "a", longLife), newUnfenced(store, "b", longLife)
-	b.created = time.Now().Add(-longLife)
+	b.startedAt = time.Now().Add(-longLife)
 	young := newUnfenced(store, "young", longLife)
-	awaitHold(t, a)
+	awaitHeld(t, a)
 	act, held := a.Begin(context.Background(), longLife)
 	if !held {
 		t.Fatal("no act may begin")
@@ -293,8 +293,8 @@
 func TestActThatHangsKeepsTheLease(t *testing.T) {
 	store := memorystore.New()
 	a, b := newUnfenced(store, "a", longLife), newUnfenced(store, "b", longLife)
-	b.created = time.Now().Add(-longLife)
-	awaitHold(t, a)
+	b.startedAt = time.Now().Add(-longLife)
+	awaitHeld(t, a)
 	act, _ := a.Begin(context.Background(), longLife)
 	defer act.End()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -305,19 +305,19 @@
 	}
 }
 
-// fakeClock is a clock that counts suspension, by which the steady one stands still.
-type fakeClock struct {
+// suspendableClock is a clock that counts suspension, by which the steady one stands still.
+type suspendableClock struct {
 	mu        sync.Mutex
 	suspended time.Duration
 }
 
-func (c *fakeClock) now() time.Time {
+func (c *suspendableClock) now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Now().Add(c.suspended)
 }
 
-func (c *fakeClock) suspend(span time.Duration) {
+func (c *suspendableClock) suspend(span time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.suspended += span
@@ -327,7 +327,7 @@
 // another node has taken it, whether fences are compared or not.
 func TestSuspendedHolderGivesNoOrder(t *testing.T) {
 	for _, unfenced := range []bool{false, true} {
-		store, slept := memorystore.New(), &fakeClock{}
+		store, slept := memorystore.New(), &suspendableClock{}
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		holder := New(Options{Self: "a", Life: longLife, Store: store, Log: log, Unfenced: unfenced, Clock: slept.now})
