--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -1,5 +1,6 @@
-// Package authority lets one node at a time act for all: give engines orders, report
-// usage, order workers. It drives a lease that lies in a row of the platform's store.
+// Package authority makes sure that one node at a time acts for all: gives orders to engines,
+// reports usage and orders workers. It operates a lease, which is a row in the platform's
+// store.
 package authority
 
 import (
@@ -18,30 +19,30 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// The row of the lease.
+// Constants of the lease's row.
 const (
 	table = "authority"
 	key   = "stages"
-	// maxReads is how often the row is read where the store's era rises meanwhile.
+	// maxReads is how often to read the row if the store's era increases during the read.
 	maxReads = 2
-	// storeTimeout bounds a call to the store: a lease lives several times as long.
+	// storeTimeout bounds a call to the store. The life of a lease is several times as long.
 	storeTimeout = 800 * time.Millisecond
-	// headroom is the part of the lease's life that must be left when an unfenced act
-	// begins. A call that nobody acknowledges is ended by the kernel after
-	// duty.UserTimeout (1 s), also while this process is frozen; the next holder acts a
-	// fifth of the life after this lease's end at the earliest (two margins, 0.6 s of
-	// 3 s). With 0.25 (0.75 s) left, the call is gone 0.35 s before that.
+	// headroom is the fraction of the lease's life that must be left when an unfenced operation
+	// begins. If the peer acknowledges nothing, the kernel aborts a call after
+	// duty.TCPUserTimeout (1 s), even while this process is frozen. The next holder acts no
+	// earlier than a fifth of the life after this lease expires (two margins, 0.6 s of 3 s).
+	// With 0.25 (0.75 s) left at the beginning, the call is gone 0.35 s before that.
 	headroom = 0.25
 )
 
-// rowValue is what lies in the row.
+// rowValue is the content of the row.
 type rowValue struct {
 	Holder   string `json:"holder"`
 	Fence    uint64 `json:"fence"`
 	Released bool   `json:"released,omitempty"`
 }
 
-// keyForEra is the key of the lease's row in an era of the store's history.
+// keyForEra returns the key of the lease's row in an era of the store's history.
 func keyForEra(era uint64) string {
 	if era == 0 {
 		return key
@@ -49,45 +50,45 @@
 	return fmt.Sprintf("%s/%d", key, era)
 }
 
-// Options are what an authority works with.
+// Options configure an authority.
 type Options struct {
 	// Self is this node's incarnation.
 	Self string
-	// Life is how long the lease lasts unrenewed.
+	// Life is how long the lease lasts without renewal.
 	Life  time.Duration
 	Store rowstore.Store
 	Log   *logrus.Logger
-	// StepBack leaves the duties to another node for a time: the store can't be
-	// reached. It may be nil.
+	// StepBack is called if the store can't be reached, and leaves the duties to other nodes
+	// for the given time. It may be nil.
 	StepBack func(span time.Duration)
-	// Unfenced tells that what receives the acts doesn't compare fences: every act must
-	// have ended before another node may act. docs/design/unfenced-duties.md.
+	// Unfenced tells that the receivers of operations don't compare fences. Every operation
+	// must then have ended before another node may act (docs/design/unfenced-duties.md).
 	Unfenced bool
-	// Clock is that by which the lease runs, clock.Boot where it is nil: a holder whose
-	// machine was suspended must not believe in its lease afterwards.
+	// Clock is the clock of the lease, clock.Boottime by default. It must go on while the
+	// machine is suspended, so that a holder doesn't rely on its lease after that.
 	Clock clock.Clock
 }
 
-// stepBackMargin is for how long a node that can't reach the store leaves its duties to
-// others, besides a life of the lease and a tenth: one of them must first hear of it,
-// which takes up to two seconds, and then see the lease unchanged for that time before
-// it takes it (inc-6b64).
+// stepBackMargin is added to 1.1 times the life of the lease to get the time for which a node
+// that can't reach the store leaves its duties to others: one of them must first hear of it,
+// which takes up to two seconds, and then see the lease unchanged for the life and the margin
+// before it takes it (inc-6b64).
 const stepBackMargin = 3 * time.Second
 
-// Authority is this node's part in the lease. It is safe for concurrent use: several
+// Authority is this node's access to the lease. It is safe for concurrent use, since several
 // duties share it.
 type Authority struct {
 	options Options
 
 	mu      sync.Mutex
 	machine *lease.StateMachine
-	// startedAt is when this process began.
+	// startedAt is when this process started.
 	startedAt time.Time
-	// releasing tells that the lease is being given back: no act begins any more.
+	// releasing tells that the lease is being released: no operation may begin any more.
 	releasing bool
-	// inFlight are those under way.
+	// inFlight counts the operations that have begun and not ended.
 	inFlight int
-	// version is that of the row while this node holds the lease.
+	// version is the version of the row while this node holds the lease.
 	version uint64
 }
 
@@ -101,27 +102,28 @@
 	return &Authority{options: options, machine: lease.New(options.Self, settings), startedAt: options.Clock()}
 }
 
-// Term is a span in which this node may act.
+// Term is the period in which this node may act under the lease.
 type Term struct {
 	Fence uint64
-	// Until is when acts must have ended, the zero time where those that end later are
-	// refused for their fence.
+	// Until is when operations must have ended, the zero time if the receivers compare fences
+	// and so refuse late ones.
 	Until time.Time
 }
 
-// Operation is one act under the authority, from its beginning to End.
+// Operation is an operation that only the holder of the lease may carry out, such as an order
+// to an engine or a report of usage.
 type Operation struct {
 	Fence uint64
-	// Context is bounded by the act's timeout, and by the end of the term.
+	// Context ends after the timeout of the operation, and at the end of the term.
 	Context context.Context
 	end     func()
 }
 
-// End tells that the act is over: it was answered, or given up.
+// End marks the operation as over: it was answered or given up.
 func (a Operation) End() { a.end() }
 
-// Begin begins an act, false where none may begin now. Call it just before the act leaves,
-// and End after it.
+// Begin begins an operation; false means that none may begin now. Call it just before the
+// operation is sent, and End when it is over.
 func (a *Authority) Begin(ctx context.Context, timeout time.Duration) (Operation, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,19 +145,19 @@
 	})}, true
 }
 
-// Status is whether this node may act.
+// Status tells whether this node may act.
 type Status string
 
-// The states of a hold.
+// The results of Acquire.
 const (
 	Held               Status = "held"
 	MaybeHeldElsewhere Status = "another node may hold it"
 	StoreUnavailable   Status = "the store did not answer"
 )
 
-// Acquire takes the lease where nobody else may hold it, and reports whether this node
-// holds it now. The store is asked only when something is to be done: a lease that nobody
-// needs costs nothing. Where the store doesn't answer the node stands aside.
+// Acquire takes the lease if nobody else may hold it, and reports whether this node holds it
+// now. It calls the store only when there is something to do, so a lease that nobody needs
+// costs nothing. If the store doesn't answer, the node steps back from its duties.
 func (a *Authority) Acquire(ctx context.Context) Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -189,9 +191,10 @@
 		return StoreUnavailable
 	}
 	if a.machine.Released() && a.options.Clock().Sub(a.startedAt) < a.options.Life {
-		// An earlier process of this machine may have acted before the holder that gave the
-		// lease back: the two would have acted in turns within the life of a lease.
-		a.options.Log.Info("the authority was given back, and this process is too young to take it; waiting")
+		// An earlier process on this machine may have held the lease before the holder that
+		// released it. Taking it now could make the two act alternately within the life of one
+		// lease.
+		a.options.Log.Info("the authority was released, but this process started too recently to take it; waiting")
 		return MaybeHeldElsewhere
 	}
 	proposal := a.machine.Next(a.options.Clock())
@@ -202,8 +205,8 @@
 	return a.writeLease(ctx, proposal)
 }
 
-// hasTimeLeft reports whether an act may begin: fenced ones as long as the lease is held, others
-// only while enough of it is left for the act to end.
+// hasTimeLeft reports whether an operation may begin: fenced ones as long as the lease is held,
+// unfenced ones only while enough of it is left for the operation to end.
 func (a *Authority) hasTimeLeft(now time.Time) bool {
 	if !a.machine.Holds(now) {
 		return false
@@ -212,14 +215,14 @@
 	return !a.options.Unfenced || a.machine.Until().Sub(now) >= least
 }
 
-// renew lengthens the lease before it runs out.
+// renew extends the lease if it is time to.
 func (a *Authority) renew(ctx context.Context) {
 	if proposal := a.machine.Next(a.options.Clock()); proposal.Action == lease.Renew {
 		a.writeLease(ctx, proposal)
 	}
 }
 
-// Term returns the span in which this node may act, false where no act may begin now.
+// Term returns the current term; false means that no operation may begin now.
 func (a *Authority) Term() (Term, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -238,16 +241,16 @@
 	return term, true
 }
 
-// Fence returns the fence of this node's lease, zero where it holds none. Acts use Begin
-// instead.
+// Fence returns the fence of this node's lease, zero if it holds none. Operations get theirs
+// from Begin instead.
 func (a *Authority) Fence() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.machine.Fence(a.options.Clock())
 }
 
-// Condition returns the condition under which writes to the store are this node's to
-// make: that nobody has taken the lease since. It is false where this node holds none.
+// Condition returns a condition for writes to the store that holds only as long as nobody has
+// taken the lease since. It returns false if this node doesn't hold the lease.
 func (a *Authority) Condition() (rowstore.Condition, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -255,35 +258,36 @@
 	return rowstore.Condition{Table: table, Key: keyForEra(tablefeed.Version(a.version).Era()), Version: a.version}, held
 }
 
-// Renounce ends this node's lease, since an act was refused for its fence: another node
-// has taken the lease.
+// Renounce ends this node's lease after an operation was refused for its fence, which means
+// that another node has taken the lease.
 func (a *Authority) Renounce() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.machine.Renounce()
 }
 
-// The figures of giving the lease back.
+// Times of the release.
 const (
-	// releaseTimeout bounds the wait for acts under way: above the longest (2 s).
+	// releaseTimeout bounds the wait for operations in flight. It is longer than the longest of
+	// them (2 s).
 	releaseTimeout = 2500 * time.Millisecond
 	releasePoll    = 20 * time.Millisecond
-	// releasePause is left between the last act and the release: a call that was given up
-	// may still be on its way, twelve milliseconds between regions and as much again in
+	// releasePause separates the last operation from the release: a call that was given up may
+	// still be in transit, which takes twelve milliseconds between regions and as much again in
 	// queues.
 	releasePause = 200 * time.Millisecond
 )
 
-// Release gives the lease back before this process ends, so that the next holder needn't
-// wait for it to run out. No act begins any more; those under way are waited for. Where one
-// doesn't end, the lease runs out as usual.
+// Release releases the lease before this process ends, so that the next holder doesn't have to
+// wait until it expires. It lets no operation begin any more and waits for those in flight. If
+// one doesn't end, the lease expires as usual.
 func (a *Authority) Release(ctx context.Context) {
 	waitCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	for !a.beginRelease() {
 		select {
 		case <-waitCtx.Done():
-			a.options.Log.Warn("the authority was not given back: an act is still under way")
+			a.options.Log.Warn("the authority was not released: an operation is still in flight")
 			return
 		case <-time.After(releasePoll):
 		}
@@ -297,14 +301,14 @@
 	}
 	content, err := json.Marshal(rowValue{Holder: a.options.Self, Released: true})
 	if err != nil {
-		a.options.Log.WithError(err).Error("the authority was not given back")
+		a.options.Log.WithError(err).Error("the authority was not released")
 		return
 	}
 	_, done, err := a.write(ctx, proposal, content)
-	a.options.Log.WithFields(logrus.Fields{"written": done, "cause": causeOf(err)}).Info("authority given back")
+	a.options.Log.WithFields(logrus.Fields{"written": done, "cause": causeOf(err)}).Info("authority released")
 }
 
-// beginRelease has no act begin any more, and reports whether none is under way.
+// beginRelease prevents further operations and reports whether none is in flight.
 func (a *Authority) beginRelease() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -312,9 +316,9 @@
 	return a.inFlight == 0
 }
 
-// ConditionFailed takes in that a write under a condition of this node's was not carried out.
-// Another node has taken the lease then, unless it was renewed meanwhile, or the condition was
-// of an earlier era of the store.
+// ConditionFailed records that a write under a condition from Condition was refused. This means
+// that another node has taken the lease, unless the lease was renewed since or the condition
+// belongs to an earlier era of the store.
 func (a *Authority) ConditionFailed(condition rowstore.Condition) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -334,7 +338,7 @@
 	var value rowValue
 	if version > 0 {
 		if err := json.Unmarshal(content, &value); err != nil {
-			a.options.Log.WithField("cause", err.Error()).Error("the authority's row is malformed; it counts as held until its time is over")
+			a.options.Log.WithField("cause", err.Error()).Error("the authority's row is malformed; it counts as held until it expires")
 		}
 	}
 	a.machine.Observe(lease.Row{Era: era, Version: version, Holder: value.Holder, Fence: value.Fence, Released: value.Released}, a.options.Clock())
@@ -353,7 +357,7 @@
 	return 0, nil, 0, rowstore.ErrRestored
 }
 
-// writeLease writes the row, to writeLease the lease or to renew it.
+// writeLease writes the row to take or renew the lease.
 func (a *Authority) writeLease(ctx context.Context, proposal lease.Proposal) Status {
 	content, err := json.Marshal(rowValue{Holder: a.options.Self, Fence: proposal.Fence})
 	if err != nil {
