--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -14,13 +14,13 @@
 	"github.com/tinarch/tinarch/internal/rowstore"
 )
 
-// longLife doesn't lapse within a test, and shortLife does.
+// longLife doesn't expire within a test, shortLife does.
 const (
 	longLife  = time.Minute
 	shortLife = 500 * time.Millisecond
 )
 
-// newUnfenced returns an authority for acts whose fences nobody compares.
+// newUnfenced returns an authority for operations whose receivers don't compare fences.
 func newUnfenced(store *memorystore.Store, self string, life time.Duration) *Authority {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestDutiesShareALease: several that act at once take it once, with one fence.
+// TestDutiesShareALease: concurrent duties take the lease once and use one fence.
 func TestDutiesShareALease(t *testing.T) {
 	store := memorystore.New()
 	a := newAuthority(store, "a", longLife, nil)
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestRenouncedLeaseIsTakenUnderAHigherFence: what the platform refused isn't sent again
-// under the same.
+// TestRenouncedLeaseIsTakenUnderAHigherFence: operations that were refused for their fence must
+// not be sent again under the same fence.
 func TestRenouncedLeaseIsTakenUnderAHigherFence(t *testing.T) {
 	a := newAuthority(memorystore.New(), "a", shortLife, nil)
 	a.Acquire(context.Background())
@@ -78,13 +78,13 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); a.Acquire(context.Background()) != Held; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the lease is never free")
+			t.Fatal("the lease could not be taken within ten seconds")
 		}
 	}
 }
 
-// TestConditionFailsForAnOldHolder: once another has the authority, nothing is written
-// under the old one's condition.
+// TestConditionFailsForAnOldHolder: once another node holds the lease, nothing is written under
+// the condition of the former holder.
 func TestConditionFailsForAnOldHolder(t *testing.T) {
 	store := memorystore.New()
 	first, second := newAuthority(store, "first", shortLife, nil), newAuthority(store, "second", shortLife, nil)
@@ -98,16 +98,16 @@
 		Conditions: []rowstore.Condition{condition}, Writes: []rowstore.Write{{Table: "t", Key: "k", Value: []byte("v")}},
 	})
 	if done || err != nil {
-		t.Errorf("written: %v, %v", done, err)
+		t.Errorf("written under the former holder's condition: %v, %v", done, err)
 	}
 }
 
-// manualClock is a clock that is set by hand.
+// manualClock is a clock that the test sets.
 type manualClock struct{ now time.Time }
 
 func (c *manualClock) read() time.Time { return c.now }
 
-// newClocked returns an authority that goes by a clock.
+// newClocked returns an authority with the given clock.
 func newClocked(store *memorystore.Store, self string, clock *manualClock) *Authority {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -127,7 +127,7 @@
 		clock.now = clock.now.Add(time.Second)
 	}
 	if first.Fence() != 0 {
-		t.Errorf("two hold the authority, under %d and %d", first.Fence(), second.Fence())
+		t.Errorf("two nodes hold the lease, with the fences %d and %d", first.Fence(), second.Fence())
 	}
 	if after := second.Fence(); after <= before {
 		t.Errorf("fence %d after %d", after, before)
@@ -147,11 +147,12 @@
 	condition, _ := a.Condition()
 	_, done, err := store.Transact(context.Background(), rowstore.Transaction{Conditions: []rowstore.Condition{condition}})
 	if !done || err != nil {
-		t.Errorf("the holder's condition holds: %v, %v", done, err)
+		t.Errorf("a write under the holder's condition: done %v, %v", done, err)
 	}
 }
 
-// TestLateWriteOfALostHistoryIsRefused, also where the new holder's row has the lost one's number.
+// TestLateWriteOfALostHistoryIsRefused, even if the new holder's row has the same version
+// number as the lost one.
 func TestLateWriteOfALostHistoryIsRefused(t *testing.T) {
 	store, clock := memorystore.New(), &manualClock{time.Unix(1000, 0)}
 	first, second := newClocked(store, "first", clock), newClocked(store, "second", clock)
@@ -165,23 +166,23 @@
 		Conditions: []rowstore.Condition{condition}, Writes: []rowstore.Write{{Table: "t", Key: "k", Value: []byte("late")}},
 	})
 	if value, _, _ := store.ReadRow(context.Background(), "t", "k"); value != nil {
-		t.Errorf("the row holds %q", value)
+		t.Errorf("the late write was carried out: %q", value)
 	}
 }
 
-// TestNodeWithoutTheStoreStepsBack: and says so.
+// TestNodeWithoutTheStoreStepsBack for longer than the life of the lease.
 func TestNodeWithoutTheStoreStepsBack(t *testing.T) {
 	store := memorystore.New()
 	var aside time.Duration
 	a := newAuthority(store, "a", shortLife, func(span time.Duration) { aside = span })
 	store.SetFaults(memorystore.Faults{Down: true})
 	if hold := a.Acquire(context.Background()); hold != StoreUnavailable || aside <= shortLife {
-		t.Errorf("%s, aside for %v", hold, aside)
+		t.Errorf("%s, stepped back for %v", hold, aside)
 	}
 }
 
-// TestUnfencedActsHaveRoom: an act begins only while enough of the lease is left for it to
-// end, and ends with the lease. Fenced acts may outlast it.
+// TestUnfencedActsHaveRoom: an unfenced operation begins only while enough of the lease is left
+// for it to end, and its context ends with the lease. Fenced operations may outlast it.
 func TestUnfencedActsHaveRoom(t *testing.T) {
 	a := newUnfenced(memorystore.New(), "a", shortLife)
 	least := time.Duration(headroom * float64(shortLife))
@@ -195,14 +196,14 @@
 			continue
 		}
 		if term.Until.Sub(before) < least {
-			t.Fatalf("an act begins with %v left", term.Until.Sub(before))
+			t.Fatalf("an operation begins with %v left", term.Until.Sub(before))
 		}
 		act, held := a.Begin(context.Background(), longLife)
 		if !held {
 			continue
 		}
 		if until, _ := act.Context.Deadline(); until.After(term.Until) {
-			t.Fatal("an act outlasts the lease")
+			t.Fatal("an operation outlasts the lease")
 		}
 		act.End()
 	}
@@ -213,8 +214,8 @@
 	}
 }
 
-// TestOwnFenceOutlivesTheLease: calls of its own that come late have no lower fence than
-// newer ones, where nobody compares them; once another node has acted, fences rise.
+// TestOwnFenceOutlivesTheLease: if nobody compares fences, late calls of a node must not have a
+// lower fence than its newer ones. Once another node has held the lease, the fence increases.
 func TestOwnFenceOutlivesTheLease(t *testing.T) {
 	store := memorystore.New()
 	a, b := newUnfenced(store, "a", shortLife), newUnfenced(store, "b", shortLife)
@@ -234,8 +235,9 @@
 	}
 }
 
-// TestFailedConditionAfterRenewalKeepsTheLease: a write under a condition from before a renewal is refused, and the
-// lease goes on; one under the newest condition tells that it is lost.
+// TestFailedConditionAfterRenewalKeepsTheLease: a write under a condition from before a renewal
+// is refused without the lease being lost. If a write under the newest condition is refused,
+// the lease is lost.
 func TestFailedConditionAfterRenewalKeepsTheLease(t *testing.T) {
 	a := newUnfenced(memorystore.New(), "a", shortLife)
 	awaitHeld(t, a)
@@ -248,7 +250,7 @@
 	}
 	a.ConditionFailed(old)
 	if _, held := a.Condition(); !held {
-		t.Error("a renewed lease was given up")
+		t.Error("a renewed lease counts as lost")
 	}
 	a.ConditionFailed(current)
 	if _, held := a.Condition(); held {
@@ -256,8 +258,9 @@
 	}
 }
 
-// TestReleasedAuthorityIsFreeAtOnce: once the acts under way are over, and for no process
-// that may have been a holder shortly before under another name.
+// TestReleasedAuthorityIsFreeAtOnce: a released lease can be taken once the operations in
+// flight are over, but not by a process that may have held it shortly before as another
+// incarnation.
 func TestReleasedAuthorityIsFreeAtOnce(t *testing.T) {
 	store := memorystore.New()
 	a, b := newUnfenced(store, "a", longLife), newUnfenced(store, "b", longLife)
@@ -266,7 +269,7 @@
 	awaitHeld(t, a)
 	act, held := a.Begin(context.Background(), longLife)
 	if !held {
-		t.Fatal("no act may begin")
+		t.Fatal("no operation may begin")
 	}
 	released := make(chan struct{})
 	go func() { defer close(released); a.Release(context.Background()) }()
@@ -274,22 +277,23 @@
 		time.Sleep(time.Millisecond)
 	}
 	if _, begun := a.Begin(context.Background(), longLife); begun {
-		t.Error("an act begins after the lease is to be given back")
+		t.Error("an operation begins while the lease is being released")
 	}
 	if b.Acquire(context.Background()) == Held {
-		t.Error("the lease was given back with an act under way")
+		t.Error("the lease was released with an operation in flight")
 	}
 	act.End()
 	<-released
 	if young.Acquire(context.Background()) == Held {
-		t.Error("a young process took a lease that was given back")
+		t.Error("a process that has just started took a released lease")
 	}
 	if hold := b.Acquire(context.Background()); hold != Held || b.Fence() <= act.Fence {
 		t.Errorf("%s, fence %d after %d", hold, b.Fence(), act.Fence)
 	}
 }
 
-// TestActThatHangsKeepsTheLease: it isn't given back while an act may still be carried out.
+// TestActThatHangsKeepsTheLease: the lease isn't released while an operation may still be
+// carried out.
 func TestActThatHangsKeepsTheLease(t *testing.T) {
 	store := memorystore.New()
 	a, b := newUnfenced(store, "a", longLife), newUnfenced(store, "b", longLife)
@@ -301,11 +305,12 @@
 	cancel()
 	a.Release(ctx)
 	if b.Acquire(context.Background()) == Held {
-		t.Error("the lease was given back with an act under way")
+		t.Error("the lease was released with an operation in flight")
 	}
 }
 
-// suspendableClock is a clock that counts suspension, by which the steady one stands still.
+// suspendableClock is a clock that includes time in which the machine is suspended, unlike a
+// monotonic clock.
 type suspendableClock struct {
 	mu        sync.Mutex
 	suspended time.Duration
@@ -323,8 +328,8 @@
 	c.suspended += span
 }
 
-// TestSuspendedHolderGivesNoOrder: its steady clock says that the lease is young. Meanwhile
-// another node has taken it, whether fences are compared or not.
+// TestSuspendedHolderGivesNoOrder: by its monotonic clock the lease is still valid, but another
+// node has taken it meanwhile. This holds whether fences are compared or not.
 func TestSuspendedHolderGivesNoOrder(t *testing.T) {
 	for _, unfenced := range []bool{false, true} {
 		store, slept := memorystore.New(), &suspendableClock{}
@@ -336,17 +341,17 @@
 		}
 		act, begun := holder.Begin(context.Background(), longLife)
 		if !begun {
-			t.Fatal("no act begins under a young lease")
+			t.Fatal("no operation begins under a new lease")
 		}
 		slept.suspend(2 * longLife)
 		if _, begun := holder.Begin(context.Background(), time.Second); begun || holder.Fence() != 0 {
-			t.Errorf("unfenced %v: an act begins, or the fence is %d", unfenced, holder.Fence())
+			t.Errorf("unfenced %v: an operation begins, or the fence is %d", unfenced, holder.Fence())
 		}
 		if _, held := holder.Condition(); held {
-			t.Errorf("unfenced %v: the store would be written to as by the holder", unfenced)
+			t.Errorf("unfenced %v: the former holder's condition still applies", unfenced)
 		}
 		if !clock.Expired(act.Context) {
-			t.Errorf("unfenced %v: an act that had begun may still leave", unfenced)
+			t.Errorf("unfenced %v: an operation that had begun may still be sent", unfenced)
 		}
 		act.End()
 	}
