--- a/internal/stagecontrol/controller.go
+++ b/internal/stagecontrol/controller.go
@@ -27,11 +27,11 @@
 	standbyEvery = time.Second
 	orderTimeout = 600 * time.Millisecond
 	maxReply     = 16 << 10
-	// doneMargin is added to the time that a change takes before it is given up.
-	doneMargin = 6 * time.Second
-	// lateOrder is for how long an order that was not answered may still be carried
+	// switchMargin is added to the time that a change takes before it is given up.
+	switchMargin = 6 * time.Second
+	// maxOrderDelay is for how long an order that was not answered may still be carried
 	// out.
-	lateOrder = 15 * time.Second
+	maxOrderDelay = 15 * time.Second
 )
 
 // Verdict is what a worker's answer to an order says.
@@ -154,7 +154,7 @@
 		}
 		engines := fleet.Engines(service.Name, now)
 		if c.unanswered != nil {
-			c.unanswered.mark(fleet, engines, now)
+			c.unanswered.markChanging(fleet, engines, now)
 		}
 		c.giveAll(ctx, service, planner, planner.Decide(now, engines, offered, c.hears))
 	}
@@ -164,16 +164,16 @@
 	return c.options.Hears == nil || c.options.Hears(region)
 }
 
-// parallelOrders is how many orders are under way at once: engines that are dark hold one
+// maxParallelOrders is how many orders are under way at once: engines that are dark hold one
 // up until it is given up.
-const parallelOrders = 8
+const maxParallelOrders = 8
 
 // giveAll carries decisions out, several at once.
 func (c *Controller) giveAll(ctx context.Context, service Service, planner *stageplan.RegionalPlanner, orders []stageplan.Order) {
 	if c.unanswered != nil {
 		orders = c.prepare(ctx, orders)
 	}
-	slots := make(chan struct{}, parallelOrders)
+	slots := make(chan struct{}, maxParallelOrders)
 	verdicts := make([]Verdict, len(orders))
 	var given sync.WaitGroup
 	for i, order := range orders {
@@ -201,8 +201,8 @@
 		return nil
 	}
 	log := c.options.Log.WithField("orders", len(orders))
-	if hold := c.options.Authority.Acquire(ctx); hold != authority.Held {
-		log.WithField("authority", hold).Info("orders not given")
+	if status := c.options.Authority.Acquire(ctx); status != authority.Held {
+		log.WithField("authority", status).Info("orders not given")
 		return nil
 	}
 	free, err := c.unanswered.prepare(ctx, c.options.Fleet, orders, time.Now())
@@ -227,17 +227,17 @@
 		log.Info("order not given: the worker is gone")
 		return Rejected
 	}
-	if hold := c.options.Authority.Acquire(ctx); hold != authority.Held {
-		log.WithField("authority", hold).Info("order not given")
+	if status := c.options.Authority.Acquire(ctx); status != authority.Held {
+		log.WithField("authority", status).Info("order not given")
 		return Rejected
 	}
 	verdict, detail := c.send(ctx, to, order)
 	now := time.Now()
 	switch verdict {
 	case Accepted:
-		c.options.Fleet.SetChanging(to.ID, order.Prefill, now.Add(service.Switch+doneMargin))
+		c.options.Fleet.SetChanging(to.ID, order.Prefill, now.Add(service.Switch+switchMargin))
 	case Unknown:
-		c.options.Fleet.SetChanging(to.ID, order.Prefill, now.Add(lateOrder))
+		c.options.Fleet.SetChanging(to.ID, order.Prefill, now.Add(maxOrderDelay))
 	}
 	log.WithFields(logrus.Fields{"verdict": verdict, "detail": detail}).Info("order given")
 	return verdict
@@ -246,16 +246,16 @@
 // send looks at the lease again just before the order leaves. Where engines don't compare
 // fences, the order doesn't outlast the lease.
 func (c *Controller) send(ctx context.Context, to worker.Worker, order stageplan.Order) (Verdict, string) {
-	act, held := c.options.Authority.Begin(ctx, orderTimeout)
+	operation, held := c.options.Authority.Begin(ctx, orderTimeout)
 	if !held {
 		return Rejected, "the lease lapsed before the order left"
 	}
-	defer act.End()
-	request := c.options.Wire.StageOrder(to, order.Prefill, c.options.Self, act.Fence)
+	defer operation.End()
+	request := c.options.Wire.StageOrder(to, order.Prefill, c.options.Self, operation.Fence)
 	if c.options.Unfenced {
 		request.DropAfter = duty.TCPUserTimeout
 	}
-	answer, err := c.options.Pool.Do(act.Context, to.ID, to.Address, 0, request)
+	answer, err := c.options.Pool.Do(operation.Context, to.ID, to.Address, 0, request)
 	if err != nil {
 		if workerconn.Unsent(err) {
 			return Rejected, err.Error()
--- a/internal/stagecontrol/controller_test.go
+++ b/internal/stagecontrol/controller_test.go
@@ -45,10 +45,10 @@
 
 func (f *fakeFleet) SetChanging(id string, _ bool, until time.Time) { f.changing[id] = until }
 
-// fakeWire puts orders as headers.
-type fakeWire struct{}
+// fakeProtocol puts orders as headers.
+type fakeProtocol struct{}
 
-func (fakeWire) StageOrder(to worker.Worker, prefill bool, holder string, fence uint64) *workerconn.Request {
+func (fakeProtocol) StageOrder(to worker.Worker, prefill bool, holder string, fence uint64) *workerconn.Request {
 	header := http.Header{}
 	header.Set("Worker", to.ID)
 	header.Set("Holder", holder)
@@ -61,7 +61,7 @@
 	return &workerconn.Request{Method: http.MethodPost, Target: "/", Host: to.Address, Header: header}
 }
 
-func (fakeWire) OrderVerdict(status int) Verdict {
+func (fakeProtocol) OrderVerdict(status int) Verdict {
 	switch status {
 	case http.StatusOK:
 		return Accepted
@@ -71,8 +71,8 @@
 	return Unknown
 }
 
-// bench is a controller with its surroundings.
-type bench struct {
+// harness is a controller with its surroundings.
+type harness struct {
 	store  *memorystore.Store
 	fleet  *fakeFleet
 	orders []http.Header
@@ -80,9 +80,9 @@
 	mu     sync.Mutex
 }
 
-func newBench(t *testing.T) *bench {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	b := &bench{store: memorystore.New(), status: http.StatusOK}
+	b := &harness{store: memorystore.New(), status: http.StatusOK}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		b.mu.Lock()
 		b.orders = append(b.orders, request.Header.Clone())
@@ -98,17 +98,17 @@
 	return b
 }
 
-func (b *bench) controller(self string) *Controller { return b.controllerThat(self, nil) }
+func (b *harness) controller(self string) *Controller { return b.controllerWith(self, nil) }
 
 // leaseLife is that of the tests' leases.
 const leaseLife = 3 * time.Second
 
-func (b *bench) controllerThat(self string, standAside func(time.Duration)) *Controller {
+func (b *harness) controllerWith(self string, stepBack func(time.Duration)) *Controller {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	held := authority.New(authority.Options{Self: self, Life: leaseLife, Store: b.store, Log: log, StepBack: standAside})
+	held := authority.New(authority.Options{Self: self, Life: leaseLife, Store: b.store, Log: log, StepBack: stepBack})
 	return New(Options{
-		Self: self, Authority: held, Wire: fakeWire{}, Fleet: b.fleet, Pool: workerconn.NewPool(), Log: log,
+		Self: self, Authority: held, Wire: fakeProtocol{}, Fleet: b.fleet, Pool: workerconn.NewPool(), Log: log,
 		Services:   func() []Service { return []Service{{Name: "s", Switch: time.Second}} },
 		Designated: func() bool { return true },
 	})
@@ -119,8 +119,8 @@
 	c.give(context.Background(), Service{Name: "s", Switch: time.Second}, stageplan.New(stageplan.DefaultPolicy()), stageplan.Order{Worker: "p1", Reason: stageplan.DecodeBottleneck})
 }
 
-func TestOrdersAreFencedAndMarked(t *testing.T) {
-	b := newBench(t)
+func TestOrdersCarryAFenceAndMarkTheWorker(t *testing.T) {
+	b := newHarness(t)
 	order(b.controller("a"))
 	if len(b.orders) != 1 || b.orders[0].Get("Worker") != "p1" || b.orders[0].Get("Holder") != "a" || b.orders[0].Get("Unfenced") != "" {
 		t.Fatalf("%v", b.orders)
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestOnlyTheHolderOrders: a second node waits for as long as the first may act.
-func TestOnlyTheHolderOrders(t *testing.T) {
-	b := newBench(t)
+// TestOnlyTheHolderSendsOrders: a second node waits for as long as the first may act.
+func TestOnlyTheHolderSendsOrders(t *testing.T) {
+	b := newHarness(t)
 	order(b.controller("a"))
 	order(b.controller("b"))
 	if len(b.orders) != 1 {
@@ -145,8 +145,8 @@
 	}
 }
 
-func TestNoStoreNoOrder(t *testing.T) {
-	b := newBench(t)
+func TestNoOrderWithoutTheStore(t *testing.T) {
+	b := newHarness(t)
 	b.store.SetFaults(memorystore.Faults{Down: true})
 	order(b.controller("a"))
 	b.store.SetFaults(memorystore.Faults{LoseWrites: true})
@@ -157,7 +157,7 @@
 }
 
 func TestHeldLeaseCostsNoCalls(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	c := b.controller("a")
 	for range 5 {
 		order(c)
@@ -167,16 +167,16 @@
 	}
 }
 
-// TestUnansweredOrderMayStillCome: its worker is left alone for long; a rejected
+// TestUnansweredOrderMayStillBeCarriedOut: its worker is left alone for long; a rejected
 // order's is not.
-func TestUnansweredOrderMayStillCome(t *testing.T) {
-	b := newBench(t)
+func TestUnansweredOrderMayStillBeCarriedOut(t *testing.T) {
+	b := newHarness(t)
 	b.status = 0
 	order(b.controller("a"))
 	if left := time.Until(b.fleet.changing["p1"]); left < 10*time.Second {
 		t.Errorf("an unanswered order counts for %v", left)
 	}
-	b = newBench(t)
+	b = newHarness(t)
 	b.status = http.StatusConflict
 	order(b.controller("a"))
 	if _, marked := b.fleet.changing["p1"]; marked {
@@ -184,10 +184,10 @@
 	}
 }
 
-// TestStepOrdersWhatIsPlanned: with one decode engine of six, one is moved after the
+// TestStepSendsPlannedOrders: with one decode engine of six, one is moved after the
 // lack has lasted.
-func TestStepOrdersWhatIsPlanned(t *testing.T) {
-	b := newBench(t)
+func TestStepSendsPlannedOrders(t *testing.T) {
+	b := newHarness(t)
 	c := b.controller("a")
 	for end := time.Now().Add(20 * time.Second); len(b.fleet.changing) == 0; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -206,9 +206,9 @@
 // TestNodeWithoutTheStoreStandsAside: another node then gives the orders. One that
 // only waits for another's lease does not.
 func TestNodeWithoutTheStoreStandsAside(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	stood := 0
-	cut := b.controllerThat("a", func(span time.Duration) {
+	cut := b.controllerWith("a", func(span time.Duration) {
 		stood++
 		// Another node sees the lease for the first time when it hears of this, and takes
 		// it when it has seen it unchanged for a life and a margin (inc-6b64).
--- a/internal/stagecontrol/unanswered.go
+++ b/internal/stagecontrol/unanswered.go
@@ -42,17 +42,17 @@
 	authority *authority.Authority
 	log       *logrus.Logger
 	orders    map[string]unansweredOrder
-	// readUnder is the fence under which the row's content was read: what lies there since
+	// readFence is the fence under which the row's content was read: what lies there since
 	// then is this node's own.
-	readUnder uint64
+	readFence uint64
 	// version is that of the row, if it is known: a write without an answer may have been
 	// carried out, or may be later.
 	version      uint64
 	versionKnown bool
 	// era is the store's as it was seen last, and restored when it was first seen to have come
 	// back from a copy, zero where it hasn't.
-	era      uint64
-	restored time.Time
+	era        uint64
+	restoredAt time.Time
 }
 
 func newUnanswered(options Options) *unanswered {
@@ -66,10 +66,10 @@
 // to be sent. It returns those of them that may be: none may where the store doesn't know
 // of them.
 func (u *unanswered) prepare(ctx context.Context, fleet Fleet, orders []stageplan.Order, now time.Time) ([]stageplan.Order, error) {
-	if err := u.inherit(ctx, now); err != nil {
+	if err := u.takeOver(ctx, now); err != nil {
 		return nil, err
 	}
-	u.forget(fleet, now)
+	u.dropSettled(fleet, now)
 	var free []stageplan.Order
 	for _, order := range orders {
 		if _, waiting := u.orders[order.Worker]; !waiting {
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	for _, order := range free {
-		u.orders[order.Worker] = unansweredOrder{prefill: order.Prefill, until: now.Add(lateOrder)}
+		u.orders[order.Worker] = unansweredOrder{prefill: order.Prefill, until: now.Add(maxOrderDelay)}
 	}
 	return free, nil
 }
@@ -91,31 +91,31 @@
 // answered takes in that a worker has told what becomes of its order.
 func (u *unanswered) answered(id string) { delete(u.orders, id) }
 
-// mark has the planner leave workers alone that may carry out an order.
-func (u *unanswered) mark(fleet Fleet, engines []stageplan.Worker, now time.Time) {
-	u.forget(fleet, now)
+// markChanging has the planner leave workers alone that may carry out an order.
+func (u *unanswered) markChanging(fleet Fleet, engines []stageplan.Worker, now time.Time) {
+	u.dropSettled(fleet, now)
 	for i := range engines {
 		_, waiting := u.orders[engines[i].ID]
 		engines[i].Changing = engines[i].Changing || waiting
 	}
 }
 
-// forget drops orders that are too old to be carried out, and those whose worker is gone or
+// dropSettled drops orders that are too old to be carried out, and those whose worker is gone or
 // has the stage.
-func (u *unanswered) forget(fleet Fleet, now time.Time) {
+func (u *unanswered) dropSettled(fleet Fleet, now time.Time) {
 	maps.DeleteFunc(u.orders, func(id string, order unansweredOrder) bool {
 		known, listed := fleet.Get(id)
 		return !listed || now.After(order.until) || (known.Stage == worker.Prefill) == order.prefill
 	})
 }
 
-// inherit reads the row once this node has taken the authority.
-func (u *unanswered) inherit(ctx context.Context, now time.Time) error {
+// takeOver reads the row once this node has taken the authority.
+func (u *unanswered) takeOver(ctx context.Context, now time.Time) error {
 	term, held := u.authority.Term()
 	if !held {
 		return eris.New("the authority lapsed")
 	}
-	if term.Fence == u.readUnder && u.versionKnown {
+	if term.Fence == u.readFence && u.versionKnown {
 		return nil
 	}
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -125,10 +125,10 @@
 		return eris.Wrap(err, "the orders of the earlier holder can't be read")
 	}
 	u.version, u.versionKnown = version, true
-	if term.Fence == u.readUnder {
+	if term.Fence == u.readFence {
 		return nil
 	}
-	if left := u.lostOrders(now); left > 0 {
+	if left := u.lostOrdersDelay(now); left > 0 {
 		return eris.Errorf("orders of the earlier holder may be lost with the store's history; none can come any more in %v", left.Round(time.Second))
 	}
 	var row rowValue
@@ -139,23 +139,23 @@
 	}
 	for id, prefill := range row.Prefill {
 		if _, own := u.orders[id]; !own {
-			u.orders[id] = unansweredOrder{prefill: prefill, until: now.Add(lateOrder)}
+			u.orders[id] = unansweredOrder{prefill: prefill, until: now.Add(maxOrderDelay)}
 		}
 	}
-	u.readUnder = term.Fence
+	u.readFence = term.Fence
 	u.log.WithFields(logrus.Fields{"fence": term.Fence, "orders": len(row.Prefill)}).Info("orders of the earlier holder read; they may still be carried out")
 	return nil
 }
 
-// lostOrders is for how long orders may still be carried out that a restored store doesn't know.
-func (u *unanswered) lostOrders(now time.Time) time.Duration {
+// lostOrdersDelay is for how long orders may still be carried out that a restored store doesn't know.
+func (u *unanswered) lostOrdersDelay(now time.Time) time.Duration {
 	if era := u.store.Era(); era != u.era {
-		u.era, u.restored = era, now
+		u.era, u.restoredAt = era, now
 	}
-	if u.restored.IsZero() {
+	if u.restoredAt.IsZero() {
 		return 0
 	}
-	return max(lateOrder-now.Sub(u.restored), 0)
+	return max(maxOrderDelay-now.Sub(u.restoredAt), 0)
 }
 
 // record writes down the orders that may be carried out, with those about to be sent.
--- a/internal/stagecontrol/unanswered_test.go
+++ b/internal/stagecontrol/unanswered_test.go
@@ -39,7 +39,7 @@
 func (stagedFleet) SetChanging(string, bool, time.Time) {}
 
 // unfenced returns a controller of a node whose own view of the fleet knows of no order.
-func (b *bench) unfenced(self string, store rowstore.Store, decode ...string) *Controller {
+func (b *harness) unfenced(self string, store rowstore.Store, decode ...string) *Controller {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	fleet := stagedFleet{&fakeFleet{address: b.fleet.address, changing: make(map[string]time.Time)}, make(map[string]bool)}
@@ -48,7 +48,7 @@
 	}
 	held := authority.New(authority.Options{Self: self, Life: unfencedLife, Store: store, Log: log, Unfenced: true})
 	return New(Options{
-		Self: self, Authority: held, Wire: fakeWire{}, Fleet: fleet, Pool: workerconn.NewPool(), Log: log,
+		Self: self, Authority: held, Wire: fakeProtocol{}, Fleet: fleet, Pool: workerconn.NewPool(), Log: log,
 		Unfenced: true, Store: store,
 	})
 }
@@ -69,7 +69,7 @@
 }
 
 // ordered lists the workers that got orders, and forgets them.
-func (b *bench) ordered() map[string]bool {
+func (b *harness) ordered() map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	got := make(map[string]bool)
@@ -80,7 +80,7 @@
 	return got
 }
 
-func (b *bench) setStatus(status int) {
+func (b *harness) setStatus(status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.status = status
@@ -99,7 +99,7 @@
 		{"not answered", 0, nil, false},
 		{"not answered, carried out since", 0, []string{"p1"}, true},
 	} {
-		b := newBench(t)
+		b := newHarness(t)
 		b.setStatus(example.status)
 		orderAll(t, b.unfenced("a", b.store), "p1")
 		if !b.ordered()["p1"] {
@@ -114,7 +114,7 @@
 }
 
 func TestNextHolderWaitsForOrdersThatTheStoreHasLost(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.setStatus(0)
 	orderAll(t, b.unfenced("a", b.store), "p1")
 	b.ordered()
@@ -125,7 +125,7 @@
 	if got := b.ordered(); got["p1"] {
 		t.Error("the next holder orders a worker that may still carry out an order")
 	}
-	next.unanswered.restored = time.Now().Add(-lateOrder)
+	next.unanswered.restoredAt = time.Now().Add(-maxOrderDelay)
 	orderAll(t, next, "p1")
 	if got := b.ordered(); !got["p1"] {
 		t.Error("the next holder orders nothing for ever")
@@ -138,7 +138,7 @@
 		status int
 		free   bool
 	}{{http.StatusConflict, true}, {0, false}} {
-		b := newBench(t)
+		b := newHarness(t)
 		b.setStatus(example.status)
 		c := b.unfenced("a", b.store)
 		orderAll(t, c, "p1")
@@ -149,7 +149,7 @@
 			t.Errorf("answer %d: ordered again %v", example.status, got["p1"])
 		}
 		engines := c.options.Fleet.Engines("s", time.Now())
-		c.unanswered.mark(c.options.Fleet, engines, time.Now())
+		c.unanswered.markChanging(c.options.Fleet, engines, time.Now())
 		if engines[0].Changing == example.free {
 			t.Errorf("answer %d: the planner is told that the worker may change: %v", example.status, engines[0].Changing)
 		}
@@ -158,15 +158,15 @@
 
 // TestUnansweredOrderIsForgottenInTime: it can't be carried out for ever.
 func TestUnansweredOrderIsForgottenInTime(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.setStatus(0)
 	c := b.unfenced("a", b.store)
 	orderAll(t, c, "p1")
-	c.unanswered.forget(c.options.Fleet, time.Now())
+	c.unanswered.dropSettled(c.options.Fleet, time.Now())
 	if len(c.unanswered.orders) != 1 {
 		t.Error("forgotten at once")
 	}
-	c.unanswered.forget(c.options.Fleet, time.Now().Add(lateOrder+time.Second))
+	c.unanswered.dropSettled(c.options.Fleet, time.Now().Add(maxOrderDelay+time.Second))
 	if len(c.unanswered.orders) != 0 {
 		t.Error("never forgotten")
 	}
@@ -174,7 +174,7 @@
 
 // TestNothingIsOrderedUnrecorded: while the store doesn't know of an order, it isn't sent.
 func TestNothingIsOrderedUnrecorded(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	c := b.unfenced("a", b.store)
 	orderAll(t, c, "p1")
 	b.ordered()
@@ -209,7 +209,7 @@
 
 // TestLateRecordUndoesNothing: a record that was given up is carried out behind a newer one.
 func TestLateRecordUndoesNothing(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.setStatus(0)
 	store := &lateStore{Store: b.store, keep: true}
 	c := b.unfenced("a", store)
