--- a/internal/stagecontrol/controller.go
+++ b/internal/stagecontrol/controller.go
@@ -1,6 +1,6 @@
-// Package stagecontrol gives engines the orders that stageplan decides on: under the
-// authority that one node at a time has, fenced, one at a time, by one node that all
-// others expect to do it.
+// Package stagecontrol sends engines the orders that stageplan decides on. Orders carry a fence
+// and are sent only by the holder of the authority, which is normally the one node that all
+// others expect to do so.
 package stagecontrol
 
 import (
@@ -19,52 +19,52 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// The figures of the controller.
+// Intervals and limits of the controller.
 const (
 	decideEvery = 250 * time.Millisecond
-	// standbyEvery is the time between two looks of a node that doesn't give orders at
-	// whether it is to: a lease lapses after longer.
+	// standbyEvery is how often a node that doesn't send orders checks whether it is to. A
+	// lease takes longer than that to expire.
 	standbyEvery = time.Second
 	orderTimeout = 600 * time.Millisecond
 	maxReply     = 16 << 10
-	// switchMargin is added to the time that a change takes before it is given up.
+	// switchMargin is added to the time that a stage change takes before the change is given
+	// up.
 	switchMargin = 6 * time.Second
-	// maxOrderDelay is for how long an order that was not answered may still be carried
-	// out.
+	// maxOrderDelay is how long an unanswered order may still be carried out.
 	maxOrderDelay = 15 * time.Second
 )
 
-// Verdict is what a worker's answer to an order says.
+// Verdict is the outcome of an order as given by the worker's answer.
 type Verdict string
 
-// The verdicts.
+// The outcomes of an order.
 const (
-	// Accepted orders are carried out, or hold already.
+	// Accepted orders are carried out, or the worker already has the stage.
 	Accepted Verdict = "accepted"
-	// Rejected orders are not.
+	// Rejected orders are not carried out.
 	Rejected Verdict = "rejected"
-	// Unknown orders were not answered: they may be carried out later.
+	// Unknown orders were not answered, and may still be carried out.
 	Unknown Verdict = "unknown"
 )
 
-// OrderProtocol is how orders are put.
+// OrderProtocol encodes orders and decodes their answers.
 type OrderProtocol interface {
-	// StageOrder returns the order for a worker to have a stage.
+	// StageOrder returns the request that orders a worker to change its stage.
 	StageOrder(to worker.Worker, prefill bool, holder string, fence uint64) *workerconn.Request
-	// OrderVerdict reads the status of its answer.
+	// OrderVerdict interprets the status of the answer.
 	OrderVerdict(status int) Verdict
 }
 
-// Fleet is what is known of the engines.
+// Fleet is what the controller needs to know about the engines.
 type Fleet interface {
 	// Engines describes the engines of a service for the planner.
 	Engines(service string, now time.Time) []stageplan.Worker
-	// Demands returns what callers of a service want, by the region whose engines are
-	// wanted.
+	// Demands returns the demand of the callers of a service by the region whose engines it is
+	// for.
 	Demands(service string, now time.Time) map[string]worker.Demand
 	Get(id string) (worker.Worker, bool)
-	// SetChanging keeps requests away from a worker for a time, or until its entry
-	// shows the stage.
+	// SetChanging keeps requests away from a worker until the given time, or until its row in
+	// the worker list shows the new stage.
 	SetChanging(id string, prefill bool, until time.Time)
 }
 
@@ -73,16 +73,16 @@
 	Do(ctx context.Context, key, address string, limit int, request *workerconn.Request) (*workerconn.Answer, error)
 }
 
-// Service is a service of engines to plan.
+// Service is a service whose engines are controlled.
 type Service struct {
 	Name string
-	// Switch is how long an engine is away when it changes.
+	// Switch is how long an engine is unavailable while it changes its stage.
 	Switch time.Duration
 }
 
-// Options are what a controller works with.
+// Options configure a controller.
 type Options struct {
-	// Self names this node to engines.
+	// Self is the name by which this node identifies itself to engines.
 	Self      string
 	Authority *authority.Authority
 	Wire      OrderProtocol
@@ -90,23 +90,23 @@
 	Pool      Pool
 	Log       *logrus.Logger
 	Services  func() []Service
-	// Designated reports whether this is the node that the others expect to give
-	// orders. Two nodes may both think so; the lease decides.
+	// Designated reports whether the other nodes expect this one to send orders. Two nodes may
+	// both believe so; the lease decides between them.
 	Designated func() bool
-	// Hears reports whether any node of a region is heard. It may be nil in a deployment in
-	// one region.
+	// Hears reports whether any node of a region is heard from. It may be nil if the deployment
+	// has only one region.
 	Hears func(region string) bool
-	// Unfenced tells that engines don't compare fences. Store keeps orders then, and is
-	// not needed otherwise.
+	// Unfenced tells that engines don't compare fences. In that case orders are recorded in
+	// Store, which is not used otherwise.
 	Unfenced bool
 	Store    rowstore.Store
 }
 
-// Controller plans and orders.
+// Controller plans the stages of engines and sends the orders.
 type Controller struct {
 	options  Options
 	planners map[string]*stageplan.RegionalPlanner
-	// unanswered is nil where engines compare fences.
+	// unanswered is nil if engines compare fences.
 	unanswered *unanswered
 }
 
@@ -119,7 +119,7 @@
 	return c
 }
 
-// Run works until ctx ends.
+// Run steps the controller until ctx ends, whenever this node is designated.
 func (c *Controller) Run(ctx context.Context) {
 	timer := time.NewTimer(decideEvery)
 	defer timer.Stop()
@@ -138,7 +138,7 @@
 	}
 }
 
-// Step plans once.
+// Step plans once for each service and sends the resulting orders.
 func (c *Controller) Step(ctx context.Context) {
 	for _, service := range c.options.Services() {
 		planner, known := c.planners[service.Name]
@@ -164,11 +164,11 @@
 	return c.options.Hears == nil || c.options.Hears(region)
 }
 
-// maxParallelOrders is how many orders are under way at once: engines that are dark hold one
-// up until it is given up.
+// maxParallelOrders is the number of orders sent concurrently, since an engine that doesn't
+// respond delays its order until the timeout.
 const maxParallelOrders = 8
 
-// giveAll carries decisions out, several at once.
+// giveAll sends orders, several at a time.
 func (c *Controller) giveAll(ctx context.Context, service Service, planner *stageplan.RegionalPlanner, orders []stageplan.Order) {
 	if c.unanswered != nil {
 		orders = c.prepare(ctx, orders)
@@ -195,7 +195,7 @@
 	}
 }
 
-// prepare returns the orders that may be given before engines that don't compare fences.
+// prepare returns the orders that may be sent to engines that don't compare fences.
 func (c *Controller) prepare(ctx context.Context, orders []stageplan.Order) []stageplan.Order {
 	if len(orders) == 0 {
 		return nil
@@ -216,7 +216,7 @@
 	return free
 }
 
-// give carries a decision out, if this node has the authority to.
+// give sends an order if this node holds the authority.
 func (c *Controller) give(ctx context.Context, service Service, planner *stageplan.Planner, order stageplan.Order) Verdict {
 	log := c.options.Log.WithFields(logrus.Fields{
 		"worker": order.Worker, "region": order.Region, "prefill": order.Prefill, "reason": order.Reason,
@@ -243,12 +243,12 @@
 	return verdict
 }
 
-// send looks at the lease again just before the order leaves. Where engines don't compare
-// fences, the order doesn't outlast the lease.
+// send checks the lease once more just before it sends the order. If engines don't compare
+// fences, the order must not outlast the lease.
 func (c *Controller) send(ctx context.Context, to worker.Worker, order stageplan.Order) (Verdict, string) {
 	operation, held := c.options.Authority.Begin(ctx, orderTimeout)
 	if !held {
-		return Rejected, "the lease lapsed before the order left"
+		return Rejected, "the lease expired before the order was sent"
 	}
 	defer operation.End()
 	request := c.options.Wire.StageOrder(to, order.Prefill, c.options.Self, operation.Fence)
--- a/internal/stagecontrol/unanswered.go
+++ b/internal/stagecontrol/unanswered.go
@@ -15,7 +15,7 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// The row in which orders lie that may not have been answered.
+// The row that records orders which may be unanswered.
 const (
 	orderTable = "orders"
 	orderKey   = "stages"
@@ -23,34 +23,35 @@
 	storeTimeout = 800 * time.Millisecond
 )
 
-// unansweredOrder is an order that may be carried out at any time until a bound.
+// unansweredOrder is an order that may still be carried out until a given time.
 type unansweredOrder struct {
 	prefill bool
 	until   time.Time
 }
 
-// rowValue is what lies in the row: the stage to which each worker was ordered.
+// rowValue is the content of the row: for each worker, whether it was ordered to the prefill
+// stage.
 type rowValue struct {
 	Prefill map[string]bool `json:"prefill"`
 }
 
-// unanswered keeps the orders that engines may still carry out, where these don't compare
-// fences: a worker gets no other order until then. Orders are written to the store before
-// they are sent, so that the next holder knows of them too. It is used by one goroutine.
+// unanswered tracks the orders that engines which don't compare fences may still carry out:
+// until then a worker gets no other order. Orders are recorded in the store before they are
+// sent, so that the next holder of the lease knows them too. It is not safe for concurrent use.
 type unanswered struct {
 	store     rowstore.Store
 	authority *authority.Authority
 	log       *logrus.Logger
 	orders    map[string]unansweredOrder
-	// readFence is the fence under which the row's content was read: what lies there since
-	// then is this node's own.
+	// readFence is the fence under which this node read the row. All changes since then are its
+	// own.
 	readFence uint64
-	// version is that of the row, if it is known: a write without an answer may have been
-	// carried out, or may be later.
+	// version is the version of the row if versionKnown: a write that was not answered may have
+	// been carried out, or may still be.
 	version      uint64
 	versionKnown bool
-	// era is the store's as it was seen last, and restored when it was first seen to have come
-	// back from a copy, zero where it hasn't.
+	// era is the store's era when last seen, and restoredAt when it was first seen to have
+	// changed because the store was restored, zero if it hasn't.
 	era        uint64
 	restoredAt time.Time
 }
@@ -62,9 +63,8 @@
 	}
 }
 
-// prepare takes over the orders of an earlier holder, and writes down those that are about
-// to be sent. It returns those of them that may be: none may where the store doesn't know
-// of them.
+// prepare takes over the orders of an earlier holder and records the orders that are about to
+// be sent. It returns the orders that may be sent, none if the store could not record them.
 func (u *unanswered) prepare(ctx context.Context, fleet Fleet, orders []stageplan.Order, now time.Time) ([]stageplan.Order, error) {
 	if err := u.takeOver(ctx, now); err != nil {
 		return nil, err
@@ -88,10 +88,11 @@
 	return free, nil
 }
 
-// answered takes in that a worker has told what becomes of its order.
+// answered removes the order of a worker that has answered it.
 func (u *unanswered) answered(id string) { delete(u.orders, id) }
 
-// markChanging has the planner leave workers alone that may carry out an order.
+// markChanging marks workers that may still carry out an order, so that the planner leaves them
+// alone.
 func (u *unanswered) markChanging(fleet Fleet, engines []stageplan.Worker, now time.Time) {
 	u.dropSettled(fleet, now)
 	for i := range engines {
@@ -100,8 +101,8 @@
 	}
 }
 
-// dropSettled drops orders that are too old to be carried out, and those whose worker is gone or
-// has the stage.
+// dropSettled removes orders that are too old to be carried out, and those whose worker is gone
+// or has the ordered stage.
 func (u *unanswered) dropSettled(fleet Fleet, now time.Time) {
 	maps.DeleteFunc(u.orders, func(id string, order unansweredOrder) bool {
 		known, listed := fleet.Get(id)
@@ -109,11 +110,11 @@
 	})
 }
 
-// takeOver reads the row once this node has taken the authority.
+// takeOver reads the row when this node has newly taken the authority.
 func (u *unanswered) takeOver(ctx context.Context, now time.Time) error {
 	term, held := u.authority.Term()
 	if !held {
-		return eris.New("the authority lapsed")
+		return eris.New("the authority expired")
 	}
 	if term.Fence == u.readFence && u.versionKnown {
 		return nil
@@ -129,7 +130,7 @@
 		return nil
 	}
 	if left := u.lostOrdersDelay(now); left > 0 {
-		return eris.Errorf("orders of the earlier holder may be lost with the store's history; none can come any more in %v", left.Round(time.Second))
+		return eris.Errorf("orders of the earlier holder may have been lost when the store was restored; they can't be carried out any more in %v", left.Round(time.Second))
 	}
 	var row rowValue
 	if version > 0 {
@@ -147,7 +148,8 @@
 	return nil
 }
 
-// lostOrdersDelay is for how long orders may still be carried out that a restored store doesn't know.
+// lostOrdersDelay returns how long orders may still be carried out that a restored store no
+// longer records.
 func (u *unanswered) lostOrdersDelay(now time.Time) time.Duration {
 	if era := u.store.Era(); era != u.era {
 		u.era, u.restoredAt = era, now
@@ -158,7 +160,7 @@
 	return max(maxOrderDelay-now.Sub(u.restoredAt), 0)
 }
 
-// record writes down the orders that may be carried out, with those about to be sent.
+// record writes the pending orders and those about to be sent to the store.
 func (u *unanswered) record(ctx context.Context, orders []stageplan.Order) error {
 	row := rowValue{Prefill: make(map[string]bool)}
 	for id, order := range u.orders {
@@ -173,21 +175,22 @@
 	}
 	condition, held := u.authority.Condition()
 	if !held {
-		return eris.New("the authority lapsed before the orders were written down")
+		return eris.New("the authority expired before the orders were recorded")
 	}
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	version, done, err := u.store.Transact(callCtx, rowstore.Transaction{
-		// Without its own version, a write that was given up could undo a newer one.
+		// Without the condition on the row's own version, a late write that was given up could
+		// overwrite a newer one.
 		Conditions: []rowstore.Condition{condition, {Table: orderTable, Key: orderKey, Version: u.version}},
 		Writes:     []rowstore.Write{{Table: orderTable, Key: orderKey, Value: content}},
 	})
 	u.version, u.versionKnown = version, done && err == nil
 	switch {
 	case err != nil:
-		return eris.Wrap(err, "the orders can't be written down")
+		return eris.Wrap(err, "the orders can't be recorded")
 	case !done:
-		return eris.New("another node has the authority, or a write that was given up came late")
+		return eris.New("another node has the authority, or an earlier write that was given up was carried out late")
 	}
 	return nil
 }
