--- a/internal/stagecontrol/controller_test.go
+++ b/internal/stagecontrol/controller_test.go
@@ -19,7 +19,7 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// fakeFleet has one engine too many that reads.
+// fakeFleet has five prefill engines and one decode engine, one prefill engine too many.
 type fakeFleet struct {
 	address  string
 	changing map[string]time.Time
@@ -45,7 +45,7 @@
 
 func (f *fakeFleet) SetChanging(id string, _ bool, until time.Time) { f.changing[id] = until }
 
-// fakeProtocol puts orders as headers.
+// fakeProtocol encodes orders as headers.
 type fakeProtocol struct{}
 
 func (fakeProtocol) StageOrder(to worker.Worker, prefill bool, holder string, fence uint64) *workerconn.Request {
@@ -71,7 +71,7 @@
 	return Unknown
 }
 
-// harness is a controller with its surroundings.
+// harness is a fake engine and a store for controllers under test.
 type harness struct {
 	store  *memorystore.Store
 	fleet  *fakeFleet
@@ -100,7 +100,7 @@
 
 func (b *harness) controller(self string) *Controller { return b.controllerWith(self, nil) }
 
-// leaseLife is that of the tests' leases.
+// leaseLife is the life of the tests' leases.
 const leaseLife = 3 * time.Second
 
 func (b *harness) controllerWith(self string, stepBack func(time.Duration)) *Controller {
@@ -114,7 +114,7 @@
 	})
 }
 
-// order lets a controller carry out an order now.
+// order makes a controller send one order.
 func order(c *Controller) {
 	c.give(context.Background(), Service{Name: "s", Switch: time.Second}, stageplan.New(stageplan.DefaultPolicy()), stageplan.Order{Worker: "p1", Reason: stageplan.DecodeBottleneck})
 }
@@ -126,22 +126,22 @@
 		t.Fatalf("%v", b.orders)
 	}
 	if time.Until(b.fleet.changing["p1"]) <= 0 {
-		t.Error("an accepted order isn't under way")
+		t.Error("the worker of an accepted order isn't marked as changing")
 	}
 }
 
-// TestOnlyTheHolderSendsOrders: a second node waits for as long as the first may act.
+// TestOnlyTheHolderSendsOrders: a second node waits as long as the first one may act.
 func TestOnlyTheHolderSendsOrders(t *testing.T) {
 	b := newHarness(t)
 	order(b.controller("a"))
 	order(b.controller("b"))
 	if len(b.orders) != 1 {
-		t.Errorf("%d orders of two nodes", len(b.orders))
+		t.Errorf("%d orders by two nodes, want 1", len(b.orders))
 	}
 	again := b.controller("a")
 	order(again)
 	if len(b.orders) != 2 {
-		t.Errorf("the same incarnation can't go on: %d orders", len(b.orders))
+		t.Errorf("the same incarnation can't send orders again: %d orders", len(b.orders))
 	}
 }
 
@@ -163,35 +163,35 @@
 		order(c)
 	}
 	if b.store.Calls() != 2 || len(b.orders) != 5 {
-		t.Errorf("%d calls for %d orders", b.store.Calls(), len(b.orders))
+		t.Errorf("%d store calls for %d orders", b.store.Calls(), len(b.orders))
 	}
 }
 
-// TestUnansweredOrderMayStillBeCarriedOut: its worker is left alone for long; a rejected
-// order's is not.
+// TestUnansweredOrderMayStillBeCarriedOut: its worker is not used for a long time, while the
+// worker of a rejected order is used at once.
 func TestUnansweredOrderMayStillBeCarriedOut(t *testing.T) {
 	b := newHarness(t)
 	b.status = 0
 	order(b.controller("a"))
 	if left := time.Until(b.fleet.changing["p1"]); left < 10*time.Second {
-		t.Errorf("an unanswered order counts for %v", left)
+		t.Errorf("the worker of an unanswered order is not used for only %v", left)
 	}
 	b = newHarness(t)
 	b.status = http.StatusConflict
 	order(b.controller("a"))
 	if _, marked := b.fleet.changing["p1"]; marked {
-		t.Error("a rejected order is under way")
+		t.Error("the worker of a rejected order is marked as changing")
 	}
 }
 
-// TestStepSendsPlannedOrders: with one decode engine of six, one is moved after the
-// lack has lasted.
+// TestStepSendsPlannedOrders: with one decode engine of six, another engine is ordered to
+// decode once the shortage has lasted.
 func TestStepSendsPlannedOrders(t *testing.T) {
 	b := newHarness(t)
 	c := b.controller("a")
 	for end := time.Now().Add(20 * time.Second); len(b.fleet.changing) == 0; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no order")
+			t.Fatal("no order within 20 s")
 		}
 		c.Step(context.Background())
 	}
@@ -203,29 +203,29 @@
 	}
 }
 
-// TestNodeWithoutTheStoreStandsAside: another node then gives the orders. One that
-// only waits for another's lease does not.
+// TestNodeWithoutTheStoreStandsAside: a node that can't read the lease steps back so that
+// another node sends the orders. A node that only waits for another's lease does not.
 func TestNodeWithoutTheStoreStandsAside(t *testing.T) {
 	b := newHarness(t)
 	stood := 0
 	cut := b.controllerWith("a", func(span time.Duration) {
 		stood++
-		// Another node sees the lease for the first time when it hears of this, and takes
-		// it when it has seen it unchanged for a life and a margin (inc-6b64).
+		// Another node first looks at the lease when it hears of this, and takes the lease once
+		// it has seen it unchanged for its life and a margin (inc-6b64).
 		const heard = 2 * time.Second
 		if takes := heard + leaseLife*11/10; span < takes {
-			t.Errorf("stands aside for %v, another takes the lease after up to %v", span, takes)
+			t.Errorf("steps back for %v, but another node takes the lease after up to %v", span, takes)
 		}
 	})
 	b.store.SetFaults(memorystore.Faults{Down: true})
 	order(cut)
 	if stood != 1 {
-		t.Errorf("a node that can't read the lease stood aside %d times", stood)
+		t.Errorf("a node that can't read the lease stepped back %d times, want once", stood)
 	}
 	b.store.SetFaults(memorystore.Faults{})
 	order(b.controller("b"))
 	order(cut)
 	if stood != 1 || len(b.orders) != 1 {
-		t.Errorf("a node that waits for a lease stood aside %d times; %d orders", stood, len(b.orders))
+		t.Errorf("after a node waited for a lease: stepped back %d times, %d orders, want 1 and 1", stood, len(b.orders))
 	}
 }
--- a/internal/stagecontrol/unanswered_test.go
+++ b/internal/stagecontrol/unanswered_test.go
@@ -18,10 +18,10 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// unfencedLife is that of the leases here: they lapse within a test.
+// unfencedLife is the life of the leases here, which expire within a test.
 const unfencedLife = time.Second
 
-// stagedFleet is a fleet of which some workers show another stage.
+// stagedFleet is a fleet in which some workers show the decode stage.
 type stagedFleet struct {
 	*fakeFleet
 	decode map[string]bool
@@ -35,10 +35,10 @@
 	return known, listed
 }
 
-// SetChanging forgets: another node doesn't know.
+// SetChanging does nothing: another node would not know either.
 func (stagedFleet) SetChanging(string, bool, time.Time) {}
 
-// unfenced returns a controller of a node whose own view of the fleet knows of no order.
+// unfenced returns the controller of a node whose own view of the fleet contains no orders.
 func (b *harness) unfenced(self string, store rowstore.Store, decode ...string) *Controller {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -53,12 +53,12 @@
 	})
 }
 
-// orderAll lets a controller that has the authority order workers to write.
+// orderAll waits until a controller has the authority and makes it order workers to decode.
 func orderAll(t *testing.T, c *Controller, ids ...string) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); c.options.Authority.Acquire(context.Background()) != authority.Held; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the authority is never free")
+			t.Fatal("the authority could not be acquired within 10 s")
 		}
 	}
 	var orders []stageplan.Order
@@ -68,7 +68,7 @@
 	c.giveAll(context.Background(), Service{Name: "s", Switch: time.Second}, stageplan.NewRegionalPlanner(stageplan.DefaultPolicy()), orders)
 }
 
-// ordered lists the workers that got orders, and forgets them.
+// ordered returns the workers that got orders since the last call.
 func (b *harness) ordered() map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,9 +86,9 @@
 	b.status = status
 }
 
-// TestNextHolderWaitsForUnansweredOrders: the holder is lost after it sent an order that was
-// not answered; the next one orders other workers, and that one only once it shows the
-// stage. Orders that were answered hold nobody up.
+// TestNextHolderWaitsForUnansweredOrders: the holder fails after sending an order that was not
+// answered. The next one may order other workers, but that worker only once it shows the stage.
+// Answered orders delay nobody.
 func TestNextHolderWaitsForUnansweredOrders(t *testing.T) {
 	for _, example := range []struct {
 		name   string
@@ -103,7 +103,7 @@
 		b.setStatus(example.status)
 		orderAll(t, b.unfenced("a", b.store), "p1")
 		if !b.ordered()["p1"] {
-			t.Fatal("the first holder ordered nothing")
+			t.Fatal("the first holder sent no order")
 		}
 		b.setStatus(http.StatusOK)
 		orderAll(t, b.unfenced("b", b.store, example.decode...), "p1", "p2")
@@ -123,16 +123,17 @@
 	next := b.unfenced("b", b.store)
 	orderAll(t, next, "p1")
 	if got := b.ordered(); got["p1"] {
-		t.Error("the next holder orders a worker that may still carry out an order")
+		t.Error("the next holder ordered a worker that may still carry out an earlier order")
 	}
 	next.unanswered.restoredAt = time.Now().Add(-maxOrderDelay)
 	orderAll(t, next, "p1")
 	if got := b.ordered(); !got["p1"] {
-		t.Error("the next holder orders nothing for ever")
+		t.Error("the next holder sent no order after the wait")
 	}
 }
 
-// TestAnsweredOrderHoldsNoneUp: of this holder, who knows the answer.
+// TestAnsweredOrderHoldsNoneUp: the same holder, which knows the answer, may order the worker
+// again.
 func TestAnsweredOrderHoldsNoneUp(t *testing.T) {
 	for _, example := range []struct {
 		status int
@@ -151,12 +152,13 @@
 		engines := c.options.Fleet.Engines("s", time.Now())
 		c.unanswered.markChanging(c.options.Fleet, engines, time.Now())
 		if engines[0].Changing == example.free {
-			t.Errorf("answer %d: the planner is told that the worker may change: %v", example.status, engines[0].Changing)
+			t.Errorf("answer %d: the worker is marked as changing for the planner: %v", example.status, engines[0].Changing)
 		}
 	}
 }
 
-// TestUnansweredOrderIsForgottenInTime: it can't be carried out for ever.
+// TestUnansweredOrderIsForgottenInTime: an unanswered order is dropped once it can't be carried
+// out any more.
 func TestUnansweredOrderIsForgottenInTime(t *testing.T) {
 	b := newHarness(t)
 	b.setStatus(0)
@@ -164,15 +166,15 @@
 	orderAll(t, c, "p1")
 	c.unanswered.dropSettled(c.options.Fleet, time.Now())
 	if len(c.unanswered.orders) != 1 {
-		t.Error("forgotten at once")
+		t.Error("the order was dropped at once")
 	}
 	c.unanswered.dropSettled(c.options.Fleet, time.Now().Add(maxOrderDelay+time.Second))
 	if len(c.unanswered.orders) != 0 {
-		t.Error("never forgotten")
+		t.Error("the order was never dropped")
 	}
 }
 
-// TestNothingIsOrderedUnrecorded: while the store doesn't know of an order, it isn't sent.
+// TestNothingIsOrderedUnrecorded: an order that the store could not record is not sent.
 func TestNothingIsOrderedUnrecorded(t *testing.T) {
 	b := newHarness(t)
 	c := b.unfenced("a", b.store)
@@ -188,11 +190,11 @@
 	}
 	orderAll(t, c, "p2")
 	if !b.ordered()["p2"] {
-		t.Error("nothing is ordered after the store is back")
+		t.Error("no order after the store is available again")
 	}
 }
 
-// lateStore keeps one write of orders back, which may be carried out later.
+// lateStore holds back one write of orders, which the test carries out later.
 type lateStore struct {
 	*memorystore.Store
 	keep bool
@@ -207,7 +209,8 @@
 	return s.Store.Transact(ctx, transaction)
 }
 
-// TestLateRecordUndoesNothing: a record that was given up is carried out behind a newer one.
+// TestLateRecordUndoesNothing: a write of orders that was given up arrives after a newer one
+// and must not overwrite it.
 func TestLateRecordUndoesNothing(t *testing.T) {
 	b := newHarness(t)
 	b.setStatus(0)
@@ -219,7 +222,7 @@
 		t.Fatalf("ordered %v", got)
 	}
 	if _, done, err := b.store.Transact(context.Background(), store.late); done || err != nil {
-		t.Errorf("the older record was written over the newer: %v, %v", done, err)
+		t.Errorf("the older record overwrote the newer: %v, %v", done, err)
 	}
 	b.setStatus(http.StatusOK)
 	orderAll(t, b.unfenced("b", b.store), "p1", "p2")
