--- a/internal/fleetsize/basis.go
+++ b/internal/fleetsize/basis.go
@@ -48,7 +48,7 @@
 	}
 	condition, held := c.options.Authority.Condition()
 	if !held {
-		return eris.New("the authority lapsed before the basis was written")
+		return eris.New("the authority expired before the basis was written")
 	}
 	_, done, err := c.options.Store.Transact(callCtx, rowstore.Transaction{
 		Conditions: []rowstore.Condition{condition, {Table: table, Key: service.Name}},
--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -185,7 +185,7 @@
 	}
 	act, held := c.options.Authority.Begin(ctx, callTimeout)
 	if !held {
-		return eris.New("the authority lapsed before the order was sent")
+		return eris.New("the authority expired before the order was sent")
 	}
 	defer act.End()
 	verdict, err := c.options.API.OrderWorkers(act.Context, duty.LeaseToken{Holder: c.options.Node, Fence: act.Fence}, service.Name, kind, count)
