--- a/internal/rowstore/rowstore.go
+++ b/internal/rowstore/rowstore.go
@@ -1,5 +1,4 @@
-// Package rowstore has the types by which parts of a node write rows of the platform's
-// store under conditions.
+// Package rowstore defines the types for conditional writes to rows of the platform's store.
 package rowstore
 
 import (
@@ -8,24 +7,24 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrRestored tells that the store has come back from a copy during a call: whether what it did
-// was meant for this history isn't known.
-var ErrRestored = eris.New("the store has come back from a copy since the call began")
+// ErrRestored means that the store was restored from a backup during a call: it is unknown
+// whether the result belongs to the history that the caller meant.
+var ErrRestored = eris.New("the store was restored from a backup since the call began")
 
-// Condition is a version that a row must have, zero where there must be none. Versions are those
-// of tablefeed, in which the era of the store's history comes first.
+// Condition is the version that a row must have, zero if it must not exist. Versions are those
+// of tablefeed, which sort by the era of the store's history first.
 type Condition struct {
 	Table, Key string
 	Version    uint64
 }
 
-// Write is a row to be written, or to be removed where its value is nil.
+// Write is a row to write, or to remove if its value is nil.
 type Write struct {
 	Table, Key string
 	Value      []byte
 }
 
-// Transaction is carried out whole, or not at all where a condition doesn't hold.
+// Transaction is carried out atomically, or not at all if one of its conditions doesn't hold.
 type Transaction struct {
 	Conditions []Condition
 	Writes     []Write
@@ -33,29 +32,29 @@
 
 // Store is the part of the platform's store that transactions need.
 type Store interface {
-	// ReadRow returns a row's value and version; version zero means that there is none.
+	// ReadRow returns a row's value and version; version zero means that the row doesn't exist.
 	ReadRow(ctx context.Context, table, key string) (value []byte, version uint64, err error)
-	// Transact carries a transaction out, and returns the version that its rows have
-	// then. done is false where a condition did not hold. An error leaves open whether it
-	// was carried out.
+	// Transact carries out a transaction and returns the new version of its rows. done is false
+	// if a condition did not hold. After an error it is unknown whether the transaction was
+	// carried out.
 	Transact(ctx context.Context, transaction Transaction) (version uint64, done bool, err error)
-	// Era is the newest history of the store of which there was an answer. It rises when the
-	// store has come back from a copy: what was written after that copy is gone.
+	// Era returns the latest era of the store's history seen in an answer. It increases when
+	// the store is restored from a backup: all writes since that backup are lost.
 	Era() uint64
 }
 
-// Call is a call to the store that has ended, for metrics.
+// Call describes a finished call to the store, for metrics.
 type Call struct {
-	// Kind and Table tell what was asked for.
+	// Kind and Table tell what was requested.
 	Kind  CallKind
 	Table string
-	// Answered tells that the store did what was asked.
+	// Answered tells that the store did what was requested.
 	Answered bool
-	// Sent and Received are the bytes of the bodies.
+	// Sent and Received are the sizes of the bodies in bytes.
 	Sent, Received int
 }
 
-// CallKind is what a call does.
+// CallKind is the kind of a call to the store.
 type CallKind string
 
 // The kinds of calls.
