--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,34 +1,36 @@
-// Package duty has the types of acts on the platform's API that fall to one node at a
-// time.
+// Package duty defines the types for duties, that is, operations on the platform's API that
+// only one node at a time may carry out.
 package duty
 
 import "time"
 
-// TCPUserTimeout is how long the kernel goes on sending what a peer doesn't acknowledge, on
-// connections that carry acts. It ends them also while this process is frozen. It is
-// above three resends over the longest way (24 ms there and back between regions).
+// TCPUserTimeout is how long the kernel keeps retransmitting unacknowledged data on connections
+// that carry such operations. It aborts the connection after that, even while this process is
+// frozen. The time allows more than three retransmissions over the longest route (24 ms round
+// trip between regions).
 const TCPUserTimeout = time.Second
 
-// LeaseToken names the node that acts and the fence of its authority. A platform that compares
-// fences refuses a lower one than it has seen for the same duty. Before one that doesn't,
-// the caller's context ends with the authority, and nothing may leave after that.
+// LeaseToken names the node that holds the lease and the fence of the lease. It accompanies
+// each operation. A platform that compares fences refuses a lower fence than it has seen for
+// the same duty. With a platform that doesn't, the caller's context ends with the lease, and
+// nothing may be sent after that.
 type LeaseToken struct {
 	Holder string
 	Fence  uint64
 }
 
-// Verdict is what the platform's answer says.
+// Verdict is the outcome of an operation as given by the platform's answer.
 type Verdict string
 
-// The verdicts.
+// The outcomes of an operation.
 const (
-	// Accepted acts are carried out.
+	// Accepted operations are carried out.
 	Accepted Verdict = "accepted"
-	// Refused acts are not: the platform has seen a higher fence, or can't do what was
-	// asked for.
+	// Refused operations are not carried out: the platform has seen a higher fence, or can't do
+	// what was requested.
 	Refused Verdict = "refused"
-	// Throttled acts are not carried out either: too many calls came at once.
+	// Throttled operations are not carried out either: there were too many calls at once.
 	Throttled Verdict = "throttled"
-	// Unknown acts were not answered, and may be carried out later.
+	// Unknown operations were not answered, and may be carried out later.
 	Unknown Verdict = "unknown"
 )
