--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -14,22 +14,22 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// configuration puts the routes in force that the store holds.
-type configuration struct {
+// configConsumer puts the routes in force that the store holds.
+type configConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
 }
 
 // Reset implements tablefeed.Consumer.
-func (c *configuration) Reset(rows []tablefeed.Row, version tablefeed.Version) {
+func (c *configConsumer) Reset(rows []tablefeed.Row, version tablefeed.Version) {
 	if c.era.Advances(version) && !c.node.exchange.Large() { // in a large fleet the list that all follow shows it
-		c.node.storeRestored()
+		c.node.signalRestored()
 	}
 	c.Apply(rows, version)
 }
 
 // Apply implements tablefeed.Consumer.
-func (c *configuration) Apply(rows []tablefeed.Row, _ tablefeed.Version) {
+func (c *configConsumer) Apply(rows []tablefeed.Row, _ tablefeed.Version) {
 	for _, row := range rows {
 		if row.Gone {
 			continue
@@ -43,13 +43,13 @@
 		case !isRoutes:
 			continue
 		}
-		c.node.putInForce(table, row.Version)
+		c.node.activate(table, row.Version)
 	}
 }
 
 // Outlives implements tablefeed.Reviewer: a configuration that was in force stays so until the
 // operator writes it again.
-func (c *configuration) Outlives(held, given tablefeed.Row) bool {
+func (c *configConsumer) Outlives(held, given tablefeed.Row) bool {
 	before, isRoutes, err := c.node.platform.Routes(held)
 	if err != nil || !isRoutes {
 		return false
@@ -58,8 +58,8 @@
 	return given.Gone || err != nil || now.Version < before.Version
 }
 
-// putInForce makes a version of the routes the one that requests meet.
-func (n *Node) putInForce(table *routing.Table, rowVersion tablefeed.Version) {
+// activate makes a version of the routes the one that requests meet.
+func (n *Node) activate(table *routing.Table, rowVersion tablefeed.Version) {
 	if current := n.front.Table(); current != nil && table.Version < current.Version {
 		n.log.WithFields(logrus.Fields{"version": table.Version, "in_force": current.Version}).Warn("an older configuration was passed over")
 		return
@@ -80,16 +80,16 @@
 	}).Info("configuration in force")
 }
 
-// workers keeps the registry at what the store lists.
-type workers struct {
+// workerConsumer keeps the registry at what the store lists.
+type workerConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
 	// unreadable counts the entries that named no worker to use.
 	unreadable prometheus.Counter
 }
 
-func newWorkers(n *Node, metrics prometheus.Registerer) *workers {
-	w := &workers{node: n, unreadable: prometheus.NewCounter(prometheus.CounterOpts{
+func newWorkerConsumer(n *Node, metrics prometheus.Registerer) *workerConsumer {
+	w := &workerConsumer{node: n, unreadable: prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "tinarch_worker_entries_unreadable_total", Help: "Entries of workers that could not be read, each time that one came.",
 	})}
 	metrics.MustRegister(w.unreadable)
@@ -97,7 +97,7 @@
 }
 
 // Reset implements tablefeed.Consumer.
-func (w *workers) Reset(rows []tablefeed.Row, version tablefeed.Version) {
+func (w *workerConsumer) Reset(rows []tablefeed.Row, version tablefeed.Version) {
 	var listed []worker.Worker
 	unreadable := 0
 	for _, row := range rows {
@@ -111,8 +111,8 @@
 	if len(listed) > 0 {
 		w.node.workersKnown.Store(true)
 	}
-	w.drop(gone)
-	w.drop(w.node.registry.TakeEnded())
+	w.dropConnections(gone)
+	w.dropConnections(w.node.registry.TakeEnded())
 	w.node.log.WithFields(logrus.Fields{
 		"version": version, "workers": len(listed), "unreadable": unreadable, "added": len(added), "gone": len(gone), "first_gone": firstOf(gone),
 		"doubted": len(doubted), "first_doubted": firstOf(doubted),
@@ -123,7 +123,7 @@
 const missedHeartbeats = 4
 
 // replace sets the whole list as of a version.
-func (w *workers) replace(listed []worker.Worker, version tablefeed.Version) (added, gone, doubted []string) {
+func (w *workerConsumer) replace(listed []worker.Worker, version tablefeed.Version) (added, gone, doubted []string) {
 	if !w.era.Advances(version) || !w.node.workersKnown.Load() {
 		added, gone = w.node.registry.Replace(listed)
 		return added, gone, nil
@@ -134,7 +134,7 @@
 
 // Outlives implements tablefeed.Reviewer: a start of a worker that has said it drains doesn't
 // take that back.
-func (w *workers) Outlives(held, given tablefeed.Row) bool {
+func (w *workerConsumer) Outlives(held, given tablefeed.Row) bool {
 	before, err := w.node.platform.Worker(held)
 	if err != nil || !before.Draining || given.Gone {
 		return false
@@ -144,7 +144,7 @@
 }
 
 // Apply implements tablefeed.Consumer.
-func (w *workers) Apply(rows []tablefeed.Row, version tablefeed.Version) {
+func (w *workerConsumer) Apply(rows []tablefeed.Row, version tablefeed.Version) {
 	unreadable, logged := 0, 0
 	for _, row := range rows {
 		change := worker.Change{Name: row.Key}
@@ -160,7 +160,7 @@
 		}
 		changed := w.node.registry.Apply(change)
 		ended := w.node.registry.TakeEnded()
-		w.drop(ended)
+		w.dropConnections(ended)
 		if !changed {
 			continue
 		}
@@ -182,14 +182,14 @@
 // change in.
 const maxLoggedChanges = 20
 
-// drop closes the connections to workers that have ended.
-func (w *workers) drop(ended []string) {
+// dropConnections closes the connections to workers that have ended.
+func (w *workerConsumer) dropConnections(ended []string) {
 	for _, id := range ended {
 		w.node.pool.CloseIdle(id)
 	}
 }
 
-func (w *workers) log(change worker.Change, ended []string, version tablefeed.Version) {
+func (w *workerConsumer) log(change worker.Change, ended []string, version tablefeed.Version) {
 	fields := logrus.Fields{
 		"worker": change.Name, "version": version, "gone": change.Worker == nil, "unreadable": change.Unreadable,
 		"ended": ended, // an earlier start of the worker
@@ -209,7 +209,7 @@
 const maxLoggedEntries = 3
 
 // read reads an entry. before is how many of the same change could not be read.
-func (w *workers) read(row tablefeed.Row, before int) (worker.Worker, bool) {
+func (w *workerConsumer) read(row tablefeed.Row, before int) (worker.Worker, bool) {
 	read, err := w.node.platform.Worker(row)
 	if err == nil {
 		return read, true
@@ -229,4 +229,4 @@
 	return ids[0]
 }
 
-func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
+func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
--- a/internal/serving/fleet.go
+++ b/internal/serving/fleet.go
@@ -9,8 +9,8 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// orderWorkers starts the controller of fleet sizes where the platform takes orders.
-func (n *Node) orderWorkers(ctx context.Context, metrics *prometheus.Registry) {
+// startFleetControl starts the controller of fleet sizes where the platform takes orders.
+func (n *Node) startFleetControl(ctx context.Context, metrics *prometheus.Registry) {
 	if !n.settings.API.Has(settings.DutyScale) {
 		return
 	}
--- a/internal/serving/limits.go
+++ b/internal/serving/limits.go
@@ -29,11 +29,11 @@
 	changes *prometheus.CounterVec
 
 	mu     sync.Mutex
-	logged map[string]limitLogged
+	logged map[string]limitLogEntry
 }
 
-// limitLogged is when a line was written on a worker, and how many changes had none since.
-type limitLogged struct {
+// limitLogEntry is when a line was written on a worker, and how many changes had none since.
+type limitLogEntry struct {
 	at         time.Time
 	passedOver int
 }
@@ -48,7 +48,7 @@
 // watchLimits has the changes of workers' limits logged and counted.
 func (n *Node) watchLimits(registry prometheus.Registerer) {
 	l := &limitLog{
-		log: n.log, logged: make(map[string]limitLogged),
+		log: n.log, logged: make(map[string]limitLogEntry),
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "tinarch_worker_limit_changes_total", Help: "Changes of what workers take in a second, as this node learned them.",
 		}, []string{"change"}),
@@ -93,14 +93,14 @@
 		l.logged[id] = before
 		return 0, false
 	}
-	l.forget(now)
-	l.logged[id] = limitLogged{at: now}
+	l.prune(now)
+	l.logged[id] = limitLogEntry{at: now}
 	return before.passedOver, true
 }
 
-// forget drops the workers on which there is nothing more to say, and those that have named
+// prune drops the workers on which there is nothing more to say, and those that have named
 // nothing for long: they may have ended.
-func (l *limitLog) forget(now time.Time) {
+func (l *limitLog) prune(now time.Time) {
 	for id, last := range l.logged {
 		age := now.Sub(last.at)
 		if age >= limitLogEvery && last.passedOver == 0 || age >= limitLogLife {
--- a/internal/serving/limits_test.go
+++ b/internal/serving/limits_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestLimitLogForgetsWorkersThatHaveEnded(t *testing.T) {
-	l := &limitLog{logged: make(map[string]limitLogged)}
+	l := &limitLog{logged: make(map[string]limitLogEntry)}
 	begin := time.Unix(1000, 0)
 	l.due("w", begin)
 	l.due("w", begin)
--- a/internal/serving/listing.go
+++ b/internal/serving/listing.go
@@ -20,10 +20,10 @@
 // its name alone, and doesn't follow the table.
 const nodesTable = "nodes"
 
-// zoneEnd ends the zone in a row's key, and afterZone is the character after it.
+// zoneSeparator ends the zone in a row's key, and afterSeparator is the character after it.
 const (
-	zoneEnd   = "/"
-	afterZone = "0"
+	zoneSeparator  = "/"
+	afterSeparator = "0"
 )
 
 // nodeRow is the value of such a row.
@@ -36,18 +36,18 @@
 const (
 	callTimeout = time.Second
 	callPause   = 300 * time.Millisecond
-	// longestPause is that between calls which fail: a store takes rows one after the
+	// maxPause is that between calls which fail: a store takes rows one after the
 	// other, and those of a thousand nodes that start together take it five seconds.
-	longestPause = 2400 * time.Millisecond
+	maxPause = 2400 * time.Millisecond
 )
 
 // rowKey is that of this node's row.
-func (n *Node) rowKey() string { return n.settings.Node.Zone + zoneEnd + n.settings.Node.Name }
+func (n *Node) rowKey() string { return n.settings.Node.Zone + zoneSeparator + n.settings.Node.Name }
 
-// maxWholeList is the number of nodes up to which a node that starts reads the whole list:
+// maxFullList is the number of nodes up to which a node that starts reads the whole list:
 // more than greet each other. In a larger fleet it reads the rows of its zone, and follows
 // the list as the other tables.
-const maxWholeList = 40
+const maxFullList = 40
 
 // announce reads which nodes the store lists, and writes this node's row where the list
 // lacks it; then it reads again, so that of two nodes that start at once at least one knows
@@ -58,7 +58,7 @@
 	if n.settings.Node.FirstStart {
 		n.writeRow(ctx)
 	}
-	for pause := callPause; ctx.Err() == nil; pause = min(2*pause, longestPause) {
+	for pause := callPause; ctx.Err() == nil; pause = min(2*pause, maxPause) {
 		listed, read := n.listNodes(ctx)
 		if read && !listed && n.writeRow(ctx) {
 			listed, _ = n.listNodes(ctx)
@@ -72,18 +72,18 @@
 
 // writeRow writes this node's row.
 func (n *Node) writeRow(ctx context.Context) bool {
-	value, err := json.Marshal(nodeRow{Incarnation: n.identity, Exchange: n.settings.Listen.Exchange, Zone: n.settings.Node.Zone})
+	value, err := json.Marshal(nodeRow{Incarnation: n.incarnation, Exchange: n.settings.Listen.Exchange, Zone: n.settings.Node.Zone})
 	if err != nil {
 		n.log.WithError(err).Error("this node's row can't be rendered")
 		return false
 	}
-	return n.called(ctx, "announce itself", func(ctx context.Context) error {
+	return n.tryCall(ctx, "announce itself", func(ctx context.Context) error {
 		return n.platform.Put(ctx, nodesTable, n.rowKey(), value)
 	})
 }
 
-// called makes a call to the store, and reports whether it was done.
-func (n *Node) called(ctx context.Context, what string, call func(ctx context.Context) error) bool {
+// tryCall makes a call to the store, and reports whether it was done.
+func (n *Node) tryCall(ctx context.Context, what string, call func(ctx context.Context) error) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := call(callCtx)
@@ -96,23 +96,23 @@
 // listNodes tells the exchange of the nodes that the store lists, in a large fleet of those
 // of this zone. It reports whether the store answered, and whether this node is one of them.
 func (n *Node) listNodes(ctx context.Context) (listed, read bool) {
-	read = n.called(ctx, "read the list of nodes", func(ctx context.Context) error {
-		rows, more, err := n.platform.ReadSome(ctx, nodesTable, maxWholeList)
+	read = n.tryCall(ctx, "read the list of nodes", func(ctx context.Context) error {
+		rows, more, err := n.platform.ReadSome(ctx, nodesTable, maxFullList)
 		if err != nil {
 			return err
 		}
 		if more {
 			zone := n.settings.Node.Zone
-			rows, _, err = n.platform.ReadRange(ctx, nodesTable, zone+zoneEnd, zone+afterZone)
+			rows, _, err = n.platform.ReadRange(ctx, nodesTable, zone+zoneSeparator, zone+afterSeparator)
 		}
 		if err != nil {
 			return err
 		}
 		peers := n.listedPeers(rows)
-		listed = n.isAmong(peers)
+		listed = n.includesSelf(peers)
 		if more {
 			n.exchange.AddZonePeers(peers)
-			n.isLarge()
+			n.markLarge()
 		} else {
 			n.exchange.AddPeers(peers)
 		}
@@ -121,22 +121,22 @@
 	return listed, read
 }
 
-// isLarge records that the fleet is large.
-func (n *Node) isLarge() { n.largeOnce.Do(func() { close(n.large) }) }
+// markLarge records that the fleet is large.
+func (n *Node) markLarge() { n.largeOnce.Do(func() { close(n.large) }) }
 
-// isAmong reports whether a list holds this node.
-func (n *Node) isAmong(peers []nodeexchange.Peer) bool {
+// includesSelf reports whether a list holds this node.
+func (n *Node) includesSelf(peers []nodeexchange.Peer) bool {
 	return slices.ContainsFunc(peers, func(p nodeexchange.Peer) bool { return p.Address.String() == n.exchange.Address() })
 }
 
-// largeLook is the time between two looks whether the fleet has grown large.
-const largeLook = time.Second
+// largeCheckEvery is the time between two looks whether the fleet has grown large.
+const largeCheckEvery = time.Second
 
 // followNodes follows the list of nodes once the fleet is large, until ctx ends: in a smaller
 // one nodes greet each other, and need not pay for calls to the store. Another node that
 // follows it, and asks for it or tells of it, has this one follow it too.
 func (n *Node) followNodes(ctx context.Context) {
-	ticker := time.NewTicker(largeLook)
+	ticker := time.NewTicker(largeCheckEvery)
 	defer ticker.Stop()
 	for large := false; !large; {
 		select {
@@ -176,7 +176,7 @@
 	address, err := netip.ParseAddrPort(value.Exchange)
 	return nodeexchange.Peer{
 		Node: value.Incarnation, Address: address, Zone: value.Zone,
-		Listed: uint64(row.Version), Unaware: !strings.Contains(row.Key, zoneEnd),
+		Listed: uint64(row.Version), Unaware: !strings.Contains(row.Key, zoneSeparator),
 	}, err
 }
 
@@ -189,8 +189,8 @@
 	}
 }
 
-// members keeps the exchange's peers at what the store lists.
-type members struct {
+// nodeConsumer keeps the exchange's peers at what the store lists.
+type nodeConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
 	// addresses are those of the rows, by their keys.
@@ -198,18 +198,18 @@
 }
 
 // Reset implements tablefeed.Consumer.
-func (m *members) Reset(rows []tablefeed.Row, version tablefeed.Version) {
+func (m *nodeConsumer) Reset(rows []tablefeed.Row, version tablefeed.Version) {
 	m.addresses = make(map[string]netip.AddrPort, len(rows))
 	peers := m.read(rows)
-	if m.era.Advances(version) && !m.node.isAmong(peers) {
-		m.node.storeRestored()
+	if m.era.Advances(version) && !m.node.includesSelf(peers) {
+		m.node.signalRestored()
 	}
 	m.node.exchange.ReplacePeers(peers, time.Now())
 	m.node.log.WithFields(logrus.Fields{"version": version, "nodes": len(peers)}).Info("list of nodes read")
 }
 
 // Apply implements tablefeed.Consumer.
-func (m *members) Apply(rows []tablefeed.Row, version tablefeed.Version) {
+func (m *nodeConsumer) Apply(rows []tablefeed.Row, version tablefeed.Version) {
 	for _, row := range rows {
 		if !row.Gone {
 			m.node.exchange.AddPeers(m.read([]tablefeed.Row{row}))
@@ -217,7 +217,7 @@
 		}
 		address, known := m.addresses[row.Key]
 		delete(m.addresses, row.Key)
-		if known && !m.holds(address) {
+		if known && !m.hasAddress(address) {
 			m.node.exchange.WithdrawPeers([]netip.AddrPort{address})
 			m.node.log.WithFields(logrus.Fields{"row": row.Key, "version": version}).Info("a node was taken off the list")
 		}
@@ -225,7 +225,7 @@
 }
 
 // read reads rows, and remembers their addresses.
-func (m *members) read(rows []tablefeed.Row) []nodeexchange.Peer {
+func (m *nodeConsumer) read(rows []tablefeed.Row) []nodeexchange.Peer {
 	peers := m.node.listedPeers(rows)
 	for _, row := range rows {
 		if peer, err := listedPeer(row); err == nil {
@@ -235,8 +235,8 @@
 	return peers
 }
 
-// holds reports whether another row has an address too, as of a build before.
-func (m *members) holds(address netip.AddrPort) bool {
+// hasAddress reports whether another row has an address too, as of a build before.
+func (m *nodeConsumer) hasAddress(address netip.AddrPort) bool {
 	for _, other := range m.addresses {
 		if other == address {
 			return true
--- a/internal/serving/metrics.go
+++ b/internal/serving/metrics.go
@@ -49,9 +49,9 @@
 	return "no"
 }
 
-// watchTables serves the version of the configuration in force, and how old what this node
+// registerTableMetrics serves the version of the configuration in force, and how old what this node
 // knows of each table is.
-func (n *Node) watchTables(registry prometheus.Registerer) {
+func (n *Node) registerTableMetrics(registry prometheus.Registerer) {
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "tinarch_configuration_version", Help: "Version of the configuration in force, zero before the first.",
 	}, func() float64 { return float64(n.RoutesVersion()) }))
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -87,9 +87,9 @@
 	maxHeader = 64 << 10
 	// stopMargin is left of a planned stop's time for the process to end.
 	stopMargin = 700 * time.Millisecond
-	// unlistedFor is how long a stopping node goes on accepting, so that the
+	// unreadyFor is how long a stopping node goes on accepting, so that the
 	// platform has asked twice and sends nobody here any more.
-	unlistedFor = 2600 * time.Millisecond
+	unreadyFor = 2600 * time.Millisecond
 )
 
 // Node is one running node.
@@ -128,45 +128,45 @@
 	tally     *usage.Tally
 	collector *usage.Collector
 
-	identity string
-	cancel   context.CancelFunc
-	work     sync.WaitGroup
+	incarnation string
+	cancel      context.CancelFunc
+	work        sync.WaitGroup
 }
 
 // Start starts a node. It returns once its ports are open.
 func Start(configured settings.Routed, platform Platform, log *logrus.Logger) (*Node, error) {
 	n := &Node{
-		settings: configured,
-		log:      log,
-		platform: platform,
-		registry: worker.NewRegistry(placesOf(configured)),
-		pool:     workerconn.NewPool(),
-		large:    make(chan struct{}),
-		restored: make(chan struct{}, 1),
-		identity: string(engine.NewIdentifier())[:incarnationDigits],
+		settings:    configured,
+		log:         log,
+		platform:    platform,
+		registry:    worker.NewRegistry(topologyOf(configured)),
+		pool:        workerconn.NewPool(),
+		large:       make(chan struct{}),
+		restored:    make(chan struct{}, 1),
+		incarnation: string(engine.NewIdentifier())[:incarnationDigits],
 	}
 	metrics := prometheus.NewRegistry()
 	countCalls(platform, metrics, log)
-	exchange, err := nodeexchange.Listen(configured.Listen.Exchange, n.identity, configured.Node.Zone, n.registry, log)
+	exchange, err := nodeexchange.Listen(configured.Listen.Exchange, n.incarnation, configured.Node.Zone, n.registry, log)
 	if err != nil {
 		return nil, err
 	}
 	n.exchange = exchange
-	exchange.SetTopology(placesOf(configured))
+	exchange.SetTopology(topologyOf(configured))
 	exchange.SetMetrics(nodeexchange.NewMetrics(metrics))
 	n.watchLimits(metrics)
 	n.pool.SetMonitor(notices.New(notices.Options{
 		Registry: n.registry, Read: platform.Notice, Log: log, Metrics: metrics,
-		ListAge: func() time.Duration { return n.knowledge().WorkersAge },
+		ListAge: func() time.Duration { return n.freshness().WorkersAge },
 	}))
-	n.countUsage()
-	quotas := n.keepQuotas(metrics)
+	n.setUpUsage()
+	quotas := n.newQuotas(metrics)
 	n.shareTables()
-	n.configurationFeed = n.newFeed(platform.ConfigurationTable(), &configuration{node: n})
-	n.workersFeed = n.newFeed(platform.WorkerTable(), newWorkers(n, metrics))
-	n.nodesFeed = n.newFeed(nodesTable, &members{node: n})
-	n.keepQuarantine(metrics)
-	n.watchTables(metrics)
+	n.configurationFeed = n.newFeed(platform.ConfigurationTable(), &configConsumer{node: n})
+	n.workersFeed = n.newFeed(platform.WorkerTable(), newWorkerConsumer(n, metrics))
+	n.nodesFeed = n.newFeed(nodesTable, &nodeConsumer{node: n})
+	n.setUpQuarantine(metrics)
+	n.registerTableMetrics(metrics)
 	n.front = ingress.New(ingress.Options{
 		Parser: platform, Runner: n.dispatcher(metrics, quotas), Log: log, Metrics: ingress.NewMetrics(metrics),
 		ConfigurationAge: n.configurationAge, ConfigurationBehind: n.configurationBehind, Quotas: quotas,
@@ -175,15 +175,15 @@
 		return nil, err
 	}
 	n.authority = authority.New(authority.Options{
-		Self: n.identity, Life: settings.Milliseconds(configured.Bounds.LeaseMillis),
+		Self: n.incarnation, Life: settings.Milliseconds(configured.Bounds.LeaseMillis),
 		Store: platform, Log: log, StepBack: exchange.StepBack,
 		Unfenced: !configured.Bounds.Fencing,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	n.follow(ctx, metrics)
+	n.startBackground(ctx, metrics)
 	log.WithFields(logrus.Fields{
-		"node": configured.Node.Name, "incarnation": n.identity, "zone": configured.Node.Zone,
+		"node": configured.Node.Name, "incarnation": n.incarnation, "zone": configured.Node.Zone,
 		"callers": configured.Listen.Callers, "store": configured.Store.Address,
 	}).Info("started")
 	return n, nil
@@ -191,8 +191,8 @@
 
 const incarnationDigits = 12
 
-// placesOf are the zones and regions as this node sees them.
-func placesOf(configured settings.Routed) topology.Map {
+// topologyOf are the zones and regions as this node sees them.
+func topologyOf(configured settings.Routed) topology.Map {
 	return topology.New(configured.Node.Zone, configured.Zones)
 }
 
@@ -208,7 +208,7 @@
 		Began: began, Repeated: n.exchange.RecordQuotaCharge, Returned: quotas.Return,
 		Registry: n.registry, Scheduler: scheduling.New(costs),
 		Pool: n.pool, Wire: n.platform, Log: n.log, Metrics: dispatch.NewMetrics(metrics),
-		Nodes: n.exchange.Nodes, LoadReports: n.exchange, Freshness: n.knowledge, Quarantine: n.quarantine, Turns: n.exchange,
+		Nodes: n.exchange.Nodes, LoadReports: n.exchange, Freshness: n.freshness, Quarantine: n.quarantine, Turns: n.exchange,
 		Retries: retry.Limits{
 			Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack,
 			Window: settings.Milliseconds(bounds.RetryWindowMillis),
@@ -219,7 +219,7 @@
 func (n *Node) listen(metrics *prometheus.Registry) error {
 	n.callers = &http.Server{
 		Handler: n.front, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeader, ErrorLog: quietLog(),
+		MaxHeaderBytes: maxHeader, ErrorLog: discardLog(),
 	}
 	readiness := chi.NewRouter()
 	readiness.Get(n.platform.ReadinessPath(), n.serveReadiness)
@@ -232,7 +232,7 @@
 		{n.settings.Listen.Callers, n.callers},
 		{n.settings.Listen.Readiness, &http.Server{Handler: readiness, ReadHeaderTimeout: headerTimeout}},
 		{n.settings.Listen.Metrics, &http.Server{Handler: figures, ReadHeaderTimeout: headerTimeout}},
-		{n.settings.Listen.Exchange, &http.Server{Handler: n.tables.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: quietLog()}},
+		{n.settings.Listen.Exchange, &http.Server{Handler: n.tables.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: discardLog()}},
 	} {
 		listener, err := net.Listen("tcp4", port.address)
 		if err != nil {
@@ -255,8 +255,8 @@
 	}
 }
 
-// knowledge tells how old what decides requests is.
-func (n *Node) knowledge() dispatch.Freshness {
+// freshness tells how old what decides requests is.
+func (n *Node) freshness() dispatch.Freshness {
 	word, _ := n.workersFeed.Word()
 	return dispatch.Freshness{
 		Workers: uint64(word.Confirmed), WorkersAge: time.Since(word.At), DigestAge: n.exchange.OldestDigest(),
@@ -297,19 +297,19 @@
 	n.exchange.SetTableCoordinator(n.board)
 	n.tables = tableshare.NewServer(tablerelay.Freshness, func(table string) {
 		if table == nodesTable {
-			n.isLarge()
+			n.markLarge()
 		}
 	})
 	n.board.SetFetcher(tableshare.NewClient(n.exchange, n.tables, workerconn.DialStore, n.log))
 }
 
-// follow starts the feeds of the platform's tables and the exchange.
-func (n *Node) follow(ctx context.Context, metrics *prometheus.Registry) {
+// startBackground starts the feeds of the platform's tables and the exchange.
+func (n *Node) startBackground(ctx context.Context, metrics *prometheus.Registry) {
 	for _, feed := range []*tablefeed.Feed{n.configurationFeed, n.workersFeed, n.quarantineFeed} {
 		n.work.Go(func() { feed.Run(ctx) })
 	}
 	n.work.Go(func() { n.exchange.Run(ctx) })
-	n.work.Go(func() { n.stayListed(ctx) })
+	n.work.Go(func() { n.keepListed(ctx) })
 	n.work.Go(func() { n.followNodes(ctx) })
 	n.work.Go(func() { n.pruneNodes(ctx) })
 	n.work.Go(func() { n.saveQuarantine(ctx) })
@@ -317,9 +317,9 @@
 	n.work.Go(func() { n.warmUp(ctx) })
 	n.work.Go(func() { n.probeLimits(ctx) })
 	n.watchSuspensions(ctx, metrics)
-	n.work.Go(func() { n.controller().Run(ctx) })
-	n.reportUsage(ctx, metrics)
-	n.orderWorkers(ctx, metrics)
+	n.work.Go(func() { n.stageController().Run(ctx) })
+	n.startUsageReporter(ctx, metrics)
+	n.startFleetControl(ctx, metrics)
 }
 
 // Stop ends the node as planned: it says that it takes no callers, goes on
@@ -332,7 +332,7 @@
 	n.log.WithFields(logrus.Fields{"reason": reason, "active": n.front.Active()}).Info("stopping")
 	n.work.Go(func() { n.authority.Release(context.Background()) })
 	n.withdraw()
-	time.Sleep(time.Until(begun.Add(unlistedFor)))
+	time.Sleep(time.Until(begun.Add(unreadyFor)))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := n.callers.Shutdown(ctx); err != nil {
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -20,35 +20,35 @@
 
 // The figures of saving.
 const (
-	// saveStep is by how much later a node saves than the one that comes before it in the
+	// saveDelayStep is by how much later a node saves than the one that comes before it in the
 	// table's ranking, up to saveLatest: where that one does, the others have nothing to save.
-	saveStep   = 200 * time.Millisecond
-	saveLatest = time.Second
+	saveDelayStep = 200 * time.Millisecond
+	maxSaveDelay  = time.Second
 	// savePause is the time between two transactions of a node, and maxSaved bounds the rows
 	// of one.
-	savePause = 200 * time.Millisecond
-	maxSaved  = 50
+	savePause      = 200 * time.Millisecond
+	maxRowsPerSave = 50
 	// expireEvery is the time between two looks for what is old: a sixtieth of the shortest
 	// time for which anything is kept.
 	expireEvery = time.Minute
 )
 
-// keepQuarantine makes the keeper of requests under which workers end.
-func (n *Node) keepQuarantine(metrics prometheus.Registerer) {
+// setUpQuarantine makes the keeper of requests under which workers end.
+func (n *Node) setUpQuarantine(metrics prometheus.Registerer) {
 	n.quarantine = quarantine.NewManager(n.exchange.ChosenForTrial, n.log)
 	n.quarantine.Register(metrics)
 	n.exchange.SetQuarantine(n.quarantine)
-	n.quarantineFeed = n.newFeed(quarantineTable, &quarantined{node: n})
+	n.quarantineFeed = n.newFeed(quarantineTable, &quarantineConsumer{node: n})
 }
 
-// quarantined has the keeper know what the store holds.
-type quarantined struct {
+// quarantineConsumer has the keeper know what the store holds.
+type quarantineConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
 }
 
 // Reset implements tablefeed.Consumer.
-func (q *quarantined) Reset(rows []tablefeed.Row, version tablefeed.Version) {
+func (q *quarantineConsumer) Reset(rows []tablefeed.Row, version tablefeed.Version) {
 	q.Apply(rows, version)
 	held := make(map[quarantine.Fingerprint]bool, len(rows))
 	for _, row := range rows {
@@ -64,7 +64,7 @@
 }
 
 // Apply implements tablefeed.Consumer.
-func (q *quarantined) Apply(rows []tablefeed.Row, version tablefeed.Version) {
+func (q *quarantineConsumer) Apply(rows []tablefeed.Row, version tablefeed.Version) {
 	for _, row := range rows {
 		if err := q.apply(row, version); err != nil {
 			q.node.log.WithFields(logrus.Fields{"row": row.Key, "row_version": row.Version, "cause": err.Error()}).
@@ -73,7 +73,7 @@
 	}
 }
 
-func (q *quarantined) apply(row tablefeed.Row, version tablefeed.Version) error {
+func (q *quarantineConsumer) apply(row tablefeed.Row, version tablefeed.Version) error {
 	request, err := quarantine.ParseFingerprint(row.Key)
 	if err != nil {
 		return err
@@ -99,10 +99,10 @@
 			return
 		case <-n.quarantine.UnsavedSignal():
 		}
-		wait := min(time.Duration(n.exchange.Place(quarantineTable))*saveStep, saveLatest)
+		wait := min(time.Duration(n.exchange.Place(quarantineTable))*saveDelayStep, maxSaveDelay)
 		for len(n.quarantine.Unsaved()) > 0 && sleepFor(ctx, wait) {
 			wait = savePause
-			if !n.saveSome(ctx) {
+			if !n.saveBatch(ctx) {
 				wait = n.board.MaxBackoff(quarantineTable) // each call is paid for, also while the store is down
 			}
 		}
@@ -121,10 +121,10 @@
 	}
 }
 
-// saveSome writes some of what is unsaved. It reports whether the store took it.
-func (n *Node) saveSome(ctx context.Context) bool {
+// saveBatch writes some of what is unsaved. It reports whether the store took it.
+func (n *Node) saveBatch(ctx context.Context) bool {
 	unsaved := n.quarantine.Unsaved()
-	unsaved = unsaved[:min(len(unsaved), maxSaved)]
+	unsaved = unsaved[:min(len(unsaved), maxRowsPerSave)]
 	if len(unsaved) == 0 {
 		return true
 	}
@@ -138,7 +138,7 @@
 		transaction.Writes = append(transaction.Writes, rowstore.Write{Table: quarantineTable, Key: record.Fingerprint.String(), Value: value})
 	}
 	var version uint64
-	saved := n.called(ctx, "save the quarantine", func(ctx context.Context) (err error) {
+	saved := n.tryCall(ctx, "save the quarantine", func(ctx context.Context) (err error) {
 		version, _, err = n.platform.Transact(ctx, transaction)
 		return err
 	})
@@ -160,10 +160,10 @@
 			continue
 		}
 		var transaction rowstore.Transaction
-		for _, request := range old[:min(len(old), maxSaved)] {
+		for _, request := range old[:min(len(old), maxRowsPerSave)] {
 			transaction.Writes = append(transaction.Writes, rowstore.Write{Table: quarantineTable, Key: request.String()})
 		}
-		n.called(ctx, "take old rows out of the quarantine", func(ctx context.Context) error {
+		n.tryCall(ctx, "take old rows out of the quarantine", func(ctx context.Context) error {
 			_, _, err := n.platform.Transact(ctx, transaction)
 			return err
 		})
--- a/internal/serving/quota.go
+++ b/internal/serving/quota.go
@@ -27,8 +27,8 @@
 	verdictPrivateRefused = "private_refused"
 )
 
-// keepQuotas has the exchange keep the tenants' quotas.
-func (n *Node) keepQuotas(registry prometheus.Registerer) *quotas {
+// newQuotas has the exchange keep the tenants' quotas.
+func (n *Node) newQuotas(registry prometheus.Registerer) *quotas {
 	configured := n.settings.Quota
 	n.exchange.SetQuota(quota.Tolerance{
 		Window: seconds(configured.WindowSeconds), Overshoot: configured.Overshoot, Slack: configured.Slack,
--- a/internal/serving/roster.go
+++ b/internal/serving/roster.go
@@ -19,27 +19,27 @@
 // the time for which they have been silent (digest.departedAfter) and more.
 const pruneEvery = 10 * time.Second
 
-// rosterStore is the part of the platform's store that the list of nodes needs.
-type rosterStore interface {
+// nodeListStore is the part of the platform's store that the list of nodes needs.
+type nodeListStore interface {
 	Read(ctx context.Context, table string) ([]tablefeed.Row, tablefeed.Version, error)
 	Transact(ctx context.Context, transaction rowstore.Transaction) (version uint64, done bool, err error)
 }
 
-// restoredSpread is the time over which the nodes look after a restore of the store whether it
+// relistSpread is the time over which the nodes look after a restore of the store whether it
 // still lists them.
-const restoredSpread = 2 * time.Second
+const relistSpread = 2 * time.Second
 
-// storeRestored has this node look whether the store still lists it.
-func (n *Node) storeRestored() {
+// signalRestored has this node look whether the store still lists it.
+func (n *Node) signalRestored() {
 	select {
 	case n.restored <- struct{}{}:
 	default:
 	}
 }
 
-// stayListed writes this node's row, again where it was taken away though the node lives, or
+// keepListed writes this node's row, again where it was taken away though the node lives, or
 // lost by the store.
-func (n *Node) stayListed(ctx context.Context) {
+func (n *Node) keepListed(ctx context.Context) {
 	n.announce(ctx)
 	for {
 		select {
@@ -48,7 +48,7 @@
 		case <-n.exchange.Unlisted():
 			n.announce(ctx)
 		case <-n.restored:
-			if sleepFor(ctx, rand.N(restoredSpread)) {
+			if sleepFor(ctx, rand.N(relistSpread)) {
 				n.announce(ctx)
 			}
 		}
@@ -69,14 +69,14 @@
 		}
 		gone := n.exchange.DepartedPeers(time.Now())
 		if len(gone) > 0 {
-			gone = n.unlist(ctx, gone)
+			gone = n.unlistNodes(ctx, gone)
 		}
 		n.exchange.DropPeers(gone, time.Now())
 	}
 }
 
-// unlist takes nodes out of the store's list, and returns those that are not in it.
-func (n *Node) unlist(ctx context.Context, gone []netip.AddrPort) []netip.AddrPort {
+// unlistNodes takes nodes out of the store's list, and returns those that are not in it.
+func (n *Node) unlistNodes(ctx context.Context, gone []netip.AddrPort) []netip.AddrPort {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	unlisted, err := removeRows(callCtx, n.platform, gone)
@@ -91,7 +91,7 @@
 
 // removeRows removes the rows of nodes at these addresses. A row that was written anew
 // meanwhile stays. It returns the addresses that no row has any more.
-func removeRows(ctx context.Context, store rosterStore, gone []netip.AddrPort) ([]netip.AddrPort, error) {
+func removeRows(ctx context.Context, store nodeListStore, gone []netip.AddrPort) ([]netip.AddrPort, error) {
 	rows, _, err := store.Read(ctx, nodesTable)
 	if err != nil {
 		return nil, eris.Wrap(err, "the list of nodes can't be read")
@@ -116,7 +116,7 @@
 }
 
 // removeRow removes a row as it was read.
-func removeRow(ctx context.Context, store rosterStore, row tablefeed.Row) (done bool, err error) {
+func removeRow(ctx context.Context, store nodeListStore, row tablefeed.Row) (done bool, err error) {
 	_, done, err = store.Transact(ctx, rowstore.Transaction{
 		Conditions: []rowstore.Condition{{Table: nodesTable, Key: row.Key, Version: uint64(row.Version)}},
 		Writes:     []rowstore.Write{{Table: nodesTable, Key: row.Key}},
--- a/internal/serving/roster_test.go
+++ b/internal/serving/roster_test.go
@@ -18,8 +18,8 @@
 	newAddress = netip.MustParseAddrPort("10.0.0.2:7000")
 )
 
-// write puts a node's row.
-func write(t *testing.T, store rosterStore, name string, address netip.AddrPort) {
+// putNodeRow puts a node's row.
+func putNodeRow(t *testing.T, store nodeListStore, name string, address netip.AddrPort) {
 	t.Helper()
 	value, err := json.Marshal(nodeRow{Incarnation: name, Exchange: address.String(), Zone: "a"})
 	if err != nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-func names(t *testing.T, store rosterStore) []string {
+func listedKeys(t *testing.T, store nodeListStore) []string {
 	t.Helper()
 	rows, _, err := store.Read(context.Background(), nodesTable)
 	if err != nil {
@@ -48,21 +48,21 @@
 // TestRowOfADepartedNodeIsRemoved, and no other.
 func TestRowOfADepartedNodeIsRemoved(t *testing.T) {
 	store := memorystore.New()
-	write(t, store, "gone", oldAddress)
-	write(t, store, "replacement", newAddress)
+	putNodeRow(t, store, "gone", oldAddress)
+	putNodeRow(t, store, "replacement", newAddress)
 	unlisted, err := removeRows(context.Background(), store, []netip.AddrPort{oldAddress})
 	if err != nil || !slices.Equal(unlisted, []netip.AddrPort{oldAddress}) {
 		t.Errorf("%v, %v", unlisted, err)
 	}
-	if left := names(t, store); !slices.Equal(left, []string{"replacement"}) {
+	if left := listedKeys(t, store); !slices.Equal(left, []string{"replacement"}) {
 		t.Errorf("listed: %v", left)
 	}
 }
 
-// TestNodeThatTookItsRowAwayIsUnlisted: there is nothing to be removed.
-func TestNodeThatTookItsRowAwayIsUnlisted(t *testing.T) {
+// TestNodeThatRemovedItsRowIsUnlisted: there is nothing to be removed.
+func TestNodeThatRemovedItsRowIsUnlisted(t *testing.T) {
 	store := memorystore.New()
-	write(t, store, "replacement", newAddress)
+	putNodeRow(t, store, "replacement", newAddress)
 	if unlisted, err := removeRows(context.Background(), store, []netip.AddrPort{oldAddress}); err != nil || len(unlisted) != 1 {
 		t.Errorf("%v, %v", unlisted, err)
 	}
@@ -78,29 +78,29 @@
 	return s.rows, 0, nil
 }
 
-// TestRowThatWasWrittenAnewStays: the list was read stale, and the node has started again
+// TestRewrittenRowIsNotRemoved: the list was read stale, and the node has started again
 // meanwhile.
-func TestRowThatWasWrittenAnewStays(t *testing.T) {
+func TestRewrittenRowIsNotRemoved(t *testing.T) {
 	store := memorystore.New()
-	write(t, store, "node", oldAddress)
+	putNodeRow(t, store, "node", oldAddress)
 	rows, _, err := store.Read(context.Background(), nodesTable)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(t, store, "node", newAddress)
+	putNodeRow(t, store, "node", newAddress)
 	unlisted, err := removeRows(context.Background(), &staleStore{store, rows}, []netip.AddrPort{oldAddress})
 	if err != nil || len(unlisted) != 0 {
 		t.Errorf("%v, %v", unlisted, err)
 	}
-	if left := names(t, store); !slices.Equal(left, []string{"node"}) {
+	if left := listedKeys(t, store); !slices.Equal(left, []string{"node"}) {
 		t.Errorf("listed: %v", left)
 	}
 }
 
-// TestNobodyIsUnlistedWithoutTheStore.
-func TestNobodyIsUnlistedWithoutTheStore(t *testing.T) {
+// TestNoNodeIsUnlistedWithoutTheStore.
+func TestNoNodeIsUnlistedWithoutTheStore(t *testing.T) {
 	store := memorystore.New()
-	write(t, store, "gone", oldAddress)
+	putNodeRow(t, store, "gone", oldAddress)
 	store.SetFaults(memorystore.Faults{Down: true})
 	if unlisted, err := removeRows(context.Background(), store, []netip.AddrPort{oldAddress}); err == nil || len(unlisted) != 0 {
 		t.Errorf("%v, %v", unlisted, err)
@@ -116,12 +116,12 @@
 	return 0, false, errFrozen
 }
 
-// TestNobodyIsUnlistedWhoseRowWasNotLookedAt: after a row that can't be removed there are
+// TestNodesWhoseRowsRemainAreNotUnlisted: after a row that can't be removed there are
 // others.
-func TestNobodyIsUnlistedWhoseRowWasNotLookedAt(t *testing.T) {
+func TestNodesWhoseRowsRemainAreNotUnlisted(t *testing.T) {
 	store := memorystore.New()
-	write(t, store, "gone", oldAddress)
-	write(t, store, "gone too", newAddress)
+	putNodeRow(t, store, "gone", oldAddress)
+	putNodeRow(t, store, "gone too", newAddress)
 	unlisted, err := removeRows(context.Background(), frozenStore{store}, []netip.AddrPort{oldAddress, newAddress})
 	if !errors.Is(err, errFrozen) || len(unlisted) != 0 {
 		t.Errorf("%v, %v", unlisted, err)
--- a/internal/serving/stages.go
+++ b/internal/serving/stages.go
@@ -9,10 +9,10 @@
 	"github.com/tinarch/tinarch/internal/stagecontrol"
 )
 
-// controller plans the stages of the engines.
-func (n *Node) controller() *stagecontrol.Controller {
+// stageController plans the stages of the engines.
+func (n *Node) stageController() *stagecontrol.Controller {
 	return stagecontrol.New(stagecontrol.Options{
-		Self: n.identity, Authority: n.authority, Wire: n.platform,
+		Self: n.incarnation, Authority: n.authority, Wire: n.platform,
 		Fleet: n.registry, Pool: n.calls(), Log: n.log,
 		Services:   n.engineServices,
 		Designated: n.designated,
--- a/internal/serving/usage.go
+++ b/internal/serving/usage.go
@@ -10,9 +10,9 @@
 	"github.com/tinarch/tinarch/internal/usage"
 )
 
-// countUsage makes the tally of this node's requests where the platform wants usage
+// setUpUsage makes the tally of this node's requests where the platform wants usage
 // reported.
-func (n *Node) countUsage() {
+func (n *Node) setUpUsage() {
 	if !n.settings.API.Has(settings.DutyUsage) {
 		return
 	}
@@ -23,13 +23,13 @@
 
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
 
-// reportUsage starts the reporter, and the detour of tallies that reach no supervisor.
-func (n *Node) reportUsage(ctx context.Context, metrics *prometheus.Registry) {
+// startUsageReporter starts the reporter, and the detour of tallies that reach no supervisor.
+func (n *Node) startUsageReporter(ctx context.Context, metrics *prometheus.Registry) {
 	if n.tally == nil {
 		return
 	}
 	reporter := usage.NewReporter(usage.Options{
-		Node: n.settings.Node.Name, Incarnation: n.identity, Late: seconds(n.settings.Usage.LateSeconds),
+		Node: n.settings.Node.Name, Incarnation: n.incarnation, Late: seconds(n.settings.Usage.LateSeconds),
 		Tally: n.tally, Collector: n.collector, Authority: n.authority,
 		Store: n.platform, API: n.platform, Fleet: n.exchange,
 		Designated: n.designated, Log: n.log, Metrics: usage.NewMetrics(metrics),
--- a/internal/serving/warmup.go
+++ b/internal/serving/warmup.go
@@ -15,17 +15,17 @@
 // The figures of a start.
 const (
 	// listWait bounds the wait for the first list of workers and nodes.
-	listWait  = 3 * time.Second
-	listPoll  = 10 * time.Millisecond
-	listPause = 15 * time.Millisecond
-	// listTimeout bounds one question to a worker.
-	listTimeout = 500 * time.Millisecond
-	maxList     = 4 << 20
+	listWait       = 3 * time.Second
+	listPoll       = 10 * time.Millisecond
+	cacheListPause = 15 * time.Millisecond
+	// cacheListTimeout bounds one question to a worker.
+	cacheListTimeout = 500 * time.Millisecond
+	maxCacheList     = 4 << 20
 	// homesEvery is the time between two looks for workers whose account this node has
 	// come to keep: what they keep is no more than a hint.
 	homesEvery = 2 * time.Second
-	// listConnections is how many connections a question may use.
-	listConnections = 0
+	// noConnectionLimit is how many connections a question may use.
+	noConnectionLimit = 0
 )
 
 // warmUp learns what the workers keep whose accounts this node keeps: a process that has
@@ -39,25 +39,25 @@
 	if n.settings.Node.FirstStart {
 		// Nothing was asked of the workers before: to ask each of them took a connection for
 		// each of its homes, 20,000 in a fleet of 10,000 workers.
-		n.registry.MarkCachesKnown(n.unlisted())
+		n.registry.MarkCachesKnown(n.unknownCaches())
 	}
-	for _, id := range n.exchange.AskMemory(ctx, n.unlisted()) {
+	for _, id := range n.exchange.AskMemory(ctx, n.unknownCaches()) {
 		if ctx.Err() != nil {
 			return
 		}
-		if !slices.Contains(n.unlisted(), id) {
+		if !slices.Contains(n.unknownCaches(), id) {
 			continue // another node has asked it meanwhile, and told
 		}
 		if listed, found := n.registry.Get(id); found {
-			n.list(ctx, listed)
+			n.fetchCacheList(ctx, listed)
 		}
-		time.Sleep(listPause)
+		time.Sleep(cacheListPause)
 	}
-	n.learnNewHomes(ctx)
+	n.learnAsNewHome(ctx)
 }
 
-// learnNewHomes asks the other homes of workers whose account this node has come to keep.
-func (n *Node) learnNewHomes(ctx context.Context) {
+// learnAsNewHome asks the other homes of workers whose account this node has come to keep.
+func (n *Node) learnAsNewHome(ctx context.Context) {
 	ticker := time.NewTicker(homesEvery)
 	defer ticker.Stop()
 	for {
@@ -66,15 +66,15 @@
 			return
 		case <-ticker.C:
 		}
-		if unlisted := n.unlisted(); len(unlisted) > 0 {
-			n.registry.MarkCachesKnown(n.exchange.AskMemory(ctx, unlisted))
+		if unknownCaches := n.unknownCaches(); len(unknownCaches) > 0 {
+			n.registry.MarkCachesKnown(n.exchange.AskMemory(ctx, unknownCaches))
 		}
 	}
 }
 
-// unlisted returns the engines whose accounts this node keeps, and of whose caches it
+// unknownCaches returns the engines whose accounts this node keeps, and of whose caches it
 // knows nothing, in an order of its own.
-func (n *Node) unlisted() []string {
+func (n *Node) unknownCaches() []string {
 	var homed []string
 	if keeping, some := n.exchange.Keeping(); some {
 		homed = idsOf(n.registry.UnknownCachesAmong(keeping))
@@ -108,26 +108,26 @@
 	return true
 }
 
-// list asks a worker what it keeps.
-func (n *Node) list(ctx context.Context, asked worker.Worker) {
-	callCtx, cancel := context.WithTimeout(ctx, listTimeout)
+// fetchCacheList asks a worker what it keeps.
+func (n *Node) fetchCacheList(ctx context.Context, target worker.Worker) {
+	callCtx, cancel := context.WithTimeout(ctx, cacheListTimeout)
 	defer cancel()
-	answer, err := n.calls().Do(callCtx, asked.ID, asked.Address, listConnections, n.platform.ListRequest(asked.Address))
+	answer, err := n.calls().Do(callCtx, target.ID, target.Address, noConnectionLimit, n.platform.ListRequest(target.Address))
 	if err != nil {
-		n.log.WithFields(logrus.Fields{"worker": asked.ID, "cause": err.Error()}).Warn("a worker did not tell what it keeps")
+		n.log.WithFields(logrus.Fields{"worker": target.ID, "cause": err.Error()}).Warn("a worker did not tell what it keeps")
 		return
 	}
 	defer func() { _ = answer.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(answer.Body, maxList))
+	content, err := io.ReadAll(io.LimitReader(answer.Body, maxCacheList))
 	if err != nil {
-		n.log.WithFields(logrus.Fields{"worker": asked.ID, "cause": err.Error()}).Warn("a worker did not tell what it keeps")
+		n.log.WithFields(logrus.Fields{"worker": target.ID, "cause": err.Error()}).Warn("a worker did not tell what it keeps")
 		return
 	}
 	parts, err := n.platform.ListedParts(answer.Status, content)
 	if err != nil {
-		n.log.WithFields(logrus.Fields{"worker": asked.ID, "cause": err.Error()}).Warn("a worker's list can't be read")
+		n.log.WithFields(logrus.Fields{"worker": target.ID, "cause": err.Error()}).Warn("a worker's list can't be read")
 		return
 	}
-	n.registry.ObserveCacheList(asked.ID, parts, time.Now())
-	n.log.WithFields(logrus.Fields{"worker": asked.ID, "parts": len(parts)}).Info("a worker told what it keeps")
+	n.registry.ObserveCacheList(target.ID, parts, time.Now())
+	n.log.WithFields(logrus.Fields{"worker": target.ID, "parts": len(parts)}).Info("a worker told what it keeps")
 }
--- a/internal/serving/workercalls.go
+++ b/internal/serving/workercalls.go
@@ -46,9 +46,9 @@
 	maxProbeAfter = 16 * time.Second
 	// probeTimeout bounds one question.
 	probeTimeout = 500 * time.Millisecond
-	// probeRate are the requests a second that a worker gets at least which named no limit when
+	// minProbedRate are the requests a second that a worker gets at least which named no limit when
 	// it was asked: their answers tell whether it takes more.
-	probeRate = 1
+	minProbedRate = 1
 	// probesInRow is how many questions in a row name no limit, with no request in between,
 	// until it counts as ended.
 	probesInRow = 3
@@ -92,60 +92,60 @@
 
 // probeLimit asks a worker, if it was silent for long enough.
 func (n *Node) probeLimit(ctx context.Context, id string, probes map[string]*limitProbe) {
-	said, _, _ := n.registry.Limit(id)
+	stated, _, _ := n.registry.Limit(id)
 	probe := probes[id]
 	if probe == nil {
 		probe = &limitProbe{after: probeAfter}
 		probes[id] = probe
 	}
-	if time.Since(said.Heard) < probe.after {
+	if time.Since(stated.Heard) < probe.after {
 		return
 	}
-	if !said.Heard.Equal(probe.heard) {
+	if !stated.Heard.Equal(probe.heard) {
 		if probe.inRow > 0 { // a request named the limit again
 			probe.after = min(2*probe.after, maxProbeAfter)
 		}
 		probe.inRow = 0
 	}
 	sent := time.Now()
-	named, answered := n.askState(ctx, id)
+	named, answered := n.probeState(ctx, id)
 	if !answered || named {
 		return
 	}
 	probe.inRow++
 	probe.heard = time.Now()
-	found := worker.LimitStatement{Named: true, Rate: max(said.Rate, probeRate), Sent: sent, Heard: probe.heard}
+	found := worker.LimitStatement{Named: true, Rate: max(stated.Rate, minProbedRate), Sent: sent, Heard: probe.heard}
 	if probe.inRow >= probesInRow {
 		found = worker.LimitStatement{Sent: sent, Heard: probe.heard}
 	}
-	n.log.WithFields(logrus.Fields{"worker": id, "in_row": probe.inRow, "per_second": said.Rate, "ended": !found.Named}).
+	n.log.WithFields(logrus.Fields{"worker": id, "in_row": probe.inRow, "per_second": stated.Rate, "ended": !found.Named}).
 		Info("a silent worker names no limit when it is asked")
 	n.registry.ObserveLimit(id, "state", found)
 }
 
-// askState asks a worker how it is, and reports whether it named a limit, and whether it
+// probeState asks a worker how it is, and reports whether it named a limit, and whether it
 // answered at all.
-func (n *Node) askState(ctx context.Context, id string) (named, answered bool) {
-	asked, listed := n.registry.Get(id)
+func (n *Node) probeState(ctx context.Context, id string) (named, answered bool) {
+	target, listed := n.registry.Get(id)
 	if !listed {
 		return false, false
 	}
 	healthPath := ""
-	if service := n.serviceOf(asked); service != nil {
+	if service := n.serviceOf(target); service != nil {
 		healthPath = service.HealthPath
 	}
-	request := n.platform.StateRequest(asked, healthPath)
+	request := n.platform.StateRequest(target, healthPath)
 	if request == nil {
 		return false, false
 	}
 	callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	answer, err := n.calls().Do(callCtx, id, asked.Address, listConnections, request)
+	answer, err := n.calls().Do(callCtx, id, target.Address, noConnectionLimit, request)
 	if err != nil {
 		n.log.WithFields(logrus.Fields{"worker": id, "cause": err.Error()}).Warn("a worker with a limit did not tell its state")
 		return false, false
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxList)) // so that the connection is kept
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxCacheList)) // so that the connection is kept
 	_ = answer.Body.Close()
 	return n.platform.Reply(answer.Status, answer.Header).Limit.Named, true
 }
