--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -14,7 +14,7 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// configConsumer puts the routes in force that the store holds.
+// configConsumer activates the routes that the store's configuration table holds.
 type configConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
@@ -22,7 +22,7 @@
 
 // Reset implements tablefeed.Consumer.
 func (c *configConsumer) Reset(rows []tablefeed.Row, version tablefeed.Version) {
-	if c.era.Advances(version) && !c.node.exchange.Large() { // in a large fleet the list that all follow shows it
+	if c.era.Advances(version) && !c.node.exchange.Large() { // in a large fleet the list of nodes, which all nodes follow, shows whether this node is listed
 		c.node.signalRestored()
 	}
 	c.Apply(rows, version)
@@ -38,7 +38,7 @@
 		switch {
 		case err != nil:
 			c.node.log.WithFields(logrus.Fields{"row": row.Key, "row_version": row.Version, "cause": err.Error()}).
-				Error("a configuration can't be read; the node goes on with the one before")
+				Error("a configuration can't be parsed; the node keeps the previous one")
 			continue
 		case !isRoutes:
 			continue
@@ -47,8 +47,8 @@
 	}
 }
 
-// Outlives implements tablefeed.Reviewer: a configuration that was in force stays so until the
-// operator writes it again.
+// Outlives implements tablefeed.Reviewer: after a restore of the store, the active
+// configuration stays until the operator writes it again.
 func (c *configConsumer) Outlives(held, given tablefeed.Row) bool {
 	before, isRoutes, err := c.node.platform.Routes(held)
 	if err != nil || !isRoutes {
@@ -58,7 +58,7 @@
 	return given.Gone || err != nil || now.Version < before.Version
 }
 
-// activate makes a version of the routes the one that requests meet.
+// activate makes a version of the routes the one in force for requests.
 func (n *Node) activate(table *routing.Table, rowVersion tablefeed.Version) {
 	if current := n.front.Table(); current != nil && table.Version < current.Version {
 		n.log.WithFields(logrus.Fields{"version": table.Version, "in_force": current.Version}).Warn("an older configuration was passed over")
@@ -80,11 +80,11 @@
 	}).Info("configuration in force")
 }
 
-// workerConsumer keeps the registry at what the store lists.
+// workerConsumer updates the registry with the workers that the store lists.
 type workerConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
-	// unreadable counts the entries that named no worker to use.
+	// unreadable counts the rows that could not be read as a worker.
 	unreadable prometheus.Counter
 }
 
@@ -119,10 +119,11 @@
 	}).Info("workers read")
 }
 
-// missedHeartbeats is after how many a worker's entry is gone at the latest.
+// missedHeartbeats is the number of heartbeats after which the row of a worker that has ended
+// is gone.
 const missedHeartbeats = 4
 
-// replace sets the whole list as of a version.
+// replace sets the whole worker list to that of a version.
 func (w *workerConsumer) replace(listed []worker.Worker, version tablefeed.Version) (added, gone, doubted []string) {
 	if !w.era.Advances(version) || !w.node.workersKnown.Load() {
 		added, gone = w.node.registry.Replace(listed)
@@ -132,8 +133,8 @@
 	return w.node.registry.ReplaceRestored(listed, doubt, time.Now())
 }
 
-// Outlives implements tablefeed.Reviewer: a start of a worker that has said it drains doesn't
-// take that back.
+// Outlives implements tablefeed.Reviewer: after a restore of the store, a worker incarnation
+// that has announced that it drains stays draining, even if its restored row says otherwise.
 func (w *workerConsumer) Outlives(held, given tablefeed.Row) bool {
 	before, err := w.node.platform.Worker(held)
 	if err != nil || !before.Draining || given.Gone {
@@ -177,9 +178,9 @@
 	}
 }
 
-// maxLoggedChanges bounds the lines about one change of the table. When a large fleet of
-// workers starts or is replaced, a line for each at each node is more work than taking the
-// change in.
+// maxLoggedChanges bounds the log lines about one change of the table. When a large fleet of
+// workers starts or is replaced, a line for each worker at each node would be more work than
+// processing the change.
 const maxLoggedChanges = 20
 
 // dropConnections closes the connections to workers that have ended.
@@ -192,7 +193,7 @@
 func (w *workerConsumer) log(change worker.Change, ended []string, version tablefeed.Version) {
 	fields := logrus.Fields{
 		"worker": change.Name, "version": version, "gone": change.Worker == nil, "unreadable": change.Unreadable,
-		"ended": ended, // an earlier start of the worker
+		"ended": ended, // earlier incarnations of the worker
 	}
 	if change.Worker != nil {
 		fields["worker"] = change.Worker.ID
@@ -204,11 +205,11 @@
 	w.node.log.WithFields(fields).Info("worker changed")
 }
 
-// maxLoggedEntries bounds the entries of one change of the table that are logged because
-// they can't be read; all are counted.
+// maxLoggedEntries bounds how many unreadable rows are logged for one change of the table. All
+// of them are counted.
 const maxLoggedEntries = 3
 
-// read reads an entry. before is how many of the same change could not be read.
+// read reads a worker's row. before is the number of unreadable rows so far in the same change.
 func (w *workerConsumer) read(row tablefeed.Row, before int) (worker.Worker, bool) {
 	read, err := w.node.platform.Worker(row)
 	if err == nil {
@@ -217,7 +218,7 @@
 	w.unreadable.Inc()
 	if before < maxLoggedEntries {
 		w.node.log.WithFields(logrus.Fields{"row": row.Key, "row_version": row.Version, "cause": err.Error()}).
-			Error("a worker's entry can't be read; it names no worker to use")
+			Error("a worker's row can't be parsed; the worker is not used")
 	}
 	return worker.Worker{}, false
 }
--- a/internal/serving/fleet.go
+++ b/internal/serving/fleet.go
@@ -9,7 +9,8 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// startFleetControl starts the controller of fleet sizes where the platform takes orders.
+// startFleetControl starts the controller of the number of workers if the platform accepts
+// orders for workers.
 func (n *Node) startFleetControl(ctx context.Context, metrics *prometheus.Registry) {
 	if !n.settings.API.Has(settings.DutyScale) {
 		return
@@ -22,7 +23,7 @@
 	n.work.Go(func() { controller.Run(ctx) })
 }
 
-// scaledServices lists the services whose workers are ordered.
+// scaledServices returns the services whose number of workers is controlled.
 func (n *Node) scaledServices() []fleetsize.Service {
 	var services []fleetsize.Service
 	for _, service := range n.servicesByName() {
--- a/internal/serving/limits.go
+++ b/internal/serving/limits.go
@@ -11,19 +11,21 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// limitLogEvery is the least time between two lines on one worker's limit: a worker may name
-// another one in each of its answers.
+// limitLogEvery is the minimum time between two log lines about the limit of one worker, since
+// a worker may state a different limit in each answer.
 const limitLogEvery = time.Second
 
-// limitLogLife is how long changes without a line are remembered of a worker that names no other.
+// limitLogLife is how long unlogged changes of a worker are remembered if its limit doesn't
+// change again.
 const limitLogLife = time.Minute
 
-// turnTolerance is what a worker that names a limit bears beyond it: half as much again in four
-// seconds, and five requests. Nodes aim at the limit itself; this pays for what they send while
-// they can't hear each other. Nobody waits for a turn for longer than Ahead.
+// turnTolerance is how much a worker that states a limit tolerates beyond it: half as much
+// again within four seconds, plus five requests. Nodes aim for the limit itself; the tolerance
+// covers what they send while they can't reach each other. No request waits for a turn for
+// longer than Ahead.
 var turnTolerance = quota.Tolerance{Window: 4 * time.Second, Overshoot: 0.5, Slack: 5, Ahead: 4 * time.Second}
 
-// limitLog logs and counts what workers say of the requests that they take.
+// limitLog logs and counts changes of the limits that workers state.
 type limitLog struct {
 	log     *logrus.Logger
 	changes *prometheus.CounterVec
@@ -32,20 +34,21 @@
 	logged map[string]limitLogEntry
 }
 
-// limitLogEntry is when a line was written on a worker, and how many changes had none since.
+// limitLogEntry is when a worker's limit was last logged, and how many changes were not logged
+// since.
 type limitLogEntry struct {
 	at         time.Time
 	passedOver int
 }
 
-// The labels of changes.
+// The values of the label "change".
 const (
 	limitNamed   = "named"
 	limitChanged = "changed"
 	limitEnded   = "ended"
 )
 
-// watchLimits has the changes of workers' limits logged and counted.
+// watchLimits sets up the logging and counting of changes of workers' limits.
 func (n *Node) watchLimits(registry prometheus.Registerer) {
 	l := &limitLog{
 		log: n.log, logged: make(map[string]limitLogEntry),
@@ -82,8 +85,8 @@
 	}).Info("worker limit")
 }
 
-// due reports whether a line on a worker may be written, and how many changes had none since
-// the last.
+// due reports whether a change of a worker's limit may be logged, and how many changes were not
+// logged since the last line.
 func (l *limitLog) due(id string, now time.Time) (passedOver int, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,8 +101,8 @@
 	return before.passedOver, true
 }
 
-// prune drops the workers on which there is nothing more to say, and those that have named
-// nothing for long: they may have ended.
+// prune removes workers that have no unlogged changes, and workers whose limit has not changed
+// for long, which may have ended.
 func (l *limitLog) prune(now time.Time) {
 	for id, last := range l.logged {
 		age := now.Sub(last.at)
--- a/internal/serving/listing.go
+++ b/internal/serving/listing.go
@@ -15,18 +15,19 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// nodesTable holds one row for each node, under its zone and name, so that a node that
-// starts in a large fleet reads the rows of its zone only. An older build keeps its row under
-// its name alone, and doesn't follow the table.
+// nodesTable holds one row for each node. The key consists of its zone and name, so that a node
+// that starts in a large fleet can read the rows of its own zone only. Older builds use the
+// name alone as the key and don't follow the table.
 const nodesTable = "nodes"
 
-// zoneSeparator ends the zone in a row's key, and afterSeparator is the character after it.
+// zoneSeparator follows the zone in a row's key, and afterSeparator is the next character,
+// which ends the range of keys of a zone.
 const (
 	zoneSeparator  = "/"
 	afterSeparator = "0"
 )
 
-// nodeRow is the value of such a row.
+// nodeRow is the value of a node's row.
 type nodeRow struct {
 	Incarnation string `json:"incarnation"`
 	Exchange    string `json:"exchange"`
@@ -36,24 +37,24 @@
 const (
 	callTimeout = time.Second
 	callPause   = 300 * time.Millisecond
-	// maxPause is that between calls which fail: a store takes rows one after the
-	// other, and those of a thousand nodes that start together take it five seconds.
+	// maxPause is the longest pause between failed calls. A store processes rows one at a time,
+	// and needs five seconds for those of a thousand nodes that start together.
 	maxPause = 2400 * time.Millisecond
 )
 
-// rowKey is that of this node's row.
+// rowKey returns the key of this node's row.
 func (n *Node) rowKey() string { return n.settings.Node.Zone + zoneSeparator + n.settings.Node.Name }
 
-// maxFullList is the number of nodes up to which a node that starts reads the whole list:
-// more than greet each other. In a larger fleet it reads the rows of its zone, and follows
-// the list as the other tables.
+// maxFullList is the largest number of nodes of which a starting node reads the whole list. It
+// exceeds the number of nodes that greet each other directly. In a larger fleet a starting node
+// reads the rows of its zone, and then follows the list like the other tables.
 const maxFullList = 40
 
-// announce reads which nodes the store lists, and writes this node's row where the list
-// lacks it; then it reads again, so that of two nodes that start at once at least one knows
-// the other. Where the whole system starts for the first time nobody is listed, and it
-// writes first. It goes on until the store has done all. A node whose write is refused knows
-// the others all the same.
+// announce reads the nodes that the store lists, writes this node's row if it is missing, and
+// then reads again, so that of two nodes that start at once at least one learns of the other.
+// On the first start of the whole system no node is listed, so it writes first. It retries
+// until the store has done all this. If its writes are refused, the node still learns of the
+// others.
 func (n *Node) announce(ctx context.Context) {
 	if n.settings.Node.FirstStart {
 		n.writeRow(ctx)
@@ -74,7 +75,7 @@
 func (n *Node) writeRow(ctx context.Context) bool {
 	value, err := json.Marshal(nodeRow{Incarnation: n.incarnation, Exchange: n.settings.Listen.Exchange, Zone: n.settings.Node.Zone})
 	if err != nil {
-		n.log.WithError(err).Error("this node's row can't be rendered")
+		n.log.WithError(err).Error("this node's row can't be encoded")
 		return false
 	}
 	return n.tryCall(ctx, "announce itself", func(ctx context.Context) error {
@@ -82,7 +83,7 @@
 	})
 }
 
-// tryCall makes a call to the store, and reports whether it was done.
+// tryCall makes a call to the store and reports whether it succeeded.
 func (n *Node) tryCall(ctx context.Context, what string, call func(ctx context.Context) error) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -93,8 +94,9 @@
 	return err == nil
 }
 
-// listNodes tells the exchange of the nodes that the store lists, in a large fleet of those
-// of this zone. It reports whether the store answered, and whether this node is one of them.
+// listNodes passes the nodes that the store lists to the exchange, in a large fleet only those
+// of this zone. read reports whether the store answered, and listed whether this node is among
+// them.
 func (n *Node) listNodes(ctx context.Context) (listed, read bool) {
 	read = n.tryCall(ctx, "read the list of nodes", func(ctx context.Context) error {
 		rows, more, err := n.platform.ReadSome(ctx, nodesTable, maxFullList)
@@ -124,17 +126,17 @@
 // markLarge records that the fleet is large.
 func (n *Node) markLarge() { n.largeOnce.Do(func() { close(n.large) }) }
 
-// includesSelf reports whether a list holds this node.
+// includesSelf reports whether a list contains this node.
 func (n *Node) includesSelf(peers []nodeexchange.Peer) bool {
 	return slices.ContainsFunc(peers, func(p nodeexchange.Peer) bool { return p.Address.String() == n.exchange.Address() })
 }
 
-// largeCheckEvery is the time between two looks whether the fleet has grown large.
+// largeCheckEvery is how often to check whether the fleet has become large.
 const largeCheckEvery = time.Second
 
-// followNodes follows the list of nodes once the fleet is large, until ctx ends: in a smaller
-// one nodes greet each other, and need not pay for calls to the store. Another node that
-// follows it, and asks for it or tells of it, has this one follow it too.
+// followNodes follows the list of nodes once the fleet is large, until ctx ends. In a smaller
+// fleet nodes greet each other directly and need no paid calls to the store. Another node that
+// follows the list, and requests or announces its versions, makes this node follow it too.
 func (n *Node) followNodes(ctx context.Context) {
 	ticker := time.NewTicker(largeCheckEvery)
 	defer ticker.Stop()
@@ -154,13 +156,13 @@
 	n.nodesFeed.Run(ctx)
 }
 
-// listedPeers reads the rows of nodes.
+// listedPeers parses the rows of nodes.
 func (n *Node) listedPeers(rows []tablefeed.Row) []nodeexchange.Peer {
 	peers := make([]nodeexchange.Peer, 0, len(rows))
 	for _, row := range rows {
 		peer, err := listedPeer(row)
 		if err != nil {
-			n.log.WithField("row", row.Key).Error("a node's row can't be read; it is passed over")
+			n.log.WithField("row", row.Key).Error("a node's row can't be parsed; it is ignored")
 			continue
 		}
 		peers = append(peers, peer)
@@ -180,7 +182,7 @@
 	}, err
 }
 
-// withdraw takes this node's row away.
+// withdraw removes this node's row.
 func (n *Node) withdraw() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -189,11 +191,11 @@
 	}
 }
 
-// nodeConsumer keeps the exchange's peers at what the store lists.
+// nodeConsumer updates the exchange's peers with the nodes that the store lists.
 type nodeConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
-	// addresses are those of the rows, by their keys.
+	// addresses are the nodes' addresses by the keys of their rows.
 	addresses map[string]netip.AddrPort
 }
 
@@ -224,7 +226,7 @@
 	}
 }
 
-// read reads rows, and remembers their addresses.
+// read parses rows and remembers their addresses.
 func (m *nodeConsumer) read(rows []tablefeed.Row) []nodeexchange.Peer {
 	peers := m.node.listedPeers(rows)
 	for _, row := range rows {
@@ -235,7 +237,8 @@
 	return peers
 }
 
-// hasAddress reports whether another row has an address too, as of a build before.
+// hasAddress reports whether another row has the address too, such as one written by an older
+// build.
 func (m *nodeConsumer) hasAddress(address netip.AddrPort) bool {
 	for _, other := range m.addresses {
 		if other == address {
--- a/internal/serving/metrics.go
+++ b/internal/serving/metrics.go
@@ -12,8 +12,8 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// countCalls counts the calls to the platform's store and their bytes, by kind and table:
-// each is paid for, and what all nodes ask for themselves grows with the fleet.
+// countCalls counts the calls to the platform's store and their bytes by kind and table. Each
+// call is paid for, and the calls that all nodes make for themselves grow with the fleet.
 func countCalls(platform Platform, registry prometheus.Registerer, log *logrus.Logger) {
 	labels := []string{"call", "table"}
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -34,7 +34,7 @@
 	})
 }
 
-// logRestored logs once that the store answers from a later era than was known.
+// logRestored logs once when the store answers from a later era than known before.
 func logRestored(era uint64, known *atomic.Uint64, log *logrus.Logger) {
 	before := known.Load()
 	if era > before && known.CompareAndSwap(before, era) {
@@ -49,8 +49,8 @@
 	return "no"
 }
 
-// registerTableMetrics serves the version of the configuration in force, and how old what this node
-// knows of each table is.
+// registerTableMetrics registers metrics for the version of the active configuration and the
+// age of this node's copy of each table.
 func (n *Node) registerTableMetrics(registry prometheus.Registerer) {
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "tinarch_configuration_version", Help: "Version of the configuration in force, zero before the first.",
@@ -69,7 +69,7 @@
 	}
 }
 
-// tableAge is in seconds, infinite before the first confirmation.
+// tableAge returns the age of a table in seconds, infinite before the first confirmation.
 func tableAge(feed *tablefeed.Feed, now time.Time) float64 {
 	word, _ := feed.Word()
 	if word.At.IsZero() {
@@ -78,7 +78,8 @@
 	return now.Sub(word.At).Seconds()
 }
 
-// tableBehind is the time since this node heard of a change of a table that it doesn't hold.
+// tableBehind returns the time since this node heard of a change of a table that it doesn't
+// hold yet, zero if it lacks none.
 func (n *Node) tableBehind(table string, now time.Time) time.Duration {
 	lag, behind := n.board.Lag(table)
 	if !behind {
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -1,6 +1,6 @@
-// Package serving puts a node together that serves routes before the workers of a
-// platform: it follows the platform's tables, takes callers' requests, exchanges
-// digests with the other nodes, and stops without cutting a request.
+// Package serving assembles a node that routes callers' requests to the workers of a platform.
+// It follows the platform's tables, accepts requests, exchanges load messages (digests) with
+// the other nodes, and stops without cutting requests off.
 package serving
 
 import (
@@ -41,58 +41,60 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// Platform is what a node needs of the platform that it runs on.
+// Platform is the platform that a node runs on.
 type Platform interface {
 	tablefeed.Store
 	dispatch.Wire
 	ingress.Parser
-	// ReadinessPath is where the platform asks whether a node takes requests.
+	// ReadinessPath is the path at which the platform asks whether a node accepts requests.
 	ReadinessPath() string
-	// ConfigurationTable and WorkerTable name the tables that are followed.
+	// ConfigurationTable and WorkerTable name the platform's tables that a node follows.
 	ConfigurationTable() string
 	WorkerTable() string
-	// Routes reads the configuration; false means that the row is another one.
+	// Routes parses the configuration; false means that the row holds something else.
 	Routes(row tablefeed.Row) (*routing.Table, bool, error)
-	// Worker reads a row of the workers' table.
+	// Worker parses a row of the workers' table.
 	Worker(row tablefeed.Row) (worker.Worker, error)
-	// ListRequest asks a worker what it keeps of prompts, and ListedParts reads its
-	// answer.
+	// ListRequest returns the request for the list of prompt parts in a worker's KV cache, and
+	// ListedParts parses its answer.
 	ListRequest(address string) *workerconn.Request
 	ListedParts(status int, body []byte) ([]prefixcache.Part, error)
-	// Notice reads what the head of an answer says of whether its worker takes further requests.
+	// Notice reads from the head of an answer whether its worker accepts further requests.
 	Notice(status int, header http.Header) worker.Notice
-	// StateRequest asks a worker how it is, nil where it can't be asked.
+	// StateRequest returns a request for the state of a worker, nil if it can't be asked.
 	StateRequest(to worker.Worker, healthPath string) *workerconn.Request
 	rowstore.Store
-	// ObserveCalls has each call to the store told that has ended.
+	// ObserveCalls registers a function that is called after each call to the store.
 	ObserveCalls(observed func(rowstore.Call))
 	usage.API
 	fleetsize.API
 	stagecontrol.OrderProtocol
 	// ReadSome returns the first rows of a table, and whether there are more.
 	ReadSome(ctx context.Context, table string, most int) (rows []tablefeed.Row, more bool, err error)
-	// ReadRange returns the rows of a table from one key up to another, which is left out.
+	// ReadRange returns the rows of a table from one key up to, but not including, another.
 	ReadRange(ctx context.Context, table, from, to string) ([]tablefeed.Row, tablefeed.Version, error)
-	// Put writes a row of this project's own, and Remove takes it away.
+	// Put writes a row in one of this project's own tables, and Remove deletes it.
 	Put(ctx context.Context, table, key string, value []byte) error
 	Remove(ctx context.Context, table, key string) error
 }
 
-// The figures of a node.
+// Timeouts and limits of a node.
 const (
 	headerTimeout = 10 * time.Second
-	// idleTimeout is above what any platform's callers resume.
+	// idleTimeout is longer than the pause after which any platform's callers reuse a
+	// connection.
 	idleTimeout = 60 * time.Second
-	// maxHeader bounds memory; the configuration's own limit is checked besides.
+	// maxHeader bounds memory; the limit of the configuration is checked in addition.
 	maxHeader = 64 << 10
-	// stopMargin is left of a planned stop's time for the process to end.
+	// stopMargin is the part of the time for a planned stop that is left for the process to
+	// end.
 	stopMargin = 700 * time.Millisecond
-	// unreadyFor is how long a stopping node goes on accepting, so that the
-	// platform has asked twice and sends nobody here any more.
+	// unreadyFor is how long a stopping node continues to accept requests. By then the platform
+	// has checked its readiness twice and sends no more requests here.
 	unreadyFor = 2600 * time.Millisecond
 )
 
-// Node is one running node.
+// Node is a running node.
 type Node struct {
 	settings settings.Routed
 	log      *logrus.Logger
@@ -107,24 +109,24 @@
 	board *tablerelay.Coordinator
 	// configurationFeed and workersFeed follow the platform's tables.
 	configurationFeed, workersFeed *tablefeed.Feed
-	// nodesFeed follows the list of nodes, once the fleet is large; large is closed when the
-	// list shows that.
+	// nodesFeed follows the list of nodes once the fleet is large; large is closed when the
+	// list shows that it is.
 	nodesFeed *tablefeed.Feed
 	large     chan struct{}
 	largeOnce sync.Once
-	// restored gets a token when the store may have lost this node's row.
+	// restored receives a token when the store may have lost this node's row.
 	restored chan struct{}
-	// tables gives other nodes the tables that this one holds.
+	// tables serves this node's copies of the tables to other nodes.
 	tables *tableshare.Server
-	// workersKnown tells that some worker was listed since the start.
+	// workersKnown tells that at least one worker has been listed since the start.
 	workersKnown atomic.Bool
 
 	authority *authority.Authority
-	// quarantine keeps requests under which workers end away from workers, and
-	// quarantineFeed follows what the store holds of them.
+	// quarantine keeps requests that seem to crash workers away from them, and quarantineFeed
+	// follows the records of such requests in the store.
 	quarantine     *quarantine.Manager
 	quarantineFeed *tablefeed.Feed
-	// tally and collector are nil where no usage is reported.
+	// tally and collector are nil if no usage is reported.
 	tally     *usage.Tally
 	collector *usage.Collector
 
@@ -133,7 +135,7 @@
 	work        sync.WaitGroup
 }
 
-// Start starts a node. It returns once its ports are open.
+// Start starts a node and returns once its ports are open.
 func Start(configured settings.Routed, platform Platform, log *logrus.Logger) (*Node, error) {
 	n := &Node{
 		settings:    configured,
@@ -191,7 +193,7 @@
 
 const incarnationDigits = 12
 
-// topologyOf are the zones and regions as this node sees them.
+// topologyOf returns the zones and regions as seen from this node.
 func topologyOf(configured settings.Routed) topology.Map {
 	return topology.New(configured.Node.Zone, configured.Zones)
 }
@@ -241,21 +243,21 @@
 		n.servers = append(n.servers, port.server)
 		n.work.Go(func() {
 			if err := port.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-				n.log.WithField("address", port.address).WithError(err).Error("a port is not served any more")
+				n.log.WithField("address", port.address).WithError(err).Error("a port is no longer served")
 			}
 		})
 	}
 	return nil
 }
 
-// serveReadiness tells the platform whether callers may be sent here.
+// serveReadiness tells the platform whether this node accepts requests.
 func (n *Node) serveReadiness(writer http.ResponseWriter, _ *http.Request) {
 	if !n.Ready() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// freshness tells how old what decides requests is.
+// freshness returns the versions and ages of the data that requests are decided by.
 func (n *Node) freshness() dispatch.Freshness {
 	word, _ := n.workersFeed.Word()
 	return dispatch.Freshness{
@@ -263,26 +265,26 @@
 	}
 }
 
-// configurationAge is the time since the store confirmed, to this node or to one that it
-// relies on, that the configuration in force is the newest.
+// configurationAge returns the time since the store last confirmed, to this node or to one that
+// it relies on, that the configuration in force is the newest.
 func (n *Node) configurationAge() time.Duration {
 	word, _ := n.configurationFeed.Word()
 	return time.Since(word.At)
 }
 
-// configurationBehind is the time since this node heard of a newer configuration that it
-// doesn't hold, zero where it lacks none.
+// configurationBehind returns the time since this node heard of a newer configuration that it
+// doesn't have yet, zero if it lacks none.
 func (n *Node) configurationBehind() time.Duration {
 	return n.tableBehind(n.platform.ConfigurationTable(), time.Now())
 }
 
-// Ready reports whether the node can serve: it knows routes and workers, is not being
-// stopped, and doesn't lack a newer configuration.
+// Ready reports whether the node can serve requests: it knows routes and workers, isn't
+// stopping, and doesn't lack a newer configuration.
 func (n *Node) Ready() bool {
 	return !n.front.Stopping() && n.front.Table() != nil && n.workersKnown.Load() && !n.front.Outdated()
 }
 
-// newFeed returns a feed that takes part in the relay between nodes.
+// newFeed returns a feed that takes part in the relay of table changes between nodes.
 func (n *Node) newFeed(table string, consumer tablefeed.Consumer) *tablefeed.Feed {
 	feed := tablefeed.New(n.platform, table, consumer, n.board, n.log)
 	n.board.Add(table, feed)
@@ -290,7 +292,8 @@
 	return feed
 }
 
-// shareTables has this node follow tables with others, and get and give copies of them.
+// shareTables sets up the joint following of tables with other nodes, and the exchange of
+// copies of them.
 func (n *Node) shareTables() {
 	n.board = tablerelay.New(n.exchange)
 	n.board.SetLog(n.log)
@@ -303,7 +306,8 @@
 	n.board.SetFetcher(tableshare.NewClient(n.exchange, n.tables, workerconn.DialStore, n.log))
 }
 
-// startBackground starts the feeds of the platform's tables and the exchange.
+// startBackground starts the feeds of the platform's tables, the exchange and all other
+// background work.
 func (n *Node) startBackground(ctx context.Context, metrics *prometheus.Registry) {
 	for _, feed := range []*tablefeed.Feed{n.configurationFeed, n.workersFeed, n.quarantineFeed} {
 		n.work.Go(func() { feed.Run(ctx) })
@@ -322,9 +326,9 @@
 	n.startFleetControl(ctx, metrics)
 }
 
-// Stop ends the node as planned: it says that it takes no callers, goes on
-// accepting until the platform has noticed, finishes what runs, and closes. A
-// request that is still running when the time is over is cut.
+// Stop stops the node as planned: it reports not being ready, continues to accept requests
+// until the platform has noticed, finishes running requests, and closes. A request that is
+// still running at the end of the time for a stop is cut off.
 func (n *Node) Stop(reason string) {
 	begun := time.Now()
 	deadline := begun.Add(settings.Milliseconds(n.settings.Bounds.StopMillis) - stopMargin)
@@ -336,13 +340,13 @@
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := n.callers.Shutdown(ctx); err != nil {
-		n.log.WithField("active", n.front.Active()).Warn("requests were cut: the time of the stop is over")
+		n.log.WithField("active", n.front.Active()).Warn("requests were cut off: the time for the stop is over")
 	}
 	n.Close()
 	n.log.WithField("took_ms", time.Since(begun).Milliseconds()).Info("stopped")
 }
 
-// Close ends the node at once.
+// Close ends the node at once, without waiting for requests.
 func (n *Node) Close() {
 	n.cancel()
 	for _, server := range n.servers {
@@ -365,18 +369,18 @@
 	return 0
 }
 
-// ConfigurationVersion returns the version up to which the store has confirmed the table of the
-// configuration that this node holds.
+// ConfigurationVersion returns the version up to which the store has confirmed this node's copy
+// of the configuration table.
 func (n *Node) ConfigurationVersion() tablefeed.Version {
 	word, _ := n.configurationFeed.Word()
 	return word.Confirmed
 }
 
-// Limited returns the number of workers known to take no more than so many requests a second.
+// Limited returns the number of workers known to have stated a limit on requests per second.
 func (n *Node) Limited() int { return n.registry.CountLimited() }
 
-// Draining returns the number of workers known to drain.
+// Draining returns the number of workers known to be draining.
 func (n *Node) Draining() int { return n.registry.CountDraining() }
 
-// CachedTokens returns how much of prompts a worker is believed to keep.
+// CachedTokens returns how many prompt tokens a worker is believed to have in its KV cache.
 func (n *Node) CachedTokens(id string) int { return n.registry.CachedTokens(id) }
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -14,26 +14,27 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// quarantineTable holds one row for each request under which several workers ended, under
-// its fingerprint: what must outlast all processes.
+// quarantineTable holds one row, under its fingerprint, for each request during which several
+// workers crashed. These records must survive a restart of all nodes.
 const quarantineTable = "quarantine"
 
-// The figures of saving.
+// Intervals and limits for saving records.
 const (
-	// saveDelayStep is by how much later a node saves than the one that comes before it in the
-	// table's ranking, up to saveLatest: where that one does, the others have nothing to save.
+	// saveDelayStep is how much later a node saves than the one before it in the table's
+	// ranking, up to maxSaveDelay: if an earlier node saves, the others have nothing left to
+	// save.
 	saveDelayStep = 200 * time.Millisecond
 	maxSaveDelay  = time.Second
-	// savePause is the time between two transactions of a node, and maxSaved bounds the rows
-	// of one.
+	// savePause is the time between two transactions of a node, and maxRowsPerSave bounds the
+	// rows of one transaction.
 	savePause      = 200 * time.Millisecond
 	maxRowsPerSave = 50
-	// expireEvery is the time between two looks for what is old: a sixtieth of the shortest
-	// time for which anything is kept.
+	// expireEvery is how often to look for expired records: a sixtieth of the shortest time for
+	// which records are kept.
 	expireEvery = time.Minute
 )
 
-// setUpQuarantine makes the keeper of requests under which workers end.
+// setUpQuarantine creates the manager of requests that crash workers.
 func (n *Node) setUpQuarantine(metrics prometheus.Registerer) {
 	n.quarantine = quarantine.NewManager(n.exchange.ChosenForTrial, n.log)
 	n.quarantine.Register(metrics)
@@ -41,7 +42,7 @@
 	n.quarantineFeed = n.newFeed(quarantineTable, &quarantineConsumer{node: n})
 }
 
-// quarantineConsumer has the keeper know what the store holds.
+// quarantineConsumer passes the records in the store to the quarantine manager.
 type quarantineConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
@@ -68,7 +69,7 @@
 	for _, row := range rows {
 		if err := q.apply(row, version); err != nil {
 			q.node.log.WithFields(logrus.Fields{"row": row.Key, "row_version": row.Version, "cause": err.Error()}).
-				Error("a row of the quarantine can't be read; it is passed over")
+				Error("a quarantine row can't be parsed; it is ignored")
 		}
 	}
 }
@@ -84,14 +85,14 @@
 	}
 	var record quarantine.Record
 	if err := json.Unmarshal(row.Value, &record); err != nil {
-		return eris.Wrap(err, "the value is no record")
+		return eris.Wrap(err, "the value is not a quarantine record")
 	}
 	record.Fingerprint = request
 	q.node.quarantine.Stored(record, uint64(row.Version), time.Now())
 	return nil
 }
 
-// saveQuarantine writes what the store is to hold and doesn't, until ctx ends.
+// saveQuarantine writes the records that are missing in the store, until ctx ends.
 func (n *Node) saveQuarantine(ctx context.Context) {
 	for {
 		select {
@@ -103,13 +104,13 @@
 		for len(n.quarantine.Unsaved()) > 0 && sleepFor(ctx, wait) {
 			wait = savePause
 			if !n.saveBatch(ctx) {
-				wait = n.board.MaxBackoff(quarantineTable) // each call is paid for, also while the store is down
+				wait = n.board.MaxBackoff(quarantineTable) // each call is paid for, even while the store is unavailable
 			}
 		}
 	}
 }
 
-// sleepFor waits for a time. It reports false where ctx ended.
+// sleepFor waits for a time. It returns false if ctx ended before.
 func sleepFor(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -121,7 +122,7 @@
 	}
 }
 
-// saveBatch writes some of what is unsaved. It reports whether the store took it.
+// saveBatch writes some of the unsaved records. It reports whether the store accepted them.
 func (n *Node) saveBatch(ctx context.Context) bool {
 	unsaved := n.quarantine.Unsaved()
 	unsaved = unsaved[:min(len(unsaved), maxRowsPerSave)]
@@ -132,7 +133,7 @@
 	for _, record := range unsaved {
 		value, err := json.Marshal(record)
 		if err != nil {
-			n.log.WithError(err).Error("a record of the quarantine can't be rendered and is not saved")
+			n.log.WithError(err).Error("a quarantine record can't be encoded and is not saved")
 			return false
 		}
 		transaction.Writes = append(transaction.Writes, rowstore.Write{Table: quarantineTable, Key: record.Fingerprint.String(), Value: value})
@@ -152,7 +153,8 @@
 	return true
 }
 
-// expireQuarantine forgets what is old, until ctx ends. One node takes it out of the store.
+// expireQuarantine drops expired records until ctx ends. One of the nodes also removes them
+// from the store.
 func (n *Node) expireQuarantine(ctx context.Context) {
 	for sleepFor(ctx, expireEvery) {
 		old := n.quarantine.Expire(time.Now())
--- a/internal/serving/quota.go
+++ b/internal/serving/quota.go
@@ -9,8 +9,8 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// quotas charges tenants by way of the exchange, and counts the verdicts. It implements
-// front.Quotas.
+// quotas charges tenants through the exchange and counts the outcomes. It implements
+// ingress.Quotas.
 type quotas struct {
 	exchange *nodeexchange.Exchange
 	verdicts *prometheus.CounterVec
@@ -19,7 +19,8 @@
 	wait     prometheus.Histogram
 }
 
-// The labels of verdicts.
+// The values of the label "verdict". A private verdict is one that this node gave by itself,
+// because no keeper of the quota answered.
 const (
 	verdictGranted        = "granted"
 	verdictRefused        = "refused"
@@ -27,7 +28,7 @@
 	verdictPrivateRefused = "private_refused"
 )
 
-// newQuotas has the exchange keep the tenants' quotas.
+// newQuotas configures the exchange to enforce the tenants' quotas.
 func (n *Node) newQuotas(registry prometheus.Registerer) *quotas {
 	configured := n.settings.Quota
 	n.exchange.SetQuota(quota.Tolerance{
@@ -53,7 +54,7 @@
 	return q
 }
 
-// Charge implements front.Quotas.
+// Charge implements ingress.Quotas.
 func (q *quotas) Charge(ctx context.Context, claim quota.ChargeRequest) quota.Outcome {
 	verdict := q.exchange.ChargeQuota(ctx, claim)
 	q.verdicts.WithLabelValues(verdictLabel(verdict)).Inc()
@@ -74,7 +75,7 @@
 	return verdictRefused
 }
 
-// Return implements front.Quotas.
+// Return implements ingress.Quotas.
 func (q *quotas) Return(charge quota.Charge) {
 	q.returned.Inc()
 	q.exchange.ReturnQuota(charge)
--- a/internal/serving/roster.go
+++ b/internal/serving/roster.go
@@ -15,8 +15,8 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// pruneEvery is the time between two looks for nodes that are gone for good: a tenth of
-// the time for which they have been silent (digest.departedAfter) and more.
+// pruneEvery is how often to look for nodes that are gone for good, a sixth of the time for which
+// a node must have been silent to count as gone (departedAfter in package nodeexchange).
 const pruneEvery = 10 * time.Second
 
 // nodeListStore is the part of the platform's store that the list of nodes needs.
@@ -25,11 +25,11 @@
 	Transact(ctx context.Context, transaction rowstore.Transaction) (version uint64, done bool, err error)
 }
 
-// relistSpread is the time over which the nodes look after a restore of the store whether it
-// still lists them.
+// relistSpread is the time over which the nodes, after a restore of the store, spread their
+// checks whether it still lists them.
 const relistSpread = 2 * time.Second
 
-// signalRestored has this node look whether the store still lists it.
+// signalRestored makes this node check whether the store still lists it.
 func (n *Node) signalRestored() {
 	select {
 	case n.restored <- struct{}{}:
@@ -37,8 +37,8 @@
 	}
 }
 
-// keepListed writes this node's row, again where it was taken away though the node lives, or
-// lost by the store.
+// keepListed writes this node's row, and writes it again if it was removed although the node is
+// alive, or lost when the store was restored.
 func (n *Node) keepListed(ctx context.Context) {
 	n.announce(ctx)
 	for {
@@ -55,9 +55,9 @@
 	}
 }
 
-// pruneNodes has all nodes forget those that are gone for good, until ctx ends: machines
-// that were replaced at another address would count for ever, as homes of accounts, heads
-// of zones, and in each node's share of the limits.
+// pruneNodes makes all nodes forget nodes that are gone for good, until ctx ends. Otherwise
+// machines that were replaced under another address would count forever: as homes of workers,
+// as heads of zones, and in each node's share of the limits.
 func (n *Node) pruneNodes(ctx context.Context) {
 	ticker := time.NewTicker(pruneEvery)
 	defer ticker.Stop()
@@ -75,22 +75,22 @@
 	}
 }
 
-// unlistNodes takes nodes out of the store's list, and returns those that are not in it.
+// unlistNodes removes nodes from the store's list and returns those that are no longer in it.
 func (n *Node) unlistNodes(ctx context.Context, gone []netip.AddrPort) []netip.AddrPort {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	unlisted, err := removeRows(callCtx, n.platform, gone)
 	log := n.log.WithFields(logrus.Fields{"silent": gone, "unlisted": unlisted})
 	if err != nil {
-		log.WithField("cause", err.Error()).Warn("nodes that are silent can't all be taken out of the list; tried again")
+		log.WithField("cause", err.Error()).Warn("not all silent nodes could be removed from the list; trying again")
 	} else {
-		log.Warn("nodes taken out of the list: they were silent for long")
+		log.Warn("nodes removed from the list: they were silent for too long")
 	}
 	return unlisted
 }
 
-// removeRows removes the rows of nodes at these addresses. A row that was written anew
-// meanwhile stays. It returns the addresses that no row has any more.
+// removeRows removes the rows of nodes at the given addresses, except rows that were rewritten
+// meanwhile. It returns the addresses without a row.
 func removeRows(ctx context.Context, store nodeListStore, gone []netip.AddrPort) ([]netip.AddrPort, error) {
 	rows, _, err := store.Read(ctx, nodesTable)
 	if err != nil {
@@ -101,7 +101,7 @@
 	for _, row := range rows {
 		address, err := exchangeAddress(row)
 		if err != nil || !slices.Contains(gone, address) {
-			continue // a malformed row is nobody's whom others could hear
+			continue // no node can be reached by a malformed row
 		}
 		done, err := removeRow(ctx, store, row)
 		if err != nil {
@@ -115,7 +115,7 @@
 	return unlisted, failed
 }
 
-// removeRow removes a row as it was read.
+// removeRow removes a row unless it has changed since it was read.
 func removeRow(ctx context.Context, store nodeListStore, row tablefeed.Row) (done bool, err error) {
 	_, done, err = store.Transact(ctx, rowstore.Transaction{
 		Conditions: []rowstore.Condition{{Table: nodesTable, Key: row.Key, Version: uint64(row.Version)}},
@@ -124,7 +124,7 @@
 	return done, err
 }
 
-// exchangeAddress reads the address in a node's row.
+// exchangeAddress parses the address in a node's row.
 func exchangeAddress(row tablefeed.Row) (netip.AddrPort, error) {
 	var value nodeRow
 	if err := json.Unmarshal(row.Value, &value); err != nil {
--- a/internal/serving/stages.go
+++ b/internal/serving/stages.go
@@ -9,7 +9,7 @@
 	"github.com/tinarch/tinarch/internal/stagecontrol"
 )
 
-// stageController plans the stages of the engines.
+// stageController returns the controller of the engines' stages.
 func (n *Node) stageController() *stagecontrol.Controller {
 	return stagecontrol.New(stagecontrol.Options{
 		Self: n.incarnation, Authority: n.authority, Wire: n.platform,
@@ -21,7 +21,7 @@
 	})
 }
 
-// hearsRegion reports whether some node of a region is heard.
+// hearsRegion reports whether any node of a region is heard from.
 func (n *Node) hearsRegion(region string) bool {
 	return slices.ContainsFunc(n.exchange.PresentZones(), func(zone string) bool { return n.registry.RegionOfZone(zone) == region })
 }
@@ -29,7 +29,7 @@
 // designated reports whether the other nodes expect this one to act for all.
 func (n *Node) designated() bool { return n.Ready() && n.exchange.Designated() }
 
-// engineServices lists the services of engines.
+// engineServices returns the services whose workers are engines.
 func (n *Node) engineServices() []stagecontrol.Service {
 	var services []stagecontrol.Service
 	for _, service := range n.servicesByName() {
@@ -40,7 +40,7 @@
 	return services
 }
 
-// servicesByName returns the services in force in order of their names.
+// servicesByName returns the services in force, sorted by name.
 func (n *Node) servicesByName() []*routing.Service {
 	table := n.front.Table()
 	if table == nil {
--- a/internal/serving/suspension.go
+++ b/internal/serving/suspension.go
@@ -9,18 +9,19 @@
 	"github.com/tinarch/tinarch/internal/clock"
 )
 
-// suspensionEvery is the time between two looks for suspensions of the machine: they are
-// logged and counted, while what must not outlast one reads clock.Boot itself.
+// suspensionEvery is how often to look for suspensions of the machine, to log and count them.
+// Whatever must not outlast a suspension reads clock.Boottime itself.
 const suspensionEvery = 2 * time.Second
 
-// watchSuspensions tells of each time for which the machine was suspended, until ctx ends.
+// watchSuspensions logs and counts the times for which the machine was suspended, until ctx
+// ends.
 func (n *Node) watchSuspensions(ctx context.Context, metrics prometheus.Registerer) {
 	counted := prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "tinarch_suspended_seconds_total", Help: "Time for which the machine was suspended while this process ran.",
 	})
 	metrics.MustRegister(counted)
 	if err := clock.BoottimeError(); err != nil {
-		n.log.WithField("cause", err.Error()).Warn("the clock since boot can't be read: a lease may be taken for younger than it is after a suspension")
+		n.log.WithField("cause", err.Error()).Warn("the boot-time clock can't be read: after a suspension a lease may be used beyond its end")
 	}
 	watched := clock.NewSuspensionDetector(clock.Boottime, time.Now)
 	n.work.Go(func() {
--- a/internal/serving/usage.go
+++ b/internal/serving/usage.go
@@ -10,8 +10,7 @@
 	"github.com/tinarch/tinarch/internal/usage"
 )
 
-// setUpUsage makes the tally of this node's requests where the platform wants usage
-// reported.
+// setUpUsage creates the tally of this node's requests if the platform wants usage reports.
 func (n *Node) setUpUsage() {
 	if !n.settings.API.Has(settings.DutyUsage) {
 		return
@@ -23,7 +22,8 @@
 
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
 
-// startUsageReporter starts the reporter, and the detour of tallies that reach no supervisor.
+// startUsageReporter starts the reporter, and the writing to the store of usage that no
+// supervisor has acknowledged.
 func (n *Node) startUsageReporter(ctx context.Context, metrics *prometheus.Registry) {
 	if n.tally == nil {
 		return
--- a/internal/serving/warmup.go
+++ b/internal/serving/warmup.go
@@ -12,33 +12,33 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// The figures of a start.
+// Times and limits of the warm-up.
 const (
-	// listWait bounds the wait for the first list of workers and nodes.
+	// listWait bounds the wait for the first lists of workers and nodes.
 	listWait       = 3 * time.Second
 	listPoll       = 10 * time.Millisecond
 	cacheListPause = 15 * time.Millisecond
-	// cacheListTimeout bounds one question to a worker.
+	// cacheListTimeout bounds one request for a cache list.
 	cacheListTimeout = 500 * time.Millisecond
 	maxCacheList     = 4 << 20
-	// homesEvery is the time between two looks for workers whose account this node has
-	// come to keep: what they keep is no more than a hint.
+	// homesEvery is how often to look for workers whose home this node has become. It may be
+	// slow, since knowledge of caches is only a hint.
 	homesEvery = 2 * time.Second
-	// noConnectionLimit is how many connections a question may use.
+	// noConnectionLimit lets calls open any number of connections to a worker.
 	noConnectionLimit = 0
 )
 
-// warmUp learns what the workers keep whose accounts this node keeps: a process that has
-// just started can't know it, nor can one that becomes a home when another node joins or
-// leaves. It asks the other homes, and at a start the workers themselves, if no home
-// knows.
+// warmUp learns the KV cache contents of the workers whose home this node is: neither a process
+// that has just started can know them, nor one that becomes a home because another node joins
+// or leaves. It asks the other homes and, only after a start, the workers that no home knows
+// about.
 func (n *Node) warmUp(ctx context.Context) {
 	if !n.awaitLists(ctx) {
 		return
 	}
 	if n.settings.Node.FirstStart {
-		// Nothing was asked of the workers before: to ask each of them took a connection for
-		// each of its homes, 20,000 in a fleet of 10,000 workers.
+		// On the first start of the system the caches are empty. Asking each worker would take
+		// a connection for each of its homes, 20,000 in a fleet of 10,000 workers.
 		n.registry.MarkCachesKnown(n.unknownCaches())
 	}
 	for _, id := range n.exchange.AskMemory(ctx, n.unknownCaches()) {
@@ -46,7 +46,7 @@
 			return
 		}
 		if !slices.Contains(n.unknownCaches(), id) {
-			continue // another node has asked it meanwhile, and told
+			continue // another node has asked it meanwhile and told this one
 		}
 		if listed, found := n.registry.Get(id); found {
 			n.fetchCacheList(ctx, listed)
@@ -56,7 +56,7 @@
 	n.learnAsNewHome(ctx)
 }
 
-// learnAsNewHome asks the other homes of workers whose account this node has come to keep.
+// learnAsNewHome asks the other homes about workers whose home this node has become.
 func (n *Node) learnAsNewHome(ctx context.Context) {
 	ticker := time.NewTicker(homesEvery)
 	defer ticker.Stop()
@@ -72,8 +72,8 @@
 	}
 }
 
-// unknownCaches returns the engines whose accounts this node keeps, and of whose caches it
-// knows nothing, in an order of its own.
+// unknownCaches returns, in random order, the engines whose home this node is and whose cache
+// contents it doesn't know.
 func (n *Node) unknownCaches() []string {
 	var homed []string
 	if keeping, some := n.exchange.Keeping(); some {
@@ -108,24 +108,24 @@
 	return true
 }
 
-// fetchCacheList asks a worker what it keeps.
+// fetchCacheList asks a worker for the list of its cache contents.
 func (n *Node) fetchCacheList(ctx context.Context, target worker.Worker) {
 	callCtx, cancel := context.WithTimeout(ctx, cacheListTimeout)
 	defer cancel()
 	answer, err := n.calls().Do(callCtx, target.ID, target.Address, noConnectionLimit, n.platform.ListRequest(target.Address))
 	if err != nil {
-		n.log.WithFields(logrus.Fields{"worker": target.ID, "cause": err.Error()}).Warn("a worker did not tell what it keeps")
+		n.log.WithFields(logrus.Fields{"worker": target.ID, "cause": err.Error()}).Warn("a worker did not return its cache list")
 		return
 	}
 	defer func() { _ = answer.Body.Close() }()
 	content, err := io.ReadAll(io.LimitReader(answer.Body, maxCacheList))
 	if err != nil {
-		n.log.WithFields(logrus.Fields{"worker": target.ID, "cause": err.Error()}).Warn("a worker did not tell what it keeps")
+		n.log.WithFields(logrus.Fields{"worker": target.ID, "cause": err.Error()}).Warn("a worker did not return its cache list")
 		return
 	}
 	parts, err := n.platform.ListedParts(answer.Status, content)
 	if err != nil {
-		n.log.WithFields(logrus.Fields{"worker": target.ID, "cause": err.Error()}).Warn("a worker's list can't be read")
+		n.log.WithFields(logrus.Fields{"worker": target.ID, "cause": err.Error()}).Warn("a worker's cache list can't be parsed")
 		return
 	}
 	n.registry.ObserveCacheList(target.ID, parts, time.Now())
--- a/internal/serving/workercalls.go
+++ b/internal/serving/workercalls.go
@@ -12,14 +12,14 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// workerCalls are the calls to workers that aren't requests of callers: orders and questions.
-// A worker that takes no more than so many requests counts them too, and their answers may name
-// its limit.
+// workerCalls makes calls to workers that aren't requests of callers, such as orders and state
+// requests. A rate-limited worker counts these too, and its answers may state its limit.
 type workerCalls struct{ node *Node }
 
 func (n *Node) calls() workerCalls { return workerCalls{node: n} }
 
-// Do is workerconn.Pool.Do.
+// Do calls workerconn.Pool.Do, counts the call as a turn and records a limit stated in the
+// answer.
 func (c workerCalls) Do(ctx context.Context, key, address string, limit int, request *workerconn.Request) (*workerconn.Answer, error) {
 	c.node.exchange.CountTurn(key)
 	sent := time.Now()
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// One that names no limit says nothing: workers name it in answers to requests.
+	// An answer without a limit means nothing here: workers state it in answers to requests.
 	if named := c.node.platform.Reply(answer.Status, answer.Header).Limit; named.Named {
 		c.node.registry.ObserveLimit(key, request.Target, worker.LimitStatement{
 			Named: true, Rate: named.PerSecond, Sent: sent, Heard: time.Now(),
@@ -36,35 +36,36 @@
 	return answer, nil
 }
 
-// The figures of questions to workers that have named a limit and say nothing more.
+// Intervals and limits for probing workers that have stated a limit and get no requests any
+// more.
 const (
-	// probeEvery is the time between two looks for such workers.
+	// probeEvery is how often to look for such workers.
 	probeEvery = 500 * time.Millisecond
-	// probeAfter is how long a worker has been silent that is asked; it doubles each time that
-	// the worker turned out to be in need still, up to maxProbeAfter.
+	// probeAfter is how long a worker must have stated nothing before it is probed. It doubles,
+	// up to maxProbeAfter, each time a request shows that the limit still holds.
 	probeAfter    = 2 * time.Second
 	maxProbeAfter = 16 * time.Second
-	// probeTimeout bounds one question.
+	// probeTimeout bounds one probe.
 	probeTimeout = 500 * time.Millisecond
-	// minProbedRate are the requests a second that a worker gets at least which named no limit when
-	// it was asked: their answers tell whether it takes more.
+	// minProbedRate is the minimum rate, in requests per second, for a worker that stated no
+	// limit when probed. Its answers to these requests tell whether it accepts more.
 	minProbedRate = 1
-	// probesInRow is how many questions in a row name no limit, with no request in between,
-	// until it counts as ended.
+	// probesInRow is how many probes without a request in between must find no limit until the
+	// limit counts as ended.
 	probesInRow = 3
 )
 
-// limitProbe is what is remembered of the questions to a worker.
+// limitProbe is the state of the probes of one worker.
 type limitProbe struct {
-	// heard is when the worker answered the last one, and inRow counts those without a request
-	// in between.
+	// heard is when the worker answered the last probe, and inRow counts the probes since the
+	// last request.
 	heard time.Time
 	inRow int
 	after time.Duration
 }
 
-// probeLimits asks workers that have named a limit and get no request any more whether it still
-// holds: what nobody wants would else count for ever.
+// probeLimits asks workers that have stated a limit and get no requests any more whether it
+// still applies. Otherwise the limit of a worker that gets no requests would count forever.
 func (n *Node) probeLimits(ctx context.Context) {
 	probes := make(map[string]*limitProbe)
 	ticker := time.NewTicker(probeEvery)
@@ -90,7 +91,7 @@
 	}
 }
 
-// probeLimit asks a worker, if it was silent for long enough.
+// probeLimit probes a worker that has stated nothing for long enough.
 func (n *Node) probeLimit(ctx context.Context, id string, probes map[string]*limitProbe) {
 	stated, _, _ := n.registry.Limit(id)
 	probe := probes[id]
@@ -102,7 +103,7 @@
 		return
 	}
 	if !stated.Heard.Equal(probe.heard) {
-		if probe.inRow > 0 { // a request named the limit again
+		if probe.inRow > 0 { // a request has stated the limit again
 			probe.after = min(2*probe.after, maxProbeAfter)
 		}
 		probe.inRow = 0
@@ -123,8 +124,8 @@
 	n.registry.ObserveLimit(id, "state", found)
 }
 
-// probeState asks a worker how it is, and reports whether it named a limit, and whether it
-// answered at all.
+// probeState asks a worker for its state. It reports whether the answer stated a limit, and
+// whether there was an answer.
 func (n *Node) probeState(ctx context.Context, id string) (named, answered bool) {
 	target, listed := n.registry.Get(id)
 	if !listed {
@@ -145,12 +146,12 @@
 		n.log.WithFields(logrus.Fields{"worker": id, "cause": err.Error()}).Warn("a worker with a limit did not tell its state")
 		return false, false
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxCacheList)) // so that the connection is kept
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxCacheList)) // so that the connection can be reused
 	_ = answer.Body.Close()
 	return n.platform.Reply(answer.Status, answer.Header).Limit.Named, true
 }
 
-// serviceOf is the service of a worker, nil where the configuration has none of that name.
+// serviceOf returns the service of a worker, nil if the configuration has none of that name.
 func (n *Node) serviceOf(of worker.Worker) *routing.Service {
 	table := n.front.Table()
 	if table == nil {
