--- a/internal/serving/limits_test.go
+++ b/internal/serving/limits_test.go
@@ -11,10 +11,10 @@
 	l.due("w", begin)
 	l.due("w", begin)
 	if _, due := l.due("other", begin.Add(limitLogEvery)); !due || len(l.logged) != 2 {
-		t.Errorf("%d workers are remembered, want both: changes of one had no line", len(l.logged))
+		t.Errorf("%d workers are remembered, want both: one has unlogged changes", len(l.logged))
 	}
 	if passedOver, due := l.due("w", begin.Add(2*limitLogEvery)); !due || passedOver != 1 {
-		t.Errorf("%d changes had no line, want 1", passedOver)
+		t.Errorf("%d changes were not logged, want 1", passedOver)
 	}
 	l.due("w", begin.Add(2*limitLogEvery))
 	l.due("other", begin.Add(2*limitLogEvery+limitLogLife))
--- a/internal/serving/roster_test.go
+++ b/internal/serving/roster_test.go
@@ -18,7 +18,7 @@
 	newAddress = netip.MustParseAddrPort("10.0.0.2:7000")
 )
 
-// putNodeRow puts a node's row.
+// putNodeRow writes a node's row.
 func putNodeRow(t *testing.T, store nodeListStore, name string, address netip.AddrPort) {
 	t.Helper()
 	value, err := json.Marshal(nodeRow{Incarnation: name, Exchange: address.String(), Zone: "a"})
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestNodeThatRemovedItsRowIsUnlisted: there is nothing to be removed.
+// TestNodeThatRemovedItsRowIsUnlisted without anything to remove.
 func TestNodeThatRemovedItsRowIsUnlisted(t *testing.T) {
 	store := memorystore.New()
 	putNodeRow(t, store, "replacement", newAddress)
@@ -68,7 +68,7 @@
 	}
 }
 
-// staleStore reads a list that is older than what the store holds.
+// staleStore returns an older list than the store holds.
 type staleStore struct {
 	*memorystore.Store
 	rows []tablefeed.Row
@@ -78,8 +78,7 @@
 	return s.rows, 0, nil
 }
 
-// TestRewrittenRowIsNotRemoved: the list was read stale, and the node has started again
-// meanwhile.
+// TestRewrittenRowIsNotRemoved: the node has started again since the list was read.
 func TestRewrittenRowIsNotRemoved(t *testing.T) {
 	store := memorystore.New()
 	putNodeRow(t, store, "node", oldAddress)
@@ -107,17 +106,17 @@
 	}
 }
 
-// frozenStore can be read, and takes no writes.
+// frozenStore can be read, but refuses writes.
 type frozenStore struct{ *memorystore.Store }
 
-var errFrozen = errors.New("the store takes no writes")
+var errFrozen = errors.New("the store refuses writes")
 
 func (frozenStore) Transact(context.Context, rowstore.Transaction) (uint64, bool, error) {
 	return 0, false, errFrozen
 }
 
-// TestNodesWhoseRowsRemainAreNotUnlisted: after a row that can't be removed there are
-// others.
+// TestNodesWhoseRowsRemainAreNotUnlisted: if one row can't be removed, the later ones must not
+// count as removed.
 func TestNodesWhoseRowsRemainAreNotUnlisted(t *testing.T) {
 	store := memorystore.New()
 	putNodeRow(t, store, "gone", oldAddress)
