--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// Outlives implements tablefeed.Reviewer: after a restore of the store, the active
+// IsHeldNewer implements tablefeed.Reconciler: after a restore of the store, the active
 // configuration stays until the operator writes it again.
-func (c *configConsumer) Outlives(held, given tablefeed.Row) bool {
+func (c *configConsumer) IsHeldNewer(held, given tablefeed.Row) bool {
 	before, isRoutes, err := c.node.platform.Routes(held)
 	if err != nil || !isRoutes {
 		return false
@@ -133,9 +133,9 @@
 	return w.node.registry.ReplaceRestored(listed, doubt, time.Now())
 }
 
-// Outlives implements tablefeed.Reviewer: after a restore of the store, a worker incarnation
+// IsHeldNewer implements tablefeed.Reconciler: after a restore of the store, a worker incarnation
 // that has announced that it drains stays draining, even if its restored row says otherwise.
-func (w *workerConsumer) Outlives(held, given tablefeed.Row) bool {
+func (w *workerConsumer) IsHeldNewer(held, given tablefeed.Row) bool {
 	before, err := w.node.platform.Worker(held)
 	if err != nil || !before.Draining || given.Gone {
 		return false
