--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -183,15 +183,15 @@
 	if status := c.options.Authority.Acquire(ctx); status != authority.Held {
 		return eris.Errorf("no authority: %s", status)
 	}
-	act, held := c.options.Authority.Begin(ctx, callTimeout)
+	operation, held := c.options.Authority.Begin(ctx, callTimeout)
 	if !held {
 		return eris.New("the authority expired before the order was sent")
 	}
-	defer act.End()
-	verdict, err := c.options.API.OrderWorkers(act.Context, duty.LeaseToken{Holder: c.options.Node, Fence: act.Fence}, service.Name, kind, count)
+	defer operation.End()
+	verdict, err := c.options.API.OrderWorkers(operation.Context, duty.LeaseToken{Holder: c.options.Node, Fence: operation.Fence}, service.Name, kind, count)
 	c.options.Log.WithFields(logrus.Fields{
 		"service": service.Name, "zone": kind.Zone, "spot": kind.Spot, "count": count, "standing": fleet.standing[kind],
-		"standing_total": fleet.standing.total(), "fence": act.Fence, "verdict": verdict, "cause": fmt.Sprint(err),
+		"standing_total": fleet.standing.total(), "fence": operation.Fence, "verdict": verdict, "cause": fmt.Sprint(err),
 		"basis_lost": fleet.basis.Lost, "basis_workers": fleet.basis.Workers,
 	}).Info("workers ordered")
 	switch verdict {
