--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -39,7 +39,7 @@
 type API interface {
 	// OrderWorkers sets the number of workers of a kind that a service is to have. If the
 	// verdict isn't duty.Accepted, the error tells why.
-	OrderWorkers(ctx context.Context, act duty.LeaseToken, service string, kind Kind, count int) (duty.Verdict, error)
+	OrderWorkers(ctx context.Context, token duty.LeaseToken, service string, kind Kind, count int) (duty.Verdict, error)
 }
 
 // Workers is what the controller needs to know about the workers.
