--- a/internal/fleetsize/controller_test.go
+++ b/internal/fleetsize/controller_test.go
@@ -43,12 +43,12 @@
 
 func (c *cloud) Idle(string, time.Time) bool { return c.idle }
 
-func (c *cloud) OrderWorkers(_ context.Context, act duty.LeaseToken, _ string, kind Kind, count int) (duty.Verdict, error) {
+func (c *cloud) OrderWorkers(_ context.Context, token duty.LeaseToken, _ string, kind Kind, count int) (duty.Verdict, error) {
 	c.orders++
 	if c.silent {
 		return duty.Unknown, errors.New("no answer")
 	}
-	if act.Fence == 0 || act.Holder == "" {
+	if token.Fence == 0 || token.Holder == "" {
 		return duty.Refused, errors.New("no fence or holder")
 	}
 	if c.away[kind] && count > c.standing[kind] {
