--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -47,8 +47,8 @@
 	var duties sync.WaitGroup
 	for range 8 {
 		duties.Go(func() {
-			if hold := a.Acquire(context.Background()); hold != Held {
-				t.Error(hold)
+			if status := a.Acquire(context.Background()); status != Held {
+				t.Error(status)
 			}
 		})
 	}
@@ -141,8 +141,8 @@
 	lost, _ := a.Condition()
 	store.Restore(0)
 	a.ConditionFailed(lost)
-	if hold := a.Acquire(context.Background()); hold != Held {
-		t.Fatal(hold)
+	if status := a.Acquire(context.Background()); status != Held {
+		t.Fatal(status)
 	}
 	condition, _ := a.Condition()
 	_, done, err := store.Transact(context.Background(), rowstore.Transaction{Conditions: []rowstore.Condition{condition}})
@@ -176,8 +176,8 @@
 	var aside time.Duration
 	a := newAuthority(store, "a", shortLife, func(span time.Duration) { aside = span })
 	store.SetFaults(memorystore.Faults{Down: true})
-	if hold := a.Acquire(context.Background()); hold != StoreUnavailable || aside <= shortLife {
-		t.Errorf("%s, stepped back for %v", hold, aside)
+	if status := a.Acquire(context.Background()); status != StoreUnavailable || aside <= shortLife {
+		t.Errorf("%s, stepped back for %v", status, aside)
 	}
 }
 
@@ -198,14 +198,14 @@
 		if term.Until.Sub(before) < least {
 			t.Fatalf("an operation begins with %v left", term.Until.Sub(before))
 		}
-		act, held := a.Begin(context.Background(), longLife)
+		operation, held := a.Begin(context.Background(), longLife)
 		if !held {
 			continue
 		}
-		if until, _ := act.Context.Deadline(); until.After(term.Until) {
+		if until, _ := operation.Context.Deadline(); until.After(term.Until) {
 			t.Fatal("an operation outlasts the lease")
 		}
-		act.End()
+		operation.End()
 	}
 	fenced := newAuthority(memorystore.New(), "a", shortLife, nil)
 	awaitHeld(t, fenced)
@@ -267,7 +267,7 @@
 	b.startedAt = time.Now().Add(-longLife)
 	young := newUnfenced(store, "young", longLife)
 	awaitHeld(t, a)
-	act, held := a.Begin(context.Background(), longLife)
+	operation, held := a.Begin(context.Background(), longLife)
 	if !held {
 		t.Fatal("no operation may begin")
 	}
@@ -282,13 +282,13 @@
 	if b.Acquire(context.Background()) == Held {
 		t.Error("the lease was released with an operation in flight")
 	}
-	act.End()
+	operation.End()
 	<-released
 	if young.Acquire(context.Background()) == Held {
 		t.Error("a process that has just started took a released lease")
 	}
-	if hold := b.Acquire(context.Background()); hold != Held || b.Fence() <= act.Fence {
-		t.Errorf("%s, fence %d after %d", hold, b.Fence(), act.Fence)
+	if status := b.Acquire(context.Background()); status != Held || b.Fence() <= operation.Fence {
+		t.Errorf("%s, fence %d after %d", status, b.Fence(), operation.Fence)
 	}
 }
 
@@ -299,8 +299,8 @@
 	a, b := newUnfenced(store, "a", longLife), newUnfenced(store, "b", longLife)
 	b.startedAt = time.Now().Add(-longLife)
 	awaitHeld(t, a)
-	act, _ := a.Begin(context.Background(), longLife)
-	defer act.End()
+	operation, _ := a.Begin(context.Background(), longLife)
+	defer operation.End()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	a.Release(ctx)
@@ -336,10 +336,10 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		holder := New(Options{Self: "a", Life: longLife, Store: store, Log: log, Unfenced: unfenced, Clock: slept.now})
-		if hold := holder.Acquire(context.Background()); hold != Held {
-			t.Fatal(hold)
+		if status := holder.Acquire(context.Background()); status != Held {
+			t.Fatal(status)
 		}
-		act, begun := holder.Begin(context.Background(), longLife)
+		operation, begun := holder.Begin(context.Background(), longLife)
 		if !begun {
 			t.Fatal("no operation begins under a new lease")
 		}
@@ -350,9 +350,9 @@
 		if _, held := holder.Condition(); held {
 			t.Errorf("unfenced %v: the former holder's condition still applies", unfenced)
 		}
-		if !clock.Expired(act.Context) {
+		if !clock.Expired(operation.Context) {
 			t.Errorf("unfenced %v: an operation that had begun may still be sent", unfenced)
 		}
-		act.End()
+		operation.End()
 	}
 }
