--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -218,7 +218,7 @@
 	w.unreadable.Inc()
 	if before < maxLoggedEntries {
 		w.node.log.WithFields(logrus.Fields{"row": row.Key, "row_version": row.Version, "cause": err.Error()}).
-			Error("a worker's row can't be parsed; the worker is not used")
+			Error("a worker's entry can't be parsed; the worker is not used")
 	}
 	return worker.Worker{}, false
 }
