--- a/internal/stageplan/demand.go
+++ b/internal/stageplan/demand.go
@@ -12,8 +12,8 @@
 	observed time.Time
 }
 
-// observe records a value and returns the decayed maximum. timeConstant is the time constant of the
-// decay.
+// observe records a value and returns the decayed maximum. timeConstant is the time constant of
+// the decay.
 func (p *decayingPeak) observe(now time.Time, sample float64, timeConstant time.Duration) float64 {
 	if !p.observed.IsZero() {
 		p.value *= math.Exp(-float64(now.Sub(p.observed)) / float64(timeConstant))
--- a/internal/stageplan/stageplan.go
+++ b/internal/stageplan/stageplan.go
@@ -64,8 +64,7 @@
 // engine.
 type Policy struct {
 	// Reading and Writing are the target utilizations of the prefill and the decode stage:
-	// above them, requests of that stage become late (docs/design/decisions.md, rounds 5 and
-	// 6).
+	// above them, requests of that stage become late (docs/design/decisions.md).
 	Reading, Writing float64
 	// PeakDecay is the time constant with which a peak of demand decays.
 	PeakDecay time.Duration
@@ -417,9 +416,9 @@
 	return current.spare-best.spare >= p.Gain*current.spare
 }
 
-// estimate returns the utilization of the busier stage in a division. It doesn't count
-// that decode engines can prefill too, since this delays the requests they are decoding.
-// Observed load has the same weight in both stages.
+// estimate returns the utilization of the busier stage in a division. It doesn't count that
+// decode engines can prefill too, since this delays the requests they are decoding. Observed
+// load has the same weight in both stages.
 func (p *Planner) estimate(prefill, decode int) utilization {
 	reading := p.demand.Reading / p.policy.Reading / float64(max(prefill, 1))
 	writing := p.demand.Writing / p.policy.Writing / float64(max(decode, 1))
