--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -28,9 +28,9 @@
 	retryRefusedAfter = 2 * time.Second
 	// roundEvery is the time between two rounds of orders, and changesPerRound, divided by the
 	// number of nodes, the number of workers that one round may start or stop. Each of them
-	// causes several changes of the platform's worker list, which the relay nodes of a zone
-	// forward to all its nodes. Replacing three thousand workers at once delayed the list by 5
-	// s with 300 nodes and links of 10 Mbit/s (docs/design/fleet-size.md).
+	// causes several changes of the platform's worker list, which the heads (relay nodes) of a
+	// zone forward to all its nodes. Replacing three thousand workers at once delayed the list
+	// by 5 s with 300 nodes and links of 10 Mbit/s (docs/design/fleet-size.md).
 	roundEvery      = 2 * time.Second
 	changesPerRound = 16_000
 )
