--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -22,7 +22,8 @@
 
 // Reset implements tablefeed.Consumer.
 func (c *configConsumer) Reset(rows []tablefeed.Row, version tablefeed.Version) {
-	if c.era.Advances(version) && !c.node.exchange.Large() { // in a large fleet the list of nodes, which all nodes follow, shows whether this node is listed
+	// In a large fleet the list of nodes, which all nodes follow, shows whether this node is listed.
+	if c.era.Advances(version) && !c.node.exchange.Large() {
 		c.node.signalRestored()
 	}
 	c.Apply(rows, version)
@@ -47,8 +48,8 @@
 	}
 }
 
-// IsHeldNewer implements tablefeed.Reconciler: after a restore of the store, the active
-// configuration stays until the operator writes it again.
+// IsHeldNewer implements tablefeed.Reconciler: after a restore of the store, the configuration
+// in force stays until the operator writes it again.
 func (c *configConsumer) IsHeldNewer(held, given tablefeed.Row) bool {
 	before, isRoutes, err := c.node.platform.Routes(held)
 	if err != nil || !isRoutes {
@@ -119,8 +120,8 @@
 	}).Info("workers read")
 }
 
-// missedHeartbeats is the number of heartbeats after which the row of a worker that has ended
-// is gone.
+// missedHeartbeats is the number of missed heartbeats after which the row of a worker that has
+// ended is gone at the latest.
 const missedHeartbeats = 4
 
 // replace sets the whole worker list to that of a version.
@@ -133,8 +134,9 @@
 	return w.node.registry.ReplaceRestored(listed, doubt, time.Now())
 }
 
-// IsHeldNewer implements tablefeed.Reconciler: after a restore of the store, a worker incarnation
-// that has announced that it drains stays draining, even if its restored row says otherwise.
+// IsHeldNewer implements tablefeed.Reconciler: after a restore of the store, a worker
+// incarnation that has announced that it drains stays draining, even if its restored row says
+// otherwise.
 func (w *workerConsumer) IsHeldNewer(held, given tablefeed.Row) bool {
 	before, err := w.node.platform.Worker(held)
 	if err != nil || !before.Draining || given.Gone {
--- a/internal/serving/metrics.go
+++ b/internal/serving/metrics.go
@@ -49,7 +49,7 @@
 	return "no"
 }
 
-// registerTableMetrics registers metrics for the version of the active configuration and the
+// registerTableMetrics registers metrics for the version of the configuration in force and the
 // age of this node's copy of each table.
 func (n *Node) registerTableMetrics(registry prometheus.Registerer) {
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
--- a/internal/serving/roster.go
+++ b/internal/serving/roster.go
@@ -15,8 +15,9 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// pruneEvery is how often to look for nodes that are gone for good, a sixth of the time for which
-// a node must have been silent to count as gone (departedAfter in package nodeexchange).
+// pruneEvery is how often to look for nodes that are gone for good. It is a sixth of the time
+// for which a node must have been silent to count as gone (departedAfter in package
+// nodeexchange).
 const pruneEvery = 10 * time.Second
 
 // nodeListStore is the part of the platform's store that the list of nodes needs.
