--- a/internal/fleetsize/basis.go
+++ b/internal/fleetsize/basis.go
@@ -12,15 +12,16 @@
 	"github.com/tinarch/tinarch/internal/rowstore"
 )
 
-// The rows in which the basis of a service's plan lies.
+// table holds one row per service with the basis of its plan.
 const table = "fleet"
 
-// learnBasis reads what the plan of a service rests on, or writes it down where this node
-// is the first to plan: later nodes find workers that were ordered, not the operators'
-// choice. A basis that a restored store lacks is written again.
-func (c *Controller) learnBasis(ctx context.Context, service Service, fleet *ordered, standing Counts) error {
-	if hold := c.options.Authority.Acquire(ctx); hold != authority.Held {
-		return eris.Errorf("no authority: %s", hold)
+// learnBasis reads the stored basis of a service's plan, or writes it if this node is the first
+// to plan: nodes that plan later find a fleet that was already changed by orders, not the
+// operators' choice. A basis that is missing after the store was restored from a backup is
+// written again.
+func (c *Controller) learnBasis(ctx context.Context, service Service, fleet *fleetState, standing Counts) error {
+	if status := c.options.Authority.Acquire(ctx); status != authority.Held {
+		return eris.Errorf("no authority: %s", status)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -47,7 +48,7 @@
 	}
 	condition, held := c.options.Authority.Condition()
 	if !held {
-		return eris.New("the authority lapsed before the basis was written")
+		return eris.New("the authority expired before the basis was written")
 	}
 	_, done, err := c.options.Store.Transact(callCtx, rowstore.Transaction{
 		Conditions: []rowstore.Condition{condition, {Table: table, Key: service.Name}},
--- a/internal/fleetsize/plan_test.go
+++ b/internal/fleetsize/plan_test.go
@@ -7,7 +7,7 @@
 	"github.com/tinarch/tinarch/internal/routing"
 )
 
-// terms are those of three zones, at a multiple of the prices.
+// terms returns the scaling terms of three zones with all prices multiplied by times.
 func terms(spot, times float64, boot time.Duration) *routing.Scaling {
 	return &routing.Scaling{
 		Min: 1, Max: 94, Boot: boot, SpotPrice: spot,
@@ -15,10 +15,10 @@
 	}
 }
 
-// operators is the fleet that stands at the start.
-func operators() Counts { return Counts{{Zone: "a"}: 47, {Zone: "b"}: 47, {Zone: "c"}: 46} }
+// operatorsFleet is the fleet that the operators started.
+func operatorsFleet() Counts { return Counts{{Zone: "a"}: 47, {Zone: "b"}: 47, {Zone: "c"}: 46} }
 
-func spots(counts Counts) int {
+func countSpot(counts Counts) int {
 	sum := 0
 	for kind, count := range counts {
 		if kind.Spot {
@@ -28,16 +28,17 @@
 	return sum
 }
 
-// TestPlanIsNeverDearerThanTheOperatorsFleet: at any prices, and it keeps to the bounds.
-func TestPlanIsNeverDearerThanTheOperatorsFleet(t *testing.T) {
+// TestPlanNeverCostsMoreThanTheOperatorsFleet at any prices, and it stays within the bounds of
+// each zone.
+func TestPlanNeverCostsMoreThanTheOperatorsFleet(t *testing.T) {
 	policy := DefaultPolicy()
 	for _, spot := range []float64{0, 0.05, 0.18, 0.5, 0.9, 1.2} {
 		for _, times := range []float64{0.05, 1, 4} {
 			for _, boot := range []time.Duration{2 * time.Second, 12 * time.Second} {
 				known := terms(spot, times, boot)
-				basis := policy.Prior(terms(spot, 1, boot), operators())
+				basis := policy.Prior(terms(spot, 1, boot), operatorsFleet())
 				plan := policy.Plan(known, basis, nil)
-				if before, after := policy.Cost(known, basis, operators()), policy.Cost(known, basis, plan); after > before {
+				if before, after := policy.Cost(known, basis, operatorsFleet()), policy.Cost(known, basis, plan); after > before {
 					t.Errorf("spot %v, prices × %v: %v costs %.1f, the operators' fleet %.1f", spot, times, plan, after, before)
 				}
 				for zone := range known.PriceByZone {
@@ -50,21 +51,21 @@
 	}
 }
 
-// TestPricesDecideTheMix: cheap spot workers are taken and more of them, dear ones are
-// not; dear workers are fewer.
+// TestPricesDecideTheMix: cheap spot workers are used, and more workers with them; expensive
+// spot workers are not. If all workers are expensive there are fewer.
 func TestPricesDecideTheMix(t *testing.T) {
 	policy := DefaultPolicy()
 	plan := func(spot, times float64) Counts {
-		basis := policy.Prior(terms(spot, 1, 4*time.Second), operators())
+		basis := policy.Prior(terms(spot, 1, 4*time.Second), operatorsFleet())
 		return policy.Plan(terms(spot, times, 4*time.Second), basis, nil)
 	}
-	if cheap := plan(0.18, 1); spots(cheap) != cheap.total() || cheap.total() <= operators().total() {
-		t.Errorf("at cheap spot workers: %v", cheap)
+	if cheap := plan(0.18, 1); countSpot(cheap) != cheap.total() || cheap.total() <= operatorsFleet().total() {
+		t.Errorf("with cheap spot workers: %v", cheap)
 	}
-	if dear := plan(0.95, 1); spots(dear) > dear.total()/10 {
-		t.Errorf("at dear spot workers: %v", dear)
+	if dear := plan(0.95, 1); countSpot(dear) > dear.total()/10 {
+		t.Errorf("with expensive spot workers: %v", dear)
 	}
-	if none := plan(0, 1); spots(none) != 0 {
+	if none := plan(0, 1); countSpot(none) != 0 {
 		t.Errorf("without spot workers: %v", none)
 	}
 	if normal, dear := plan(0.18, 1).total(), plan(0.18, 4).total(); dear >= normal {
@@ -72,41 +73,43 @@
 	}
 }
 
-// TestSameFleetAtTheSamePrices: an operator's fleet that can't be had cheaper stays about
-// as large as it is.
+// TestSameFleetAtTheSamePrices: if there is no cheaper kind, the operators' fleet keeps about
+// its size.
 func TestSameFleetAtTheSamePrices(t *testing.T) {
 	policy := DefaultPolicy()
 	flat := &routing.Scaling{Min: 1, Max: 94, PriceByZone: map[string]float64{"a": 1, "b": 1, "c": 1}}
-	plan := policy.Plan(flat, policy.Prior(flat, operators()), nil)
+	plan := policy.Plan(flat, policy.Prior(flat, operatorsFleet()), nil)
 	if total := plan.total(); total < 138 || total > 142 {
 		t.Errorf("%d workers, the operators' fleet has 140", total)
 	}
 }
 
-// TestLostZoneIsMadeUpForElsewhere: what isn't to be had in one zone is ordered in others.
-func TestLostZoneIsMadeUpForElsewhere(t *testing.T) {
+// TestUnavailableZoneIsReplacedElsewhere: spot workers that one zone lacks are ordered in
+// others.
+func TestUnavailableZoneIsReplacedElsewhere(t *testing.T) {
 	policy := DefaultPolicy()
 	known := terms(0.5, 1, 4*time.Second)
-	basis := policy.Prior(known, operators())
+	basis := policy.Prior(known, operatorsFleet())
 	whole := policy.Plan(known, basis, nil)
 	away := Kind{Zone: "a", Spot: true}
 	without := policy.Plan(known, basis, map[Kind]int{away: 0})
 	if without[away] != 0 || without.total()-without[away] <= whole.total()-whole[away] {
-		t.Errorf("%v, with zone a %v", without, whole)
+		t.Errorf("%v without spot workers in zone a, %v with them", without, whole)
 	}
 }
 
-// TestLargeFleetsArePlannedAlike: a fleet ten times as large has ten times the workers.
-func TestLargeFleetsArePlannedAlike(t *testing.T) {
+// TestPlanScalesWithTheFleet: the plan for a fleet ten times as large has ten times as many
+// workers.
+func TestPlanScalesWithTheFleet(t *testing.T) {
 	policy := DefaultPolicy()
 	small := terms(0.5, 1, 4*time.Second)
 	large := *small
 	large.Max *= 10
 	times := make(Counts)
-	for kind, count := range operators() {
+	for kind, count := range operatorsFleet() {
 		times[kind] = 10 * count
 	}
-	few := policy.Plan(small, policy.Prior(small, operators()), nil).total()
+	few := policy.Plan(small, policy.Prior(small, operatorsFleet()), nil).total()
 	many := policy.Plan(&large, policy.Prior(&large, times), nil).total()
 	if off := many - 10*few; off < -10*few/20 || off > 10*few/20 {
 		t.Errorf("%d workers, %d in a fleet a tenth as large", many, few)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-const life = 3 * time.Second
+const leaseLife = 3 * time.Second
 
 var origin = time.Unix(1000, 0)
 
-func TestTakesAFreeLease(t *testing.T) {
-	m := New("a", DefaultSettings(life))
+func TestTakesFreeLease(t *testing.T) {
+	m := New("a", DefaultSettings(leaseLife))
 	if got := m.Next(origin); got.Action != Wait {
-		t.Errorf("acts before it knows the row: %+v", got)
+		t.Errorf("proposes a write before it has read the row: %+v", got)
 	}
 	m.Observe(Row{}, origin)
 	take := m.Next(origin)
@@ -26,8 +26,8 @@
 	if m.Fence(origin.Add(time.Second)) != 7 {
 		t.Errorf("fence %d", m.Fence(origin))
 	}
-	if m.Holds(origin.Add(life)) {
-		t.Error("the lease is counted from the answer, not from the sending")
+	if m.Holds(origin.Add(leaseLife)) {
+		t.Error("the lease counts from the answer, not from when the write was sent")
 	}
 	renew := m.Next(origin.Add(time.Second))
 	if renew.Action != Renew || renew.IfVersion != 7 || renew.Fence != 7 {
@@ -35,41 +35,41 @@
 	}
 }
 
-func TestWaitsForAWholeLife(t *testing.T) {
-	m := New("b", DefaultSettings(life))
+func TestWaitsUntilLeaseExpires(t *testing.T) {
+	m := New("b", DefaultSettings(leaseLife))
 	m.Observe(Row{Version: 3, Holder: "a"}, origin)
-	if got := m.Next(origin.Add(life)); got.Action != Wait {
-		t.Errorf("took the lease while its holder may act: %+v", got)
+	if got := m.Next(origin.Add(leaseLife)); got.Action != Wait {
+		t.Errorf("took the lease while its holder may still act: %+v", got)
 	}
-	m.Observe(Row{Version: 4, Holder: "a", Fence: 3}, origin.Add(life))
-	if got := m.Next(origin.Add(2 * life)); got.Action != Wait {
+	m.Observe(Row{Version: 4, Holder: "a", Fence: 3}, origin.Add(leaseLife))
+	if got := m.Next(origin.Add(2 * leaseLife)); got.Action != Wait {
 		t.Errorf("took the lease after a renewal: %+v", got)
 	}
-	if got := m.Next(origin.Add(2*life + life/10)); got.Action != Take || got.IfVersion != 4 {
+	if got := m.Next(origin.Add(2*leaseLife + leaseLife/10)); got.Action != Take || got.IfVersion != 4 {
 		t.Errorf("%+v", got)
 	}
 }
 
 func TestReleasedLeaseIsFreeAtOnce(t *testing.T) {
-	m := New("b", DefaultSettings(life))
+	m := New("b", DefaultSettings(leaseLife))
 	m.Observe(Row{Version: 3, Holder: "a", Released: true}, origin)
 	if got := m.Next(origin); got.Action != Take {
 		t.Errorf("%+v", got)
 	}
-	a := New("a", DefaultSettings(life))
+	a := New("a", DefaultSettings(leaseLife))
 	a.Observe(Row{}, origin)
 	a.Next(origin)
 	a.WriteSucceeded(1, origin)
 	if release, held := a.Release(); !held || release.IfVersion != 1 || a.Holds(origin) {
-		t.Error("a release is not the end of a lease")
+		t.Error("a released lease is still held")
 	}
 }
 
-// TestLapsedLeaseIsGivenBack: by the node whose row it still is, once, and by no other.
+// TestLapsedLeaseIsGivenBack: only the node that wrote the row may release an expired lease.
 func TestLapsedLeaseIsGivenBack(t *testing.T) {
-	a := New("a", DefaultSettings(life))
+	a := New("a", DefaultSettings(leaseLife))
 	if _, own := a.Release(); own {
-		t.Error("gave back what it doesn't know")
+		t.Error("released a lease without having read the row")
 	}
 	a.Observe(Row{}, origin)
 	a.Next(origin)
@@ -77,36 +77,36 @@
 	if release, own := a.Release(); !own || release.IfVersion != 1 || a.Holds(origin) {
 		t.Errorf("%+v, %v", release, own)
 	}
-	a.Observe(Row{Version: 2, Holder: "b"}, origin.Add(2*life))
+	a.Observe(Row{Version: 2, Holder: "b"}, origin.Add(2*leaseLife))
 	if _, own := a.Release(); own {
-		t.Error("gave back another's lease")
+		t.Error("released another node's lease")
 	}
 }
 
-// TestLostAnswerDoesNotLengthen: a renewal whose answer was lost shows in the row,
-// and counts for nothing.
+// TestLostAnswerDoesNotLengthen: a renewal whose answer was lost shows in the row, but doesn't
+// extend the lease.
 func TestLostAnswerDoesNotLengthen(t *testing.T) {
-	m := New("a", DefaultSettings(life))
+	m := New("a", DefaultSettings(leaseLife))
 	m.Observe(Row{}, origin)
 	m.Next(origin)
 	m.WriteSucceeded(1, origin)
-	m.Next(origin.Add(life / 3))
+	m.Next(origin.Add(leaseLife / 3))
 	m.WriteFailed()
-	m.Observe(Row{Version: 2, Holder: "a", Fence: 1}, origin.Add(life/2))
-	if m.Holds(origin.Add(life)) {
-		t.Error("an unanswered renewal lengthened the lease")
+	m.Observe(Row{Version: 2, Holder: "a", Fence: 1}, origin.Add(leaseLife/2))
+	if m.Holds(origin.Add(leaseLife)) {
+		t.Error("an unanswered renewal extended the lease")
 	}
-	if !m.Holds(origin.Add(life / 2)) {
+	if !m.Holds(origin.Add(leaseLife / 2)) {
 		t.Error("an unanswered renewal ended the lease")
 	}
 }
 
-// TestOwnFenceIsKept: a node whose lease ran out goes on under its fence while the row is
-// its own, and never after it renounced the lease or another took it.
+// TestOwnFenceIsKept: a node whose lease expired keeps its fence while the row is its own, but
+// not after it renounced the lease or another node took it.
 func TestOwnFenceIsKept(t *testing.T) {
-	settings := DefaultSettings(life)
+	settings := DefaultSettings(leaseLife)
 	settings.KeepFence = true
-	lapsed := origin.Add(2 * life)
+	lapsed := origin.Add(2 * leaseLife)
 	for _, example := range []struct {
 		name   string
 		before func(m *StateMachine)
@@ -123,7 +123,7 @@
 		m.WriteSucceeded(1, origin)
 		example.before(m)
 		if m.Holds(lapsed) {
-			t.Errorf("%s: a lease that ran out is held", example.name)
+			t.Errorf("%s: an expired lease is held", example.name)
 		}
 		if got := m.Next(lapsed); got.Action != example.action || got.Fence != example.fence {
 			t.Errorf("%s: %+v", example.name, got)
@@ -131,8 +131,8 @@
 	}
 }
 
-// world is a store with one row, nodes with clocks of their own, and writes that
-// are delayed, lost or answered late.
+// world simulates a store with one row, nodes with skewed clocks, and writes that are delayed,
+// lost or answered late.
 type world struct {
 	now      time.Time
 	settings Settings
@@ -140,7 +140,8 @@
 	row      Row
 	nodes    []*node
 	writes   []*write
-	// answers are of writes that were carried out, on their way back.
+	// answers belong to writes that were carried out or refused and have not been delivered
+	// yet.
 	answers []answer
 }
 
@@ -165,8 +166,8 @@
 	proposal Proposal
 }
 
-// TestAtMostOneHolder: whatever is delayed, lost, paused or restarted, no two nodes
-// hold the lease at the same moment, and fences only rise.
+// TestAtMostOneHolder: under any delays, losses, pauses and restarts, no two nodes hold the
+// lease at the same time, and fences never decrease.
 func TestAtMostOneHolder(t *testing.T) {
 	for _, keepFence := range []bool{false, true} {
 		t.Run(fmt.Sprintf("keep fence %v", keepFence), func(t *testing.T) { atMostOneHolder(t, keepFence) })
@@ -174,7 +175,7 @@
 }
 
 func atMostOneHolder(t *testing.T, keepFence bool) {
-	settings := DefaultSettings(life)
+	settings := DefaultSettings(leaseLife)
 	settings.KeepFence = keepFence
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{now: origin, settings: settings}
@@ -232,7 +233,7 @@
 	}
 }
 
-// apply carries one of the writes out, whenever it was sent.
+// apply carries out one of the writes, in any order.
 func (w *world) apply(t *rapid.T) {
 	if len(w.writes) == 0 {
 		return
@@ -249,7 +250,7 @@
 	w.answers = append(w.answers, answer{write: pending, version: w.version})
 }
 
-// answer delivers one of the answers, unless its caller has given it up.
+// answer delivers one of the answers, unless its caller has given up waiting.
 func (w *world) answer(t *rapid.T) {
 	if len(w.answers) == 0 {
 		return
--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -14,22 +14,23 @@
 	"github.com/tinarch/tinarch/internal/worker"
 )
 
-// configuration puts the routes in force that the store holds.
-type configuration struct {
+// configConsumer activates the routes that the store's configuration table holds.
+type configConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
 }
 
 // Reset implements tablefeed.Consumer.
-func (c *configuration) Reset(rows []tablefeed.Row, version tablefeed.Version) {
-	if c.era.Advances(version) && !c.node.exchange.Large() { // in a large fleet the list that all follow shows it
-		c.node.storeRestored()
+func (c *configConsumer) Reset(rows []tablefeed.Row, version tablefeed.Version) {
+	// In a large fleet the list of nodes, which all nodes follow, shows whether this node is listed.
+	if c.era.Advances(version) && !c.node.exchange.Large() {
+		c.node.signalRestored()
 	}
 	c.Apply(rows, version)
 }
 
 // Apply implements tablefeed.Consumer.
-func (c *configuration) Apply(rows []tablefeed.Row, _ tablefeed.Version) {
+func (c *configConsumer) Apply(rows []tablefeed.Row, _ tablefeed.Version) {
 	for _, row := range rows {
 		if row.Gone {
 			continue
@@ -38,18 +39,18 @@
 		switch {
 		case err != nil:
 			c.node.log.WithFields(logrus.Fields{"row": row.Key, "row_version": row.Version, "cause": err.Error()}).
-				Error("a configuration can't be read; the node goes on with the one before")
+				Error("a configuration can't be parsed; the node keeps the previous one")
 			continue
 		case !isRoutes:
 			continue
 		}
-		c.node.putInForce(table, row.Version)
+		c.node.activate(table, row.Version)
 	}
 }
 
-// IsHeldNewer implements tablefeed.Reviewer: a configuration that was in force stays so until the
-// operator writes it again.
-func (c *configuration) IsHeldNewer(held, given tablefeed.Row) bool {
+// IsHeldNewer implements tablefeed.Reconciler: after a restore of the store, the configuration
+// in force stays until the operator writes it again.
+func (c *configConsumer) IsHeldNewer(held, given tablefeed.Row) bool {
 	before, isRoutes, err := c.node.platform.Routes(held)
 	if err != nil || !isRoutes {
 		return false
@@ -58,8 +59,8 @@
 	return given.Gone || err != nil || now.Version < before.Version
 }
 
-// putInForce makes a version of the routes the one that requests meet.
-func (n *Node) putInForce(table *routing.Table, rowVersion tablefeed.Version) {
+// activate makes a version of the routes the one in force for requests.
+func (n *Node) activate(table *routing.Table, rowVersion tablefeed.Version) {
 	if current := n.front.Table(); current != nil && table.Version < current.Version {
 		n.log.WithFields(logrus.Fields{"version": table.Version, "in_force": current.Version}).Warn("an older configuration was passed over")
 		return
@@ -80,16 +81,16 @@
 	}).Info("configuration in force")
 }
 
-// workers keeps the registry at what the store lists.
-type workers struct {
+// workerConsumer updates the registry with the workers that the store lists.
+type workerConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
-	// unreadable counts the entries that named no worker to use.
+	// unreadable counts the rows that could not be read as a worker.
 	unreadable prometheus.Counter
 }
 
-func newWorkers(n *Node, metrics prometheus.Registerer) *workers {
-	w := &workers{node: n, unreadable: prometheus.NewCounter(prometheus.CounterOpts{
+func newWorkerConsumer(n *Node, metrics prometheus.Registerer) *workerConsumer {
+	w := &workerConsumer{node: n, unreadable: prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "tinarch_worker_entries_unreadable_total", Help: "Entries of workers that could not be read, each time that one came.",
 	})}
 	metrics.MustRegister(w.unreadable)
@@ -97,7 +98,7 @@
 }
 
 // Reset implements tablefeed.Consumer.
-func (w *workers) Reset(rows []tablefeed.Row, version tablefeed.Version) {
+func (w *workerConsumer) Reset(rows []tablefeed.Row, version tablefeed.Version) {
 	var listed []worker.Worker
 	unreadable := 0
 	for _, row := range rows {
@@ -111,19 +112,20 @@
 	if len(listed) > 0 {
 		w.node.workersKnown.Store(true)
 	}
-	w.drop(gone)
-	w.drop(w.node.registry.TakeEnded())
+	w.dropConnections(gone)
+	w.dropConnections(w.node.registry.TakeEnded())
 	w.node.log.WithFields(logrus.Fields{
 		"version": version, "workers": len(listed), "unreadable": unreadable, "added": len(added), "gone": len(gone), "first_gone": firstOf(gone),
 		"doubted": len(doubted), "first_doubted": firstOf(doubted),
 	}).Info("workers read")
 }
 
-// missedHeartbeats is after how many a worker's entry is gone at the latest.
+// missedHeartbeats is the number of missed heartbeats after which the row of a worker that has
+// ended is gone at the latest.
 const missedHeartbeats = 4
 
-// replace sets the whole list as of a version.
-func (w *workers) replace(listed []worker.Worker, version tablefeed.Version) (added, gone, doubted []string) {
+// replace sets the whole worker list to that of a version.
+func (w *workerConsumer) replace(listed []worker.Worker, version tablefeed.Version) (added, gone, doubted []string) {
 	if !w.era.Advances(version) || !w.node.workersKnown.Load() {
 		added, gone = w.node.registry.Replace(listed)
 		return added, gone, nil
@@ -132,9 +134,10 @@
 	return w.node.registry.ReplaceRestored(listed, doubt, time.Now())
 }
 
-// IsHeldNewer implements tablefeed.Reviewer: a start of a worker that has said it drains doesn't
-// take that back.
-func (w *workers) IsHeldNewer(held, given tablefeed.Row) bool {
+// IsHeldNewer implements tablefeed.Reconciler: after a restore of the store, a worker
+// incarnation that has announced that it drains stays draining, even if its restored row says
+// otherwise.
+func (w *workerConsumer) IsHeldNewer(held, given tablefeed.Row) bool {
 	before, err := w.node.platform.Worker(held)
 	if err != nil || !before.Draining || given.Gone {
 		return false
@@ -144,7 +147,7 @@
 }
 
 // Apply implements tablefeed.Consumer.
-func (w *workers) Apply(rows []tablefeed.Row, version tablefeed.Version) {
+func (w *workerConsumer) Apply(rows []tablefeed.Row, version tablefeed.Version) {
 	unreadable, logged := 0, 0
 	for _, row := range rows {
 		change := worker.Change{Name: row.Key}
@@ -160,7 +163,7 @@
 		}
 		changed := w.node.registry.Apply(change)
 		ended := w.node.registry.TakeEnded()
-		w.drop(ended)
+		w.dropConnections(ended)
 		if !changed {
 			continue
 		}
@@ -177,22 +180,22 @@
 	}
 }
 
-// maxLoggedChanges bounds the lines about one change of the table. When a large fleet of
-// workers starts or is replaced, a line for each at each node is more work than taking the
-// change in.
+// maxLoggedChanges bounds the log lines about one change of the table. When a large fleet of
+// workers starts or is replaced, a line for each worker at each node would be more work than
+// processing the change.
 const maxLoggedChanges = 20
 
-// drop closes the connections to workers that have ended.
-func (w *workers) drop(ended []string) {
+// dropConnections closes the connections to workers that have ended.
+func (w *workerConsumer) dropConnections(ended []string) {
 	for _, id := range ended {
 		w.node.pool.CloseIdle(id)
 	}
 }
 
-func (w *workers) log(change worker.Change, ended []string, version tablefeed.Version) {
+func (w *workerConsumer) log(change worker.Change, ended []string, version tablefeed.Version) {
 	fields := logrus.Fields{
 		"worker": change.Name, "version": version, "gone": change.Worker == nil, "unreadable": change.Unreadable,
-		"ended": ended, // an earlier start of the worker
+		"ended": ended, // earlier incarnations of the worker
 	}
 	if change.Worker != nil {
 		fields["worker"] = change.Worker.ID
@@ -204,12 +207,12 @@
 	w.node.log.WithFields(fields).Info("worker changed")
 }
 
-// maxLoggedEntries bounds the entries of one change of the table that are logged because
-// they can't be read; all are counted.
+// maxLoggedEntries bounds how many unreadable rows are logged for one change of the table. All
+// of them are counted.
 const maxLoggedEntries = 3
 
-// read reads an entry. before is how many of the same change could not be read.
-func (w *workers) read(row tablefeed.Row, before int) (worker.Worker, bool) {
+// read reads a worker's row. before is the number of unreadable rows so far in the same change.
+func (w *workerConsumer) read(row tablefeed.Row, before int) (worker.Worker, bool) {
 	read, err := w.node.platform.Worker(row)
 	if err == nil {
 		return read, true
@@ -217,7 +220,7 @@
 	w.unreadable.Inc()
 	if before < maxLoggedEntries {
 		w.node.log.WithFields(logrus.Fields{"row": row.Key, "row_version": row.Version, "cause": err.Error()}).
-			Error("a worker's entry can't be read; it names no worker to use")
+			Error("a worker's entry can't be parsed; the worker is not used")
 	}
 	return worker.Worker{}, false
 }
@@ -229,4 +232,4 @@
 	return ids[0]
 }
 
-func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
+func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
--- a/internal/serving/fleet.go
+++ b/internal/serving/fleet.go
@@ -9,8 +9,9 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// orderWorkers starts the controller of fleet sizes where the platform takes orders.
-func (n *Node) orderWorkers(ctx context.Context, metrics *prometheus.Registry) {
+// startFleetControl starts the controller of the number of workers if the platform accepts
+// orders for workers.
+func (n *Node) startFleetControl(ctx context.Context, metrics *prometheus.Registry) {
 	if !n.settings.API.Has(settings.DutyScale) {
 		return
 	}
@@ -22,7 +23,7 @@
 	n.work.Go(func() { controller.Run(ctx) })
 }
 
-// scaledServices lists the services whose workers are ordered.
+// scaledServices returns the services whose number of workers is controlled.
 func (n *Node) scaledServices() []fleetsize.Service {
 	var services []fleetsize.Service
 	for _, service := range n.servicesByName() {
--- a/internal/serving/listing.go
+++ b/internal/serving/listing.go
@@ -15,18 +15,19 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// nodesTable holds one row for each node, under its zone and name, so that a node that
-// starts in a large fleet reads the rows of its zone only. An older build keeps its row under
-// its name alone, and doesn't follow the table.
+// nodesTable holds one row for each node. The key consists of its zone and name, so that a node
+// that starts in a large fleet can read the rows of its own zone only. Older builds use the
+// name alone as the key and don't follow the table.
 const nodesTable = "nodes"
 
-// zoneEnd ends the zone in a row's key, and afterZone is the character after it.
+// zoneSeparator follows the zone in a row's key, and afterSeparator is the next character,
+// which ends the range of keys of a zone.
 const (
-	zoneEnd   = "/"
-	afterZone = "0"
+	zoneSeparator  = "/"
+	afterSeparator = "0"
 )
 
-// nodeRow is the value of such a row.
+// nodeRow is the value of a node's row.
 type nodeRow struct {
 	Incarnation string `json:"incarnation"`
 	Exchange    string `json:"exchange"`
@@ -36,29 +37,29 @@
 const (
 	callTimeout = time.Second
 	callPause   = 300 * time.Millisecond
-	// longestPause is that between calls which fail: a store takes rows one after the
-	// other, and those of a thousand nodes that start together take it five seconds.
-	longestPause = 2400 * time.Millisecond
+	// maxPause is the longest pause between failed calls. A store processes rows one at a time,
+	// and needs five seconds for those of a thousand nodes that start together.
+	maxPause = 2400 * time.Millisecond
 )
 
-// rowKey is that of this node's row.
-func (n *Node) rowKey() string { return n.settings.Node.Zone + zoneEnd + n.settings.Node.Name }
+// rowKey returns the key of this node's row.
+func (n *Node) rowKey() string { return n.settings.Node.Zone + zoneSeparator + n.settings.Node.Name }
 
-// maxWholeList is the number of nodes up to which a node that starts reads the whole list:
-// more than greet each other. In a larger fleet it reads the rows of its zone, and follows
-// the list as the other tables.
-const maxWholeList = 40
+// maxFullList is the largest number of nodes of which a starting node reads the whole list. It
+// exceeds the number of nodes that greet each other directly. In a larger fleet a starting node
+// reads the rows of its zone, and then follows the list like the other tables.
+const maxFullList = 40
 
-// announce reads which nodes the store lists, and writes this node's row where the list
-// lacks it; then it reads again, so that of two nodes that start at once at least one knows
-// the other. Where the whole system starts for the first time nobody is listed, and it
-// writes first. It goes on until the store has done all. A node whose write is refused knows
-// the others all the same.
+// announce reads the nodes that the store lists, writes this node's row if it is missing, and
+// then reads again, so that of two nodes that start at once at least one learns of the other.
+// On the first start of the whole system no node is listed, so it writes first. It retries
+// until the store has done all this. If its writes are refused, the node still learns of the
+// others.
 func (n *Node) announce(ctx context.Context) {
 	if n.settings.Node.FirstStart {
 		n.writeRow(ctx)
 	}
-	for pause := callPause; ctx.Err() == nil; pause = min(2*pause, longestPause) {
+	for pause := callPause; ctx.Err() == nil; pause = min(2*pause, maxPause) {
 		listed, read := n.listNodes(ctx)
 		if read && !listed && n.writeRow(ctx) {
 			listed, _ = n.listNodes(ctx)
@@ -72,18 +73,18 @@
 
 // writeRow writes this node's row.
 func (n *Node) writeRow(ctx context.Context) bool {
-	value, err := json.Marshal(nodeRow{Incarnation: n.identity, Exchange: n.settings.Listen.Exchange, Zone: n.settings.Node.Zone})
+	value, err := json.Marshal(nodeRow{Incarnation: n.incarnation, Exchange: n.settings.Listen.Exchange, Zone: n.settings.Node.Zone})
 	if err != nil {
-		n.log.WithError(err).Error("this node's row can't be rendered")
+		n.log.WithError(err).Error("this node's row can't be encoded")
 		return false
 	}
-	return n.called(ctx, "announce itself", func(ctx context.Context) error {
+	return n.tryCall(ctx, "announce itself", func(ctx context.Context) error {
 		return n.platform.Put(ctx, nodesTable, n.rowKey(), value)
 	})
 }
 
-// called makes a call to the store, and reports whether it was done.
-func (n *Node) called(ctx context.Context, what string, call func(ctx context.Context) error) bool {
+// tryCall makes a call to the store and reports whether it succeeded.
+func (n *Node) tryCall(ctx context.Context, what string, call func(ctx context.Context) error) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := call(callCtx)
@@ -93,26 +94,27 @@
 	return err == nil
 }
 
-// listNodes tells the exchange of the nodes that the store lists, in a large fleet of those
-// of this zone. It reports whether the store answered, and whether this node is one of them.
+// listNodes passes the nodes that the store lists to the exchange, in a large fleet only those
+// of this zone. read reports whether the store answered, and listed whether this node is among
+// them.
 func (n *Node) listNodes(ctx context.Context) (listed, read bool) {
-	read = n.called(ctx, "read the list of nodes", func(ctx context.Context) error {
-		rows, more, err := n.platform.ReadSome(ctx, nodesTable, maxWholeList)
+	read = n.tryCall(ctx, "read the list of nodes", func(ctx context.Context) error {
+		rows, more, err := n.platform.ReadSome(ctx, nodesTable, maxFullList)
 		if err != nil {
 			return err
 		}
 		if more {
 			zone := n.settings.Node.Zone
-			rows, _, err = n.platform.ReadRange(ctx, nodesTable, zone+zoneEnd, zone+afterZone)
+			rows, _, err = n.platform.ReadRange(ctx, nodesTable, zone+zoneSeparator, zone+afterSeparator)
 		}
 		if err != nil {
 			return err
 		}
 		peers := n.listedPeers(rows)
-		listed = n.isAmong(peers)
+		listed = n.includesSelf(peers)
 		if more {
 			n.exchange.AddZonePeers(peers)
-			n.isLarge()
+			n.markLarge()
 		} else {
 			n.exchange.AddPeers(peers)
 		}
@@ -121,22 +123,22 @@
 	return listed, read
 }
 
-// isLarge records that the fleet is large.
-func (n *Node) isLarge() { n.largeOnce.Do(func() { close(n.large) }) }
+// markLarge records that the fleet is large.
+func (n *Node) markLarge() { n.largeOnce.Do(func() { close(n.large) }) }
 
-// isAmong reports whether a list holds this node.
-func (n *Node) isAmong(peers []nodeexchange.Peer) bool {
+// includesSelf reports whether a list contains this node.
+func (n *Node) includesSelf(peers []nodeexchange.Peer) bool {
 	return slices.ContainsFunc(peers, func(p nodeexchange.Peer) bool { return p.Address.String() == n.exchange.Address() })
 }
 
-// largeLook is the time between two looks whether the fleet has grown large.
-const largeLook = time.Second
+// largeCheckEvery is how often to check whether the fleet has become large.
+const largeCheckEvery = time.Second
 
-// followNodes follows the list of nodes once the fleet is large, until ctx ends: in a smaller
-// one nodes greet each other, and need not pay for calls to the store. Another node that
-// follows it, and asks for it or tells of it, has this one follow it too.
+// followNodes follows the list of nodes once the fleet is large, until ctx ends. In a smaller
+// fleet nodes greet each other directly and need no paid calls to the store. Another node that
+// follows the list, and requests or announces its versions, makes this node follow it too.
 func (n *Node) followNodes(ctx context.Context) {
-	ticker := time.NewTicker(largeLook)
+	ticker := time.NewTicker(largeCheckEvery)
 	defer ticker.Stop()
 	for large := false; !large; {
 		select {
@@ -154,13 +156,13 @@
 	n.nodesFeed.Run(ctx)
 }
 
-// listedPeers reads the rows of nodes.
+// listedPeers parses the rows of nodes.
 func (n *Node) listedPeers(rows []tablefeed.Row) []nodeexchange.Peer {
 	peers := make([]nodeexchange.Peer, 0, len(rows))
 	for _, row := range rows {
 		peer, err := listedPeer(row)
 		if err != nil {
-			n.log.WithField("row", row.Key).Error("a node's row can't be read; it is passed over")
+			n.log.WithField("row", row.Key).Error("a node's row can't be parsed; it is ignored")
 			continue
 		}
 		peers = append(peers, peer)
@@ -176,11 +178,11 @@
 	address, err := netip.ParseAddrPort(value.Exchange)
 	return nodeexchange.Peer{
 		Node: value.Incarnation, Address: address, Zone: value.Zone,
-		Listed: uint64(row.Version), Unaware: !strings.Contains(row.Key, zoneEnd),
+		Listed: uint64(row.Version), Unaware: !strings.Contains(row.Key, zoneSeparator),
 	}, err
 }
 
-// withdraw takes this node's row away.
+// withdraw removes this node's row.
 func (n *Node) withdraw() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -189,27 +191,27 @@
 	}
 }
 
-// members keeps the exchange's peers at what the store lists.
-type members struct {
+// nodeConsumer updates the exchange's peers with the nodes that the store lists.
+type nodeConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
-	// addresses are those of the rows, by their keys.
+	// addresses are the nodes' addresses by the keys of their rows.
 	addresses map[string]netip.AddrPort
 }
 
 // Reset implements tablefeed.Consumer.
-func (m *members) Reset(rows []tablefeed.Row, version tablefeed.Version) {
+func (m *nodeConsumer) Reset(rows []tablefeed.Row, version tablefeed.Version) {
 	m.addresses = make(map[string]netip.AddrPort, len(rows))
 	peers := m.read(rows)
-	if m.era.Advances(version) && !m.node.isAmong(peers) {
-		m.node.storeRestored()
+	if m.era.Advances(version) && !m.node.includesSelf(peers) {
+		m.node.signalRestored()
 	}
 	m.node.exchange.ReplacePeers(peers, time.Now())
 	m.node.log.WithFields(logrus.Fields{"version": version, "nodes": len(peers)}).Info("list of nodes read")
 }
 
 // Apply implements tablefeed.Consumer.
-func (m *members) Apply(rows []tablefeed.Row, version tablefeed.Version) {
+func (m *nodeConsumer) Apply(rows []tablefeed.Row, version tablefeed.Version) {
 	for _, row := range rows {
 		if !row.Gone {
 			m.node.exchange.AddPeers(m.read([]tablefeed.Row{row}))
@@ -217,15 +219,15 @@
 		}
 		address, known := m.addresses[row.Key]
 		delete(m.addresses, row.Key)
-		if known && !m.holds(address) {
+		if known && !m.hasAddress(address) {
 			m.node.exchange.WithdrawPeers([]netip.AddrPort{address})
 			m.node.log.WithFields(logrus.Fields{"row": row.Key, "version": version}).Info("a node was taken off the list")
 		}
 	}
 }
 
-// read reads rows, and remembers their addresses.
-func (m *members) read(rows []tablefeed.Row) []nodeexchange.Peer {
+// read parses rows and remembers their addresses.
+func (m *nodeConsumer) read(rows []tablefeed.Row) []nodeexchange.Peer {
 	peers := m.node.listedPeers(rows)
 	for _, row := range rows {
 		if peer, err := listedPeer(row); err == nil {
@@ -235,8 +237,9 @@
 	return peers
 }
 
-// holds reports whether another row has an address too, as of a build before.
-func (m *members) holds(address netip.AddrPort) bool {
+// hasAddress reports whether another row has the address too, such as one written by an older
+// build.
+func (m *nodeConsumer) hasAddress(address netip.AddrPort) bool {
 	for _, other := range m.addresses {
 		if other == address {
 			return true
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -14,41 +14,42 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// quarantineTable holds one row for each request under which several workers ended, under
-// its fingerprint: what must outlast all processes.
+// quarantineTable holds one row, under its fingerprint, for each request during which several
+// workers crashed. These records must survive a restart of all nodes.
 const quarantineTable = "quarantine"
 
-// The figures of saving.
+// Intervals and limits for saving records.
 const (
-	// saveStep is by how much later a node saves than the one that comes before it in the
-	// table's ranking, up to saveLatest: where that one does, the others have nothing to save.
-	saveStep   = 200 * time.Millisecond
-	saveLatest = time.Second
-	// savePause is the time between two transactions of a node, and maxSaved bounds the rows
-	// of one.
-	savePause = 200 * time.Millisecond
-	maxSaved  = 50
-	// expireEvery is the time between two looks for what is old: a sixtieth of the shortest
-	// time for which anything is kept.
+	// saveDelayStep is how much later a node saves than the one before it in the table's
+	// ranking, up to maxSaveDelay: if an earlier node saves, the others have nothing left to
+	// save.
+	saveDelayStep = 200 * time.Millisecond
+	maxSaveDelay  = time.Second
+	// savePause is the time between two transactions of a node, and maxRowsPerSave bounds the
+	// rows of one transaction.
+	savePause      = 200 * time.Millisecond
+	maxRowsPerSave = 50
+	// expireEvery is how often to look for expired records: a sixtieth of the shortest time for
+	// which records are kept.
 	expireEvery = time.Minute
 )
 
-// keepQuarantine makes the keeper of requests under which workers end.
-func (n *Node) keepQuarantine(metrics prometheus.Registerer) {
+// setUpQuarantine creates the manager of requests that crash workers.
+func (n *Node) setUpQuarantine(metrics prometheus.Registerer) {
 	n.quarantine = quarantine.NewManager(n.exchange.ChosenForTrial, n.log)
 	n.quarantine.Register(metrics)
 	n.exchange.SetQuarantine(n.quarantine)
-	n.quarantineFeed = n.newFeed(quarantineTable, &quarantined{node: n})
+	n.quarantineFeed = n.newFeed(quarantineTable, &quarantineConsumer{node: n})
 }
 
-// quarantined has the keeper know what the store holds.
-type quarantined struct {
+// quarantineConsumer passes the records in the store to the quarantine manager.
+type quarantineConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
 }
 
 // Reset implements tablefeed.Consumer.
-func (q *quarantined) Reset(rows []tablefeed.Row, version tablefeed.Version) {
+func (q *quarantineConsumer) Reset(rows []tablefeed.Row, version tablefeed.Version) {
 	q.Apply(rows, version)
 	held := make(map[quarantine.Fingerprint]bool, len(rows))
 	for _, row := range rows {
@@ -64,16 +65,16 @@
 }
 
 // Apply implements tablefeed.Consumer.
-func (q *quarantined) Apply(rows []tablefeed.Row, version tablefeed.Version) {
+func (q *quarantineConsumer) Apply(rows []tablefeed.Row, version tablefeed.Version) {
 	for _, row := range rows {
 		if err := q.apply(row, version); err != nil {
 			q.node.log.WithFields(logrus.Fields{"row": row.Key, "row_version": row.Version, "cause": err.Error()}).
-				Error("a row of the quarantine can't be read; it is passed over")
+				Error("a quarantine row can't be parsed; it is ignored")
 		}
 	}
 }
 
-func (q *quarantined) apply(row tablefeed.Row, version tablefeed.Version) error {
+func (q *quarantineConsumer) apply(row tablefeed.Row, version tablefeed.Version) error {
 	request, err := quarantine.ParseFingerprint(row.Key)
 	if err != nil {
 		return err
@@ -84,14 +85,14 @@
 	}
 	var record quarantine.Record
 	if err := json.Unmarshal(row.Value, &record); err != nil {
-		return eris.Wrap(err, "the value is no record")
+		return eris.Wrap(err, "the value is not a quarantine record")
 	}
 	record.Fingerprint = request
 	q.node.quarantine.Stored(record, uint64(row.Version), time.Now())
 	return nil
 }
 
-// saveQuarantine writes what the store is to hold and doesn't, until ctx ends.
+// saveQuarantine writes the records that are missing in the store, until ctx ends.
 func (n *Node) saveQuarantine(ctx context.Context) {
 	for {
 		select {
@@ -99,17 +100,17 @@
 			return
 		case <-n.quarantine.UnsavedSignal():
 		}
-		wait := min(time.Duration(n.exchange.Place(quarantineTable))*saveStep, saveLatest)
+		wait := min(time.Duration(n.exchange.Place(quarantineTable))*saveDelayStep, maxSaveDelay)
 		for len(n.quarantine.Unsaved()) > 0 && sleepFor(ctx, wait) {
 			wait = savePause
-			if !n.saveSome(ctx) {
-				wait = n.board.MaxBackoff(quarantineTable) // each call is paid for, also while the store is down
+			if !n.saveBatch(ctx) {
+				wait = n.board.MaxBackoff(quarantineTable) // each call is paid for, even while the store is unavailable
 			}
 		}
 	}
 }
 
-// sleepFor waits for a time. It reports false where ctx ended.
+// sleepFor waits for a time. It returns false if ctx ended before.
 func sleepFor(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -121,10 +122,10 @@
 	}
 }
 
-// saveSome writes some of what is unsaved. It reports whether the store took it.
-func (n *Node) saveSome(ctx context.Context) bool {
+// saveBatch writes some of the unsaved records. It reports whether the store accepted them.
+func (n *Node) saveBatch(ctx context.Context) bool {
 	unsaved := n.quarantine.Unsaved()
-	unsaved = unsaved[:min(len(unsaved), maxSaved)]
+	unsaved = unsaved[:min(len(unsaved), maxRowsPerSave)]
 	if len(unsaved) == 0 {
 		return true
 	}
@@ -132,13 +133,13 @@
 	for _, record := range unsaved {
 		value, err := json.Marshal(record)
 		if err != nil {
-			n.log.WithError(err).Error("a record of the quarantine can't be rendered and is not saved")
+			n.log.WithError(err).Error("a quarantine record can't be encoded and is not saved")
 			return false
 		}
 		transaction.Writes = append(transaction.Writes, rowstore.Write{Table: quarantineTable, Key: record.Fingerprint.String(), Value: value})
 	}
 	var version uint64
-	saved := n.called(ctx, "save the quarantine", func(ctx context.Context) (err error) {
+	saved := n.tryCall(ctx, "save the quarantine", func(ctx context.Context) (err error) {
 		version, _, err = n.platform.Transact(ctx, transaction)
 		return err
 	})
@@ -152,7 +153,8 @@
 	return true
 }
 
-// expireQuarantine forgets what is old, until ctx ends. One node takes it out of the store.
+// expireQuarantine drops expired records until ctx ends. One of the nodes also removes them
+// from the store.
 func (n *Node) expireQuarantine(ctx context.Context) {
 	for sleepFor(ctx, expireEvery) {
 		old := n.quarantine.Expire(time.Now())
@@ -160,10 +162,10 @@
 			continue
 		}
 		var transaction rowstore.Transaction
-		for _, request := range old[:min(len(old), maxSaved)] {
+		for _, request := range old[:min(len(old), maxRowsPerSave)] {
 			transaction.Writes = append(transaction.Writes, rowstore.Write{Table: quarantineTable, Key: request.String()})
 		}
-		n.called(ctx, "take old rows out of the quarantine", func(ctx context.Context) error {
+		n.tryCall(ctx, "take old rows out of the quarantine", func(ctx context.Context) error {
 			_, _, err := n.platform.Transact(ctx, transaction)
 			return err
 		})
--- a/internal/stageplan/regional_test.go
+++ b/internal/stageplan/regional_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// regionalFleet returns the same engines in each region.
+// regionalFleet returns the same number of engines for each region.
 func regionalFleet(prefill, decode int, regions ...string) []Worker {
 	var workers []Worker
 	for _, region := range regions {
@@ -19,11 +19,11 @@
 	return workers
 }
 
-func heardAll(string) bool { return true }
+func hearsAll(string) bool { return true }
 
-// decided lets a planner see the same engines and work for a while, and returns all orders,
-// which are not carried out.
-func decided(planner *RegionalPlanner, span time.Duration, workers []Worker, offered map[string]OfferedLoad, heard func(string) bool) []Order {
+// ordersWithin lets a planner observe the same engines and load for a while and returns all
+// orders, without carrying them out.
+func ordersWithin(planner *RegionalPlanner, span time.Duration, workers []Worker, offered map[string]OfferedLoad, heard func(string) bool) []Order {
 	var orders []Order
 	for elapsed := time.Duration(0); elapsed <= span; elapsed += tick {
 		orders = append(orders, planner.Decide(origin.Add(elapsed), workers, offered, heard)...)
@@ -31,27 +31,26 @@
 	return orders
 }
 
-// TestEachRegionIsDividedByItsOwnDemand: prompts that are to be read in one region move no
-// engine in another.
+// TestEachRegionIsDividedByItsOwnDemand: prompts in one region don't change engines in another.
 func TestEachRegionIsDividedByItsOwnDemand(t *testing.T) {
 	workers := regionalFleet(4, 8, "north", "south")
 	planner := NewRegionalPlanner(DefaultPolicy())
 	offered := map[string]OfferedLoad{"north": {ReadTokens: 5 * enginePace}, "south": {Requests: 8 * 60}}
 	for elapsed := time.Duration(0); elapsed <= time.Minute; elapsed += tick {
-		carryOut(workers, planner.Decide(origin.Add(elapsed), workers, offered, heardAll), false)
+		carryOut(workers, planner.Decide(origin.Add(elapsed), workers, offered, hearsAll), false)
 	}
 	regions := byRegion(workers)
 	if north := len(divide(regions["north"]).prefill); north < 8 {
-		t.Errorf("%d engines read in the region that is to read, want 8 or more", north)
+		t.Errorf("%d prefill engines in the region with prompts, want 8 or more", north)
 	}
 	if south := len(divide(regions["south"]).prefill); south > 4 {
-		t.Errorf("%d engines read in the region that is to write, want 4 or fewer", south)
+		t.Errorf("%d prefill engines in the region with streams, want 4 or fewer", south)
 	}
 }
 
-// TestOneRegionIsPlannedAsBefore: a deployment in one region gets the same orders as from
-// a planner that knows none.
-func TestOneRegionIsPlannedAsBefore(t *testing.T) {
+// TestOneRegionIsPlannedAsWithoutRegions: a deployment in one region gets the same orders as
+// from a Planner, which knows no regions.
+func TestOneRegionIsPlannedAsWithoutRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain, regional := New(DefaultPolicy()), NewRegionalPlanner(DefaultPolicy())
 		workers := fleet(4, 5, nil)
@@ -59,7 +58,7 @@
 			now := origin.Add(time.Duration(step) * tick)
 			offered := OfferedLoad{ReadTokens: rapid.Float64Range(0, 20*enginePace).Draw(t, "tokens")}
 			want := plain.Decide(now, workers, offered)
-			got := regional.Decide(now, workers, map[string]OfferedLoad{"": offered}, heardAll)
+			got := regional.Decide(now, workers, map[string]OfferedLoad{"": offered}, hearsAll)
 			if fmt.Sprint(got) != fmt.Sprint(want) {
 				t.Fatalf("step %d: %v, want %v", step, got, want)
 			}
@@ -69,7 +68,7 @@
 }
 
 // TestOrdersTogetherAreBoundedOverAllRegions: four regions of eight engines that all need
-// readers get no more orders than one of 32, and each region has its turn.
+// prefill engines get no more orders than one region of 32, and every region gets some.
 func TestOrdersTogetherAreBoundedOverAllRegions(t *testing.T) {
 	regions := []string{"east", "north", "south", "west"}
 	workers := regionalFleet(3, 5, regions...)
@@ -79,9 +78,9 @@
 	}
 	planner := NewRegionalPlanner(DefaultPolicy())
 	served := make(map[string]bool)
-	most := DefaultPolicy().together(len(workers))
+	most := DefaultPolicy().maxChanging(len(workers))
 	if most >= len(workers)/2 || most <= 1 {
-		t.Fatalf("%d at once show nothing", most)
+		t.Fatalf("the test needs a limit between 1 and half the engines, got %d", most)
 	}
 	for elapsed := time.Duration(0); elapsed < 10*time.Second; elapsed += tick {
 		if int(elapsed/tick)%4 == 0 {
@@ -89,22 +88,22 @@
 				workers[i].Changing = false
 			}
 		}
-		orders := planner.Decide(origin.Add(elapsed), workers, offered, heardAll)
+		orders := planner.Decide(origin.Add(elapsed), workers, offered, hearsAll)
 		for _, order := range orders {
 			served[order.Region] = true
 		}
 		carryOut(workers, orders, true)
-		if count := changing(workers); count > most {
-			t.Fatalf("%d engines change at once, %d may", count, most)
+		if count := countChanging(workers); count > most {
+			t.Fatalf("%d engines change at once, want at most %d", count, most)
 		}
 	}
 	if len(served) != len(regions) {
-		t.Errorf("only the regions %v got orders", served)
+		t.Errorf("only these regions got orders: %v", served)
 	}
 }
 
-// TestUnansweredOrdersDontStopARegion: engines of which it isn't known whether they change
-// count as changing for long, and the region needs readers meanwhile.
+// TestUnansweredOrdersDontStopARegion: engines whose order was not answered count as changing
+// for a long time, and the region may need prefill engines meanwhile.
 func TestUnansweredOrdersDontStopARegion(t *testing.T) {
 	workers := regionalFleet(3, 9, "east", "north", "south")
 	unanswered := 0
@@ -116,25 +115,24 @@
 	}
 	offered := map[string]OfferedLoad{"south": {ReadTokens: 8 * enginePace}}
 	ordered := make(map[string]int)
-	for _, order := range decided(NewRegionalPlanner(DefaultPolicy()), time.Second, workers, offered, heardAll) {
+	for _, order := range ordersWithin(NewRegionalPlanner(DefaultPolicy()), time.Second, workers, offered, hearsAll) {
 		ordered[order.Region]++
 	}
 	if ordered["south"] == 0 {
-		t.Errorf("orders by region: %v", ordered)
+		t.Errorf("no orders for the region with prompts; orders by region: %v", ordered)
 	}
 }
 
-// TestScarceRoomGoesRound: where one engine of the whole service may change at a time,
-// the regions take turns.
-func TestScarceRoomGoesRound(t *testing.T) {
+// TestRegionsTakeTurnsForOrders if only one engine of the whole service may change at a time.
+func TestRegionsTakeTurnsForOrders(t *testing.T) {
 	workers := regionalFleet(1, 2, "north", "south")
 	for i := range workers {
-		workers[i].Prefill = true // nothing writes anywhere
+		workers[i].Prefill = true // no decode engine anywhere
 	}
 	planner := NewRegionalPlanner(DefaultPolicy())
 	var regions []string
 	for elapsed := time.Duration(0); elapsed < 6*time.Second; elapsed += tick {
-		orders := planner.Decide(origin.Add(elapsed), workers, nil, heardAll)
+		orders := planner.Decide(origin.Add(elapsed), workers, nil, hearsAll)
 		if len(orders) > 1 {
 			t.Fatalf("%d orders at once", len(orders))
 		}
@@ -143,21 +141,21 @@
 		}
 	}
 	if len(regions) < 2 || regions[0] == regions[1] {
-		t.Errorf("orders went to %v", regions)
+		t.Errorf("orders went to the regions %v, want alternating ones", regions)
 	}
 }
 
-// TestRegionThatLostAllItsEngines: what its callers want is wanted of the other regions'
-// engines, and these are divided by it.
+// TestRegionThatLostAllItsEngines: the load offered to it counts for the engines of the other
+// regions.
 func TestRegionThatLostAllItsEngines(t *testing.T) {
 	workers := regionalFleet(3, 9, "north", "south")
 	for i := range workers {
 		workers[i].Usable = workers[i].Region != "south"
 	}
 	offered := map[string]OfferedLoad{"south": {ReadTokens: 4 * enginePace}}
-	orders := decided(NewRegionalPlanner(DefaultPolicy()), 5*time.Second, workers, offered, heardAll)
+	orders := ordersWithin(NewRegionalPlanner(DefaultPolicy()), 5*time.Second, workers, offered, hearsAll)
 	if len(orders) == 0 {
-		t.Fatal("nobody reads what the region that lost its engines wants")
+		t.Fatal("no orders for the load of the region that lost its engines")
 	}
 	for _, order := range orders {
 		if order.Region != "north" || !order.Prefill {
@@ -166,13 +164,13 @@
 	}
 }
 
-// TestRegionThatIsCutOffIsLeftAsItIs: its callers and nodes are out of sight, and its
-// engines must not be taken for idle. What it needed is remembered until it is back.
-func TestRegionThatIsCutOffIsLeftAsItIs(t *testing.T) {
+// TestUnreachableRegionGetsNoOrders: nothing is known of its callers and nodes, so its engines
+// must not be considered idle. Its demand does not decay until it can be reached again.
+func TestUnreachableRegionGetsNoOrders(t *testing.T) {
 	workers := regionalFleet(3, 9, "north", "south")
 	planner := NewRegionalPlanner(DefaultPolicy())
 	busy := map[string]OfferedLoad{"south": {Requests: 9 * 60 * 0.95}}
-	if orders := decided(planner, 10*time.Second, workers, busy, heardAll); len(orders) > 0 && orders[0].Prefill && orders[0].Region == "south" {
+	if orders := ordersWithin(planner, 10*time.Second, workers, busy, hearsAll); len(orders) > 0 && orders[0].Prefill && orders[0].Region == "south" {
 		t.Fatalf("%+v", orders)
 	}
 	needed := planner.Planner("south").Demand().Writing
@@ -184,17 +182,17 @@
 			}
 		}
 	}
-	planner.Decide(origin.Add(70*time.Second), workers, nil, heardAll)
+	planner.Decide(origin.Add(70*time.Second), workers, nil, hearsAll)
 	if left := planner.Planner("south").Demand().Writing; left < 0.9*needed {
-		t.Errorf("of a demand of %.1f engines %.1f is left", needed, left)
+		t.Errorf("of a demand for %.1f engines only %.1f is left", needed, left)
 	}
 }
 
-// TestRegionWithoutNodesIsPlannedByWhatOthersWantOfIt.
-func TestRegionWithoutNodesIsPlannedByWhatOthersWantOfIt(t *testing.T) {
+// TestRegionWithoutNodesIsPlannedByOfferedLoad, as nodes of other regions report it.
+func TestRegionWithoutNodesIsPlannedByOfferedLoad(t *testing.T) {
 	workers := regionalFleet(3, 9, "north", "south")
 	offered := map[string]OfferedLoad{"south": {ReadTokens: 4 * enginePace}}
-	orders := decided(NewRegionalPlanner(DefaultPolicy()), 5*time.Second, workers, offered, func(region string) bool { return region == "north" })
+	orders := ordersWithin(NewRegionalPlanner(DefaultPolicy()), 5*time.Second, workers, offered, func(region string) bool { return region == "north" })
 	if len(orders) == 0 || orders[0].Region != "south" || !orders[0].Prefill {
 		t.Errorf("%+v", orders)
 	}
