--- a/internal/cell/engines.go
+++ b/internal/cell/engines.go
@@ -22,8 +22,8 @@
 		return
 	}
 	demands := s.snapshot.Demands(s.pool)
-	members := make([]fleet.Engine, 0, len(s.order))
-	for _, m := range s.order {
+	members := make([]fleet.Engine, 0, len(s.ordered))
+	for _, m := range s.ordered {
 		if m.machine.Leaving {
 			continue
 		}
@@ -31,7 +31,7 @@
 		members = append(members, fleet.Engine{Name: m.machine.Name, Serving: status.Deployment, Assigned: m.desired.Deployment})
 	}
 	assigned := fleet.Assign(members, demands)
-	for _, m := range s.order {
+	for _, m := range s.ordered {
 		target, ok := assigned[m.machine.Name]
 		if !ok {
 			continue // leaving engines keep what they have
@@ -53,7 +53,7 @@
 	}
 	budget := s.changeBudget(now)
 	var instructions []Instruction
-	for _, m := range s.order {
+	for _, m := range s.ordered {
 		if m.machine.Leaving {
 			continue
 		}
@@ -62,7 +62,7 @@
 		order, send := m.control.NextOrder(now, m.desired, m.candidate.InFlight, mayChange)
 		if m.control.Changing() && !wasChanging {
 			budget--
-			s.spaceLoads(now, m)
+			s.scheduleNextLoad(now, m)
 		}
 		if send {
 			instructions = append(instructions, Instruction{Engine: m.machine.Name, Address: m.machine.Address, Order: order})
@@ -74,23 +74,23 @@
 // changeBudget returns how many more engines may begin a planned change. An
 // engine that serves nothing of use is no loss, but the limit on loads applies.
 func (s *State) changeBudget(now time.Duration) int {
-	limit := max(1, len(s.order)*catalog.MaxUnavailablePercent(s.snapshot.Pool(s.pool))/100)
-	out := 0
-	for _, m := range s.order {
+	limit := max(1, len(s.ordered)*catalog.MaxUnavailablePercent(s.snapshot.Pool(s.pool))/100)
+	unavailable := 0
+	for _, m := range s.ordered {
 		if m.control.Changing() || m.control.Lost(now) && m.listed {
-			out++
+			unavailable++
 		}
 	}
 	if s.servingNothing() {
-		return len(s.order)
+		return len(s.ordered)
 	}
-	return limit - out
+	return limit - unavailable
 }
 
 // servingNothing reports that no engine serves a model of the pool, as at a first
 // start: then there is no service to protect.
 func (s *State) servingNothing() bool {
-	for _, m := range s.order {
+	for _, m := range s.ordered {
 		status, seen := m.control.LastStatus()
 		if seen && s.snapshot.ServedBy(status.Deployment.Model, s.pool) {
 			return false
@@ -100,11 +100,11 @@
 }
 
 // mayLoad spaces loads by the weight store's rate.
-func (s *State) mayLoad(now time.Duration, m *member) bool {
+func (s *State) mayLoad(now time.Duration, m *cellEngine) bool {
 	return now >= s.nextLoadAt || !m.control.NeedsLoad(m.desired)
 }
 
-func (s *State) spaceLoads(now time.Duration, m *member) {
+func (s *State) scheduleNextLoad(now time.Duration, m *cellEngine) {
 	if s.loadRate <= 0 || !m.control.NeedsLoad(m.desired) {
 		return
 	}
@@ -114,7 +114,7 @@
 
 // HandleOrderResult takes the outcome of an order.
 func (s *State) HandleOrderResult(now time.Duration, instruction Instruction, status engine.Status, err error) {
-	m := s.members[instruction.Engine]
+	m := s.engines[instruction.Engine]
 	if m == nil {
 		return
 	}
@@ -127,8 +127,8 @@
 
 // PollTargets lists the engines to ask for their status.
 func (s *State) PollTargets() []Machine {
-	targets := make([]Machine, 0, len(s.order))
-	for _, m := range s.order {
+	targets := make([]Machine, 0, len(s.ordered))
+	for _, m := range s.ordered {
 		targets = append(targets, m.machine)
 	}
 	return targets
--- a/internal/cell/ordering.go
+++ b/internal/cell/ordering.go
@@ -18,10 +18,10 @@
 	}
 	s.state.SetDrained(s.Drained())
 	for _, instruction := range s.state.Reconcile(s.now()) {
-		if s.ordering[instruction.Engine] {
+		if s.ordersInFlight[instruction.Engine] {
 			continue
 		}
-		s.ordering[instruction.Engine] = true
+		s.ordersInFlight[instruction.Engine] = true
 		s.done.Add(1)
 		go func() {
 			defer s.done.Done()
@@ -50,13 +50,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.ordering, instruction.Engine)
+	delete(s.ordersInFlight, instruction.Engine)
 	s.state.HandleOrderResult(s.now(), instruction, status, err)
 	s.dispatch()
 }
 
 func (s *Service) checkAuthority(fence engine.Fence) error {
-	if r := s.handle(); r != nil {
+	if r := s.localReplica(); r != nil {
 		if held, active := r.Fence(); active && held == fence {
 			return nil
 		}
--- a/internal/cell/polling.go
+++ b/internal/cell/polling.go
@@ -8,7 +8,7 @@
 // pollStatus reads what engines report of themselves. Followers look less often:
 // they only place while there is no leader.
 func (s *Service) pollStatus(ctx context.Context) {
-	if s.handle() == nil {
+	if s.localReplica() == nil {
 		return // no member any more
 	}
 	s.mu.Lock()
--- a/internal/cell/requests.go
+++ b/internal/cell/requests.go
@@ -28,7 +28,7 @@
 	if _, twice := s.waiting[request.Attempt]; twice {
 		return nil, result.New(result.InvalidRequest, "attempt %s waits already", request.Attempt)
 	}
-	s.refresh(now)
+	s.refreshAvailability(now)
 	class := s.snapshot.ClassOf(tenant, kind)
 	w := s.newWaiting(now, request, kind, class)
 	s.exclude(w)
@@ -99,7 +99,7 @@
 		return kind.Version
 	}
 	counts := map[string]int{}
-	for _, m := range s.order {
+	for _, m := range s.ordered {
 		deployment := m.candidate.Deployment
 		usable := m.candidate.Availability == placement.Ready || m.candidate.Availability == placement.Unknown
 		if usable && deployment.Model == kind.Model && deployment.HasAdapter(kind.Adapter) {
@@ -148,7 +148,7 @@
 
 func (s *State) exclude(w *waiting) {
 	for _, name := range w.request.Excluded {
-		if m := s.members[name]; m != nil {
+		if m := s.engines[name]; m != nil {
 			w.target.Excluded |= 1 << m.candidate.Slot
 		}
 	}
@@ -202,7 +202,7 @@
 // Dispatch places waiting requests while engines have room. The caller checks
 // its authority again before the tickets leave.
 func (s *State) Dispatch(now time.Duration) []Placed {
-	s.refresh(now)
+	s.refreshAvailability(now)
 	var placed []Placed
 	for _, key := range s.laneOrder() {
 		l := s.lanes[key]
@@ -212,7 +212,7 @@
 				break
 			}
 			w := s.waiting[engine.Identifier(item.ID)]
-			decision, err := s.cycle.Place(&w.target, s.candidates)
+			decision, err := s.pipeline.Place(&w.target, s.candidates)
 			if err != nil {
 				if result.CodeOf(err) == result.RetriesExhausted && w.target.Excluded != 0 {
 					// Every engine refused once: allow them again rather than
@@ -284,13 +284,13 @@
 	m := s.slots[candidate.Slot]
 	uncached := w.target.PromptTokens - decision.CachedTokens
 	f := &flight{
-		attempt:  w.request.Attempt,
-		member:   m,
-		rank:     w.target.Rank,
-		pending:  uncached,
-		reserved: w.target.PromptTokens + w.target.OutputTokens,
-		placedAt: now,
-		lapsesAt: w.deadline + flightGrace,
+		attempt:   w.request.Attempt,
+		engine:    m,
+		rank:      w.target.Rank,
+		pending:   uncached,
+		reserved:  w.target.PromptTokens + w.target.OutputTokens,
+		placedAt:  now,
+		expiresAt: w.deadline + flightGrace,
 	}
 	s.flights[f.attempt] = f
 	candidate.InFlight++
@@ -320,19 +320,19 @@
 	if f == nil {
 		return
 	}
-	f.member.candidate.Backlog.Add(f.rank, -f.pending)
+	f.engine.candidate.Backlog.Add(f.rank, -f.pending)
 	f.pending = 0
 	if progress.Type == ProgressDone {
-		s.land(f)
+		s.endFlight(f)
 	}
 }
 
-// land ends a flight.
-func (s *State) land(f *flight) {
+// endFlight ends a flight.
+func (s *State) endFlight(f *flight) {
 	delete(s.flights, f.attempt)
-	f.member.candidate.InFlight--
-	f.member.candidate.Backlog.Add(f.rank, -f.pending)
-	f.member.candidate.ReservedTokens -= f.reserved
+	f.engine.candidate.InFlight--
+	f.engine.candidate.Backlog.Add(f.rank, -f.pending)
+	f.engine.candidate.ReservedTokens -= f.reserved
 }
 
 // Cancel removes a waiting request whose caller has left. It reports whether the
@@ -361,8 +361,8 @@
 		}
 	}
 	for _, f := range s.flights {
-		if now > f.lapsesAt {
-			s.land(f)
+		if now > f.expiresAt {
+			s.endFlight(f)
 		}
 	}
 	s.limiter.EvictIdle(now)
--- a/internal/cell/service.go
+++ b/internal/cell/service.go
@@ -40,8 +40,8 @@
 	revisionWait        = 500 * time.Millisecond
 )
 
-// decision ends the wait of a request.
-type decision struct {
+// placeResult ends the wait of a request.
+type placeResult struct {
 	ticket engine.Ticket
 	err    error
 }
@@ -50,19 +50,19 @@
 // group.StateMachine and group.Leadership.
 type Service struct {
 	*registry
-	name    string
-	catalog Catalog
-	engines Engines
-	handle  func() *group.Replica
-	log     logrus.FieldLogger
-	origin  time.Time
+	name         string
+	catalog      Catalog
+	engines      Engines
+	localReplica func() *group.Replica
+	log          logrus.FieldLogger
+	origin       time.Time
 
 	mu      sync.Mutex
 	state   *State
 	leading engine.Fence
-	results map[engine.Identifier]chan decision
-	// ordering marks engines to which an order is on its way.
-	ordering map[string]bool
+	results map[engine.Identifier]chan placeResult
+	// ordersInFlight marks engines to which an order is on its way.
+	ordersInFlight map[string]bool
 
 	stop context.CancelFunc
 	done sync.WaitGroup
@@ -70,31 +70,31 @@
 
 // NewService starts the service of a cell. handle returns the group's member on
 // this node.
-func NewService(options Options, source Catalog, engines Engines, handle func() *group.Replica, log logrus.FieldLogger) *Service {
+func NewService(options Options, source Catalog, engines Engines, localReplica func() *group.Replica, log logrus.FieldLogger) *Service {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Service{
-		registry: newRegistry(),
-		name:     options.Name,
-		catalog:  source,
-		engines:  engines,
-		handle:   handle,
-		log:      log.WithField("cell", options.Name),
-		origin:   time.Now(),
-		state:    NewState(options),
-		results:  map[engine.Identifier]chan decision{},
-		ordering: map[string]bool{},
-		stop:     cancel,
+		registry:       newRegistry(),
+		name:           options.Name,
+		catalog:        source,
+		engines:        engines,
+		localReplica:   localReplica,
+		log:            log.WithField("cell", options.Name),
+		origin:         time.Now(),
+		state:          NewState(options),
+		results:        map[engine.Identifier]chan placeResult{},
+		ordersInFlight: map[string]bool{},
+		stop:           cancel,
 	}
 	s.state.SetCatalog(source.Current())
-	s.every(ctx, expireEvery, s.expire)
-	s.every(ctx, reconcileEvery, s.reconcile)
-	s.every(ctx, statusEvery, s.pollStatus)
-	s.every(ctx, cacheEventsEvery, s.pollCacheEvents)
+	s.runEvery(ctx, expireEvery, s.expire)
+	s.runEvery(ctx, reconcileEvery, s.reconcile)
+	s.runEvery(ctx, statusEvery, s.pollStatus)
+	s.runEvery(ctx, cacheEventsEvery, s.pollCacheEvents)
 	return s
 }
 
-// every runs work until ctx ends.
-func (s *Service) every(ctx context.Context, period time.Duration, work func(context.Context)) {
+// runEvery runs work until ctx ends.
+func (s *Service) runEvery(ctx context.Context, period time.Duration, work func(context.Context)) {
 	s.done.Add(1)
 	go func() {
 		defer s.done.Done()
@@ -117,7 +117,7 @@
 	s.done.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle(nil, s.state.RefuseAll(result.Stopping, "the node is stopping"))
+	s.deliverAll(nil, s.state.RefuseAll(result.Stopping, "the node is stopping"))
 }
 
 func (s *Service) now() time.Duration { return time.Since(s.origin) }
@@ -136,7 +136,7 @@
 	defer s.mu.Unlock()
 	s.leading = 0
 	s.state.SetFence(0)
-	s.settle(nil, s.state.RefuseAll(result.NotLeader, "leadership of the cell has changed"))
+	s.deliverAll(nil, s.state.RefuseAll(result.NotLeader, "leadership of the cell has changed"))
 }
 
 // SetCatalog takes a newer revision.
@@ -154,17 +154,17 @@
 	s.dispatch()
 }
 
-// settle ends the waits of requests. The caller holds the lock.
-func (s *Service) settle(placed []Placed, refused []Refused) {
+// deliverAll ends the waits of requests. The caller holds the lock.
+func (s *Service) deliverAll(placed []Placed, refused []Refused) {
 	for _, p := range placed {
-		s.end(p.Attempt, decision{ticket: p.Ticket})
+		s.deliver(p.Attempt, placeResult{ticket: p.Ticket})
 	}
 	for _, r := range refused {
-		s.end(r.Attempt, decision{err: r.Err})
+		s.deliver(r.Attempt, placeResult{err: r.Err})
 	}
 }
 
-func (s *Service) end(attempt engine.Identifier, outcome decision) {
+func (s *Service) deliver(attempt engine.Identifier, outcome placeResult) {
 	waiter := s.results[attempt]
 	delete(s.results, attempt)
 	if waiter != nil {
@@ -173,7 +173,7 @@
 }
 
 // dispatch places what can be placed. The caller holds the lock.
-func (s *Service) dispatch() { s.settle(s.state.Dispatch(s.now()), nil) }
+func (s *Service) dispatch() { s.deliverAll(s.state.Dispatch(s.now()), nil) }
 
 // Place waits until the request has an engine, or is refused.
 func (s *Service) Place(ctx context.Context, request PlaceRequest) (engine.Ticket, error) {
@@ -189,7 +189,7 @@
 		if outcome.err != nil {
 			return engine.Ticket{}, outcome.err
 		}
-		return s.confirm(request, outcome.ticket)
+		return s.recheckLease(request, outcome.ticket)
 	case <-ctx.Done():
 		s.withdraw(request.Attempt, waiter)
 		return engine.Ticket{}, result.New(result.CallerGone, "the caller left while the request waited")
@@ -205,29 +205,29 @@
 	return s.catalog.WaitFor(waitCtx, revision)
 }
 
-func (s *Service) enqueue(request PlaceRequest) (chan decision, error) {
+func (s *Service) enqueue(request PlaceRequest) (chan placeResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leading == 0 && !request.AnyMember {
 		return nil, result.New(result.NotLeader, "this node does not lead cell %s", s.name)
 	}
-	waiter := make(chan decision, 1)
+	waiter := make(chan placeResult, 1)
 	shed, err := s.state.Enqueue(s.now(), request)
 	if err != nil {
 		return nil, err
 	}
 	s.results[request.Attempt] = waiter
-	s.settle(nil, shed)
+	s.deliverAll(nil, shed)
 	s.dispatch()
 	return waiter, nil
 }
 
-// confirm looks at the lease again, just before the ticket leaves.
-func (s *Service) confirm(request PlaceRequest, ticket engine.Ticket) (engine.Ticket, error) {
+// recheckLease looks at the lease again, just before the ticket leaves.
+func (s *Service) recheckLease(request PlaceRequest, ticket engine.Ticket) (engine.Ticket, error) {
 	if request.AnyMember {
 		return ticket, nil
 	}
-	if r := s.handle(); r != nil {
+	if r := s.localReplica(); r != nil {
 		if fence, active := r.Fence(); active && fence == ticket.Fence {
 			return ticket, nil
 		}
@@ -237,7 +237,7 @@
 }
 
 // withdraw takes a request back whose caller has left.
-func (s *Service) withdraw(attempt engine.Identifier, waiter chan decision) {
+func (s *Service) withdraw(attempt engine.Identifier, waiter chan placeResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.results, attempt)
@@ -307,7 +307,7 @@
 	if err != nil {
 		return 0, result.Wrap(err, result.Internal, "encoding a cell command")
 	}
-	r := s.handle()
+	r := s.localReplica()
 	if r == nil {
 		return 0, result.New(result.NotLeader, "this node is no member of cell %s", s.name)
 	}
@@ -323,6 +323,6 @@
 func (s *Service) expire(context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle(nil, s.state.Expire(s.now()))
+	s.deliverAll(nil, s.state.Expire(s.now()))
 	s.dispatch()
 }
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -29,8 +29,8 @@
 	flightGrace = 30 * time.Second
 )
 
-// member is one engine of the cell.
-type member struct {
+// cellEngine is one engine of the cell.
+type cellEngine struct {
 	machine   Machine
 	listed    bool
 	candidate placement.Candidate
@@ -41,13 +41,13 @@
 
 // flight is one attempt placed and not known to be over.
 type flight struct {
-	attempt  engine.Identifier
-	member   *member
-	rank     int32
-	pending  int // prompt tokens not known to be read
-	reserved int // KV memory
-	placedAt time.Duration
-	lapsesAt time.Duration
+	attempt   engine.Identifier
+	engine    *cellEngine
+	rank      int32
+	pending   int // prompt tokens not known to be read
+	reserved  int // KV memory
+	placedAt  time.Duration
+	expiresAt time.Duration
 }
 
 // waiting is one request in a lane.
@@ -87,17 +87,17 @@
 	snapshot *catalog.Snapshot
 	fence    engine.Fence
 
-	members    map[string]*member
-	order      []*member
+	engines    map[string]*cellEngine
+	ordered    []*cellEngine
 	candidates []*placement.Candidate
-	slots      [placement.MaxEngines]*member
+	slots      [placement.MaxEngines]*cellEngine
 
-	index   *placement.PrefixIndex
-	cycle   *placement.Pipeline
-	limiter *admission.Limiter
-	lanes   map[string]*lane
-	waiting map[engine.Identifier]*waiting
-	flights map[engine.Identifier]*flight
+	index    *placement.PrefixIndex
+	pipeline *placement.Pipeline
+	limiter  *admission.Limiter
+	lanes    map[string]*lane
+	waiting  map[engine.Identifier]*waiting
+	flights  map[engine.Identifier]*flight
 
 	// displaced holds requests that found no room when their version was replaced.
 	displaced []Refused
@@ -123,9 +123,9 @@
 	return &State{
 		name:     options.Name,
 		pool:     options.Pool,
-		members:  map[string]*member{},
+		engines:  map[string]*cellEngine{},
 		index:    index,
-		cycle:    placement.NewPolicyPipeline(options.Policy, index),
+		pipeline: placement.NewPolicyPipeline(options.Policy, index),
 		limiter:  admission.NewLimiter(),
 		lanes:    map[string]*lane{},
 		waiting:  map[engine.Identifier]*waiting{},
@@ -141,7 +141,7 @@
 	}
 	s.snapshot = snapshot
 	running := catalog.MaxRunningPerEngine(snapshot.Pool(s.pool))
-	for _, m := range s.order {
+	for _, m := range s.ordered {
 		m.candidate.MaxRunning = running
 	}
 	s.assign()
@@ -150,7 +150,7 @@
 // SetFence takes the authority of a new leadership.
 func (s *State) SetFence(fence engine.Fence) {
 	s.fence = fence
-	for _, m := range s.order {
+	for _, m := range s.ordered {
 		m.control.SetFence(fence)
 	}
 }
@@ -159,7 +159,7 @@
 // is no longer listed counts as leaving; it is forgotten when nothing of ours is
 // in flight on it.
 func (s *State) ObserveMachines(machines []Machine) {
-	for _, m := range s.order {
+	for _, m := range s.ordered {
 		m.listed = false
 	}
 	for _, machine := range machines {
@@ -170,23 +170,23 @@
 }
 
 func (s *State) observeMachine(machine Machine) {
-	m := s.members[machine.Name]
+	m := s.engines[machine.Name]
 	if m == nil {
 		slot := s.freeSlot()
 		if slot < 0 {
 			return // the layout keeps cells within MaxEngines
 		}
-		m = &member{candidate: placement.Candidate{Slot: slot, Name: machine.Name, MaxRunning: catalog.MaxRunningPerEngine(nil)}}
+		m = &cellEngine{candidate: placement.Candidate{Slot: slot, Name: machine.Name, MaxRunning: catalog.MaxRunningPerEngine(nil)}}
 		if s.snapshot != nil {
 			m.candidate.MaxRunning = catalog.MaxRunningPerEngine(s.snapshot.Pool(s.pool))
 		}
 		m.control.SetFence(s.fence)
 		m.candidate.Rates = m.candidate.Rates.WithDefaults()
 		m.machine = machine
-		s.members[machine.Name] = m
+		s.engines[machine.Name] = m
 		s.slots[slot] = m
-		s.order = append(s.order, m)
-		slices.SortFunc(s.order, func(left, right *member) int { return cmp.Compare(left.machine.Name, right.machine.Name) })
+		s.ordered = append(s.ordered, m)
+		slices.SortFunc(s.ordered, func(left, right *cellEngine) int { return cmp.Compare(left.machine.Name, right.machine.Name) })
 		s.rebuildCandidates()
 	}
 	if m.machine.Address != machine.Address {
@@ -207,7 +207,7 @@
 }
 
 func (s *State) dropUnlisted() {
-	for _, m := range slices.Clone(s.order) {
+	for _, m := range slices.Clone(s.ordered) {
 		if m.listed {
 			continue
 		}
@@ -215,24 +215,24 @@
 		if m.candidate.InFlight > 0 {
 			continue
 		}
-		delete(s.members, m.machine.Name)
+		delete(s.engines, m.machine.Name)
 		s.slots[m.candidate.Slot] = nil
 		s.index.RemoveEngine(m.candidate.Slot)
-		s.order = slices.DeleteFunc(s.order, func(other *member) bool { return other == m })
+		s.ordered = slices.DeleteFunc(s.ordered, func(other *cellEngine) bool { return other == m })
 		s.rebuildCandidates()
 	}
 }
 
 func (s *State) rebuildCandidates() {
 	s.candidates = s.candidates[:0]
-	for _, m := range s.order {
+	for _, m := range s.ordered {
 		s.candidates = append(s.candidates, &m.candidate)
 	}
 }
 
 // ObserveStatus takes an engine's report of itself.
 func (s *State) ObserveStatus(now time.Duration, name string, status engine.Status) {
-	m := s.members[name]
+	m := s.engines[name]
 	if m == nil {
 		return
 	}
@@ -242,18 +242,18 @@
 		s.dropFlights(m)
 		s.index.RemoveEngine(m.candidate.Slot)
 	}
-	s.learn(m, status)
+	s.updateFromReport(m, status)
 	if status.Running == 0 {
-		s.dropForgotten(now, m)
+		s.dropUnreportedFlights(now, m)
 	}
 	if !seen || !previous.Deployment.Serves(status.Deployment) {
 		s.assign()
 	}
 }
 
-// learn takes speed and memory from a load report, however old: they change
+// updateFromReport takes speed and memory from a load report, however old: they change
 // slowly. Its queue lengths are not used, our own counts are newer.
-func (s *State) learn(m *member, status engine.Status) {
+func (s *State) updateFromReport(m *cellEngine, status engine.Status) {
 	m.candidate.Deployment = status.Deployment
 	if status.Load.MemoryTotalTokens > 0 {
 		m.candidate.MemoryTokens = int(status.Load.MemoryTotalTokens)
@@ -268,27 +268,27 @@
 	}
 }
 
-// dropForgotten ends flights whose gateways never reported: the engine runs
+// dropUnreportedFlights ends flights whose gateways never reported: the engine runs
 // nothing, and their tickets can't be dispatched any more.
-func (s *State) dropForgotten(now time.Duration, m *member) {
+func (s *State) dropUnreportedFlights(now time.Duration, m *cellEngine) {
 	for _, f := range s.flights {
-		if f.member == m && now-f.placedAt > 2*TicketValidity {
-			s.land(f)
+		if f.engine == m && now-f.placedAt > 2*TicketValidity {
+			s.endFlight(f)
 		}
 	}
 }
 
-func (s *State) dropFlights(m *member) {
+func (s *State) dropFlights(m *cellEngine) {
 	for _, f := range s.flights {
-		if f.member == m {
-			s.land(f)
+		if f.engine == m {
+			s.endFlight(f)
 		}
 	}
 }
 
 // ObserveCacheEvents takes a page of an engine's cache events.
 func (s *State) ObserveCacheEvents(now time.Duration, name string, page engine.CacheEvents) {
-	if m := s.members[name]; m != nil {
+	if m := s.engines[name]; m != nil {
 		s.index.Apply(now, m.candidate.Slot, page)
 	}
 }
@@ -296,7 +296,7 @@
 // NextCacheEvent returns the sequence number of the cache event to ask an
 // engine for.
 func (s *State) NextCacheEvent(name string) uint64 {
-	m := s.members[name]
+	m := s.engines[name]
 	if m == nil {
 		return 0
 	}
@@ -304,9 +304,9 @@
 	return s.index.NextEvent(m.candidate.Slot, status.Incarnation)
 }
 
-// refresh brings the candidates' availability in line.
-func (s *State) refresh(now time.Duration) {
-	for _, m := range s.order {
+// refreshAvailability brings the candidates' availability in line.
+func (s *State) refreshAvailability(now time.Duration) {
+	for _, m := range s.ordered {
 		if s.fence == 0 {
 			m.candidate.Availability = m.control.FollowerAvailability(now)
 		} else {
@@ -320,9 +320,9 @@
 
 // Engines describes the cell's engines for operators.
 func (s *State) Engines(now time.Duration) []*tinarchv1.EngineStatus {
-	s.refresh(now)
-	list := make([]*tinarchv1.EngineStatus, 0, len(s.order))
-	for _, m := range s.order {
+	s.refreshAvailability(now)
+	list := make([]*tinarchv1.EngineStatus, 0, len(s.ordered))
+	for _, m := range s.ordered {
 		status, seen := m.control.LastStatus()
 		description := &tinarchv1.EngineStatus{
 			Name:                m.machine.Name,
@@ -350,7 +350,7 @@
 
 // SetDrained names the engines that operators keep without work.
 func (s *State) SetDrained(names []string) {
-	for _, m := range s.order {
+	for _, m := range s.ordered {
 		m.drained = slices.Contains(names, m.machine.Name)
 		m.desired.Drained = m.drained
 	}
@@ -358,7 +358,7 @@
 
 // EngineInFlight returns the number of attempts in flight on an engine.
 func (s *State) EngineInFlight(name string) (inFlight int, err error) {
-	m := s.members[name]
+	m := s.engines[name]
 	if m == nil {
 		return 0, result.New(result.NotFound, "cell %s has no engine %q; see `tinarch engines`", s.name, name)
 	}
@@ -369,7 +369,7 @@
 // own one when an engine came from another cell.
 func (s *State) HighestFence() engine.Fence {
 	highest := engine.Fence(0)
-	for _, m := range s.order {
+	for _, m := range s.ordered {
 		status, _ := m.control.LastStatus()
 		highest = max(highest, status.Fence)
 	}
--- a/internal/cell/state_test.go
+++ b/internal/cell/state_test.go
@@ -34,15 +34,15 @@
 	return compiled
 }
 
-// bench is a cell with engines that obey at once.
-type bench struct {
+// fixture is a cell with engines that obey at once.
+type fixture struct {
 	state    *State
 	statuses map[string]engine.Status
 	now      time.Duration
 }
 
-func newBench(t *testing.T, engines int) *bench {
-	b := &bench{state: NewState(Options{Name: "cell", Pool: "pool"}), statuses: map[string]engine.Status{}}
+func newFixture(t *testing.T, engines int) *fixture {
+	b := &fixture{state: NewState(Options{Name: "cell", Pool: "pool"}), statuses: map[string]engine.Status{}}
 	b.state.SetCatalog(snapshot(t, 1, nil))
 	b.state.SetFence(5)
 	var machines []Machine
@@ -52,12 +52,12 @@
 		b.statuses[name] = engine.Status{Incarnation: engine.Identifier("i-" + name)}
 	}
 	b.state.ObserveMachines(machines)
-	b.settle()
+	b.converge()
 	return b
 }
 
-// settle lets orders and reports go back and forth until nothing changes.
-func (b *bench) settle() {
+// converge lets orders and reports go back and forth until nothing changes.
+func (b *fixture) converge() {
 	for range 12 {
 		for name, status := range b.statuses {
 			b.state.ObserveStatus(b.now, name, status)
@@ -79,7 +79,7 @@
 	}
 }
 
-func (b *bench) enqueue(t *testing.T, attempt, kind string) {
+func (b *fixture) enqueue(t *testing.T, attempt, kind string) {
 	t.Helper()
 	request := PlaceRequest{Attempt: engine.Identifier(attempt), Tenant: "t", Kind: kind, PromptTokens: 100, OutputTokens: 10, DeadlineMillis: 60_000}
 	if _, err := b.state.Enqueue(b.now, request); err != nil {
@@ -96,7 +96,7 @@
 }
 
 func TestEnginesAreClaimedDeployedAndUsed(t *testing.T) {
-	b := newBench(t, 2)
+	b := newFixture(t, 2)
 	b.enqueue(t, "a", "urgent")
 	placed := b.state.Dispatch(b.now)
 	if len(placed) != 1 || placed[0].Ticket.Version != "1" || placed[0].Ticket.Fence != 5 || placed[0].Ticket.Incarnation == "" {
@@ -105,7 +105,7 @@
 }
 
 func TestHigherClassGoesFirstWhenEnginesAreFull(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	b.enqueue(t, "running", "calm")
 	b.state.Dispatch(b.now)
 	b.enqueue(t, "calm-1", "calm")
@@ -120,7 +120,7 @@
 }
 
 func TestLeavingEngineGetsNothing(t *testing.T) {
-	b := newBench(t, 2)
+	b := newFixture(t, 2)
 	b.state.ObserveMachines([]Machine{{Name: "e0", Address: "e0", Pool: "pool", Leaving: true}, {Name: "e1", Address: "e1", Pool: "pool"}})
 	b.enqueue(t, "a", "urgent")
 	b.enqueue(t, "b", "urgent")
@@ -130,8 +130,8 @@
 	}
 }
 
-func TestVersionChangeCutsNothingAndKeepsSomeInService(t *testing.T) {
-	b := newBench(t, 4)
+func TestVersionChangeInterruptsNothingAndLimitsUnavailableEngines(t *testing.T) {
+	b := newFixture(t, 4)
 	b.enqueue(t, "running", "urgent")
 	running := b.state.Dispatch(b.now)[0].Ticket.Engine
 	b.state.SetCatalog(snapshot(t, 2, func(c *tinarchv1.Catalog) { c.Models[0].DefaultVersion = "2" }))
@@ -148,7 +148,7 @@
 			}
 		}
 		changing := 0
-		for _, m := range b.state.order {
+		for _, m := range b.state.ordered {
 			if m.control.Changing() {
 				changing++
 			}
@@ -157,9 +157,9 @@
 			t.Fatalf("%d of 4 engines out at once, 25 %% are allowed", changing)
 		}
 	}
-	b.settle()
+	b.converge()
 	b.state.Report(Progress{Attempt: "running", Type: ProgressDone})
-	b.settle()
+	b.converge()
 	for name, status := range b.statuses {
 		if status.Deployment.Version != "2" || status.Draining {
 			t.Errorf("%s ends as %+v", name, status)
@@ -167,8 +167,8 @@
 	}
 }
 
-func TestHopelessDeadlineIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, 1)
+func TestUnreachableDeadlineIsRefusedAtOnce(t *testing.T) {
+	b := newFixture(t, 1)
 	_, err := b.state.Enqueue(b.now, PlaceRequest{Attempt: "a", Tenant: "t", Kind: "urgent", PromptTokens: 90_000, OutputTokens: 100, DeadlineMillis: 50})
 	if result.CodeOf(err) != result.DeadlineUnreachable || result.From(err).RetryAfterMillis == 0 {
 		t.Errorf("error %v", err)
@@ -176,7 +176,7 @@
 }
 
 func TestWaitingRequestExpiresInTime(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	b.enqueue(t, "running", "calm")
 	b.state.Dispatch(b.now)
 	b.enqueue(t, "late", "calm")
@@ -187,12 +187,12 @@
 	}
 }
 
-func TestRestartedEngineFreesItsFlights(t *testing.T) {
-	b := newBench(t, 1)
+func TestEngineRestartEndsItsFlights(t *testing.T) {
+	b := newFixture(t, 1)
 	b.enqueue(t, "lost", "urgent")
 	b.state.Dispatch(b.now)
 	b.statuses["e0"] = engine.Status{Incarnation: "i2"}
-	b.settle()
+	b.converge()
 	if b.state.InFlight() != 0 {
 		t.Errorf("%d attempts in flight on a restarted engine", b.state.InFlight())
 	}
@@ -202,25 +202,25 @@
 	}
 }
 
-// TestNewLeaderLetsRequestsWait: refusing them in the moment before the engines
+// TestNewLeaderQueuesRequestsUntilEnginesAreClaimed: refusing them in the moment before the engines
 // are claimed lost requests at each change of leader.
-func TestNewLeaderLetsRequestsWait(t *testing.T) {
-	b := newBench(t, 1)
+func TestNewLeaderQueuesRequestsUntilEnginesAreClaimed(t *testing.T) {
+	b := newFixture(t, 1)
 	b.state.SetFence(6)
 	b.enqueue(t, "a", "urgent")
 	if placed := b.state.Dispatch(b.now); len(placed) != 0 {
 		t.Fatal("an engine was used before it was claimed")
 	}
-	b.settle()
+	b.converge()
 	if placed := b.state.Dispatch(b.now); len(placed) != 1 || placed[0].Ticket.Fence != 6 {
 		t.Errorf("placed %+v", placed)
 	}
 }
 
-// TestLoadsAreSpacedByTheWeightStore: engines that load at once share the store's
+// TestLoadsAreSpacedByTheWeightStoreRate: engines that load at once share the store's
 // rate, so they begin one after the other.
-func TestLoadsAreSpacedByTheWeightStore(t *testing.T) {
-	b := &bench{state: NewState(Options{Name: "cell", Pool: "pool", WeightBytesPerSecond: 1e9}), statuses: map[string]engine.Status{}}
+func TestLoadsAreSpacedByTheWeightStoreRate(t *testing.T) {
+	b := &fixture{state: NewState(Options{Name: "cell", Pool: "pool", WeightBytesPerSecond: 1e9}), statuses: map[string]engine.Status{}}
 	b.state.SetCatalog(snapshot(t, 1, func(c *tinarchv1.Catalog) { c.Versions[0].SizeBytes = 10e9 }))
 	b.state.SetFence(5)
 	var machines []Machine
@@ -230,7 +230,7 @@
 		b.statuses[name] = engine.Status{Incarnation: engine.Identifier("i-" + name)}
 	}
 	b.state.ObserveMachines(machines)
-	b.settle()
+	b.converge()
 	for loaded := 1; loaded <= 3; loaded++ {
 		count := 0
 		for _, status := range b.statuses {
@@ -242,6 +242,6 @@
 			t.Fatalf("at %v %d engines were told to load, want %d", b.now, count, loaded)
 		}
 		b.now += 10 * time.Second // the time of one load
-		b.settle()
+		b.converge()
 	}
 }
