--- a/internal/group/host.go
+++ b/internal/group/host.go
@@ -62,26 +62,26 @@
 	log      logrus.FieldLogger
 	// addressOf returns the peer address of a member.
 	addressOf func(replica.MemberID) (string, bool)
-	// changed is called after a group's leader has changed, as seen here.
-	changed func(groupID string)
+	// onLeaderChange is called after a group's leader has onLeaderChange, as seen here.
+	onLeaderChange func(groupID string)
 
 	mu     sync.Mutex
-	groups map[string]*hosted
+	groups map[string]*hostedGroup
 	closed bool
 }
 
-// hosted is a group of which this node is or may become a member.
-type hosted struct {
+// hostedGroup is a group of which this node is or may become a member.
+type hostedGroup struct {
 	id string
 	// switching is held while one epoch's member is replaced by the next's.
-	switching sync.Mutex
-	active    *Replica
-	record    Record
-	machine   StateMachine
-	watcher   LeadershipListener
+	switching    sync.Mutex
+	active       *Replica
+	record       Record
+	stateMachine StateMachine
+	listener     LeadershipListener
 	// prepared holds proposals that the table has not decided on.
-	prepared map[string]prepareRequest
-	order    []string
+	prepared      map[string]prepareRequest
+	proposalOrder []string
 }
 
 // maxPrepared bounds the proposals kept of one group.
@@ -89,10 +89,10 @@
 
 // NewHost returns a host without groups.
 func NewHost(self replica.MemberID, settings replica.Settings, factory Factory, client *peer.Client, log logrus.FieldLogger,
-	addressOf func(replica.MemberID) (string, bool), changed func(string)) *Host {
+	addressOf func(replica.MemberID) (string, bool), onLeaderChange func(string)) *Host {
 	return &Host{
 		self: self, settings: settings, factory: factory, client: client, log: log,
-		addressOf: addressOf, changed: changed, groups: map[string]*hosted{},
+		addressOf: addressOf, onLeaderChange: onLeaderChange, groups: map[string]*hostedGroup{},
 	}
 }
 
@@ -151,16 +151,16 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g := h.groups[groupID]; g != nil {
-		return g.machine
+		return g.stateMachine
 	}
 	return nil
 }
 
-func (h *Host) group(id string) *hosted {
+func (h *Host) group(id string) *hostedGroup {
 	g := h.groups[id]
 	if g == nil {
-		g = &hosted{id: id, prepared: map[string]prepareRequest{}}
-		g.machine, g.watcher = h.factory(id, func() *Replica { return h.Replica(id) })
+		g = &hostedGroup{id: id, prepared: map[string]prepareRequest{}}
+		g.stateMachine, g.listener = h.factory(id, func() *Replica { return h.Replica(id) })
 		h.groups[id] = g
 	}
 	return g
@@ -193,12 +193,12 @@
 		return result.New(result.RevisionConflict, "epoch %d of group %s is active already", g.record.Epoch, g.id)
 	}
 	if _, known := g.prepared[request.Proposal]; !known {
-		g.order = append(g.order, request.Proposal)
+		g.proposalOrder = append(g.proposalOrder, request.Proposal)
 	}
 	g.prepared[request.Proposal] = request
-	for len(g.order) > maxPrepared {
-		delete(g.prepared, g.order[0])
-		g.order = g.order[1:]
+	for len(g.proposalOrder) > maxPrepared {
+		delete(g.prepared, g.proposalOrder[0])
+		g.proposalOrder = g.proposalOrder[1:]
 	}
 	return nil
 }
@@ -206,7 +206,7 @@
 // ApplyRecord takes a record that the table has accepted: this node joins the epoch, or
 // leaves the group.
 func (h *Host) ApplyRecord(record Record) {
-	g, initial, former := h.adopt(record)
+	g, initial, former := h.beginSwitch(record)
 	if g == nil {
 		return
 	}
@@ -217,7 +217,7 @@
 	if !record.has(h.self) {
 		return
 	}
-	next := startReplica(h.self, record.config(), h.settings, initial, g.machine, g.watcher, h.send, h.leaderChanged, h.log)
+	next := startReplica(h.self, record.config(), h.settings, initial, g.stateMachine, g.listener, h.send, h.leaderChanged, h.log)
 	h.mu.Lock()
 	closed := h.closed
 	if !closed {
@@ -229,10 +229,10 @@
 	}
 }
 
-// adopt makes a record current. It returns the group locked for the switch, the
+// beginSwitch makes a record current. It returns the group locked for the switch, the
 // state to start from and the member to stop, or no group when there is nothing
 // to do.
-func (h *Host) adopt(record Record) (*hosted, replica.State, *Replica) {
+func (h *Host) beginSwitch(record Record) (*hostedGroup, replica.State, *Replica) {
 	h.mu.Lock()
 	if h.closed || (!record.has(h.self) && h.groups[record.Group] == nil) {
 		h.mu.Unlock()
@@ -253,11 +253,11 @@
 	former := g.active
 	g.record = record
 	g.active = nil
-	g.prepared, g.order = map[string]prepareRequest{}, nil
+	g.prepared, g.proposalOrder = map[string]prepareRequest{}, nil
 	return g, initial, former
 }
 
-func (h *Host) leaderChanged(r *Replica) { h.changed(r.Config().Group) }
+func (h *Host) leaderChanged(r *Replica) { h.onLeaderChange(r.Config().Group) }
 
 // sendTimeout bounds the dialling for one message; messages may be lost.
 const sendTimeout = 300 * time.Millisecond
--- a/internal/group/keeper.go
+++ b/internal/group/manager.go
@@ -34,11 +34,11 @@
 	host    *Host
 	records records
 	client  *peer.Client
-	view    Cluster
+	cluster Cluster
 	log     logrus.FieldLogger
-	// forgetCommand returns the command that tells a group's state machine that
+	// stateLossCommand returns the command that tells a group's state machine that
 	// its memory was lost with a majority.
-	forgetCommand func(groupID string) ([]byte, error)
+	stateLossCommand func(groupID string) ([]byte, error)
 
 	mu sync.Mutex
 	// since notes when each group was first seen in need, by reason.
@@ -55,8 +55,8 @@
 	reasonMissing
 	// reasonLost: a member is gone, dead or leaving.
 	reasonLost
-	// reasonSpread: the members could stand in more zones, or be more.
-	reasonSpread
+	// reasonZones: the members could stand in more zones, or be more.
+	reasonZones
 )
 
 type need struct {
@@ -67,29 +67,29 @@
 // The patience before a need is acted on. Nodes act one after the other in the
 // group's rendezvous order, so that usually one does.
 const (
-	checkEvery       = 250 * time.Millisecond
-	patienceNew      = 200 * time.Millisecond
-	patienceMissing  = 2 * time.Second
-	patienceOutsider = 5 * time.Second
-	patienceLost     = 2 * time.Second
-	patienceSpread   = 20 * time.Second
-	patienceByRank   = 1000 * time.Millisecond
+	checkEvery    = 250 * time.Millisecond
+	delayNew      = 200 * time.Millisecond
+	delayMissing  = 2 * time.Second
+	delayOutsider = 5 * time.Second
+	delayLost     = 2 * time.Second
+	delayZones    = 20 * time.Second
+	delayPerRank  = 1000 * time.Millisecond
 )
 
 // NewManager returns the keeper of a node.
-func NewManager(self Member, host *Host, tableClient Table, client *peer.Client, view Cluster, log logrus.FieldLogger,
-	forgetCommand func(string) ([]byte, error)) *Manager {
+func NewManager(self Member, host *Host, tableClient Table, client *peer.Client, cluster Cluster, log logrus.FieldLogger,
+	stateLossCommand func(string) ([]byte, error)) *Manager {
 	return &Manager{
-		self: self, host: host, records: records{tableClient}, client: client, view: view, log: log,
-		forgetCommand: forgetCommand, since: map[string]need{},
+		self: self, host: host, records: records{tableClient}, client: client, cluster: cluster, log: log,
+		stateLossCommand: stateLossCommand, since: map[string]need{},
 	}
 }
 
-func (k *Manager) gone(member Member) bool { return k.view.HasEnded(member) }
+func (m *Manager) hasEnded(member Member) bool { return m.cluster.HasEnded(member) }
 
 // Run keeps groups until ctx ends. Groups are looked after side by side: one
 // whose members are slow to answer does not hold up the others.
-func (k *Manager) Run(ctx context.Context) {
+func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(checkEvery)
 	defer ticker.Stop()
 	var running sync.WaitGroup
@@ -102,7 +102,7 @@
 			return
 		case <-ticker.C:
 		}
-		for _, id := range k.view.DesiredGroups() {
+		for _, id := range m.cluster.DesiredGroups() {
 			mu.Lock()
 			skip := busy[id]
 			busy[id] = true
@@ -113,7 +113,7 @@
 			running.Add(1)
 			go func() {
 				defer running.Done()
-				k.look(ctx, id)
+				m.checkGroup(ctx, id)
 				mu.Lock()
 				defer mu.Unlock()
 				delete(busy, id)
@@ -122,72 +122,72 @@
 	}
 }
 
-// look checks one group and acts on a need that has lasted.
-func (k *Manager) look(ctx context.Context, id string) {
-	k.catchUp(ctx, id)
-	found, patience := k.need(id)
-	if !k.lasted(id, found, patience) {
+// checkGroup checks one group and acts on a need that has lasted.
+func (m *Manager) checkGroup(ctx context.Context, id string) {
+	m.catchUp(ctx, id)
+	found, delay := m.neededChange(id)
+	if !m.hasPersisted(id, found, delay) {
 		return
 	}
-	if err := k.act(ctx, id, found); err != nil && ctx.Err() == nil {
-		k.log.WithError(err).WithField("group", id).Warn("the group's members could not be changed; will try again")
+	if err := m.changeMembers(ctx, id, found); err != nil && ctx.Err() == nil {
+		m.log.WithError(err).WithField("group", id).Warn("the group's members could not be changed; will try again")
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.since, id)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.since, id)
 }
 
 // catchUp reads the table when others speak of a later epoch than this node
 // obeys.
-func (k *Manager) catchUp(ctx context.Context, id string) {
-	active := k.host.Replica(id)
+func (m *Manager) catchUp(ctx context.Context, id string) {
+	active := m.host.Replica(id)
 	if active == nil {
 		return
 	}
-	epoch, _, _ := k.view.KnownLeader(id)
+	epoch, _, _ := m.cluster.KnownLeader(id)
 	if epoch <= active.Config().Epoch {
 		return
 	}
-	if record, err := k.records.get(ctx, id); err == nil {
-		k.host.ApplyRecord(record)
+	if record, err := m.records.get(ctx, id); err == nil {
+		m.host.ApplyRecord(record)
 	}
 }
 
-// need decides whether a group's members should change, and how long this node
+// neededChange decides whether a group's members should change, and how long this node
 // waits before it acts. Most groups have a living leader elsewhere, which must be
 // found out cheaply: every node looks at every group.
-func (k *Manager) need(id string) (reason, time.Duration) {
-	active := k.host.Replica(id)
+func (m *Manager) neededChange(id string) (reason, time.Duration) {
+	active := m.host.Replica(id)
 	if active == nil {
-		return k.needOfOutsider(id)
+		return m.neededChangeAsOutsider(id)
 	}
 	if _, leading := active.Fence(); leading {
-		return k.needOfLeader(id, k.view.Candidates())
+		return m.neededChangeAsLeader(id, m.cluster.Candidates())
 	}
 	if active.Leader() == "" || active.Sealed() {
-		return reasonMissing, patienceMissing + min(k.rank(id), Size)*patienceByRank
+		return reasonMissing, delayMissing + min(m.rank(id), Size)*delayPerRank
 	}
 	return reasonNone, 0
 }
 
-func (k *Manager) needOfOutsider(id string) (reason, time.Duration) {
-	epoch, leader, alive := k.view.KnownLeader(id)
+func (m *Manager) neededChangeAsOutsider(id string) (reason, time.Duration) {
+	epoch, leader, alive := m.cluster.KnownLeader(id)
 	switch {
 	case leader != "" && alive:
 		return reasonNone, 0
 	case epoch == 0:
-		return reasonMissing, patienceNew + k.rank(id)*patienceByRank
+		return reasonMissing, delayNew + m.rank(id)*delayPerRank
 	}
-	return reasonMissing, patienceOutsider + k.rank(id)*patienceByRank
+	return reasonMissing, delayOutsider + m.rank(id)*delayPerRank
 }
 
 // rank is this node's place in the group's rendezvous order.
-func (k *Manager) rank(id string) time.Duration {
-	return time.Duration(max(Rank(id, k.self.Node, k.view.Candidates()), 0))
+func (m *Manager) rank(id string) time.Duration {
+	return time.Duration(max(Rank(id, m.self.Node, m.cluster.Candidates()), 0))
 }
 
-func (k *Manager) needOfLeader(id string, candidates []Member) (reason, time.Duration) {
-	record, ok := k.recordOf(id)
+func (m *Manager) neededChangeAsLeader(id string, candidates []Member) (reason, time.Duration) {
+	record, ok := m.recordOf(id)
 	if !ok {
 		return reasonNone, 0
 	}
@@ -199,23 +199,23 @@
 		}
 	}
 	switch {
-	case k.view.MinEpoch(id) > record.Epoch:
-		return reasonLost, patienceLost
+	case m.cluster.MinEpoch(id) > record.Epoch:
+		return reasonLost, delayLost
 	case kept < len(record.Members) && len(next) > kept:
 		// A lost member is replaced, also by fewer than it were: what counts is
 		// another live one. Without any, the group is better off as it is.
-		return reasonLost, patienceLost
+		return reasonLost, delayLost
 	case len(next) > len(record.Members):
-		return reasonSpread, patienceLost
-	case ZoneCount(k.respread(id, record, candidates)) > ZoneCount(record.Members):
-		return reasonSpread, patienceSpread
+		return reasonZones, delayLost
+	case ZoneCount(m.rebalanceZones(id, record, candidates)) > ZoneCount(record.Members):
+		return reasonZones, delayZones
 	}
 	return reasonNone, 0
 }
 
-// respread returns members for better zones: one of two in the same zone makes
+// rebalanceZones returns members for better zones: one of two in the same zone makes
 // room.
-func (k *Manager) respread(id string, record Record, candidates []Member) []Member {
+func (m *Manager) rebalanceZones(id string, record Record, candidates []Member) []Member {
 	zones := map[string]bool{}
 	var keep []Member
 	for _, member := range record.Members {
@@ -227,8 +227,8 @@
 	return ChooseMembers(id, keep, candidates)
 }
 
-func (k *Manager) recordOf(id string) (Record, bool) {
-	for _, record := range k.host.Records() {
+func (m *Manager) recordOf(id string) (Record, bool) {
+	for _, record := range m.host.Records() {
 		if record.Group == id {
 			return record, true
 		}
@@ -236,56 +236,56 @@
 	return Record{}, false
 }
 
-// lasted reports whether a need has been seen for as long as patience says.
-func (k *Manager) lasted(id string, found reason, patience time.Duration) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// hasPersisted reports whether a need has been seen for as long as patience says.
+func (m *Manager) hasPersisted(id string, found reason, delay time.Duration) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if found == reasonNone {
-		delete(k.since, id)
+		delete(m.since, id)
 		return false
 	}
-	known, exists := k.since[id]
+	known, exists := m.since[id]
 	if !exists || known.reason != found {
-		k.since[id] = need{reason: found, since: time.Now()}
+		m.since[id] = need{reason: found, since: time.Now()}
 		return false
 	}
-	return time.Since(known.since) >= patience
+	return time.Since(known.since) >= delay
 }
 
-// act reads the table first: without it no epoch could begin, so none may end.
-func (k *Manager) act(ctx context.Context, id string, found reason) error {
-	record, err := k.records.get(ctx, id)
+// changeMembers reads the table first: without it no epoch could begin, so none may end.
+func (m *Manager) changeMembers(ctx context.Context, id string, found reason) error {
+	record, err := m.records.get(ctx, id)
 	if err != nil {
 		return err
 	}
-	if active := k.host.Replica(id); record.has(k.self.ID) && (active == nil || active.Config().Epoch < record.Epoch) {
-		k.host.ApplyRecord(record) // this node missed the decision
+	if active := m.host.Replica(id); record.has(m.self.ID) && (active == nil || active.Config().Epoch < record.Epoch) {
+		m.host.ApplyRecord(record) // this node missed the decision
 		return nil
 	}
-	if found == reasonMissing && k.hasLeader(ctx, record) {
+	if found == reasonMissing && m.hasLeader(ctx, record) {
 		return nil // only this node had not heard of it
 	}
-	candidates := k.view.Candidates()
+	candidates := m.cluster.Candidates()
 	current := record.Members
-	if found == reasonSpread {
-		current = k.respread(id, record, candidates)
+	if found == reasonZones {
+		current = m.rebalanceZones(id, record, candidates)
 	}
 	next := ChooseMembers(id, current, candidates)
 	if len(next) == 0 {
 		return result.New(result.PeerUnavailable, "no node can be a member of group %s", id)
 	}
-	return k.reconfigure(ctx, record, next)
+	return m.reconfigure(ctx, record, next)
 }
 
 // hasLeader asks a group's members whether one of them leads it.
-func (k *Manager) hasLeader(ctx context.Context, record Record) bool {
+func (m *Manager) hasLeader(ctx context.Context, record Record) bool {
 	for _, member := range record.Members {
-		if member.ID == k.self.ID {
+		if member.ID == m.self.ID {
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, leaderTimeout)
 		var answer Leader
-		err := k.client.Call(callCtx, member.Address, MethodLeader, leaderRequest{Group: record.Group}, &answer)
+		err := m.client.Call(callCtx, member.Address, MethodLeader, leaderRequest{Group: record.Group}, &answer)
 		cancel()
 		if err == nil && answer.Epoch == record.Epoch && answer.Address != "" {
 			return true
--- a/internal/group/reconfigure.go
+++ b/internal/group/reconfigure.go
@@ -23,15 +23,15 @@
 // hold; give the newest sealed state to a majority of the new members; let the
 // table decide; tell everybody. Every step may be repeated, and several nodes may
 // try at once: the table accepts one.
-func (k *Manager) reconfigure(ctx context.Context, former Record, next []Member) error {
+func (m *Manager) reconfigure(ctx context.Context, former Record, next []Member) error {
 	ctx, cancel := context.WithTimeout(ctx, reconfigureTimeout)
 	defer cancel()
-	state, forced, err := k.sealEpoch(ctx, former)
+	state, stateLost, err := m.sealEpoch(ctx, former)
 	if err != nil {
 		return err
 	}
-	if forced {
-		command, err := k.forgetCommand(former.Group)
+	if stateLost {
+		command, err := m.stateLossCommand(former.Group)
 		if err != nil {
 			return err
 		}
@@ -40,20 +40,20 @@
 	}
 	record := Record{
 		Group:    former.Group,
-		Epoch:    max(former.Epoch+1, k.view.MinEpoch(former.Group)),
+		Epoch:    max(former.Epoch+1, m.cluster.MinEpoch(former.Group)),
 		Members:  next,
 		Proposal: string(engine.NewIdentifier()),
 	}
-	if err := k.prepareEpoch(ctx, record, state); err != nil {
+	if err := m.prepareEpoch(ctx, record, state); err != nil {
 		return err
 	}
-	if err := k.records.put(ctx, record, former.Epoch); err != nil {
+	if err := m.records.put(ctx, record, former.Epoch); err != nil {
 		return err
 	}
-	k.log.WithFields(logrus.Fields{"group": record.Group, "epoch": record.Epoch, "members": nodeNames(next), "memory_lost": forced}).
+	m.log.WithFields(logrus.Fields{"group": record.Group, "epoch": record.Epoch, "members": nodeNames(next), "memory_lost": stateLost}).
 		Info("group has new members")
-	k.host.ApplyRecord(record)
-	k.activateEpoch(ctx, former, record)
+	m.host.ApplyRecord(record)
+	m.activateEpoch(ctx, former, record)
 	return nil
 }
 
@@ -65,8 +65,8 @@
 	return names
 }
 
-// sealed is the answer of one member.
-type sealed struct {
+// sealAnswer is the answer of one member.
+type sealAnswer struct {
 	member Member
 	state  replica.State
 	wait   time.Duration
@@ -77,11 +77,11 @@
 // last possible lease has lapsed. Where a majority can't be sealed but every
 // other member is proved gone, the epoch can't act either; its memory is lost,
 // which forced reports.
-func (k *Manager) sealEpoch(ctx context.Context, former Record) (state replica.State, forced bool, err error) {
+func (m *Manager) sealEpoch(ctx context.Context, former Record) (state replica.State, stateLost bool, err error) {
 	if former.Epoch == 0 {
 		return replica.State{}, false, nil
 	}
-	answers := k.sealMembers(ctx, former)
+	answers := m.sealMembers(ctx, former)
 	var longest time.Duration
 	count, gone := 0, 0
 	for _, answer := range answers {
@@ -93,7 +93,7 @@
 				state = answer.state
 			}
 			state.Term = max(state.Term, answer.state.Term)
-		case k.gone(answer.member):
+		case m.hasEnded(answer.member):
 			gone++
 		}
 	}
@@ -103,48 +103,48 @@
 				"group %s: %d of %d members sealed and %d proved gone; a majority sealed, or all accounted for, is needed",
 				former.Group, count, len(former.Members), gone)
 		}
-		forced = true
+		stateLost = true
 	}
 	select {
 	case <-time.After(longest):
-		return state, forced, nil
+		return state, stateLost, nil
 	case <-ctx.Done():
-		return state, forced, ctx.Err()
+		return state, stateLost, ctx.Err()
 	}
 }
 
-func (k *Manager) sealMembers(ctx context.Context, former Record) []sealed {
-	answers := make([]sealed, len(former.Members))
+func (m *Manager) sealMembers(ctx context.Context, former Record) []sealAnswer {
+	answers := make([]sealAnswer, len(former.Members))
 	var group sync.WaitGroup
 	for i, member := range former.Members {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			answers[i] = k.sealMember(ctx, former, member)
+			answers[i] = m.sealMember(ctx, former, member)
 		}()
 	}
 	group.Wait()
 	return answers
 }
 
-func (k *Manager) sealMember(ctx context.Context, former Record, member Member) sealed {
+func (m *Manager) sealMember(ctx context.Context, former Record, member Member) sealAnswer {
 	request := sealRequest{Group: former.Group, Epoch: former.Epoch, Member: member.ID}
 	var response sealResponse
 	var err error
-	if member.ID == k.self.ID {
-		response, err = k.host.seal(request)
+	if member.ID == m.self.ID {
+		response, err = m.host.seal(request)
 	} else {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		err = k.client.Call(callCtx, member.Address, MethodSeal, request, &response)
+		err = m.client.Call(callCtx, member.Address, MethodSeal, request, &response)
 	}
 	wait := time.Duration(response.PromiseMillis) * time.Millisecond
-	return sealed{member: member, state: response.State, wait: wait, err: err}
+	return sealAnswer{member: member, state: response.State, wait: wait, err: err}
 }
 
 // prepareEpoch gives the state to the new members. A majority must have it: the
 // others start empty, can't win an election, and are brought up by the leader.
-func (k *Manager) prepareEpoch(ctx context.Context, record Record, state replica.State) error {
+func (m *Manager) prepareEpoch(ctx context.Context, record Record, state replica.State) error {
 	errs := make([]error, len(record.Members))
 	var group sync.WaitGroup
 	for i, member := range record.Members {
@@ -152,13 +152,13 @@
 		go func() {
 			defer group.Done()
 			request := prepareRequest{Config: record.config(), Member: member.ID, Proposal: record.Proposal, State: state}
-			if member.ID == k.self.ID {
-				errs[i] = k.host.prepare(request)
+			if member.ID == m.self.ID {
+				errs[i] = m.host.prepare(request)
 				return
 			}
 			callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
-			errs[i] = k.client.Call(callCtx, member.Address, MethodPrepare, request, nil)
+			errs[i] = m.client.Call(callCtx, member.Address, MethodPrepare, request, nil)
 		}()
 	}
 	group.Wait()
@@ -179,17 +179,17 @@
 
 // activateEpoch tells old and new members of the table's decision. Who misses it
 // learns the epoch from the spread group record and reads the table.
-func (k *Manager) activateEpoch(ctx context.Context, former, record Record) {
-	told := map[replica.MemberID]bool{k.self.ID: true}
+func (m *Manager) activateEpoch(ctx context.Context, former, record Record) {
+	notified := map[replica.MemberID]bool{m.self.ID: true}
 	for _, member := range append(append([]Member(nil), record.Members...), former.Members...) {
-		if told[member.ID] {
+		if notified[member.ID] {
 			continue
 		}
-		told[member.ID] = true
+		notified[member.ID] = true
 		go func() {
 			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 			defer cancel()
-			_ = k.client.Call(callCtx, member.Address, MethodActivate, activateRequest{Record: record, Member: member.ID}, nil)
+			_ = m.client.Call(callCtx, member.Address, MethodActivate, activateRequest{Record: record, Member: member.ID}, nil)
 		}()
 	}
 }
--- a/internal/group/replica.go
+++ b/internal/group/replica.go
@@ -44,14 +44,14 @@
 
 // Replica is this node's member of one group in one epoch.
 type Replica struct {
-	id       replica.MemberID
-	machine  StateMachine
-	watcher  LeadershipListener
-	send     func(replica.Message)
-	log      logrus.FieldLogger
-	origin   time.Time
-	changed  func(*Replica)
-	settings replica.Settings
+	id             replica.MemberID
+	stateMachine   StateMachine
+	listener       LeadershipListener
+	send           func(replica.Message)
+	log            logrus.FieldLogger
+	origin         time.Time
+	onLeaderChange func(*Replica)
+	settings       replica.Settings
 
 	mu        sync.Mutex
 	member    *replica.Member
@@ -69,17 +69,17 @@
 
 // startReplica starts a member. changed is called after the leader or the
 // leadership has changed.
-func startReplica(id replica.MemberID, config replica.Config, settings replica.Settings, initial replica.State, machine StateMachine,
-	watcher LeadershipListener, send func(replica.Message), changed func(*Replica), log logrus.FieldLogger) *Replica {
+func startReplica(id replica.MemberID, config replica.Config, settings replica.Settings, initial replica.State, stateMachine StateMachine,
+	listener LeadershipListener, send func(replica.Message), onLeaderChange func(*Replica), log logrus.FieldLogger) *Replica {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Replica{
-		id: id, machine: machine, watcher: watcher, send: send, origin: time.Now(), changed: changed, settings: settings,
+		id: id, stateMachine: stateMachine, listener: listener, send: send, origin: time.Now(), onLeaderChange: onLeaderChange, settings: settings,
 		log:       log.WithFields(logrus.Fields{"group": config.Group, "epoch": config.Epoch}),
 		proposals: map[uint64]proposal{},
 		stop:      cancel, done: make(chan struct{}),
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	r.member = replica.New(id, config, settings, initial, 0, random, machine.Snapshot)
+	r.member = replica.New(id, config, settings, initial, 0, random, stateMachine.Snapshot)
 	r.withMember(func(time.Duration) {})
 	go r.run(ctx)
 	return r
@@ -109,22 +109,22 @@
 		return
 	}
 	change(r.now())
-	messages := r.drain()
-	notify := r.watchLeadership()
+	messages := r.processReady()
+	notify := r.updateLeadership()
 	r.mu.Unlock()
 	for _, message := range messages {
 		r.send(message)
 	}
 	if notify {
-		r.changed(r)
+		r.onLeaderChange(r)
 	}
 }
 
-// drain applies what is committed and returns the messages to send.
-func (r *Replica) drain() []replica.Message {
+// processReady applies what is committed and returns the messages to send.
+func (r *Replica) processReady() []replica.Message {
 	ready := r.member.Ready()
 	if ready.Restore != nil {
-		if err := r.machine.Restore(ready.Restore.Data); err != nil {
+		if err := r.stateMachine.Restore(ready.Restore.Data); err != nil {
 			// A state that can't be read must not vote on.
 			r.log.WithError(err).Error("the group's state can't be restored; the member is sealed")
 			r.member.Seal(r.now())
@@ -134,17 +134,17 @@
 	for _, entry := range ready.Entries {
 		var value any
 		if entry.Data != nil {
-			value = r.machine.Apply(entry.Data)
+			value = r.stateMachine.Apply(entry.Data)
 		}
-		r.settle(entry, value)
+		r.completeProposal(entry, value)
 	}
 	r.member.Compact()
 	return ready.Messages
 }
 
-// settle answers the proposal of an applied entry. An entry of another term at
+// completeProposal answers the proposal of an applied entry. An entry of another term at
 // the same index means that the proposal was displaced.
-func (r *Replica) settle(entry replica.Entry, value any) {
+func (r *Replica) completeProposal(entry replica.Entry, value any) {
 	waiting, exists := r.proposals[entry.Index]
 	if !exists {
 		return
@@ -156,9 +156,9 @@
 	close(waiting.done)
 }
 
-// watchLeadership tells the watcher of changes. It reports whether the leader
+// updateLeadership tells the watcher of changes. It reports whether the leader
 // has changed.
-func (r *Replica) watchLeadership() bool {
+func (r *Replica) updateLeadership() bool {
 	fence, active := r.member.Fence(r.now())
 	if !active {
 		fence = 0
@@ -173,20 +173,20 @@
 	switch {
 	case fence != 0:
 		r.log.WithField("fence", uint64(fence)).Info("leading the group")
-		r.watcher.Lead(fence)
+		r.listener.Lead(fence)
 	case former != 0 && !r.member.IsLeader():
 		r.log.WithField("fence", uint64(former)).Info("no longer leading the group")
-		r.abandon()
-		r.watcher.Follow()
+		r.failProposals()
+		r.listener.Follow()
 	case former != 0:
 		r.log.WithField("fence", uint64(former)).Warn("the lease lapsed; not acting until it is renewed")
-		r.watcher.Follow()
+		r.listener.Follow()
 	}
 	return true
 }
 
-// abandon ends the wait of all proposals: their outcome is not known here.
-func (r *Replica) abandon() {
+// failProposals ends the wait of all proposals: their outcome is not known here.
+func (r *Replica) failProposals() {
 	for index, waiting := range r.proposals {
 		close(waiting.done)
 		delete(r.proposals, index)
@@ -288,9 +288,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopped = true
-	r.abandon()
+	r.failProposals()
 	if r.leading != 0 {
 		r.leading = 0
-		r.watcher.Follow()
+		r.listener.Follow()
 	}
 }
--- a/internal/group/router.go
+++ b/internal/group/router.go
@@ -87,7 +87,7 @@
 }
 
 const (
-	routePause    = 40 * time.Millisecond
+	retryPause    = 40 * time.Millisecond
 	leaderTimeout = 300 * time.Millisecond
 )
 
@@ -100,7 +100,7 @@
 	for {
 		address := r.Leader(ctx, groupID)
 		if address != "" {
-			err := r.try(ctx, address, method, tryTimeout, request, response)
+			err := r.callOnce(ctx, address, method, tryTimeout, request, response)
 			if err == nil || !retriable(err) {
 				return err
 			}
@@ -110,12 +110,12 @@
 		select {
 		case <-ctx.Done():
 			return last
-		case <-time.After(routePause + rand.N(routePause)):
+		case <-time.After(retryPause + rand.N(retryPause)):
 		}
 	}
 }
 
-func (r *Router) try(ctx context.Context, address string, method peer.Method, timeout time.Duration, request, response any) error {
+func (r *Router) callOnce(ctx context.Context, address string, method peer.Method, timeout time.Duration, request, response any) error {
 	if timeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, timeout)
@@ -141,16 +141,16 @@
 		return known.Address
 	}
 	for _, address := range r.directory.MemberAddresses(groupID) {
-		answer, err := r.ask(ctx, address, groupID)
+		answer, err := r.askLeader(ctx, address, groupID)
 		if err == nil && answer.Address != "" {
-			r.learn(groupID, answer)
+			r.recordLeader(groupID, answer)
 			return answer.Address
 		}
 	}
 	return ""
 }
 
-func (r *Router) ask(ctx context.Context, address, groupID string) (Leader, error) {
+func (r *Router) askLeader(ctx context.Context, address, groupID string) (Leader, error) {
 	askCtx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	var answer Leader
@@ -158,7 +158,7 @@
 	return answer, err
 }
 
-func (r *Router) learn(groupID string, answer Leader) {
+func (r *Router) recordLeader(groupID string, answer Leader) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.leaders[groupID]
@@ -177,9 +177,9 @@
 	}
 }
 
-// confirmFor is how long a confirmation holds: whoever waits for a leader's answer
+// confirmationTTL is how long a confirmation holds: whoever waits for a leader's answer
 // asks together with the others.
-const confirmFor = 300 * time.Millisecond
+const confirmationTTL = 300 * time.Millisecond
 
 // Confirm asks whether the node at an address still answers as a group's leader, so
 // that a call which may take long need not be held to the end by a leader that is
@@ -194,10 +194,10 @@
 	r.mu.Unlock()
 	last.mu.Lock()
 	defer last.mu.Unlock()
-	if last.address == address && time.Since(last.at) < confirmFor {
+	if last.address == address && time.Since(last.at) < confirmationTTL {
 		return last.leads
 	}
-	answer, err := r.ask(ctx, address, groupID)
+	answer, err := r.askLeader(ctx, address, groupID)
 	if ctx.Err() != nil {
 		return true // the caller's time is up: that says nothing of the leader
 	}
