--- a/internal/replica/election.go
+++ b/internal/replica/election.go
@@ -12,12 +12,12 @@
 }
 
 // campaign asks for votes, first whether they would be given.
-func (m *Member) campaign(now time.Duration, pre bool) {
+func (m *Member) campaign(now time.Duration, preVote bool) {
 	m.role = roleCandidate
 	m.leader = ""
-	m.pre = pre
+	m.preVote = preVote
 	m.votes = map[MemberID]bool{m.id: true}
-	if !pre {
+	if !preVote {
 		m.term++
 		m.votedFor = m.id
 	}
@@ -27,7 +27,7 @@
 		return
 	}
 	term := m.term
-	if pre {
+	if preVote {
 		term++
 	}
 	// The lease was handed over for one candidacy only: later, the others may
@@ -39,7 +39,7 @@
 			continue
 		}
 		m.send(Message{
-			Type: MessageVote, To: member, Term: term, Pre: pre, HandedOver: handedOver,
+			Type: MessageVote, To: member, Term: term, Pre: preVote, HandedOver: handedOver,
 			LastIndex: m.log.lastIndex(), LastTerm: m.log.lastTerm(),
 		})
 	}
@@ -48,7 +48,7 @@
 func (m *Member) won() bool { return len(m.votes) >= m.config.majority() }
 
 func (m *Member) advanceCampaign(now time.Duration) {
-	if m.pre {
+	if m.preVote {
 		m.campaign(now, false)
 		return
 	}
@@ -92,10 +92,10 @@
 
 func (m *Member) stepVoteReply(now time.Duration, message Message) {
 	wanted := m.term
-	if m.pre {
+	if m.preVote {
 		wanted++
 	}
-	if m.role != roleCandidate || message.Pre != m.pre || message.Term != wanted || !message.Granted {
+	if m.role != roleCandidate || message.Pre != m.preVote || message.Term != wanted || !message.Granted {
 		return
 	}
 	m.votes[message.From] = true
@@ -116,7 +116,7 @@
 			m.peers[member] = &progress{next: m.log.lastIndex() + 1, sentAt: map[uint64]time.Duration{}}
 		}
 	}
-	m.appendOwn(nil)
+	m.appendCommand(nil)
 	m.termStart = m.log.lastIndex()
 	m.replicate(now, true)
 }
@@ -129,7 +129,7 @@
 	}
 	var best MemberID
 	for member, peer := range m.peers {
-		if !peer.heard || now-peer.heardAt > m.settings.Lease || peer.match < m.commit {
+		if !peer.acked || now-peer.ackedSentAt > m.settings.Lease || peer.match < m.commit {
 			continue
 		}
 		if best == "" || peer.match > m.peers[best].match || (peer.match == m.peers[best].match && member < best) {
--- a/internal/replica/member.go
+++ b/internal/replica/member.go
@@ -26,14 +26,14 @@
 type progress struct {
 	next  uint64
 	match uint64
-	// heardAt is when the latest message that the follower has answered was
+	// ackedSentAt is when the latest message that the follower has answered was
 	// sent: the follower's promise lasts at least for the lease from then on.
-	heardAt time.Duration
-	heard   bool
+	ackedSentAt time.Duration
+	acked       bool
 	// sentAt holds the times at which unanswered rounds were sent.
 	sentAt map[uint64]time.Duration
-	// snapshotting tells that a snapshot is on its way.
-	snapshotting time.Duration
+	// snapshotSentAt tells that a snapshot is on its way.
+	snapshotSentAt time.Duration
 }
 
 // Member is one member of a group in one epoch. It is not safe for concurrent
@@ -58,7 +58,7 @@
 	// campaignAt is when this member stands for election.
 	campaignAt time.Duration
 	handedOver bool
-	pre        bool
+	preVote    bool
 	votes      map[MemberID]bool
 
 	// Leader's state.
@@ -134,8 +134,8 @@
 	ends := make([]time.Duration, 0, len(m.config.Members))
 	ends = append(ends, now+lease) // the leader itself
 	for _, peer := range m.peers {
-		if peer.heard {
-			ends = append(ends, peer.heardAt+lease)
+		if peer.acked {
+			ends = append(ends, peer.ackedSentAt+lease)
 		}
 	}
 	if len(ends) < m.config.majority() {
@@ -152,12 +152,12 @@
 	if _, active := m.Fence(now); !active {
 		return 0, 0, false
 	}
-	m.appendOwn(data)
+	m.appendCommand(data)
 	m.replicate(now, false)
 	return m.log.lastIndex(), m.term, true
 }
 
-func (m *Member) appendOwn(data []byte) {
+func (m *Member) appendCommand(data []byte) {
 	m.log.append([]Entry{{Term: m.term, Index: m.log.lastIndex() + 1, Data: data}})
 	m.advanceCommit()
 }
--- a/internal/replica/replication.go
+++ b/internal/replica/replication.go
@@ -14,16 +14,16 @@
 	for _, member := range m.config.Members {
 		if peer := m.peers[member]; peer != nil {
 			if heartbeat {
-				m.forgetUnanswered(now, peer)
+				m.dropUnanswered(now, peer)
 			}
 			m.replicateTo(now, member, peer, heartbeat)
 		}
 	}
 }
 
-// forgetUnanswered gives up messages that were not answered within a lease, so
+// dropUnanswered gives up messages that were not answered within a lease, so
 // that a dead follower costs no memory.
-func (m *Member) forgetUnanswered(now time.Duration, peer *progress) {
+func (m *Member) dropUnanswered(now time.Duration, peer *progress) {
 	forgotten := false
 	for round, sentAt := range peer.sentAt {
 		if now-sentAt > m.settings.Lease {
@@ -62,10 +62,10 @@
 
 // sendSnapshot brings a follower up that lacks entries which are gone.
 func (m *Member) sendSnapshot(now time.Duration, member MemberID, peer *progress) {
-	if peer.snapshotting > 0 && now-peer.snapshotting < m.settings.Lease {
+	if peer.snapshotSentAt > 0 && now-peer.snapshotSentAt < m.settings.Lease {
 		return
 	}
-	peer.snapshotting = now
+	peer.snapshotSentAt = now
 	m.send(Message{Type: MessageSnapshot, To: member, Snapshot: &Snapshot{
 		Term: m.log.term(m.applied), Index: m.applied, Data: m.snapshot(),
 	}})
@@ -77,7 +77,7 @@
 		m.send(Message{Type: MessageAppendReply, To: message.From, Round: message.Round, Rejected: true, Match: m.log.lastIndex()})
 		return
 	}
-	m.follow(now, message.From)
+	m.acceptLeader(now, message.From)
 	reply := Message{Type: MessageAppendReply, To: message.From, Round: message.Round}
 	if !m.log.has(message.PrevIndex) || m.log.term(message.PrevIndex) != message.PrevTerm {
 		if message.PrevIndex < m.log.snapshotIndex {
@@ -97,7 +97,7 @@
 	m.send(reply)
 }
 
-func (m *Member) follow(now time.Duration, leader MemberID) {
+func (m *Member) acceptLeader(now time.Duration, leader MemberID) {
 	m.role = roleFollower
 	m.leader = leader
 	m.peers = nil
@@ -112,8 +112,8 @@
 		return
 	}
 	if sentAt, known := peer.sentAt[message.Round]; known {
-		peer.heardAt = max(peer.heardAt, sentAt)
-		peer.heard = true
+		peer.ackedSentAt = max(peer.ackedSentAt, sentAt)
+		peer.acked = true
 		for round := range peer.sentAt {
 			if round <= message.Round {
 				delete(peer.sentAt, round)
@@ -125,7 +125,7 @@
 		m.replicateTo(now, message.From, peer, true)
 		return
 	}
-	peer.snapshotting = 0
+	peer.snapshotSentAt = 0
 	if message.Match > peer.match {
 		peer.match = message.Match
 		m.advanceCommit()
@@ -165,7 +165,7 @@
 	if message.Term < m.term || message.Snapshot == nil {
 		return
 	}
-	m.follow(now, message.From)
+	m.acceptLeader(now, message.From)
 	snapshot := *message.Snapshot
 	if snapshot.Index > m.commit {
 		if m.log.term(snapshot.Index) == snapshot.Term {
