--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -121,12 +121,12 @@
 	// expiry holds keys by the second in which they expire.
 	expiry map[int64][]string
 	time   int64
-	// forgotUntil is the end, in the group's time, of the time in which an
+	// unknownUntil is the end, in the group's time, of the time in which an
 	// unknown key may have been claimed before the group lost its majority.
 	// Keys that carry a time after forgotAt are known to be new.
-	forgotUntil int64
-	forgotAt    int64
-	longest     int64 // the longest window seen
+	unknownUntil  int64
+	stateLostAt   int64
+	longestWindow int64 // the longest window seen
 }
 
 // New returns an empty ledger.
@@ -142,7 +142,7 @@
 
 // Lookup returns the claim of a key, nil for none.
 func (l *Ledger) Lookup(key string) *Claim {
-	return l.copyOf(l.claims[key])
+	return l.copyClaim(l.claims[key])
 }
 
 // Apply executes a committed command.
@@ -164,8 +164,8 @@
 	case CommandLost:
 		return l.finish(command, Lost)
 	case CommandForget:
-		l.forgotAt = command.WallTime
-		l.forgotUntil = l.time + max(command.WindowMillis, l.longest)
+		l.stateLostAt = command.WallTime
+		l.unknownUntil = l.time + max(command.WindowMillis, l.longestWindow)
 	}
 	return Outcome{}
 }
@@ -205,13 +205,13 @@
 
 func (l *Ledger) claim(command Command) Outcome {
 	if existing := l.claims[command.Key]; existing != nil {
-		return l.existing(existing, command)
+		return l.existingClaim(existing, command)
 	}
-	if l.time < l.forgotUntil && command.KeyTime < l.forgotAt+keyTimeMargin.Milliseconds() {
+	if l.time < l.unknownUntil && command.KeyTime < l.stateLostAt+keyTimeMargin.Milliseconds() {
 		return Outcome{Error: result.New(result.OutcomeUnknown,
 			"the group that keeps this key lost its memory; whether the request ran before can't be told")}
 	}
-	l.longest = max(l.longest, command.WindowMillis)
+	l.longestWindow = max(l.longestWindow, command.WindowMillis)
 	claim := &Claim{
 		Key:       command.Key,
 		Digest:    command.Digest,
@@ -227,7 +227,7 @@
 	return l.outcome(claim, true)
 }
 
-func (l *Ledger) existing(claim *Claim, command Command) Outcome {
+func (l *Ledger) existingClaim(claim *Claim, command Command) Outcome {
 	if claim.Digest != command.Digest {
 		return Outcome{Error: result.New(result.KeyReused, "the idempotency key was used for another request; use a new key")}
 	}
@@ -252,7 +252,7 @@
 func (l *Ledger) release(command Command) Outcome {
 	claim := l.claims[command.Key]
 	if claim == nil || claim.Attempt != command.Attempt || claim.Status != Running {
-		return Outcome{Claim: l.copyOf(claim)}
+		return Outcome{Claim: l.copyClaim(claim)}
 	}
 	delete(l.claims, command.Key)
 	return Outcome{Granted: true}
@@ -261,7 +261,7 @@
 func (l *Ledger) finish(command Command, status Status) Outcome {
 	claim := l.claims[command.Key]
 	if claim == nil || claim.Attempt != command.Attempt || claim.Status != Running {
-		return Outcome{Claim: l.copyOf(claim)}
+		return Outcome{Claim: l.copyClaim(claim)}
 	}
 	claim.Status = status
 	claim.Answer = command.Answer
@@ -269,11 +269,11 @@
 }
 
 func (l *Ledger) outcome(claim *Claim, granted bool) Outcome {
-	return Outcome{Granted: granted, Claim: l.copyOf(claim)}
+	return Outcome{Granted: granted, Claim: l.copyClaim(claim)}
 }
 
-// copyOf returns a copy of a claim with its age, nil for nil.
-func (l *Ledger) copyOf(claim *Claim) *Claim {
+// copyClaim returns a copy of a claim with its age, nil for nil.
+func (l *Ledger) copyClaim(claim *Claim) *Claim {
 	if claim == nil {
 		return nil
 	}
@@ -293,7 +293,7 @@
 
 // Snapshot encodes the state.
 func (l *Ledger) Snapshot() []byte {
-	state := snapshot{Time: l.time, ForgotUntil: l.forgotUntil, ForgotAt: l.forgotAt, Longest: l.longest}
+	state := snapshot{Time: l.time, ForgotUntil: l.unknownUntil, ForgotAt: l.stateLostAt, Longest: l.longestWindow}
 	for _, claim := range l.claims {
 		state.Claims = append(state.Claims, claim)
 	}
@@ -314,7 +314,7 @@
 	if err := json.Unmarshal(data, &state); err != nil {
 		return result.Wrap(err, result.Internal, "a ledger snapshot can't be read")
 	}
-	l.time, l.forgotUntil, l.forgotAt, l.longest = state.Time, state.ForgotUntil, state.ForgotAt, state.Longest
+	l.time, l.unknownUntil, l.stateLostAt, l.longestWindow = state.Time, state.ForgotUntil, state.ForgotAt, state.Longest
 	for _, claim := range state.Claims {
 		l.claims[claim.Key] = claim
 		second := claim.ExpiresAt / 1000
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -52,81 +52,81 @@
 type ReplicatedLedger struct {
 	mu     sync.Mutex
 	ledger *Ledger
-	// ledAt and ledTime are the moment of the current leadership's start, in
+	// leadingSince and ledTime are the moment of the current leadership's start, in
 	// this process's time and in the group's.
-	ledAt   time.Time
-	ledTime int64
-	leading bool
-	handle  func() *group.Replica
-	log     logrus.FieldLogger
+	leadingSince          time.Time
+	leadingSinceGroupTime int64
+	leading               bool
+	localReplica          func() *group.Replica
+	log                   logrus.FieldLogger
 }
 
 // NewReplicatedLedger returns the machine of a group. handle returns the group's member on
 // this node.
-func NewReplicatedLedger(handle func() *group.Replica, log logrus.FieldLogger) *ReplicatedLedger {
-	return &ReplicatedLedger{ledger: New(), handle: handle, log: log}
+func NewReplicatedLedger(localReplica func() *group.Replica, log logrus.FieldLogger) *ReplicatedLedger {
+	return &ReplicatedLedger{ledger: New(), localReplica: localReplica, log: log}
 }
 
 // Apply implements group.StateMachine.
-func (m *ReplicatedLedger) Apply(data []byte) any {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.ledger.Apply(data)
+func (l *ReplicatedLedger) Apply(data []byte) any {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ledger.Apply(data)
 }
 
 // Snapshot implements group.StateMachine.
-func (m *ReplicatedLedger) Snapshot() []byte {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.ledger.Snapshot()
+func (l *ReplicatedLedger) Snapshot() []byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ledger.Snapshot()
 }
 
 // Restore implements group.StateMachine.
-func (m *ReplicatedLedger) Restore(data []byte) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.ledger.Restore(data)
+func (l *ReplicatedLedger) Restore(data []byte) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ledger.Restore(data)
 }
 
 // Lead implements group.Leadership.
-func (m *ReplicatedLedger) Lead(engine.Fence) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.leading = true
-	m.ledAt = time.Now()
-	m.ledTime = m.ledger.Time()
+func (l *ReplicatedLedger) Lead(engine.Fence) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.leading = true
+	l.leadingSince = time.Now()
+	l.leadingSinceGroupTime = l.ledger.Time()
 }
 
 // Follow implements group.Leadership.
-func (m *ReplicatedLedger) Follow() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.leading = false
+func (l *ReplicatedLedger) Follow() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.leading = false
 }
 
 // Len returns the number of live claims.
-func (m *ReplicatedLedger) Len() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.ledger.Len()
+func (l *ReplicatedLedger) Len() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ledger.Len()
 }
 
 // stamp gives a command the group's time: it goes on from where the former
 // leader's last command left it, so it never runs fast and never goes back.
-func (m *ReplicatedLedger) stamp(command *Command) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	command.Time = m.now()
+func (l *ReplicatedLedger) stamp(command *Command) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	command.Time = l.now()
 	command.WallTime = time.Now().UnixMilli()
 }
 
 // execute replicates a command under this node's leadership.
-func (m *ReplicatedLedger) execute(ctx context.Context, command Command) (Outcome, error) {
-	r := m.handle()
+func (l *ReplicatedLedger) execute(ctx context.Context, command Command) (Outcome, error) {
+	r := l.localReplica()
 	if r == nil {
 		return Outcome{}, result.New(result.NotLeader, "this node is no member of the group")
 	}
-	m.stamp(&command)
+	l.stamp(&command)
 	data, err := json.Marshal(command)
 	if err != nil {
 		return Outcome{}, result.Wrap(err, result.Internal, "encoding a ledger command")
@@ -143,21 +143,23 @@
 }
 
 // now returns the group's time. The caller holds the lock and leads.
-func (m *ReplicatedLedger) now() int64 { return m.ledTime + time.Since(m.ledAt).Milliseconds() }
+func (l *ReplicatedLedger) now() int64 {
+	return l.leadingSinceGroupTime + time.Since(l.leadingSince).Milliseconds()
+}
 
-func (m *ReplicatedLedger) lookup(key string) (*Claim, error) {
-	r := m.handle()
+func (l *ReplicatedLedger) lookup(key string) (*Claim, error) {
+	r := l.localReplica()
 	if r == nil {
 		return nil, result.New(result.NotLeader, "this node is no member of the group")
 	}
 	var claim *Claim
 	err := r.Read(func() {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		claim = m.ledger.Lookup(key)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		claim = l.ledger.Lookup(key)
 		if claim != nil {
 			// Time has passed since the last command.
-			claim.AgeMillis = max(claim.AgeMillis, m.now()-claim.ClaimedAt)
+			claim.AgeMillis = max(claim.AgeMillis, l.now()-claim.ClaimedAt)
 		}
 	})
 	return claim, err
@@ -167,7 +169,7 @@
 const tickEvery = 5 * time.Second
 
 // RunTicks lets time pass in the groups that this node leads, until ctx ends.
-func RunTicks(ctx context.Context, machines func() []*ReplicatedLedger) {
+func RunTicks(ctx context.Context, ledgers func() []*ReplicatedLedger) {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
 	for {
@@ -176,13 +178,13 @@
 			return
 		case <-ticker.C:
 		}
-		for _, m := range machines() {
-			m.mu.Lock()
-			due := m.leading && m.ledger.Len() > 0
-			m.mu.Unlock()
+		for _, l := range ledgers() {
+			l.mu.Lock()
+			due := l.leading && l.ledger.Len() > 0
+			l.mu.Unlock()
 			if due {
 				tickCtx, cancel := context.WithTimeout(ctx, time.Second)
-				_, _ = m.execute(tickCtx, Command{Type: CommandTick})
+				_, _ = l.execute(tickCtx, Command{Type: CommandTick})
 				cancel()
 			}
 		}
@@ -202,18 +204,18 @@
 // group, nil when this node is no member.
 func Register(server *peer.Server, find func(groupID string) *ReplicatedLedger) {
 	peer.Handle(server, MethodCommand, func(ctx context.Context, _ peer.Identity, request commandRequest) (Outcome, error) {
-		m := find(request.Group)
-		if m == nil {
+		l := find(request.Group)
+		if l == nil {
 			return Outcome{}, result.New(result.NotLeader, "this node is no member of group %s", request.Group)
 		}
-		return m.execute(ctx, request.Command)
+		return l.execute(ctx, request.Command)
 	})
 	peer.Handle(server, MethodLookup, func(_ context.Context, _ peer.Identity, request lookupRequest) (lookupResponse, error) {
-		m := find(request.Group)
-		if m == nil {
+		l := find(request.Group)
+		if l == nil {
 			return lookupResponse{}, result.New(result.NotLeader, "this node is no member of group %s", request.Group)
 		}
-		claim, err := m.lookup(request.Key)
+		claim, err := l.lookup(request.Key)
 		return lookupResponse{Claim: claim}, err
 	})
 }
