--- a/internal/membership/driver.go
+++ b/internal/membership/driver.go
@@ -35,23 +35,23 @@
 	Reached bool `json:"ok"`
 }
 
-// syncEvery is the number of periods between full exchanges with a random node.
+// fullSyncEvery is the number of periods between full exchanges with a random node.
 // They repair what the spreading of changes has missed.
-const syncEvery = 60
+const fullSyncEvery = 60
 
-// syncDue reports whether a full exchange belongs to a period. A young node has
+// fullSyncDue reports whether a full exchange belongs to a period. A young node has
 // missed what was spreading while it started, so its first ones come sooner.
-func syncDue(period int) bool {
+func fullSyncDue(period int) bool {
 	switch period {
 	case 4, 10, 20, 40:
 		return true
 	}
-	return period%syncEvery == 0
+	return period%fullSyncEvery == 0
 }
 
-// complainEvery is the number of periods between complaints about a name that is
+// duplicateNameLogEvery is the number of periods between complaints about a name that is
 // used twice.
-const complainEvery = 10
+const duplicateNameLogEvery = 10
 
 // Driver probes other nodes and serves their probes.
 type Driver struct {
@@ -63,8 +63,8 @@
 	seeds func() []string
 	// revision returns the configuration revision in force, and observed is
 	// called with those of other nodes.
-	revision func() uint64
-	observed func(address string, revision uint64)
+	revision        func() uint64
+	observeRevision func(address string, revision uint64)
 
 	mu    sync.Mutex
 	table *Table
@@ -72,10 +72,10 @@
 
 // NewDriver returns a driver for the table.
 func NewDriver(settings Settings, table *Table, client *peer.Client, log logrus.FieldLogger,
-	seeds func() []string, revision func() uint64, observed func(string, uint64)) *Driver {
+	seeds func() []string, revision func() uint64, observeRevision func(string, uint64)) *Driver {
 	return &Driver{
 		settings: settings, table: table, client: client, log: log, origin: time.Now(),
-		seeds: seeds, revision: revision, observed: observed,
+		seeds: seeds, revision: revision, observeRevision: observeRevision,
 	}
 }
 
@@ -111,7 +111,7 @@
 	d.mu.Unlock()
 	response.Revision = d.revision()
 	if known {
-		d.observed(node.Address, request.Revision)
+		d.observeRevision(node.Address, request.Revision)
 	}
 	return response
 }
@@ -132,13 +132,13 @@
 		target, found := d.table.NextProbeTarget()
 		superseded := d.table.Superseded()
 		d.mu.Unlock()
-		if superseded && period%complainEvery == 0 {
+		if superseded && period%duplicateNameLogEvery == 0 {
 			d.log.Error("another process runs under this node's name; give each node a name of its own")
 		}
 		if found {
 			go d.probe(ctx, target)
 		}
-		if !found || syncDue(period) {
+		if !found || fullSyncDue(period) {
 			d.join(ctx)
 		}
 	}
@@ -175,7 +175,7 @@
 	d.mu.Lock()
 	d.table.Merge(d.now(), response.Updates)
 	d.mu.Unlock()
-	d.observed(address, response.Revision)
+	d.observeRevision(address, response.Revision)
 	return nil
 }
 
@@ -187,7 +187,7 @@
 	d.mu.Lock()
 	helpers := d.table.Helpers(target.Name)
 	d.mu.Unlock()
-	if d.probeThrough(ctx, helpers, target) || ctx.Err() != nil {
+	if d.probeIndirectly(ctx, helpers, target) || ctx.Err() != nil {
 		return
 	}
 	d.mu.Lock()
@@ -213,7 +213,7 @@
 	return true
 }
 
-func (d *Driver) probeThrough(ctx context.Context, helpers []Node, target Node) bool {
+func (d *Driver) probeIndirectly(ctx context.Context, helpers []Node, target Node) bool {
 	callCtx, cancel := context.WithTimeout(ctx, 2*d.settings.ProbeTimeout)
 	defer cancel()
 	reached := make(chan bool, len(helpers))
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -36,8 +36,8 @@
 	queue    []queued
 	// superseded tells that a later process runs under this node's name.
 	superseded bool
-	// round is the shuffled list of nodes to probe.
-	round []string
+	// probeOrder is the shuffled list of nodes to probe.
+	probeOrder []string
 }
 
 // New returns a table that knows only its own node.
@@ -238,9 +238,9 @@
 // NextProbeTarget chooses the node to probe in this period: each once a round, in random
 // order. It returns false when there is no other node.
 func (t *Table) NextProbeTarget() (Node, bool) {
-	for len(t.round) > 0 || t.shuffle() {
-		name := t.round[len(t.round)-1]
-		t.round = t.round[:len(t.round)-1]
+	for len(t.probeOrder) > 0 || t.shuffle() {
+		name := t.probeOrder[len(t.probeOrder)-1]
+		t.probeOrder = t.probeOrder[:len(t.probeOrder)-1]
 		if e := t.entries[name]; e != nil && e.node.State != Dead {
 			return e.node, true
 		}
@@ -251,11 +251,11 @@
 func (t *Table) shuffle() bool {
 	for _, name := range t.names() {
 		if t.entries[name].node.State != Dead {
-			t.round = append(t.round, name)
+			t.probeOrder = append(t.probeOrder, name)
 		}
 	}
-	t.random.Shuffle(len(t.round), func(i, j int) { t.round[i], t.round[j] = t.round[j], t.round[i] })
-	return len(t.round) > 0
+	t.random.Shuffle(len(t.probeOrder), func(i, j int) { t.probeOrder[i], t.probeOrder[j] = t.probeOrder[j], t.probeOrder[i] })
+	return len(t.probeOrder) > 0
 }
 
 // Helpers chooses the nodes that are asked to probe target.
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -21,7 +21,7 @@
 	return node.State
 }
 
-func TestSuspicionBecomesDeathUnlessRefuted(t *testing.T) {
+func TestSuspectBecomesDeadUnlessRefuted(t *testing.T) {
 	table := newTable("a")
 	table.Merge(0, nodeUpdate("b", 0, Alive))
 	table.Merge(0, nodeUpdate("c", 0, Alive))
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestOldNewsDoesNotReplaceNewer(t *testing.T) {
+func TestOlderRecordDoesNotReplaceNewer(t *testing.T) {
 	table := newTable("a")
 	table.Merge(0, nodeUpdate("b", 5, Alive))
 	table.Merge(0, nodeUpdate("b", 4, Dead))
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestGroupRecordsOnlyRise(t *testing.T) {
+func TestOlderGroupRecordIsIgnored(t *testing.T) {
 	table := newTable("a")
 	table.SetGroup(Group{ID: "g", Epoch: 2, Term: 1, Leader: "x"})
 	if table.SetGroup(Group{ID: "g", Epoch: 1, Term: 9, Leader: "y"}) {
