--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -125,7 +125,7 @@
 	defer c.mu.Unlock()
 	c.closed = true
 	for _, l := range c.links {
-		l.drop()
+		l.close()
 	}
 }
 
@@ -134,7 +134,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l := c.links[address]; l != nil {
-		l.drop()
+		l.close()
 		delete(c.links, address)
 	}
 }
@@ -153,7 +153,7 @@
 	return l, nil
 }
 
-func (l *link) drop() {
+func (l *link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.current != nil {
@@ -233,7 +233,7 @@
 		}
 	}
 	connection.close()
-	l.lost(connection)
+	l.failPending(connection)
 }
 
 func (l *link) deliver(f frame) {
@@ -246,8 +246,8 @@
 	}
 }
 
-// lost fails every call that waits on a broken connection.
-func (l *link) lost(connection *conn) {
+// failPending fails every call that waits on a broken connection.
+func (l *link) failPending(connection *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.current != connection {
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	writeTimeout  = 5 * time.Second
-	helloTimeout  = 2 * time.Second
-	maxQueuedLine = 1024
-	bufferBytes   = 4 << 10
+	writeTimeout   = 5 * time.Second
+	helloTimeout   = 2 * time.Second
+	maxQueuedLines = 1024
+	bufferBytes    = 4 << 10
 )
 
 // Counters count a node's control traffic.
@@ -42,7 +42,7 @@
 func newConn(network net.Conn, counters *Counters) *conn {
 	c := &conn{
 		network:  network,
-		outgoing: make(chan []byte, maxQueuedLine),
+		outgoing: make(chan []byte, maxQueuedLines),
 		closed:   make(chan struct{}),
 		counters: counters,
 	}
@@ -107,7 +107,7 @@
 	case <-c.closed:
 		return result.New(result.PeerUnavailable, "the connection to %s is closed", c.remote.Node)
 	default:
-		return result.New(result.PeerUnavailable, "%d messages to %s wait already", maxQueuedLine, c.remote.Node)
+		return result.New(result.PeerUnavailable, "%d messages to %s wait already", maxQueuedLines, c.remote.Node)
 	}
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestCallsDoNotCross(t *testing.T) {
+func TestConcurrentCallsGetTheirOwnAnswers(t *testing.T) {
 	address := startServer(t, serveEcho)
 	client := newTestClient(t, "c")
 	var group sync.WaitGroup
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestPeersProveWhoTheyAre(t *testing.T) {
+func TestMutualTLSRefusesUntrustedPeers(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
