--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -38,10 +38,10 @@
 	}
 	w.Header().Set(HeaderAttempt, string(x.attempt))
 	if x.request.Stream {
-		s.stream(w, r, x)
+		s.serveStream(w, r, x)
 		return
 	}
-	s.whole(w, r, x)
+	s.serveWhole(w, r, x)
 }
 
 func (s *Server) logRefusal(r *http.Request, err error) {
@@ -133,14 +133,14 @@
 	return true
 }
 
-func (s *Server) whole(w http.ResponseWriter, r *http.Request, x *exchange) {
+func (s *Server) serveWhole(w http.ResponseWriter, r *http.Request, x *exchange) {
 	target := &collector{}
 	end := s.execute(r, x, target)
 	if end.err != nil {
 		writeError(w, end.err, string(x.attempt))
 		return
 	}
-	s.limitWrites(w)
+	s.setWriteDeadline(w)
 	writeJSON(w, http.StatusOK, openai.NewAnswer(x.endpoint, engine.CompletionID(x.attempt), x.kind.Model, x.received.Unix(), target.text.String(), usageOf(end.usage)))
 }
 
@@ -148,8 +148,8 @@
 	return openai.NewUsage(usage.PromptTokens, usage.OutputTokens, usage.CachedTokens)
 }
 
-// limitWrites bounds the time that a caller may take to read.
-func (s *Server) limitWrites(w http.ResponseWriter) {
+// setWriteDeadline bounds the time that a caller may take to read.
+func (s *Server) setWriteDeadline(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.settings.WriteTimeout))
 }
 
@@ -189,7 +189,7 @@
 
 var streamDone = []byte("data: [DONE]\n\n")
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, x *exchange) {
+func (s *Server) serveStream(w http.ResponseWriter, r *http.Request, x *exchange) {
 	target := &streamSink{writer: w, controller: http.NewResponseController(w), timeout: s.settings.WriteTimeout}
 	end := s.execute(r, x, target)
 	if end.err != nil {
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -87,7 +87,7 @@
 func (x *exchange) setKey(key string) {
 	digest := sha256.Sum256([]byte(x.tenant.GetName() + "\x00" + key))
 	x.key = hex.EncodeToString(digest[:16])
-	x.keyTime = timeOfKey(key)
+	x.keyTime = uuidTime(key)
 }
 
 // digest identifies the content of the request.
--- a/internal/gateway/key.go
+++ b/internal/gateway/key.go
@@ -23,10 +23,10 @@
 	return nil
 }
 
-// timeOfKey returns the Unix milliseconds that a key of the form UUIDv7 carries
+// uuidTime returns the Unix milliseconds that a key of the form UUIDv7 carries
 // (RFC 9562, section 5.7), zero for any other key. Such a key proves that it is
 // new even to a group that has lost its memory.
-func timeOfKey(key string) int64 {
+func uuidTime(key string) int64 {
 	if len(key) != uuidLength || key[uuidVersionAt] != uuidVersion7 {
 		return 0
 	}
--- a/internal/gateway/keyed.go
+++ b/internal/gateway/keyed.go
@@ -20,42 +20,42 @@
 	Get(ctx context.Context, name string) ([]byte, error)
 }
 
-// keyed runs requests that must not run twice. Their execution does not depend on
+// keyedRunner runs requests that must not run twice. Their execution does not depend on
 // any one caller: who comes with the same key reads the same stream.
-type keyed struct {
+type keyedRunner struct {
 	runner  *runner
 	ledger  *ledger.Client
 	answers AnswerStore
 	metrics *Metrics
 	running sync.WaitGroup
 
-	mu      sync.Mutex
-	flights map[string]*keyedFlight
+	mu         sync.Mutex
+	executions map[string]*keyedExecution
 }
 
-// keyedFlight is one execution at this gateway.
-type keyedFlight struct {
+// keyedExecution is one execution at this gateway.
+type keyedExecution struct {
 	digest    string
 	recording *recording
 }
 
-func newKeyed(runner *runner, client *ledger.Client, answers AnswerStore, metrics *Metrics) *keyed {
-	return &keyed{runner: runner, ledger: client, answers: answers, metrics: metrics, flights: map[string]*keyedFlight{}}
+func newKeyedRunner(runner *runner, client *ledger.Client, answers AnswerStore, metrics *Metrics) *keyedRunner {
+	return &keyedRunner{runner: runner, ledger: client, answers: answers, metrics: metrics, executions: map[string]*keyedExecution{}}
 }
 
 const (
 	ledgerTimeout = 3 * time.Second
 	storeTimeout  = 5 * time.Second
-	// takeOverPatience is how long another gateway gets to dispatch an attempt
+	// takeOverDelay is how long another gateway gets to dispatch an attempt
 	// that it has claimed.
-	takeOverPatience = 250 * time.Millisecond
+	takeOverDelay = 250 * time.Millisecond
 	// claimAgeLimit is how old a claim may be for the engine's word that it never
 	// saw the attempt to count. It leaves room for clocks that run unevenly.
 	claimAgeLimit = engine.AttemptRetention / 2
 )
 
 // run joins the execution of the exchange's key, or begins it.
-func (k *keyed) run(ctx context.Context, x *exchange, target sink) outcome {
+func (k *keyedRunner) run(ctx context.Context, x *exchange, target sink) outcome {
 	flight, fresh := k.join(x)
 	if flight.digest != x.digest() {
 		return outcome{err: result.New(result.KeyReused, "the idempotency key is in use for another request; use a new key")}
@@ -70,27 +70,27 @@
 	return flight.recording.play(ctx, target)
 }
 
-func (k *keyed) join(x *exchange) (flight *keyedFlight, fresh bool) {
+func (k *keyedRunner) join(x *exchange) (flight *keyedExecution, fresh bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if running := k.flights[x.key]; running != nil {
+	if running := k.executions[x.key]; running != nil {
 		return running, false
 	}
-	flight = &keyedFlight{digest: x.digest(), recording: newRecording()}
-	k.flights[x.key] = flight
+	flight = &keyedExecution{digest: x.digest(), recording: newRecording()}
+	k.executions[x.key] = flight
 	return flight, true
 }
 
 // execute runs the request to its end, whoever reads along.
-func (k *keyed) execute(ctx context.Context, x *exchange, flight *keyedFlight) {
+func (k *keyedRunner) execute(ctx context.Context, x *exchange, flight *keyedExecution) {
 	end := k.executeOnce(ctx, x, flight.recording)
 	flight.recording.finish(end)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.flights, x.key)
+	delete(k.executions, x.key)
 }
 
-func (k *keyed) executeOnce(ctx context.Context, x *exchange, target *recording) outcome {
+func (k *keyedRunner) executeOnce(ctx context.Context, x *exchange, target *recording) outcome {
 	lookupCtx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	claim, err := k.ledger.Lookup(lookupCtx, x.key)
 	cancel()
@@ -109,19 +109,19 @@
 }
 
 // start runs a request whose key is not known.
-func (k *keyed) start(ctx context.Context, x *exchange, target *recording) outcome {
-	guard := &keyGuard{keyed: k, x: x}
+func (k *keyedRunner) start(ctx context.Context, x *exchange, target *recording) outcome {
+	guard := &claimGuard{keyed: k, x: x}
 	end := k.runner.run(ctx, x, guard, target)
-	if guard.taken != nil {
+	if guard.otherClaim != nil {
 		// Another gateway was first.
-		return k.continueClaim(ctx, x, guard.taken, target)
+		return k.continueClaim(ctx, x, guard.otherClaim, target)
 	}
-	k.conclude(ctx, x, guard, end, target)
+	k.recordEnd(ctx, x, guard, end, target)
 	return end
 }
 
-// conclude records how an execution ended.
-func (k *keyed) conclude(ctx context.Context, x *exchange, guard *keyGuard, end outcome, target *recording) {
+// recordEnd records how an execution ended.
+func (k *keyedRunner) recordEnd(ctx context.Context, x *exchange, guard *claimGuard, end outcome, target *recording) {
 	if guard.current == "" {
 		return // nothing was claimed
 	}
@@ -136,7 +136,7 @@
 
 // command sends a command whose failure has no other consequence than that the
 // next caller with the key asks the engine.
-func (k *keyed) command(ctx context.Context, command ledger.Command) {
+func (k *keyedRunner) command(ctx context.Context, command ledger.Command) {
 	commandCtx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
 	_, _, _ = k.ledger.Execute(commandCtx, command)
@@ -144,7 +144,7 @@
 
 // complete stores the answer: in the ledger, or in the object store where it is
 // long. Where neither can be had, the engine still has it for a while.
-func (k *keyed) complete(ctx context.Context, x *exchange, attempt engine.Identifier, end outcome, target *recording) {
+func (k *keyedRunner) complete(ctx context.Context, x *exchange, attempt engine.Identifier, end outcome, target *recording) {
 	content, _, _, _ := target.snapshot(0)
 	text, err := textOf(content)
 	if err != nil {
@@ -181,7 +181,7 @@
 }
 
 // continueClaim serves a request that was claimed before, here or elsewhere.
-func (k *keyed) continueClaim(ctx context.Context, x *exchange, claim *ledger.Claim, target *recording) outcome {
+func (k *keyedRunner) continueClaim(ctx context.Context, x *exchange, claim *ledger.Claim, target *recording) outcome {
 	if claim.Digest != x.digest() {
 		return outcome{err: result.New(result.KeyReused, "the idempotency key was used for another request; use a new key")}
 	}
@@ -195,7 +195,7 @@
 }
 
 // replay answers from what is stored.
-func (k *keyed) replay(ctx context.Context, x *exchange, claim *ledger.Claim, target *recording) outcome {
+func (k *keyedRunner) replay(ctx context.Context, x *exchange, claim *ledger.Claim, target *recording) outcome {
 	answer := claim.Answer
 	if answer == nil {
 		return outcome{err: result.New(result.AnswerExpired, "the request ran, and its answer is not stored any more")}
@@ -222,7 +222,7 @@
 // one has lost sight of. The other gateway may be paused with the request still in
 // hand: so an attempt that the engine does not know is cancelled there before
 // another takes its place.
-func (k *keyed) takeOver(ctx context.Context, x *exchange, claim *ledger.Claim, target *recording) outcome {
+func (k *keyedRunner) takeOver(ctx context.Context, x *exchange, claim *ledger.Claim, target *recording) outcome {
 	placed := placement{ticket: engine.Ticket{
 		Attempt: claim.Attempt, Engine: claim.Location.Engine, Address: claim.Location.Address, Incarnation: claim.Location.Incarnation,
 	}}
@@ -234,11 +234,11 @@
 	}
 	runCtx, cancel := context.WithDeadline(ctx, x.runLimit())
 	defer cancel()
-	state, err := k.runner.askAbout(runCtx, placed.ticket, takeOverPatience)
+	state, err := k.runner.resolveAttempt(runCtx, placed.ticket, takeOverDelay)
 	if err == nil {
 		return k.followClaim(runCtx, x, claim, placed, target)
 	}
-	guard := &keyGuard{keyed: k, x: x, current: claim.Attempt}
+	guard := &claimGuard{keyed: k, x: x, current: claim.Attempt}
 	if state == notRun {
 		return k.restart(ctx, x, guard, target)
 	}
@@ -250,11 +250,11 @@
 		WithRetryAfter(time.Second)}
 }
 
-func (k *keyed) followClaim(ctx context.Context, x *exchange, claim *ledger.Claim, placed placement, target *recording) outcome {
+func (k *keyedRunner) followClaim(ctx context.Context, x *exchange, claim *ledger.Claim, placed placement, target *recording) outcome {
 	copier := newRelay(k.runner.engines, placed.ticket, target, k.metrics, nil)
 	if err := copier.run(ctx, nil); err != nil {
 		if result.CodeOf(err) == result.IncarnationMismatch || result.CodeOf(err) == result.StreamUnknown {
-			(&keyGuard{keyed: k, x: x}).lost(context.WithoutCancel(ctx), claim.Attempt)
+			(&claimGuard{keyed: k, x: x}).lost(context.WithoutCancel(ctx), claim.Attempt)
 		}
 		return outcome{engine: claim.Location.Engine, err: result.New(result.OutcomeUnknown, "the running request's outcome can't be had: %s", result.From(err).Message)}
 	}
@@ -264,27 +264,27 @@
 }
 
 // restart runs a request again whose only attempt is proved not to have run.
-func (k *keyed) restart(ctx context.Context, x *exchange, guard *keyGuard, target *recording) outcome {
+func (k *keyedRunner) restart(ctx context.Context, x *exchange, guard *claimGuard, target *recording) outcome {
 	x.attempt = engine.NewIdentifier()
 	end := k.runner.run(ctx, x, guard, target)
-	if guard.taken != nil {
-		return k.continueClaim(ctx, x, guard.taken, target)
+	if guard.otherClaim != nil {
+		return k.continueClaim(ctx, x, guard.otherClaim, target)
 	}
-	k.conclude(ctx, x, guard, end, target)
+	k.recordEnd(ctx, x, guard, end, target)
 	return end
 }
 
-// keyGuard claims each attempt of one execution before the engine sees it.
-type keyGuard struct {
-	keyed *keyed
+// claimGuard claims each attempt of one execution before the engine sees it.
+type claimGuard struct {
+	keyed *keyedRunner
 	x     *exchange
 	// current is the attempt on record, empty before the first claim.
 	current engine.Identifier
-	// taken is the claim of another gateway that was first.
-	taken *ledger.Claim
+	// otherClaim is the claim of another gateway that was first.
+	otherClaim *ledger.Claim
 }
 
-func (g *keyGuard) begin(ctx context.Context, p placement, _ engine.Identifier) error {
+func (g *claimGuard) begin(ctx context.Context, p placement, _ engine.Identifier) error {
 	command := ledger.Command{
 		Type:         ledger.CommandClaim,
 		Key:          g.x.key,
@@ -309,13 +309,13 @@
 		return ledgerUnavailable(err)
 	}
 	if !granted {
-		g.taken = claim
+		g.otherClaim = claim
 		return result.New(result.KeyReused, "another gateway runs the request")
 	}
 	g.current = p.ticket.Attempt
 	return nil
 }
 
-func (g *keyGuard) lost(ctx context.Context, attempt engine.Identifier) {
+func (g *claimGuard) lost(ctx context.Context, attempt engine.Identifier) {
 	g.keyed.command(context.WithoutCancel(ctx), ledger.Command{Type: ledger.CommandLost, Key: g.x.key, Attempt: attempt})
 }
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -49,7 +49,7 @@
 	return p
 }
 
-const placePause = 30 * time.Millisecond
+const placeRetryPause = 30 * time.Millisecond
 
 // place waits until a cell has placed an attempt, or refuses it. A cell without a
 // fitting engine speaks for itself only: the pool's other cells are asked before
@@ -86,19 +86,19 @@
 				continue
 			}
 		}
-		if !elsewhere(failure.Code) {
+		if !mayPlaceElsewhere(failure.Code) {
 			return placement{}, failure
 		}
 		select {
 		case <-ctx.Done():
 			return placement{}, last
-		case <-time.After(placePause + rand.N(placePause)):
+		case <-time.After(placeRetryPause + rand.N(placeRetryPause)):
 		}
 	}
 }
 
-// elsewhere reports whether another node may place the request.
-func elsewhere(code result.Code) bool {
+// mayPlaceElsewhere reports whether another node may place the request.
+func mayPlaceElsewhere(code result.Code) bool {
 	switch code {
 	case result.NotLeader, result.PeerUnavailable, result.Stopping:
 		return true
@@ -132,7 +132,7 @@
 func (p *Placer) ask(ctx context.Context, x *exchange, request cell.PlaceRequest) (placement, error) {
 	if address := p.router.Leader(ctx, request.Cell); address != "" {
 		placed, err := p.askLeader(ctx, address, request)
-		if err == nil || !elsewhere(result.CodeOf(err)) {
+		if err == nil || !mayPlaceElsewhere(result.CodeOf(err)) {
 			return placed, err
 		}
 		p.router.Forget(request.Cell, address)
@@ -143,7 +143,7 @@
 	request.AnyMember = true
 	for _, address := range p.router.Members(request.Cell) {
 		placed, err := p.askAt(ctx, address, request)
-		if err == nil || !elsewhere(result.CodeOf(err)) && result.CodeOf(err) != result.NoEngine {
+		if err == nil || !mayPlaceElsewhere(result.CodeOf(err)) && result.CodeOf(err) != result.NoEngine {
 			return placed, err
 		}
 	}
--- a/internal/gateway/suspicion.go
+++ b/internal/gateway/quarantine.go
@@ -17,31 +17,31 @@
 	return content.Fingerprint()
 }
 
-// mayRun tells why a request may be given to no engine, nil where it may: engines ended
+// checkQuarantine tells why a request may be given to no engine, nil where it may: engines ended
 // whenever they ran it.
-func (r *runner) mayRun(ctx context.Context, request quarantine.Fingerprint) error {
-	standing := r.quarantine.Standing(request, time.Now())
-	for standing.Settling > 0 {
-		if err := sleep(ctx, standing.Settling); err != nil {
+func (r *runner) checkQuarantine(ctx context.Context, request quarantine.Fingerprint) error {
+	status := r.quarantine.Standing(request, time.Now())
+	for status.Settling > 0 {
+		if err := sleep(ctx, status.Settling); err != nil {
 			return err
 		}
-		standing = r.quarantine.Standing(request, time.Now())
+		status = r.quarantine.Standing(request, time.Now())
 	}
-	if !standing.Quarantined {
+	if !status.Quarantined {
 		return nil
 	}
-	return result.New(result.RequestQuarantined, "engines ended whenever they ran this request (%s)", request).WithRetryAfter(standing.Left)
+	return result.New(result.RequestQuarantined, "engines ended whenever they ran this request (%s)", request).WithRetryAfter(status.Left)
 }
 
-// lookTimeout bounds the look at an engine that was lost: a few times the way to another
+// probeTimeout bounds the look at an engine that was lost: a few times the way to another
 // zone and back.
-const lookTimeout = 200 * time.Millisecond
+const probeTimeout = 200 * time.Millisecond
 
-// observeLoss records that an engine has ended under a request, if that is why an attempt was
+// checkForCrash records that an engine has ended under a request, if that is why an attempt was
 // lost: its address takes no connections any more, or another incarnation has it. Otherwise
 // only the answer broke off. answering tells that the engine had begun to answer.
-func (r *runner) observeLoss(ctx context.Context, x *exchange, ticket engine.Ticket, answering bool) {
-	lookCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lookTimeout)
+func (r *runner) checkForCrash(ctx context.Context, x *exchange, ticket engine.Ticket, answering bool) {
+	lookCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
 	status, err := r.engines.Status(lookCtx, ticket.Address)
 	ended := result.CodeOf(err) == result.NoEngine || err == nil && status.Incarnation != ticket.Incarnation
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -92,15 +92,15 @@
 		r.metrics.Resumes.Inc()
 		if err != nil {
 			stream = nil
-			if resumeIsHopeless(err) || time.Since(unreachableSince) > resumeFor {
+			if streamIsGone(err) || time.Since(unreachableSince) > resumeFor {
 				return err
 			}
 		}
 	}
 }
 
-// resumeIsHopeless reports whether the engine said that the stream is gone.
-func resumeIsHopeless(err error) bool {
+// streamIsGone reports whether the engine said that the stream is gone.
+func streamIsGone(err error) bool {
 	switch result.CodeOf(err) {
 	case result.StreamUnknown, result.IncarnationMismatch, result.InvalidRequest:
 		return true
@@ -124,7 +124,7 @@
 	for {
 		count, readErr := stream.Read(r.buffer)
 		if count > 0 {
-			if err := r.take(r.buffer[:count]); err != nil {
+			if err := r.consume(r.buffer[:count]); err != nil {
 				return err
 			}
 		}
@@ -139,8 +139,8 @@
 
 var eventEnd = []byte("\n\n")
 
-// take splits what was read into events and passes the accepted ones on.
-func (r *relay) take(chunk []byte) error {
+// consume splits what was read into events and passes the accepted ones on.
+func (r *relay) consume(chunk []byte) error {
 	if len(r.pending) > 0 {
 		r.pending = append(r.pending, chunk...)
 		chunk = r.pending
@@ -151,11 +151,11 @@
 		if !whole {
 			break
 		}
-		again, err := r.classify(event)
+		gap, err := r.classify(event)
 		if err != nil {
 			return err
 		}
-		if again {
+		if gap {
 			chunk = nil
 			break // the rest of this connection is out of order: resume
 		}
--- a/internal/gateway/runner.go
+++ b/internal/gateway/runner.go
@@ -92,9 +92,9 @@
 	notRun attemptState = iota
 	// mayHaveRun attempts must not run again unless the kind is repeatable.
 	mayHaveRun
-	// over attempts ended for good: with a whole answer, or a refusal that
+	// finished attempts ended for good: with a whole answer, or a refusal that
 	// another attempt would meet too.
-	over
+	finished
 )
 
 // run places and relays until the answer is whole or given up. The sink ends with
@@ -107,16 +107,16 @@
 	mayHaveRunBefore := false
 	fingerprint := x.fingerprint()
 	for try := 1; ; try++ {
-		if err := r.mayRun(ctx, fingerprint); err != nil {
-			return outcome{err: honest(err, mayHaveRunBefore)}
+		if err := r.checkQuarantine(ctx, fingerprint); err != nil {
+			return outcome{err: neverFalselyNotRun(err, mayHaveRunBefore)}
 		}
 		placed, err := r.placer.place(ctx, x, attempt, excluded)
 		if err != nil {
-			return outcome{err: honest(err, mayHaveRunBefore)}
+			return outcome{err: neverFalselyNotRun(err, mayHaveRunBefore)}
 		}
 		if err := guard.begin(ctx, placed, replaced); err != nil {
 			r.reporter.report(placed, cell.ProgressDone)
-			return outcome{err: honest(err, mayHaveRunBefore)}
+			return outcome{err: neverFalselyNotRun(err, mayHaveRunBefore)}
 		}
 		usage, state, err := r.attempt(ctx, x, placed, target)
 		r.reporter.report(placed, cell.ProgressDone)
@@ -126,9 +126,9 @@
 		}
 		log := x.log.WithFields(logrus.Fields{"attempt": attempt, "engine": placed.ticket.Engine}).WithError(err)
 		fresh := target.restart()
-		if !r.again(ctx, x, state, fresh, try) {
+		if !r.shouldRetry(ctx, x, state, fresh, try) {
 			log.Debug("attempt failed")
-			return outcome{engine: placed.ticket.Engine, err: honest(r.final(ctx, x, guard, attempt, state, fresh, err), mayHaveRunBefore)}
+			return outcome{engine: placed.ticket.Engine, err: neverFalselyNotRun(r.callerError(ctx, x, guard, attempt, state, fresh, err), mayHaveRunBefore)}
 		}
 		mayHaveRunBefore = mayHaveRunBefore || state == mayHaveRun
 		log.Info("attempt failed; placing the request again")
@@ -141,9 +141,9 @@
 	}
 }
 
-// honest never lets a request be called not run when an earlier attempt may have
+// neverFalselyNotRun never lets a request be called not run when an earlier attempt may have
 // been.
-func honest(err error, mayHaveRunBefore bool) error {
+func neverFalselyNotRun(err error, mayHaveRunBefore bool) error {
 	failure := result.From(err)
 	if !mayHaveRunBefore || failure.Code.Entry().Outcome != result.DidNotRun {
 		return failure
@@ -154,9 +154,9 @@
 	return &changed
 }
 
-// again decides whether a failed attempt is followed by another. fresh tells that
+// shouldRetry decides whether a failed attempt is followed by another. fresh tells that
 // nobody has seen anything of it.
-func (r *runner) again(ctx context.Context, x *exchange, state attemptState, fresh bool, try int) bool {
+func (r *runner) shouldRetry(ctx context.Context, x *exchange, state attemptState, fresh bool, try int) bool {
 	if ctx.Err() != nil || !fresh || try >= maxAttempts || time.Now().After(x.deadline) {
 		return false
 	}
@@ -169,11 +169,11 @@
 	return false
 }
 
-// final turns the failure of the last attempt into what the caller is told.
-func (r *runner) final(ctx context.Context, x *exchange, guard claims, attempt engine.Identifier, state attemptState, fresh bool, err error) error {
+// callerError turns the failure of the last attempt into what the caller is told.
+func (r *runner) callerError(ctx context.Context, x *exchange, guard claims, attempt engine.Identifier, state attemptState, fresh bool, err error) error {
 	failure := result.From(err)
 	switch {
-	case state == over:
+	case state == finished:
 		return failure
 	case state == notRun:
 		return result.New(result.RetriesExhausted, "no engine took the request; the last one said: %s", failure.Message).WithRetryAfter(time.Second)
@@ -184,7 +184,7 @@
 	case x.kind.Repeatable && !fresh:
 		return result.New(result.AnswerCut, "the answer broke off: %s", failure.Message)
 	}
-	if resumeIsHopeless(err) {
+	if streamIsGone(err) {
 		guard.lost(ctx, attempt)
 	}
 	return result.New(result.OutcomeUnknown, "the request was given to an engine and its outcome can't be had: %s", failure.Message)
@@ -199,10 +199,10 @@
 	defer cancel()
 	stream, err := r.engines.Start(runCtx, placed.ticket, string(x.endpoint), x.body)
 	if err != nil {
-		state, startErr := r.judgeStart(runCtx, x, placed, err)
+		state, startErr := r.classifyStartError(runCtx, x, placed, err)
 		if startErr != nil {
 			if state == mayHaveRun {
-				r.observeLoss(ctx, x, placed.ticket, false)
+				r.checkForCrash(ctx, x, placed.ticket, false)
 			}
 			return engine.Usage{}, state, startErr
 		}
@@ -219,55 +219,55 @@
 	})
 	err := copier.run(ctx, stream)
 	if err == nil {
-		return copier.reader.Usage(), over, nil
+		return copier.reader.Usage(), finished, nil
 	}
-	if x.key == "" || runCtxEnded(ctx) {
+	if x.key == "" || runLimitReached(ctx) {
 		r.cancel(placed.ticket)
 	}
 	var left errSink
 	if errors.As(err, &left) || errors.Is(ctx.Err(), context.Canceled) {
-		return engine.Usage{}, over, result.New(result.CallerGone, "the caller left before the answer was whole")
+		return engine.Usage{}, finished, result.New(result.CallerGone, "the caller left before the answer was whole")
 	}
-	if runCtxEnded(ctx) {
+	if runLimitReached(ctx) {
 		err = result.New(result.DeadlineExceeded, "the answer was not whole after %v", 2*x.kind.Deadline)
 	} else {
-		r.observeLoss(ctx, x, placed.ticket, copier.reader.Next() > 1)
+		r.checkForCrash(ctx, x, placed.ticket, copier.reader.Next() > 1)
 	}
 	return engine.Usage{}, mayHaveRun, err
 }
 
-// runCtxEnded reports whether an exchange has reached its run limit.
-func runCtxEnded(ctx context.Context) bool { return errors.Is(ctx.Err(), context.DeadlineExceeded) }
+// runLimitReached reports whether an exchange has reached its run limit.
+func runLimitReached(ctx context.Context) bool { return errors.Is(ctx.Err(), context.DeadlineExceeded) }
 
-// judgeStart decides what a failed start means. No error means that the attempt
+// classifyStartError decides what a failed start means. No error means that the attempt
 // does run and its stream can be read.
-func (r *runner) judgeStart(ctx context.Context, x *exchange, placed placement, err error) (attemptState, error) {
+func (r *runner) classifyStartError(ctx context.Context, x *exchange, placed placement, err error) (attemptState, error) {
 	failure := result.From(err)
 	switch failure.Code {
 	case result.NoEngine, result.TicketRefused, result.IncarnationMismatch, result.EngineBusy, result.FenceStale:
 		return notRun, failure
 	case result.InvalidRequest, result.PromptTooLong, result.OutputTooLong:
-		return over, failure
+		return finished, failure
 	}
 	if ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled) {
 		r.cancel(placed.ticket)
-		return over, result.New(result.CallerGone, "the caller left before the answer began")
+		return finished, result.New(result.CallerGone, "the caller left before the answer began")
 	}
 	if x.kind.Repeatable {
 		r.cancel(placed.ticket)
 		return mayHaveRun, failure
 	}
-	return r.askAbout(ctx, placed.ticket, 0)
+	return r.resolveAttempt(ctx, placed.ticket, 0)
 }
 
-// askAbout finds out what became of an attempt whose start was not answered. An
+// resolveAttempt finds out what became of an attempt whose start was not answered. An
 // engine that has not seen it within patience is told to refuse it from then on,
 // which proves that it did not and will not run.
-func (r *runner) askAbout(ctx context.Context, ticket engine.Ticket, patience time.Duration) (attemptState, error) {
+func (r *runner) resolveAttempt(ctx context.Context, ticket engine.Ticket, delay time.Duration) (attemptState, error) {
 	begun := time.Now()
 	giveUp := begun.Add(resumeFor)
 	for {
-		state, settled, err := r.askOnce(ctx, ticket, time.Since(begun) >= patience)
+		state, settled, err := r.queryAttempt(ctx, ticket, time.Since(begun) >= delay)
 		if settled {
 			return state, err
 		}
@@ -277,11 +277,11 @@
 	}
 }
 
-func (r *runner) askOnce(ctx context.Context, ticket engine.Ticket, refuse bool) (state attemptState, settled bool, err error) {
+func (r *runner) queryAttempt(ctx context.Context, ticket engine.Ticket, refuse bool) (state attemptState, known bool, err error) {
 	stream, err := r.engines.Resume(ctx, ticket.Address, ticket.Incarnation, ticket.Attempt, 1)
 	if err == nil {
 		_ = stream.Close()
-		return over, true, nil
+		return finished, true, nil
 	}
 	switch result.CodeOf(err) {
 	case result.IncarnationMismatch:
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -70,7 +70,7 @@
 	settings Settings
 	catalog  Catalog
 	runner   *runner
-	keyed    *keyed
+	keyed    *keyedRunner
 	reporter *reporter
 	metrics  *Metrics
 	log      logrus.FieldLogger
@@ -112,7 +112,7 @@
 		settings: settings,
 		catalog:  with.Catalog,
 		runner:   executor,
-		keyed:    newKeyed(executor, with.Ledger, with.Answers, with.Metrics),
+		keyed:    newKeyedRunner(executor, with.Ledger, with.Answers, with.Metrics),
 		reporter: reports,
 		metrics:  with.Metrics,
 		log:      with.Log,
@@ -120,7 +120,7 @@
 		ended:    make(chan struct{}),
 	}
 	s.http = &http.Server{
-		Handler:           wrapped(with.WrapHandler, s.routes(with.MetricsPage)),
+		Handler:           wrapHandler(with.WrapHandler, s.routes(with.MetricsPage)),
 		ReadHeaderTimeout: 5 * time.Second,
 		ReadTimeout:       settings.ReadTimeout,
 		IdleTimeout:       2 * time.Minute,
@@ -129,7 +129,7 @@
 	return s
 }
 
-func wrapped(wrap func(http.Handler) http.Handler, handler http.Handler) http.Handler {
+func wrapHandler(wrap func(http.Handler) http.Handler, handler http.Handler) http.Handler {
 	if wrap == nil {
 		return handler
 	}
