--- a/internal/cell/engines.go
+++ b/internal/cell/engines.go
@@ -9,14 +9,14 @@
 	"github.com/tinarch/tinarch/internal/fleet"
 )
 
-// Instruction is an order to send to an engine.
+// Instruction is an order with the engine to send it to.
 type Instruction struct {
 	Engine  string
 	Address string
 	Order   engine.Order
 }
 
-// assign decides what each engine should serve.
+// assign decides which deployment each engine should serve.
 func (s *State) assign() {
 	if s.snapshot == nil {
 		return
@@ -34,7 +34,7 @@
 	for _, m := range s.ordered {
 		target, ok := assigned[m.machine.Name]
 		if !ok {
-			continue // leaving engines keep what they have
+			continue // leaving engines keep their deployment
 		}
 		m.desired = control.Desired{Deployment: target, SizeBytes: s.sizeOf(target), Drained: m.drained}
 	}
@@ -45,8 +45,8 @@
 	return version.GetSizeBytes() + s.snapshot.AdapterBytes(target.Adapters)
 }
 
-// Reconcile returns the orders to send now. The caller checks its authority
-// again before each leaves, and feeds the outcome to Answered.
+// Reconcile returns the orders to send now. The caller must check its lease again before it
+// sends each of them, and pass the result to HandleOrderResult.
 func (s *State) Reconcile(now time.Duration) []Instruction {
 	if s.snapshot == nil || s.fence == 0 {
 		return nil
@@ -71,8 +71,10 @@
 	return instructions
 }
 
-// changeBudget returns how many more engines may begin a planned change. An
-// engine that serves nothing of use is no loss, but the limit on loads applies.
+// changeBudget returns how many more engines may begin a planned change, so that at most the
+// pool's MaxUnavailablePercent of the engines are out of service at once. While no engine
+// serves a model of the pool there is no service to protect, and all may change; loads are
+// still spaced by the weight store's rate.
 func (s *State) changeBudget(now time.Duration) int {
 	limit := max(1, len(s.ordered)*catalog.MaxUnavailablePercent(s.snapshot.Pool(s.pool))/100)
 	unavailable := 0
@@ -87,8 +89,8 @@
 	return limit - unavailable
 }
 
-// servingNothing reports that no engine serves a model of the pool, as at a first
-// start: then there is no service to protect.
+// servingNothing reports whether no engine serves a model of the pool, as when a cluster starts
+// for the first time.
 func (s *State) servingNothing() bool {
 	for _, m := range s.ordered {
 		status, seen := m.control.LastStatus()
@@ -99,7 +101,8 @@
 	return true
 }
 
-// mayLoad spaces loads by the weight store's rate.
+// mayLoad reports whether an engine may begin its change now: a change that loads weights waits
+// until the weight store has had time for the loads before it.
 func (s *State) mayLoad(now time.Duration, m *cellEngine) bool {
 	return now >= s.nextLoadAt || !m.control.NeedsLoad(m.desired)
 }
@@ -112,7 +115,7 @@
 	s.nextLoadAt = max(now, s.nextLoadAt) + time.Duration(seconds*float64(time.Second))
 }
 
-// HandleOrderResult takes the outcome of an order.
+// HandleOrderResult records an engine's answer to an order, or the error of sending it.
 func (s *State) HandleOrderResult(now time.Duration, instruction Instruction, status engine.Status, err error) {
 	m := s.engines[instruction.Engine]
 	if m == nil {
@@ -125,7 +128,7 @@
 	m.control.HandleOrderResult(now, instruction.Order, status, err)
 }
 
-// PollTargets lists the engines to ask for their status.
+// PollTargets lists the engines whose status is to be polled.
 func (s *State) PollTargets() []Machine {
 	targets := make([]Machine, 0, len(s.ordered))
 	for _, m := range s.ordered {
--- a/internal/cell/messages.go
+++ b/internal/cell/messages.go
@@ -1,6 +1,7 @@
-// Package cell holds the work of a cell's leader: it queues requests, places
-// them on engines, and keeps the engines in the state that the configuration
-// asks for. State is the pure part; Service drives it with clock and network.
+// Package cell implements the scheduler of a cell, a group of engines of one pool. Its leader
+// queues requests, places them on engines, and brings the engines into the state that the
+// configuration asks for. State makes the decisions and does no I/O; Service connects it to the
+// clock and the network.
 package cell
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/tinarch/tinarch/internal/prefix"
 )
 
-// Machine is an engine as the machine list shows it.
+// Machine is an engine as it appears in the machine list.
 type Machine struct {
 	Name    string
 	Address string
@@ -19,12 +20,13 @@
 	Leaving bool
 }
 
-// PlaceRequest asks a cell's leader for an engine. It crosses the peer protocol.
+// PlaceRequest asks a cell's leader to place a request on an engine. It is sent over the peer
+// protocol.
 type PlaceRequest struct {
 	Cell    string            `json:"cell"`
 	Attempt engine.Identifier `json:"attempt"`
-	// Revision is the configuration that the gateway used. A leader with a lower
-	// one catches up first.
+	// Revision is the configuration revision that the gateway used. A leader whose revision is
+	// lower waits for that one first.
 	Revision     uint64        `json:"revision"`
 	Tenant       string        `json:"tenant"`
 	Kind         string        `json:"kind"`
@@ -32,28 +34,28 @@
 	OutputTokens int           `json:"output_tokens"`
 	Prefix       []prefix.Hash `json:"prefix,omitempty"`
 	Zone         string        `json:"zone,omitempty"`
-	// DeadlineMillis is the time left for the whole answer.
+	// DeadlineMillis is the time left until the whole answer must have been given.
 	DeadlineMillis int64 `json:"deadline_ms"`
-	// Excluded names engines that refused the request before.
+	// Excluded names the engines that have already refused the request.
 	Excluded []string `json:"excluded,omitempty"`
-	// Retry tells that the tenant was charged already.
+	// Retry is set when the tenant has already been charged, by an earlier attempt.
 	Retry bool `json:"retry,omitempty"`
-	// AnyMember allows a group member without the lease to place the request.
+	// AnyMember allows a group member that doesn't hold the lease to place the request.
 	AnyMember bool `json:"any_member,omitempty"`
 }
 
-// ProgressType is a step in an attempt's life.
+// ProgressType is an event in the course of an attempt.
 type ProgressType string
 
-// The steps that gateways report to the leader.
+// Events that gateways report to the node that placed the attempt.
 const (
-	// ProgressFirstToken says that the prompt has been read.
+	// ProgressFirstToken means that the prompt has been prefilled.
 	ProgressFirstToken ProgressType = "first_token"
-	// ProgressDone says that the attempt is over, however it ended.
+	// ProgressDone means that the attempt has ended, with or without an answer.
 	ProgressDone ProgressType = "done"
 )
 
-// Progress is one report. It crosses the peer protocol.
+// Progress is one progress report. It is sent over the peer protocol.
 type Progress struct {
 	Attempt engine.Identifier `json:"attempt"`
 	Type    ProgressType      `json:"type"`
@@ -65,5 +67,5 @@
 	Reports []Progress `json:"reports"`
 }
 
-// TicketValidity is how long after its receipt a ticket may be dispatched.
+// TicketValidity is how long after it was received a ticket may be dispatched.
 const TicketValidity = 2 * time.Second
--- a/internal/cell/ordering.go
+++ b/internal/cell/ordering.go
@@ -9,7 +9,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// reconcile sends the orders that are due, one an engine at a time.
+// reconcile sends the orders that are due, at most one at a time to each engine.
 func (s *Service) reconcile(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,7 +30,7 @@
 	}
 }
 
-// order sends one order, after a last look at the lease.
+// order sends one order, after checking the lease once more.
 func (s *Service) order(ctx context.Context, instruction Instruction) {
 	var status engine.Status
 	err := s.checkAuthority(instruction.Order.Fence)
--- a/internal/cell/polling.go
+++ b/internal/cell/polling.go
@@ -5,18 +5,18 @@
 	"sync"
 )
 
-// pollStatus reads what engines report of themselves. Followers look less often:
-// they only place while there is no leader.
+// pollStatus asks all engines for their status. Followers poll at half the leader's rate,
+// because they place requests only while there is no leader.
 func (s *Service) pollStatus(ctx context.Context) {
 	if s.localReplica() == nil {
-		return // no member any more
+		return // this node is no longer a member of the cell's group
 	}
 	s.mu.Lock()
 	targets := s.state.PollTargets()
 	skip := s.leading == 0 && s.now()%(statusEveryFollower) >= statusEvery
 	s.mu.Unlock()
 	if skip {
-		return // followers look less often
+		return
 	}
 	s.forEachEngine(ctx, targets, func(pollCtx context.Context, target Machine) {
 		status, err := s.engines.Status(pollCtx, target.Address)
@@ -52,8 +52,8 @@
 	})
 }
 
-// forEachEngine does work for all engines side by side, and waits: an engine that
-// does not answer delays the others by at most its timeout.
+// forEachEngine calls work for all engines concurrently and waits for all calls. An engine that
+// doesn't answer delays the next poll by at most engineTimeout.
 func (s *Service) forEachEngine(ctx context.Context, targets []Machine, work func(context.Context, Machine)) {
 	pollCtx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
--- a/internal/cell/registry.go
+++ b/internal/cell/registry.go
@@ -9,8 +9,8 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// registry is what a cell's group replicates: the operators' word on engines,
-// which must outlive a leader. All else is read from the engines again.
+// registry is the replicated state of a cell: which engines operators have drained. Drains must
+// survive a change of leader; everything else is read again from the engines.
 type registry struct {
 	mu      sync.Mutex
 	drained map[string]bool
@@ -39,16 +39,16 @@
 	return nil
 }
 
-// Snapshot encodes the state.
+// Snapshot encodes the names of the drained engines.
 func (r *registry) Snapshot() []byte {
 	data, err := json.Marshal(r.Drained())
 	if err != nil {
-		panic(err) // a list of names can always be encoded
+		panic(err) // a list of strings can always be encoded
 	}
 	return data
 }
 
-// Restore replaces the state.
+// Restore replaces the state by that of a snapshot; empty data means that no engine is drained.
 func (r *registry) Restore(data []byte) error {
 	var names []string
 	if len(data) > 0 {
@@ -65,13 +65,13 @@
 	return nil
 }
 
-// Drained returns the engines that operators have drained, in order.
+// Drained returns the names of the engines that operators have drained, sorted.
 func (r *registry) Drained() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Sorted(maps.Keys(r.drained))
 }
 
-// NoOpCommand returns a command that changes nothing: a cell that lost its memory
-// reads its engines again, and operators repeat their drains.
+// NoOpCommand returns a command that changes nothing. A cell whose replicated state was lost
+// needs no other: it reads its engines again, and operators must repeat their drains.
 func NoOpCommand() []byte { return []byte("{}") }
--- a/internal/cell/requests.go
+++ b/internal/cell/requests.go
@@ -15,8 +15,8 @@
 	tinarchv1 "github.com/tinarch/tinarch/api/tinarch/v1"
 )
 
-// Enqueue admits a request or refuses it at once. Requests of lower classes
-// that had to make room are returned as shed.
+// Enqueue admits a request or refuses it at once. shed holds requests of lower classes that
+// were removed from a full queue to make room.
 func (s *State) Enqueue(now time.Duration, request PlaceRequest) (shed []Refused, err error) {
 	if s.snapshot == nil {
 		return nil, result.New(result.NotConfigured, "cell %s has no configuration yet", s.name)
@@ -57,7 +57,8 @@
 	return s.push(w, capacity)
 }
 
-// newWaiting describes a request that is to wait in the lane of its version.
+// newWaiting builds the queue entry of a request, for the lane of the version that serves it
+// now.
 func (s *State) newWaiting(now time.Duration, request PlaceRequest, kind *catalog.Kind, class *tinarchv1.PriorityClass) *waiting {
 	version := s.versionFor(kind)
 	return &waiting{
@@ -77,7 +78,8 @@
 	}
 }
 
-// charge takes a request's tokens from its tenant's rates, once for all attempts.
+// charge takes a request's tokens from its tenant's rate limits. Only the first attempt of a
+// request is charged.
 func (s *State) charge(now time.Duration, request PlaceRequest, tenant *tinarchv1.Tenant) error {
 	if request.Retry {
 		return nil
@@ -90,10 +92,10 @@
 	return s.limiter.Take(now, request.Tenant, limits, request.PromptTokens, request.OutputTokens)
 }
 
-// versionFor returns the version that serves a request of a kind now. While a new
-// default version is being loaded, engine after engine, requests go to the version
-// that more engines serve, so that the change costs no request. A kind that names
-// its version gets no other.
+// versionFor returns the model version that should serve a request of a kind now. While engines
+// load a new default version one after the other, requests go to the version that most engines
+// serve, so that no request fails because of the change. A kind that names its version always
+// gets that version.
 func (s *State) versionFor(kind *catalog.Kind) string {
 	if kind.Pinned {
 		return kind.Version
@@ -154,13 +156,14 @@
 	}
 }
 
-// capacity is what the cell can do for one request.
+// capacity is what the cell's engines can do for one request.
 type capacity struct {
 	engines int
-	// service is the time from dispatch to the end of the answer on the engine
-	// that would be fastest were it idle.
+	// service is the time from dispatch to the end of the answer on the engine that would be
+	// fastest if idle.
 	service time.Duration
-	// cost is the share of an engine's time that the request takes.
+	// cost is the engine time that the request takes, its decode time shared by decodeBatch
+	// sequences.
 	cost time.Duration
 }
 
@@ -169,7 +172,7 @@
 	var matches placement.Matches
 	s.index.Match(w.target.Prefix, ^uint64(0), &matches)
 	for _, candidate := range s.candidates {
-		// An unknown engine answers, and waits to be claimed by a new leader.
+		// Unknown engines count too: they answer, and a new leader will claim them soon.
 		usable := candidate.Availability == placement.Ready || candidate.Availability == placement.Unknown
 		if !usable || !(placement.Serves{}).Keep(&w.target, candidate, &matches) {
 			continue
@@ -186,8 +189,8 @@
 	return found
 }
 
-// checkDeadline refuses at once what can't be answered in time: waiting would
-// only make the refusal later.
+// checkDeadline refuses a request that can't be answered before its deadline, so that its
+// caller doesn't wait for a refusal that is certain.
 func (s *State) checkDeadline(now time.Duration, w *waiting, capacity capacity) error {
 	wait := w.lane.queue.EstimateWait(w.item, float64(capacity.engines))
 	excess := now + wait + capacity.service - w.deadline
@@ -199,8 +202,8 @@
 		WithRetryAfter(max(excess, minimumRetry))
 }
 
-// Dispatch places waiting requests while engines have room. The caller checks
-// its authority again before the tickets leave.
+// Dispatch places waiting requests while engines have capacity. The caller must check its lease
+// again before it hands out the tickets.
 func (s *State) Dispatch(now time.Duration) []Placed {
 	s.refreshAvailability(now)
 	var placed []Placed
@@ -215,8 +218,8 @@
 			decision, err := s.pipeline.Place(&w.target, s.candidates)
 			if err != nil {
 				if result.CodeOf(err) == result.RetriesExhausted && w.target.Excluded != 0 {
-					// Every engine refused once: allow them again rather than
-					// hold up the lane.
+					// Every engine has refused the request once: allow them again rather than
+					// block the lane.
 					w.target.Excluded = 0
 					continue
 				}
@@ -233,14 +236,14 @@
 	return placed
 }
 
-// retarget moves requests that wait for a version which no engine serves any more
-// to the one that has taken its place.
+// retarget moves requests from a lane whose version no engine serves any more to the version
+// that serves them now.
 func (s *State) retarget(l *lane) {
 	for _, attempt := range s.waitingIn(l) {
 		w := s.waiting[attempt]
 		_, kind, err := s.snapshot.Resolve(w.request.Tenant, w.request.Kind)
 		if err != nil {
-			continue // it expires
+			continue // the request stays queued until it expires
 		}
 		version := s.versionFor(kind)
 		if version == w.target.Version || kind.Model != w.target.Model {
@@ -256,7 +259,7 @@
 	}
 }
 
-// waitingIn returns the attempts that wait in a lane, in order.
+// waitingIn returns the attempts that wait in a lane, sorted by identifier.
 func (s *State) waitingIn(l *lane) []engine.Identifier {
 	var attempts []engine.Identifier
 	for attempt, w := range s.waiting {
@@ -313,8 +316,8 @@
 	}}
 }
 
-// Report takes a gateway's news of an attempt. News of an unknown attempt is
-// ignored: it is late.
+// Report applies a gateway's progress report. Reports about attempts that are not in flight
+// come late and are ignored.
 func (s *State) Report(progress Progress) {
 	f := s.flights[progress.Attempt]
 	if f == nil {
@@ -327,7 +330,7 @@
 	}
 }
 
-// endFlight ends a flight.
+// endFlight removes a flight and releases what it has reserved on its engine.
 func (s *State) endFlight(f *flight) {
 	delete(s.flights, f.attempt)
 	f.engine.candidate.InFlight--
@@ -335,8 +338,8 @@
 	f.engine.candidate.ReservedTokens -= f.reserved
 }
 
-// Cancel removes a waiting request whose caller has left. It reports whether the
-// request was still waiting.
+// Cancel removes a waiting request whose caller has left. It reports whether the request was
+// still waiting.
 func (s *State) Cancel(attempt engine.Identifier) bool {
 	w := s.waiting[attempt]
 	if w == nil {
@@ -347,8 +350,8 @@
 	return true
 }
 
-// Expire gives up requests that can't be answered in time any more, and flights
-// without news for long.
+// Expire refuses waiting requests that can't be answered before their deadline any more, and
+// ends flights that have not been reported on for too long.
 func (s *State) Expire(now time.Duration) []Refused {
 	refused := s.displaced
 	s.displaced = nil
@@ -369,7 +372,7 @@
 	return refused
 }
 
-// RefuseAll gives up every waiting request, for instance when leadership ends.
+// RefuseAll refuses every waiting request, for instance when leadership ends.
 func (s *State) RefuseAll(code result.Code, message string) []Refused {
 	var refused []Refused
 	for attempt, w := range s.waiting {
--- a/internal/cell/service.go
+++ b/internal/cell/service.go
@@ -15,20 +15,20 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Catalog is where a cell gets its configuration from.
+// Catalog provides a cell's configuration.
 type Catalog interface {
 	Current() *catalog.Snapshot
 	WaitFor(ctx context.Context, revision uint64) error
 }
 
-// Engines is how a cell talks to its engines.
+// Engines is the client for the engines' control API.
 type Engines interface {
 	Status(ctx context.Context, address string) (engine.Status, error)
 	Order(ctx context.Context, address string, order engine.Order) (engine.Status, error)
 	CacheEvents(ctx context.Context, address string, from uint64) (engine.CacheEvents, error)
 }
 
-// The periods of a cell's work.
+// Periods of a cell's background work, and timeouts of its calls.
 const (
 	statusEvery         = time.Second
 	statusEveryFollower = 2 * time.Second
@@ -40,14 +40,15 @@
 	revisionWait        = 500 * time.Millisecond
 )
 
-// placeResult ends the wait of a request.
+// placeResult is the outcome of a placement request: a ticket or an error.
 type placeResult struct {
 	ticket engine.Ticket
 	err    error
 }
 
-// Service drives a cell on one of its group's members. It implements
-// group.StateMachine and group.Leadership.
+// Service runs a cell on one member of its replica group: it polls engines, sends them orders
+// and answers placement requests. It implements group.StateMachine and
+// group.LeadershipListener.
 type Service struct {
 	*registry
 	name         string
@@ -61,15 +62,16 @@
 	state   *State
 	leading engine.Fence
 	results map[engine.Identifier]chan placeResult
-	// ordersInFlight marks engines to which an order is on its way.
+	// ordersInFlight marks the engines to which an order has been sent whose answer has not
+	// arrived.
 	ordersInFlight map[string]bool
 
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
-// NewService starts the service of a cell. handle returns the group's member on
-// this node.
+// NewService starts the service of a cell. localReplica returns this node's member of the
+// cell's group, nil when there is none.
 func NewService(options Options, source Catalog, engines Engines, localReplica func() *group.Replica, log logrus.FieldLogger) *Service {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Service{
@@ -93,7 +95,7 @@
 	return s
 }
 
-// runEvery runs work until ctx ends.
+// runEvery calls work once in each period until ctx ends.
 func (s *Service) runEvery(ctx context.Context, period time.Duration, work func(context.Context)) {
 	s.done.Add(1)
 	go func() {
@@ -111,7 +113,7 @@
 	}()
 }
 
-// Close stops the service.
+// Close stops the background work and refuses all waiting requests.
 func (s *Service) Close() {
 	s.stop()
 	s.done.Wait()
@@ -122,7 +124,7 @@
 
 func (s *Service) now() time.Duration { return time.Since(s.origin) }
 
-// Lead implements group.Leadership.
+// Lead implements group.LeadershipListener.
 func (s *Service) Lead(fence engine.Fence) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +132,8 @@
 	s.state.SetFence(fence)
 }
 
-// Follow implements group.Leadership. Waiting requests go to the next leader.
+// Follow implements group.LeadershipListener. It refuses waiting requests, so that their
+// gateways ask the next leader.
 func (s *Service) Follow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,14 +142,15 @@
 	s.deliverAll(nil, s.state.RefuseAll(result.NotLeader, "leadership of the cell has changed"))
 }
 
-// SetCatalog takes a newer revision.
+// SetCatalog makes a configuration current, unless its revision is lower than the current
+// one's.
 func (s *Service) SetCatalog(snapshot *catalog.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.SetCatalog(snapshot)
 }
 
-// ObserveMachines takes the cell's engines from the machine list.
+// ObserveMachines updates the cell's engines from the machine list.
 func (s *Service) ObserveMachines(machines []Machine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +158,7 @@
 	s.dispatch()
 }
 
-// deliverAll ends the waits of requests. The caller holds the lock.
+// deliverAll passes results to the waiting callers of Place. The caller holds the lock.
 func (s *Service) deliverAll(placed []Placed, refused []Refused) {
 	for _, p := range placed {
 		s.deliver(p.Attempt, placeResult{ticket: p.Ticket})
@@ -172,10 +176,10 @@
 	}
 }
 
-// dispatch places what can be placed. The caller holds the lock.
+// dispatch places all waiting requests that can be placed now. The caller holds the lock.
 func (s *Service) dispatch() { s.deliverAll(s.state.Dispatch(s.now()), nil) }
 
-// Place waits until the request has an engine, or is refused.
+// Place queues the request and waits until it is placed on an engine or refused.
 func (s *Service) Place(ctx context.Context, request PlaceRequest) (engine.Ticket, error) {
 	if err := s.awaitRevision(ctx, request.Revision); err != nil {
 		return engine.Ticket{}, err
@@ -222,7 +226,8 @@
 	return waiter, nil
 }
 
-// recheckLease looks at the lease again, just before the ticket leaves.
+// recheckLease checks just before a ticket is returned that this node still holds the lease
+// under which the request was placed. Requests that any member may place need no lease.
 func (s *Service) recheckLease(request PlaceRequest, ticket engine.Ticket) (engine.Ticket, error) {
 	if request.AnyMember {
 		return ticket, nil
@@ -236,7 +241,8 @@
 	return engine.Ticket{}, result.New(result.NotLeader, "leadership of cell %s has changed", s.name)
 }
 
-// withdraw takes a request back whose caller has left.
+// withdraw removes a request whose caller has left, or ends its flight if it has just been
+// placed.
 func (s *Service) withdraw(attempt engine.Identifier, waiter chan placeResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,7 +260,7 @@
 	s.dispatch()
 }
 
-// Report takes the news of gateways.
+// Report applies progress reports of gateways.
 func (s *Service) Report(reports []Progress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,8 +277,8 @@
 	return s.state.Engines(s.now())
 }
 
-// HigherFence returns the highest fence that an engine has seen, when it is above
-// that of this leadership, and zero otherwise.
+// HigherFence returns the highest fencing token that an engine has seen, if it exceeds the
+// token of this leadership, and zero otherwise.
 func (s *Service) HigherFence() engine.Fence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -282,16 +288,16 @@
 	return 0
 }
 
-// Load returns the numbers of waiting requests by class, and of requests in
-// flight.
+// Load returns the number of waiting requests of each priority class, the number of attempts in
+// flight, and whether this node leads the cell.
 func (s *Service) Load() (waiting map[string]int, inFlight int, leading bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.QueueLength(), s.state.InFlight(), s.leading != 0
 }
 
-// Drain replicates an operator's word, and returns the attempts in flight on the
-// engine.
+// Drain replicates an operator's request to drain an engine, or to undo that, and returns the
+// number of attempts in flight on the engine.
 func (s *Service) Drain(ctx context.Context, name string, undo bool) (int, error) {
 	s.mu.Lock()
 	_, err := s.state.EngineInFlight(name)
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -17,19 +17,20 @@
 )
 
 const (
-	// maxQueued bounds the requests that wait in one lane.
+	// maxQueued limits the number of requests waiting in one lane.
 	maxQueued = 8192
-	// prefixCapacity bounds the blocks known in one cell: 60 bytes each.
+	// prefixCapacity limits the prompt blocks in a cell's prefix index, which takes about 60
+	// bytes for each.
 	prefixCapacity = 1 << 18
-	// decodeBatch is the number of sequences that are taken to share an
-	// iteration when the cost of an answer is estimated.
+	// decodeBatch is the number of sequences assumed to share a decode step when the cost of a
+	// request is estimated.
 	decodeBatch = 16
-	// flightGrace is how long past its deadline an attempt without news is
-	// counted as in flight.
+	// flightGrace is how long after its deadline an attempt still counts as in flight when no
+	// progress report has arrived.
 	flightGrace = 30 * time.Second
 )
 
-// cellEngine is one engine of the cell.
+// cellEngine is what the cell knows of one of its engines, and what it wants of it.
 type cellEngine struct {
 	machine   Machine
 	listed    bool
@@ -39,18 +40,18 @@
 	drained   bool
 }
 
-// flight is one attempt placed and not known to be over.
+// flight is an attempt that was placed on an engine and is not known to have ended.
 type flight struct {
 	attempt   engine.Identifier
 	engine    *cellEngine
 	rank      int32
-	pending   int // prompt tokens not known to be read
-	reserved  int // KV memory
+	pending   int // prompt tokens not yet known to be prefilled
+	reserved  int // tokens of KV cache reserved for prompt and answer
 	placedAt  time.Duration
 	expiresAt time.Duration
 }
 
-// waiting is one request in a lane.
+// waiting is a request in the queue of a lane.
 type waiting struct {
 	request  PlaceRequest
 	target   placement.Request
@@ -59,28 +60,28 @@
 	lane     *lane
 }
 
-// lane queues the requests for one model version: a full engine of one model
-// must not hold up requests for another.
+// lane holds the queue of one model version. Each version has its own queue, so that requests
+// for one model don't wait because the engines of another are full.
 type lane struct {
 	model, version string
 	queue          *admission.Queue
 }
 
-// Placed is a request that got its engine.
+// Placed is a request that was placed on an engine.
 type Placed struct {
 	Attempt engine.Identifier
 	Ticket  engine.Ticket
 }
 
-// Refused is a request that is given up, on proof that it was not run.
+// Refused is a request that is given up and is known not to have run.
 type Refused struct {
 	Attempt engine.Identifier
 	Err     error
 }
 
-// State is what a cell's leader knows and decides. It is pure: time is an
-// argument, measured from any fixed instant, and the caller does all I/O. It is
-// not safe for concurrent use.
+// State holds what a cell's leader knows about engines and requests, and makes its decisions.
+// It does no I/O and reads no clock: the caller passes the time, measured from a fixed instant
+// of its choice. It is not safe for concurrent use.
 type State struct {
 	name     string
 	pool     string
@@ -99,7 +100,8 @@
 	waiting  map[engine.Identifier]*waiting
 	flights  map[engine.Identifier]*flight
 
-	// displaced holds requests that found no room when their version was replaced.
+	// displaced holds requests for which the queue of the new version was full when their
+	// version was replaced.
 	displaced []Refused
 
 	nextLoadAt time.Duration
@@ -112,12 +114,12 @@
 	Pool string
 	// Policy selects the placement policy; empty means PolicyPredicted.
 	Policy placement.Policy
-	// WeightBytesPerSecond is the weight store's rate limit for the cell. Zero
-	// means no spacing of loads.
+	// WeightBytesPerSecond is the rate limit of the weight store for the cell. Zero means that
+	// engines may load weights at the same time.
 	WeightBytesPerSecond float64
 }
 
-// NewState returns an empty cell.
+// NewState returns the state of a cell without engines or requests.
 func NewState(options Options) *State {
 	index := placement.NewPrefixIndex(prefixCapacity)
 	return &State{
@@ -134,7 +136,8 @@
 	}
 }
 
-// SetCatalog takes a newer revision; an older one is ignored.
+// SetCatalog makes a configuration current, unless its revision is lower than the current
+// one's.
 func (s *State) SetCatalog(snapshot *catalog.Snapshot) {
 	if s.snapshot != nil && snapshot.Revision < s.snapshot.Revision {
 		return
@@ -147,7 +150,8 @@
 	s.assign()
 }
 
-// SetFence takes the authority of a new leadership.
+// SetFence sets the fencing token of this node's leadership, or zero when it doesn't lead the
+// cell.
 func (s *State) SetFence(fence engine.Fence) {
 	s.fence = fence
 	for _, m := range s.ordered {
@@ -155,9 +159,8 @@
 	}
 }
 
-// ObserveMachines takes the machine list's engines of the pool. An engine that
-// is no longer listed counts as leaving; it is forgotten when nothing of ours is
-// in flight on it.
+// ObserveMachines updates the cell's engines from the machine list. An engine that is no longer
+// listed is treated as leaving, and is removed once it has no attempts in flight.
 func (s *State) ObserveMachines(machines []Machine) {
 	for _, m := range s.ordered {
 		m.listed = false
@@ -174,7 +177,7 @@
 	if m == nil {
 		slot := s.freeSlot()
 		if slot < 0 {
-			return // the layout keeps cells within MaxEngines
+			return // cells are laid out with at most MaxEngines engines
 		}
 		m = &cellEngine{candidate: placement.Candidate{Slot: slot, Name: machine.Name, MaxRunning: catalog.MaxRunningPerEngine(nil)}}
 		if s.snapshot != nil {
@@ -230,7 +233,8 @@
 	}
 }
 
-// ObserveStatus takes an engine's report of itself.
+// ObserveStatus records an engine's status report. A new incarnation of the engine ends all
+// attempts in flight on it and clears its prefix index.
 func (s *State) ObserveStatus(now time.Duration, name string, status engine.Status) {
 	m := s.engines[name]
 	if m == nil {
@@ -251,8 +255,9 @@
 	}
 }
 
-// updateFromReport takes speed and memory from a load report, however old: they change
-// slowly. Its queue lengths are not used, our own counts are newer.
+// updateFromReport takes deployment, speed and cache capacity from a status report. Reports of
+// any age are used for speed and capacity, since both change slowly. The report's queue lengths
+// are not used, because the cell's own counts are newer.
 func (s *State) updateFromReport(m *cellEngine, status engine.Status) {
 	m.candidate.Deployment = status.Deployment
 	if status.Load.MemoryTotalTokens > 0 {
@@ -268,8 +273,8 @@
 	}
 }
 
-// dropUnreportedFlights ends flights whose gateways never reported: the engine runs
-// nothing, and their tickets can't be dispatched any more.
+// dropUnreportedFlights ends the flights of an idle engine whose gateways never reported the
+// end, once their tickets have expired and can't be dispatched any more.
 func (s *State) dropUnreportedFlights(now time.Duration, m *cellEngine) {
 	for _, f := range s.flights {
 		if f.engine == m && now-f.placedAt > 2*TicketValidity {
@@ -286,15 +291,15 @@
 	}
 }
 
-// ObserveCacheEvents takes a page of an engine's cache events.
+// ObserveCacheEvents applies a page of an engine's cache events to the prefix index.
 func (s *State) ObserveCacheEvents(now time.Duration, name string, page engine.CacheEvents) {
 	if m := s.engines[name]; m != nil {
 		s.index.Apply(now, m.candidate.Slot, page)
 	}
 }
 
-// NextCacheEvent returns the sequence number of the cache event to ask an
-// engine for.
+// NextCacheEvent returns the sequence number of the first cache event still to be read from an
+// engine.
 func (s *State) NextCacheEvent(name string) uint64 {
 	m := s.engines[name]
 	if m == nil {
@@ -304,7 +309,7 @@
 	return s.index.NextEvent(m.candidate.Slot, status.Incarnation)
 }
 
-// refreshAvailability brings the candidates' availability in line.
+// refreshAvailability recomputes the availability of all candidates.
 func (s *State) refreshAvailability(now time.Duration) {
 	for _, m := range s.ordered {
 		if s.fence == 0 {
@@ -348,7 +353,7 @@
 	return list
 }
 
-// SetDrained names the engines that operators keep without work.
+// SetDrained sets the engines that operators have drained; all others are undrained.
 func (s *State) SetDrained(names []string) {
 	for _, m := range s.ordered {
 		m.drained = slices.Contains(names, m.machine.Name)
@@ -365,8 +370,8 @@
 	return m.candidate.InFlight, nil
 }
 
-// HighestFence returns the highest fence that any engine has seen. It is above the
-// own one when an engine came from another cell.
+// HighestFence returns the highest fencing token that any engine has seen. It can exceed this
+// leadership's token when an engine has moved here from another cell.
 func (s *State) HighestFence() engine.Fence {
 	highest := engine.Fence(0)
 	for _, m := range s.ordered {
@@ -376,7 +381,7 @@
 	return highest
 }
 
-// QueueLength returns the number of waiting requests by class.
+// QueueLength returns the number of waiting requests of each priority class.
 func (s *State) QueueLength() map[string]int {
 	lengths := map[string]int{}
 	for _, w := range s.waiting {
@@ -385,7 +390,7 @@
 	return lengths
 }
 
-// InFlight returns the number of attempts placed and not known to be over.
+// InFlight returns the number of attempts that were placed and are not known to have ended.
 func (s *State) InFlight() int { return len(s.flights) }
 
 func laneKey(model, version string) string { return fmt.Sprintf("%s/%s", model, version) }
--- a/internal/cell/state_test.go
+++ b/internal/cell/state_test.go
@@ -34,7 +34,7 @@
 	return compiled
 }
 
-// fixture is a cell with engines that obey at once.
+// fixture is a cell whose engines carry out every order at once.
 type fixture struct {
 	state    *State
 	statuses map[string]engine.Status
@@ -56,7 +56,7 @@
 	return b
 }
 
-// converge lets orders and reports go back and forth until nothing changes.
+// converge exchanges orders and status reports until engines and configuration agree.
 func (b *fixture) converge() {
 	for range 12 {
 		for name, status := range b.statuses {
@@ -202,8 +202,9 @@
 	}
 }
 
-// TestNewLeaderQueuesRequestsUntilEnginesAreClaimed: refusing them in the moment before the engines
-// are claimed lost requests at each change of leader.
+// TestNewLeaderQueuesRequestsUntilEnginesAreClaimed guards against requests being refused
+// during the short time in which a new leader has not yet claimed its engines: then requests
+// were lost at every change of leader.
 func TestNewLeaderQueuesRequestsUntilEnginesAreClaimed(t *testing.T) {
 	b := newFixture(t, 1)
 	b.state.SetFence(6)
@@ -217,8 +218,8 @@
 	}
 }
 
-// TestLoadsAreSpacedByTheWeightStoreRate: engines that load at once share the store's
-// rate, so they begin one after the other.
+// TestLoadsAreSpacedByTheWeightStoreRate checks that engines begin to load one after the other,
+// because loads at the same time would share the weight store's rate.
 func TestLoadsAreSpacedByTheWeightStoreRate(t *testing.T) {
 	b := &fixture{state: NewState(Options{Name: "cell", Pool: "pool", WeightBytesPerSecond: 1e9}), statuses: map[string]engine.Status{}}
 	b.state.SetCatalog(snapshot(t, 1, func(c *tinarchv1.Catalog) { c.Versions[0].SizeBytes = 10e9 }))
@@ -241,7 +242,7 @@
 		if count != loaded {
 			t.Fatalf("at %v %d engines were told to load, want %d", b.now, count, loaded)
 		}
-		b.now += 10 * time.Second // the time of one load
+		b.now += 10 * time.Second // the time that one load takes
 		b.converge()
 	}
 }
