--- a/internal/replica/election.go
+++ b/internal/replica/election.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// scheduleCampaign sets the time of the next candidacy, at the earliest when the
-// promise to the leader has lapsed.
+// scheduleCampaign sets the time of the next election that this member starts. It is not before
+// the promise to the leader has expired.
 func (m *Member) scheduleCampaign(now time.Duration, extra time.Duration) {
 	earliest := max(now+m.settings.Heartbeat, m.promiseUntil) + extra
 	m.campaignAt = earliest + time.Duration(m.random.Int64N(int64(m.settings.ElectionSpread)+1))
 }
 
-// campaign asks for votes, first whether they would be given.
+// campaign starts a pre-vote or an election.
 func (m *Member) campaign(now time.Duration, preVote bool) {
 	m.role = roleCandidate
 	m.leader = ""
@@ -30,8 +30,8 @@
 	if preVote {
 		term++
 	}
-	// The lease was handed over for one candidacy only: later, the others may
-	// have promised it to somebody else.
+	// The transfer of leadership is good for one election only: by the next, other members may
+	// have promised their vote to a new leader.
 	handedOver := m.handedOver
 	m.handedOver = false
 	for _, member := range m.config.Members {
@@ -55,8 +55,8 @@
 	m.becomeLeader(now)
 }
 
-// stepVote answers a candidate. A member bound by a promise gives no vote, and
-// does not even take over the candidate's term: its leader goes on.
+// stepVote answers a candidate. A member that is bound by a promise gives no vote and doesn't
+// adopt the candidate's term either, so that its leader stays in office.
 func (m *Member) stepVote(now time.Duration, message Message) {
 	bound := now < m.promiseUntil && !message.HandedOver
 	if m.role == roleLeader && !m.released {
@@ -69,7 +69,7 @@
 		granted := !bound && upToDate && message.Term > m.term
 		reply := Message{Type: MessageVoteReply, To: message.From, Pre: true, Granted: granted, Term: message.Term}
 		if !granted {
-			// The candidate learns a higher term from the refusal.
+			// Let the candidate learn this member's term, which may be higher.
 			reply.Term = m.term
 		}
 		m.send(reply)
@@ -121,8 +121,9 @@
 	m.replicate(now, true)
 }
 
-// HandOver gives the lease up and tells the follower that is furthest on to
-// stand for election. It reports false when there is none to hand over to.
+// HandOver transfers leadership: it gives up the lease and tells the most up-to-date follower
+// to start an election. It returns false if no follower has answered recently with everything
+// committed.
 func (m *Member) HandOver(now time.Duration) bool {
 	if m.role != roleLeader {
 		return false
@@ -145,8 +146,8 @@
 	return true
 }
 
-// stepHandOver starts a candidacy at once. The leader has given its lease up
-// before it sent the message, so promises to it bind nobody any more.
+// stepHandOver starts an election at once. The leader gave up its lease before it sent the
+// message, so promises to it no longer bind anyone.
 func (m *Member) stepHandOver(now time.Duration, message Message) {
 	if message.Term != m.term || m.role != roleFollower {
 		return
--- a/internal/replica/member.go
+++ b/internal/replica/member.go
@@ -8,36 +8,37 @@
 	"github.com/tinarch/tinarch/internal/engine"
 )
 
-// role is what a member is in its term.
+// role is a member's role in its current term.
 type role int
 
 const (
 	roleFollower role = iota
 	roleCandidate
 	roleLeader
-	// roleSealed members take no more part in their epoch.
+	// roleSealed members no longer take part in their epoch.
 	roleSealed
 )
 
-// maxEntriesPerMessage bounds the size of an append.
+// maxEntriesPerMessage limits the size of an append message.
 const maxEntriesPerMessage = 256
 
-// progress is what a leader knows of a follower.
+// progress is what a leader knows about a follower.
 type progress struct {
 	next  uint64
 	match uint64
-	// ackedSentAt is when the latest message that the follower has answered was
-	// sent: the follower's promise lasts at least for the lease from then on.
+	// ackedSentAt is when the newest message that the follower has answered was sent. The
+	// follower's promise lasts at least Lease from that time, since it was made when the
+	// message arrived. acked is set after the first answer.
 	ackedSentAt time.Duration
 	acked       bool
-	// sentAt holds the times at which unanswered rounds were sent.
+	// sentAt holds the send times of unanswered messages by round.
 	sentAt map[uint64]time.Duration
-	// snapshotSentAt tells that a snapshot is on its way.
+	// snapshotSentAt is when a snapshot was sent that is not yet answered, zero for none.
 	snapshotSentAt time.Duration
 }
 
-// Member is one member of a group in one epoch. It is not safe for concurrent
-// use. Times are measured from any fixed instant of this process.
+// Member is one member of a group in one epoch. It is not safe for concurrent use. Times are
+// measured from a fixed instant of this process.
 type Member struct {
 	id       MemberID
 	config   Config
@@ -53,29 +54,29 @@
 	commit   uint64
 	applied  uint64
 
-	// promiseUntil is until when this member votes for no other than its leader.
+	// promiseUntil is the time until which this member has promised to vote for nobody but its
+	// leader.
 	promiseUntil time.Duration
-	// campaignAt is when this member stands for election.
+	// campaignAt is when this member starts an election unless it hears from a leader.
 	campaignAt time.Duration
 	handedOver bool
 	preVote    bool
 	votes      map[MemberID]bool
 
-	// Leader's state.
+	// Fields used by a leader only.
 	peers       map[MemberID]*progress
 	round       uint64
 	heartbeatAt time.Duration
-	termStart   uint64 // index of the entry that marks the leader's term
-	released    bool   // the lease was given up
+	termStart   uint64 // index of the first entry of the leader's term
+	released    bool   // whether the leader has given up its lease
 	releasedAt  time.Duration
 	electedAt   time.Duration
 
 	ready Ready
 }
 
-// New returns a member of an epoch that starts with the given state. The
-// snapshot function returns the state machine's state after the last applied
-// entry.
+// New returns a member of an epoch with the given initial state. The snapshot function returns
+// the state machine's state after the last applied entry.
 func New(id MemberID, config Config, settings Settings, initial State, now time.Duration, random *rand.Rand, snapshot func() []byte) *Member {
 	m := &Member{
 		id:       id,
@@ -95,28 +96,28 @@
 	return m
 }
 
-// Config returns the member's epoch.
+// Config returns the configuration of the member's epoch.
 func (m *Member) Config() Config { return m.config }
 
 // Term returns the current term.
 func (m *Member) Term() uint64 { return m.term }
 
-// Leader returns the leader of the current term as far as known.
+// Leader returns the leader of the current term, empty when it is not known.
 func (m *Member) Leader() MemberID { return m.leader }
 
-// IsLeader reports whether this member was elected in the current term. It says
-// nothing about the lease.
+// IsLeader reports whether this member was elected in the current term. The lease may have
+// expired since.
 func (m *Member) IsLeader() bool { return m.role == roleLeader }
 
-// Sealed reports whether the member was sealed.
+// Sealed reports whether Seal was called.
 func (m *Member) Sealed() bool { return m.role == roleSealed }
 
 // LastIndex returns the index of the last entry in the log.
 func (m *Member) LastIndex() uint64 { return m.log.lastIndex() }
 
-// Fence returns the fence of this member's leadership, and true while its lease
-// holds and everything that earlier leaders committed has been applied. It is to
-// be asked with the time at which the answer is used.
+// Fence returns the fencing token of this member's leadership, and true while its lease holds
+// and all entries committed by earlier leaders have been applied. Pass the time at which the
+// answer is used.
 func (m *Member) Fence(now time.Duration) (engine.Fence, bool) {
 	if m.role != roleLeader || m.released || m.applied < m.termStart {
 		return 0, false
@@ -127,8 +128,8 @@
 	return FenceOf(m.config.Epoch, m.term), true
 }
 
-// leaseEnd returns the end of the leader's lease: the time from which on a
-// majority may no longer be bound by a promise.
+// leaseEnd returns when the leader's lease expires: until then a majority is bound by a promise
+// to it.
 func (m *Member) leaseEnd(now time.Duration) time.Duration {
 	lease := m.settings.Lease - m.settings.DriftMargin
 	ends := make([]time.Duration, 0, len(m.config.Members))
@@ -145,9 +146,9 @@
 	return ends[len(ends)-m.config.majority()]
 }
 
-// Propose appends a command to the leader's log, and returns its index and term.
-// It reports false when this member is not an active leader. The command is
-// certain only when it comes back as a committed entry of that term.
+// Propose appends a command to the leader's log and returns the index and term of its entry. It
+// returns false if this member is not the leader or its lease doesn't hold. The command has
+// taken effect only once an entry with that index and term is committed.
 func (m *Member) Propose(now time.Duration, data []byte) (index, term uint64, ok bool) {
 	if _, active := m.Fence(now); !active {
 		return 0, 0, false
@@ -162,7 +163,7 @@
 	m.advanceCommit()
 }
 
-// Ready returns what is to be done, and forgets it.
+// Ready returns what has to be done since the last call.
 func (m *Member) Ready() Ready {
 	if m.applied < m.commit && m.role != roleSealed {
 		m.ready.Entries = append(m.ready.Entries, m.log.between(m.applied, m.commit)...)
@@ -173,8 +174,8 @@
 	return ready
 }
 
-// Compact drops applied entries when the log has grown long. The caller must
-// have applied everything that Ready returned.
+// Compact drops old applied entries when the log is longer than MaxLog. The caller must have
+// applied everything that Ready returned.
 func (m *Member) Compact() {
 	if len(m.log.entries) > m.settings.MaxLog && m.applied > m.log.snapshotIndex {
 		keep := uint64(m.settings.MaxLog / 2)
@@ -184,13 +185,13 @@
 	}
 }
 
-// Seal ends this member's part in its epoch, and returns its state and how long
-// its last promise to a leader still lasts. The caller must have applied
-// everything that Ready returned. Sealing again returns the same state.
+// Seal ends this member's part in its epoch. It returns the member's state and how long its
+// last promise to a leader still lasts. The caller must have applied everything that Ready
+// returned. A sealed member can be sealed again and returns the same state.
 func (m *Member) Seal(now time.Duration) (State, time.Duration) {
 	promise := max(m.promiseUntil-now, 0)
 	if m.role == roleLeader {
-		promise = 0 // its lease ends here
+		promise = 0 // the lease of a sealed leader ends at once
 	}
 	m.role = roleSealed
 	m.leader = ""
@@ -202,19 +203,20 @@
 	}, promise
 }
 
-// Tick takes the passing of time.
+// Tick starts elections, sends heartbeats and ends leaderships that are due at the given time.
 func (m *Member) Tick(now time.Duration) {
 	switch m.role {
 	case roleLeader:
 		if m.released && now >= m.releasedAt+m.settings.Lease {
-			// Nobody took over.
+			// No member has taken over the leadership within a lease.
 			m.becomeFollower(m.term, "")
 			m.scheduleCampaign(now, 0)
 			return
 		}
 		if now > max(m.leaseEnd(now), m.electedAt+m.settings.Lease)+m.settings.Lease {
-			// Without a majority for so long, this is no leader: others must see
-			// that there is none.
+			// Without a majority for a lease after its own lease has expired, the member must
+			// not call itself leader: others need to see that there is none, to replace the
+			// group's members.
 			m.becomeFollower(m.term, "")
 			m.scheduleCampaign(now, 0)
 			return
@@ -229,8 +231,7 @@
 	}
 }
 
-// Step takes a message. Messages of other groups, epochs or addressees are
-// ignored.
+// Step processes a message. Messages for other groups, epochs or members are ignored.
 func (m *Member) Step(now time.Duration, message Message) {
 	if m.role == roleSealed || message.Group != m.config.Group || message.Epoch != m.config.Epoch ||
 		message.To != m.id || !m.config.has(message.From) {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -8,7 +8,7 @@
 	"github.com/tinarch/tinarch/internal/replica"
 )
 
-// counter is a state machine without a state.
+// counter is a state machine that stores nothing.
 type counter struct{}
 
 func (counter) Apply([]byte) any     { return nil }
@@ -72,8 +72,8 @@
 	run(t, c, time.Second)
 }
 
-// TestLeaderWithoutMajorityStepsDown: a leader that went on calling itself one
-// kept its group from being replaced.
+// TestLeaderWithoutMajorityStepsDown guards against a leader that is cut off and goes on
+// reporting itself as leader: then the members of its group were never replaced.
 func TestLeaderWithoutMajorityStepsDown(t *testing.T) {
 	c := newCluster(t, 6, replica.DefaultSettings())
 	old := c.Leader()
--- a/internal/replica/replication.go
+++ b/internal/replica/replication.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// replicate sends each follower what it lacks. With heartbeat set, followers
-// that lack nothing get an empty append, which renews the lease.
+// replicate sends each follower the entries that it lacks. With heartbeat set, followers that
+// lack none get an empty append, which renews the lease.
 func (m *Member) replicate(now time.Duration, heartbeat bool) {
 	if heartbeat {
 		m.heartbeatAt = now + m.settings.Heartbeat
@@ -21,8 +21,8 @@
 	}
 }
 
-// dropUnanswered gives up messages that were not answered within a lease, so
-// that a dead follower costs no memory.
+// dropUnanswered forgets messages that were not answered within a lease, so that a dead
+// follower doesn't use ever more memory, and sends unconfirmed entries again.
 func (m *Member) dropUnanswered(now time.Duration, peer *progress) {
 	forgotten := false
 	for round, sentAt := range peer.sentAt {
@@ -38,7 +38,7 @@
 
 func (m *Member) replicateTo(now time.Duration, member MemberID, peer *progress, heartbeat bool) {
 	if m.released {
-		return // no message that could renew the promise
+		return // an append would renew the follower's promise
 	}
 	if !m.log.has(peer.next - 1) {
 		m.sendSnapshot(now, member, peer)
@@ -55,12 +55,13 @@
 		PrevIndex: peer.next - 1, PrevTerm: m.log.term(peer.next - 1),
 		Entries: slices.Clone(entries),
 	})
-	// What was sent is taken to arrive; a rejection or the next heartbeat sends
-	// it again otherwise.
+	// Assume that the message arrives. Otherwise a rejection or the next heartbeat causes the
+	// entries to be sent again.
 	peer.next += uint64(len(entries))
 }
 
-// sendSnapshot brings a follower up that lacks entries which are gone.
+// sendSnapshot sends a snapshot to a follower that lacks entries which have been compacted
+// away, at most once in a lease.
 func (m *Member) sendSnapshot(now time.Duration, member MemberID, peer *progress) {
 	if peer.snapshotSentAt > 0 && now-peer.snapshotSentAt < m.settings.Lease {
 		return
@@ -71,7 +72,8 @@
 	}})
 }
 
-// stepAppend takes entries from the leader, and promises it the lease.
+// stepAppend appends entries from the leader, and promises not to vote for another member while
+// the lease runs.
 func (m *Member) stepAppend(now time.Duration, message Message) {
 	if message.Term < m.term {
 		m.send(Message{Type: MessageAppendReply, To: message.From, Round: message.Round, Rejected: true, Match: m.log.lastIndex()})
@@ -81,7 +83,7 @@
 	reply := Message{Type: MessageAppendReply, To: message.From, Round: message.Round}
 	if !m.log.has(message.PrevIndex) || m.log.term(message.PrevIndex) != message.PrevTerm {
 		if message.PrevIndex < m.log.snapshotIndex {
-			// Everything up to the snapshot is committed and agrees.
+			// Everything up to the snapshot is committed, so the logs agree there.
 			reply.Match = m.commit
 			m.send(reply)
 			return
@@ -134,8 +136,7 @@
 	m.resend(now, message.From, peer)
 }
 
-// resend goes back to what the follower has confirmed when nothing is on its way
-// any more.
+// resend sends again what the follower has not confirmed, once no message to it is unanswered.
 func (m *Member) resend(now time.Duration, member MemberID, peer *progress) {
 	if len(peer.sentAt) == 0 && peer.match < m.log.lastIndex() {
 		peer.next = peer.match + 1
@@ -143,8 +144,8 @@
 	}
 }
 
-// advanceCommit commits what a majority has. Only entries of the own term are
-// counted; earlier ones are committed with them (Raft section 5.4.2).
+// advanceCommit commits the entries that a majority has. Only entries of the current term are
+// counted; earlier ones are committed with them (Raft, section 5.4.2).
 func (m *Member) advanceCommit() {
 	if m.role != roleLeader {
 		return
