--- a/internal/group/host.go
+++ b/internal/group/host.go
@@ -20,8 +20,8 @@
 	MethodActivate peer.Method = "group.activate"
 )
 
-// sealRequest asks a member to end its part in an epoch. Addressed to another
-// incarnation than the one that runs, it is refused.
+// sealRequest asks a member to end its part in an epoch. It is refused if the process that gets
+// it is not the incarnation it is addressed to.
 type sealRequest struct {
 	Group  string           `json:"group"`
 	Epoch  uint64           `json:"epoch"`
@@ -30,11 +30,11 @@
 
 type sealResponse struct {
 	State replica.State `json:"state"`
-	// PromiseMillis is how long the member's last promise to a leader lasts.
+	// PromiseMillis is how long the member's last promise to a leader still lasts, rounded up.
 	PromiseMillis int64 `json:"promise_ms"`
 }
 
-// prepareRequest gives a future member its initial state.
+// prepareRequest gives a member of a proposed epoch its initial state.
 type prepareRequest struct {
 	Config   replica.Config   `json:"config"`
 	Member   replica.MemberID `json:"member"`
@@ -42,7 +42,7 @@
 	State    replica.State    `json:"state"`
 }
 
-// activateRequest tells a member that the table has accepted its epoch.
+// activateRequest tells a member that the table has accepted an epoch.
 type activateRequest struct {
 	Record Record           `json:"record"`
 	Member replica.MemberID `json:"member"`
@@ -50,19 +50,20 @@
 
 type acknowledgement struct{}
 
-// Factory makes the state machine and the watcher of a group on this node.
+// Factory creates the state machine of a group and the listener for its leadership on this
+// node.
 type Factory func(groupID string, handle func() *Replica) (StateMachine, LeadershipListener)
 
-// Host holds the members that run on this node.
+// Host runs this node's members of all groups.
 type Host struct {
 	self     replica.MemberID
 	settings replica.Settings
 	factory  Factory
 	client   *peer.Client
 	log      logrus.FieldLogger
-	// addressOf returns the peer address of a member.
+	// addressOf returns the peer address of a member, and false if it is not known.
 	addressOf func(replica.MemberID) (string, bool)
-	// onLeaderChange is called after a group's leader has onLeaderChange, as seen here.
+	// onLeaderChange is called after this node has seen a group's leader change.
 	onLeaderChange func(groupID string)
 
 	mu     sync.Mutex
@@ -70,21 +71,22 @@
 	closed bool
 }
 
-// hostedGroup is a group of which this node is or may become a member.
+// hostedGroup is a group of which this node is a member, was one, or may become one.
 type hostedGroup struct {
 	id string
-	// switching is held while one epoch's member is replaced by the next's.
+	// switching is held while the member of one epoch is replaced by that of the next.
 	switching    sync.Mutex
 	active       *Replica
 	record       Record
 	stateMachine StateMachine
 	listener     LeadershipListener
-	// prepared holds proposals that the table has not decided on.
+	// prepared holds the proposed epochs that the table has not decided on, by proposal;
+	// proposalOrder holds their keys, the oldest first.
 	prepared      map[string]prepareRequest
 	proposalOrder []string
 }
 
-// maxPrepared bounds the proposals kept of one group.
+// maxPrepared limits the number of proposed epochs kept for one group.
 const maxPrepared = 4
 
 // NewHost returns a host without groups.
@@ -96,7 +98,7 @@
 	}
 }
 
-// Register serves the protocol.
+// Register registers the handlers of the group protocol.
 func (h *Host) Register(server *peer.Server) {
 	peer.Handle(server, MethodMessage, func(_ context.Context, _ peer.Identity, message replica.Message) (acknowledgement, error) {
 		if active := h.Replica(message.Group); active != nil {
@@ -123,7 +125,7 @@
 	return result.New(result.IncarnationMismatch, "the message is for incarnation %s, which does not run here", member)
 }
 
-// Replica returns this node's active member of a group, nil when there is none.
+// Replica returns this node's active member of a group, or nil.
 func (h *Host) Replica(groupID string) *Replica {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -146,7 +148,7 @@
 	return active
 }
 
-// StateMachine returns the state machine of a group on this node, nil for none.
+// StateMachine returns the state machine of a group on this node, or nil.
 func (h *Host) StateMachine(groupID string) StateMachine {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -178,7 +180,7 @@
 	return sealResponse{State: state, PromiseMillis: promise.Milliseconds() + 1}, nil
 }
 
-// prepare keeps a future epoch's initial state until the table has decided.
+// prepare stores the initial state of a proposed epoch until the table has decided.
 func (h *Host) prepare(request prepareRequest) error {
 	if request.Member != h.self {
 		return wrongIncarnation(request.Member)
@@ -203,8 +205,8 @@
 	return nil
 }
 
-// ApplyRecord takes a record that the table has accepted: this node joins the epoch, or
-// leaves the group.
+// ApplyRecord applies a record that the table has accepted: this node joins the record's epoch,
+// or leaves the group if it is not one of the members. Records of earlier epochs are ignored.
 func (h *Host) ApplyRecord(record Record) {
 	g, initial, former := h.beginSwitch(record)
 	if g == nil {
@@ -212,7 +214,7 @@
 	}
 	defer g.switching.Unlock()
 	if former != nil {
-		former.Close() // before the next epoch uses the state machine
+		former.Close() // stopped before the next epoch uses the state machine
 	}
 	if !record.has(h.self) {
 		return
@@ -229,9 +231,9 @@
 	}
 }
 
-// beginSwitch makes a record current. It returns the group locked for the switch, the
-// state to start from and the member to stop, or no group when there is nothing
-// to do.
+// beginSwitch makes a record current. It returns the group with its switching lock held, the
+// initial state of the new member and the member to stop. It returns no group if there is
+// nothing to do.
 func (h *Host) beginSwitch(record Record) (*hostedGroup, replica.State, *Replica) {
 	h.mu.Lock()
 	if h.closed || (!record.has(h.self) && h.groups[record.Group] == nil) {
@@ -247,8 +249,8 @@
 		g.switching.Unlock()
 		return nil, replica.State{}, nil
 	}
-	// Where the coordinator prepared a majority without this node, it starts
-	// empty, and the leader sends it a snapshot.
+	// If this node got no initial state, which is allowed as long as a majority did, it starts
+	// empty and the leader sends it a snapshot.
 	initial := g.prepared[record.Proposal].State
 	former := g.active
 	g.record = record
@@ -259,7 +261,7 @@
 
 func (h *Host) leaderChanged(r *Replica) { h.onLeaderChange(r.Config().Group) }
 
-// sendTimeout bounds the dialling for one message; messages may be lost.
+// sendTimeout limits the time to connect for one message. Messages may be lost.
 const sendTimeout = 300 * time.Millisecond
 
 func (h *Host) send(message replica.Message) {
@@ -278,7 +280,7 @@
 	}()
 }
 
-// Records returns the records that this node obeys.
+// Records returns the current records of this node's groups.
 func (h *Host) Records() []Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -291,7 +293,7 @@
 	return records
 }
 
-// HandOver gives the leases of this node to other members.
+// HandOver transfers the leadership of all groups that this node leads to other members.
 func (h *Host) HandOver() {
 	for _, r := range h.Replicas() {
 		r.HandOver()
--- a/internal/group/layout.go
+++ b/internal/group/layout.go
@@ -12,7 +12,7 @@
 // Size is the number of members of a group where there are enough nodes.
 const Size = 3
 
-// Member is one member of a group's record.
+// Member is a member of a group, as listed in the group's record.
 type Member struct {
 	ID      replica.MemberID `json:"id"`
 	Node    string           `json:"node"`
@@ -20,10 +20,10 @@
 	Zone    string           `json:"zone"`
 }
 
-// ChooseMembers returns the members that a group should have: the current ones that are
-// still among the candidates, and the others by rendezvous hashing (Thaler and
-// Ravishankar, 1998), zones without a member first. So few members move when
-// nodes come and go, and groups spread evenly.
+// ChooseMembers returns the members that a group should have: current members that are still
+// candidates, then others by rendezvous hashing (Thaler and Ravishankar, 1998), preferring the
+// zones with the fewest members. This way few members change when nodes come and go, and groups
+// spread evenly over the nodes.
 func ChooseMembers(groupID string, current []Member, candidates []Member) []Member {
 	available := map[replica.MemberID]bool{}
 	for _, candidate := range candidates {
@@ -62,7 +62,7 @@
 	return chosen
 }
 
-// rendezvous orders nodes by their weight for the group, the heaviest first.
+// rendezvous sorts nodes by their hash weight for the group, highest first.
 func rendezvous(groupID string, candidates []Member) []Member {
 	ordered := slices.Clone(candidates)
 	weight := func(member Member) uint64 { return xxhash.Sum64String(groupID + "\x00" + member.Node) }
@@ -72,13 +72,13 @@
 	return ordered
 }
 
-// Rank returns the position of a node in the group's rendezvous order, so that
-// nodes act one after the other where none is in charge.
+// Rank returns the position of a node in the group's rendezvous order, or -1. Nodes that may
+// all take the same action wait in this order, so that usually only the first acts.
 func Rank(groupID, node string, candidates []Member) int {
 	return slices.IndexFunc(rendezvous(groupID, candidates), func(member Member) bool { return member.Node == node })
 }
 
-// ZoneCount returns the number of zones that members stand in.
+// ZoneCount returns the number of different zones among members.
 func ZoneCount(members []Member) int {
 	zones := map[string]bool{}
 	for _, member := range members {
--- a/internal/group/layout_test.go
+++ b/internal/group/layout_test.go
@@ -64,8 +64,8 @@
 	for _, count := range load {
 		most = max(most, count)
 	}
-	// 348 memberships on 370 nodes: hashing at random puts seven on one node
-	// with a probability below one in ten thousand.
+	// 348 memberships on 370 nodes: with random hashing, the probability that any node gets
+	// seven of them is below 1 in 10,000.
 	if most > 6 {
 		t.Errorf("one node is a member of %d groups", most)
 	}
--- a/internal/group/manager.go
+++ b/internal/group/manager.go
@@ -11,24 +11,24 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Cluster is what a keeper needs to know of the other nodes.
+// Cluster tells a Manager about the other nodes.
 type Cluster interface {
-	// Candidates returns the nodes that may be members: alive and not leaving.
+	// Candidates returns the nodes that may become members: those alive and not leaving.
 	Candidates() []Member
-	// KnownLeader returns the highest epoch of a group that any node has spoken of, the
-	// leader's node, and whether that node is alive.
+	// KnownLeader returns the highest epoch of a group that this node has learned from any
+	// node, the leader's node, and whether that node is alive.
 	KnownLeader(groupID string) (epoch uint64, leader string, leaderAlive bool)
-	// HasEnded reports whether the process of a member is proved to have ended: a
-	// later incarnation of its node runs, or the machine list has dropped it.
+	// HasEnded reports whether the process of a member is proved to have ended, because a later
+	// incarnation of its node runs or the machine list no longer contains it.
 	HasEnded(member Member) bool
-	// MinEpoch returns the epoch that a group led here must at least have: its
-	// engines may have seen higher fences under another group.
+	// MinEpoch returns the lowest epoch that a group led by this node may have. It rises when
+	// the group's engines have seen higher fencing tokens from another group.
 	MinEpoch(groupID string) uint64
 	// DesiredGroups returns the groups that should exist.
 	DesiredGroups() []string
 }
 
-// Manager makes groups exist and replaces members that are lost or leaving.
+// Manager creates missing groups, and replaces members that are lost or leaving.
 type Manager struct {
 	self    Member
 	host    *Host
@@ -36,12 +36,13 @@
 	client  *peer.Client
 	cluster Cluster
 	log     logrus.FieldLogger
-	// stateLossCommand returns the command that tells a group's state machine that
-	// its memory was lost with a majority.
+	// stateLossCommand returns the command that tells a group's state machine that its state
+	// was lost because a majority of the members was.
 	stateLossCommand func(groupID string) ([]byte, error)
 
 	mu sync.Mutex
-	// since notes when each group was first seen in need, by reason.
+	// since holds for each group why its members should change and since when this node has
+	// seen that.
 	since map[string]need
 }
 
@@ -50,12 +51,14 @@
 
 const (
 	reasonNone reason = iota
-	// reasonMissing: nobody speaks of the group, or its leader is lost and no
-	// other came.
+	// reasonMissing means that no node knows of the group, or that its leader is lost and none
+	// has followed.
 	reasonMissing
-	// reasonLost: a member is gone, dead or leaving.
+	// reasonLost means that a member has ended, is dead or is leaving, or that the epoch is
+	// below MinEpoch.
 	reasonLost
-	// reasonZones: the members could stand in more zones, or be more.
+	// reasonZones means that the members could be in more zones, or that there could be more
+	// members.
 	reasonZones
 )
 
@@ -64,8 +67,9 @@
 	since  time.Time
 }
 
-// The patience before a need is acted on. Nodes act one after the other in the
-// group's rendezvous order, so that usually one does.
+// checkEvery is the interval between checks. The delays are how long a reason for a change must
+// have lasted before this node acts on it. delayPerRank makes nodes act one after the other in
+// the group's rendezvous order, so that usually only one acts.
 const (
 	checkEvery    = 250 * time.Millisecond
 	delayNew      = 200 * time.Millisecond
@@ -76,7 +80,7 @@
 	delayPerRank  = 1000 * time.Millisecond
 )
 
-// NewManager returns the keeper of a node.
+// NewManager returns the manager of a node's groups.
 func NewManager(self Member, host *Host, tableClient Table, client *peer.Client, cluster Cluster, log logrus.FieldLogger,
 	stateLossCommand func(string) ([]byte, error)) *Manager {
 	return &Manager{
@@ -87,8 +91,8 @@
 
 func (m *Manager) hasEnded(member Member) bool { return m.cluster.HasEnded(member) }
 
-// Run keeps groups until ctx ends. Groups are looked after side by side: one
-// whose members are slow to answer does not hold up the others.
+// Run checks groups until ctx ends. Groups are checked concurrently, so that one whose members
+// answer slowly doesn't hold up the others.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(checkEvery)
 	defer ticker.Stop()
@@ -122,7 +126,8 @@
 	}
 }
 
-// checkGroup checks one group and acts on a need that has lasted.
+// checkGroup checks one group, and changes its members if there has been reason to for long
+// enough.
 func (m *Manager) checkGroup(ctx context.Context, id string) {
 	m.catchUp(ctx, id)
 	found, delay := m.neededChange(id)
@@ -137,8 +142,8 @@
 	delete(m.since, id)
 }
 
-// catchUp reads the table when others speak of a later epoch than this node
-// obeys.
+// catchUp reads the table when another node knows a later epoch than the one that this node
+// takes part in.
 func (m *Manager) catchUp(ctx context.Context, id string) {
 	active := m.host.Replica(id)
 	if active == nil {
@@ -153,9 +158,9 @@
 	}
 }
 
-// neededChange decides whether a group's members should change, and how long this node
-// waits before it acts. Most groups have a living leader elsewhere, which must be
-// found out cheaply: every node looks at every group.
+// neededChange decides whether a group's members should change, and how long this node waits
+// before it acts. Every node checks every group, and most groups have a live leader elsewhere,
+// so that case has to be cheap.
 func (m *Manager) neededChange(id string) (reason, time.Duration) {
 	active := m.host.Replica(id)
 	if active == nil {
@@ -181,7 +186,7 @@
 	return reasonMissing, delayOutsider + m.rank(id)*delayPerRank
 }
 
-// rank is this node's place in the group's rendezvous order.
+// rank is this node's position in the group's rendezvous order, as a factor for delayPerRank.
 func (m *Manager) rank(id string) time.Duration {
 	return time.Duration(max(Rank(id, m.self.Node, m.cluster.Candidates()), 0))
 }
@@ -202,8 +207,8 @@
 	case m.cluster.MinEpoch(id) > record.Epoch:
 		return reasonLost, delayLost
 	case kept < len(record.Members) && len(next) > kept:
-		// A lost member is replaced, also by fewer than it were: what counts is
-		// another live one. Without any, the group is better off as it is.
+		// A lost member is replaced as soon as at least one new member is available, even if
+		// the group gets smaller. Without any, shrinking the group would gain nothing.
 		return reasonLost, delayLost
 	case len(next) > len(record.Members):
 		return reasonZones, delayLost
@@ -213,8 +218,8 @@
 	return reasonNone, 0
 }
 
-// rebalanceZones returns members for better zones: one of two in the same zone makes
-// room.
+// rebalanceZones returns the members that spread over more zones: where several members share a
+// zone, all but the first are open for replacement.
 func (m *Manager) rebalanceZones(id string, record Record, candidates []Member) []Member {
 	zones := map[string]bool{}
 	var keep []Member
@@ -236,7 +241,7 @@
 	return Record{}, false
 }
 
-// hasPersisted reports whether a need has been seen for as long as patience says.
+// hasPersisted reports whether the same reason for a change has been seen for at least delay.
 func (m *Manager) hasPersisted(id string, found reason, delay time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -252,18 +257,19 @@
 	return time.Since(known.since) >= delay
 }
 
-// changeMembers reads the table first: without it no epoch could begin, so none may end.
+// changeMembers changes a group's members. It reads the table first: while the table is
+// unavailable no new epoch can begin, so the current one must not be ended.
 func (m *Manager) changeMembers(ctx context.Context, id string, found reason) error {
 	record, err := m.records.get(ctx, id)
 	if err != nil {
 		return err
 	}
 	if active := m.host.Replica(id); record.has(m.self.ID) && (active == nil || active.Config().Epoch < record.Epoch) {
-		m.host.ApplyRecord(record) // this node missed the decision
+		m.host.ApplyRecord(record) // this node missed the table's decision
 		return nil
 	}
 	if found == reasonMissing && m.hasLeader(ctx, record) {
-		return nil // only this node had not heard of it
+		return nil // only this node hadn't learned of the leader
 	}
 	candidates := m.cluster.Candidates()
 	current := record.Members
@@ -277,7 +283,7 @@
 	return m.reconfigure(ctx, record, next)
 }
 
-// hasLeader asks a group's members whether one of them leads it.
+// hasLeader asks a group's members whether they know a leader of the record's epoch.
 func (m *Manager) hasLeader(ctx context.Context, record Record) bool {
 	for _, member := range record.Members {
 		if member.ID == m.self.ID {
--- a/internal/group/reconfigure.go
+++ b/internal/group/reconfigure.go
@@ -14,15 +14,15 @@
 
 const (
 	callTimeout = time.Second
-	// reconfigureTimeout bounds one try to change a group's members.
+	// reconfigureTimeout limits one attempt to change a group's members.
 	reconfigureTimeout = 10 * time.Second
 )
 
-// reconfigure makes next the members of a group, in five steps: seal a majority
-// of the old epoch, so that it can't act any more; wait until no lease of it can
-// hold; give the newest sealed state to a majority of the new members; let the
-// table decide; tell everybody. Every step may be repeated, and several nodes may
-// try at once: the table accepts one.
+// reconfigure makes next the members of a group, in five steps: seal a majority of the old
+// epoch, so that it can no longer commit anything; wait until no lease of the old epoch can
+// hold any more; send the newest sealed state to a majority of the new members; have the table
+// accept the new record; tell all old and new members. Each step may be repeated, and several
+// nodes may try at the same time: the table accepts only one of them.
 func (m *Manager) reconfigure(ctx context.Context, former Record, next []Member) error {
 	ctx, cancel := context.WithTimeout(ctx, reconfigureTimeout)
 	defer cancel()
@@ -65,7 +65,7 @@
 	return names
 }
 
-// sealAnswer is the answer of one member.
+// sealAnswer is the answer of one member to a request to seal it.
 type sealAnswer struct {
 	member Member
 	state  replica.State
@@ -73,10 +73,10 @@
 	err    error
 }
 
-// sealEpoch seals a majority of an epoch and returns its newest state, after the
-// last possible lease has lapsed. Where a majority can't be sealed but every
-// other member is proved gone, the epoch can't act either; its memory is lost,
-// which forced reports.
+// sealEpoch seals a majority of an epoch and returns its newest state, after the last lease
+// that may still hold has expired. If a majority can't be sealed but every other member is
+// proved to have ended, the epoch can't commit anything either; its state is lost then, which
+// stateLost reports.
 func (m *Manager) sealEpoch(ctx context.Context, former Record) (state replica.State, stateLost bool, err error) {
 	if former.Epoch == 0 {
 		return replica.State{}, false, nil
@@ -142,8 +142,8 @@
 	return sealAnswer{member: member, state: response.State, wait: wait, err: err}
 }
 
-// prepareEpoch gives the state to the new members. A majority must have it: the
-// others start empty, can't win an election, and are brought up by the leader.
+// prepareEpoch sends the state to the new members. A majority must have taken it. The others
+// start empty and can't win an election until the leader has sent them the state.
 func (m *Manager) prepareEpoch(ctx context.Context, record Record, state replica.State) error {
 	errs := make([]error, len(record.Members))
 	var group sync.WaitGroup
@@ -177,8 +177,9 @@
 	return nil
 }
 
-// activateEpoch tells old and new members of the table's decision. Who misses it
-// learns the epoch from the spread group record and reads the table.
+// activateEpoch tells old and new members that the table has accepted the record. A member that
+// misses this learns of the epoch from the group records that nodes exchange, and then reads
+// the table.
 func (m *Manager) activateEpoch(ctx context.Context, former, record Record) {
 	notified := map[replica.MemberID]bool{m.self.ID: true}
 	for _, member := range append(append([]Member(nil), record.Members...), former.Members...) {
--- a/internal/group/record.go
+++ b/internal/group/record.go
@@ -10,12 +10,12 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Record is one epoch of a group as the table has accepted it.
+// Record describes one epoch of a group. The table holds the latest accepted one.
 type Record struct {
 	Group   string   `json:"group"`
 	Epoch   uint64   `json:"epoch"`
 	Members []Member `json:"members"`
-	// Proposal names the initial state that the members were given.
+	// Proposal identifies the initial state that was sent to the members of the epoch.
 	Proposal string `json:"proposal"`
 }
 
@@ -41,7 +41,7 @@
 	return Member{}, false
 }
 
-// HasMajority reports whether most of the members are alive.
+// HasMajority reports whether a majority of the members is alive.
 func (r Record) HasMajority(alive map[replica.MemberID]bool) bool {
 	count := 0
 	for _, member := range r.Members {
@@ -54,7 +54,7 @@
 
 func (r Record) majority() int { return len(r.Members)/2 + 1 }
 
-// Table is the part of the table service that groups need.
+// Table is what groups need of the table service.
 type Table interface {
 	Get(ctx context.Context, key table.Key) (table.Item, error)
 	Transact(ctx context.Context, token string, writes []table.Write) error
@@ -62,10 +62,10 @@
 
 const partitionGroups = "groups"
 
-// records reads and writes the records of groups.
+// records reads and writes group records in the table.
 type records struct{ table Table }
 
-// get returns a group's record, with epoch zero when there is none.
+// get returns a group's record, or one with epoch zero if the table has none.
 func (s records) get(ctx context.Context, groupID string) (Record, error) {
 	item, err := s.table.Get(ctx, table.Key{Partition: partitionGroups, Sort: groupID})
 	if errors.Is(err, table.ErrNotFound) {
@@ -81,8 +81,9 @@
 	return record, nil
 }
 
-// put makes next the record, if the stored one still has the former epoch. A
-// lost answer is resolved by reading.
+// put replaces a group's record by next if the stored one still has the epoch former. After an
+// error it reads the record again, since the write may have succeeded although its answer was
+// lost.
 func (s records) put(ctx context.Context, next Record, former uint64) error {
 	value, err := json.Marshal(next)
 	if err != nil {
--- a/internal/group/replica.go
+++ b/internal/group/replica.go
@@ -1,6 +1,6 @@
-// Package group drives the replica groups of a node: it gives the pure members of
-// package replica their clock, network and state machines, and changes the
-// members of groups through the table service.
+// Package group runs the replica groups of a node. It connects the members of package replica
+// to the clock, the network and their state machines, and changes the members of groups with
+// the help of the table service.
 package group
 
 import (
@@ -16,8 +16,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// StateMachine is what a group replicates. Its methods are called by one
-// goroutine at a time.
+// StateMachine is the state that a group replicates. Calls of its methods don't overlap.
 type StateMachine interface {
 	// Apply executes a committed command and returns its result.
 	Apply(data []byte) any
@@ -27,16 +26,17 @@
 	Restore(data []byte) error
 }
 
-// LeadershipListener is told when this node begins or ends to lead a group. Its methods
-// must not call the replica.
+// LeadershipListener is told when this node starts and stops leading a group. Its methods must
+// not call the Replica, which holds its lock meanwhile.
 type LeadershipListener interface {
-	// Lead is called when the lease of a new leadership holds.
+	// Lead is called when this node leads the group and holds the lease, with the fencing token
+	// of the leadership.
 	Lead(fence engine.Fence)
-	// Follow is called when leadership has ended.
+	// Follow is called when the leadership has ended or the lease has expired.
 	Follow()
 }
 
-// proposal waits for its command to be applied.
+// proposal is a command that waits to be committed and applied.
 type proposal struct {
 	term uint64
 	done chan any
@@ -64,11 +64,11 @@
 	done chan struct{}
 }
 
-// tickEvery is the resolution of a member's clock.
+// tickEvery is the interval at which a member is told the time.
 const tickEvery = 20 * time.Millisecond
 
-// startReplica starts a member. changed is called after the leader or the
-// leadership has changed.
+// startReplica starts a member. onLeaderChange is called after the leader, or whether this node
+// leads, has changed.
 func startReplica(id replica.MemberID, config replica.Config, settings replica.Settings, initial replica.State, stateMachine StateMachine,
 	listener LeadershipListener, send func(replica.Message), onLeaderChange func(*Replica), log logrus.FieldLogger) *Replica {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -101,7 +101,8 @@
 	}
 }
 
-// withMember changes the member and does what it then wants done.
+// withMember calls change with the lock held, and then applies, sends and reports what follows
+// from it.
 func (r *Replica) withMember(change func(now time.Duration)) {
 	r.mu.Lock()
 	if r.stopped {
@@ -120,12 +121,12 @@
 	}
 }
 
-// processReady applies what is committed and returns the messages to send.
+// processReady applies committed entries and returns the messages to send.
 func (r *Replica) processReady() []replica.Message {
 	ready := r.member.Ready()
 	if ready.Restore != nil {
 		if err := r.stateMachine.Restore(ready.Restore.Data); err != nil {
-			// A state that can't be read must not vote on.
+			// A member without a readable state must not vote any more.
 			r.log.WithError(err).Error("the group's state can't be restored; the member is sealed")
 			r.member.Seal(r.now())
 			return nil
@@ -142,8 +143,8 @@
 	return ready.Messages
 }
 
-// completeProposal answers the proposal of an applied entry. An entry of another term at
-// the same index means that the proposal was displaced.
+// completeProposal delivers the result of an applied entry to its proposer. An entry of another
+// term at the same index means that the proposal was overwritten by another leader.
 func (r *Replica) completeProposal(entry replica.Entry, value any) {
 	waiting, exists := r.proposals[entry.Index]
 	if !exists {
@@ -156,8 +157,8 @@
 	close(waiting.done)
 }
 
-// updateLeadership tells the watcher of changes. It reports whether the leader
-// has changed.
+// updateLeadership tells the listener when leadership starts or ends. It reports whether the
+// leader, or whether this node leads, has changed.
 func (r *Replica) updateLeadership() bool {
 	fence, active := r.member.Fence(r.now())
 	if !active {
@@ -185,7 +186,8 @@
 	return true
 }
 
-// failProposals ends the wait of all proposals: their outcome is not known here.
+// failProposals ends the wait of all proposers without a result: whether their commands will be
+// committed is not known here.
 func (r *Replica) failProposals() {
 	for index, waiting := range r.proposals {
 		close(waiting.done)
@@ -193,27 +195,27 @@
 	}
 }
 
-// Step takes a message from another member.
+// Step processes a message from another member.
 func (r *Replica) Step(message replica.Message) {
 	r.withMember(func(now time.Duration) { r.member.Step(now, message) })
 }
 
-// Fence returns the fence of this node's leadership, and true while the lease
-// holds. It reads the clock at the call: nothing is believed from before.
+// Fence returns the fencing token of this node's leadership, and true while the lease holds. It
+// checks the lease against the clock at each call.
 func (r *Replica) Fence() (engine.Fence, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.member.Fence(r.now())
 }
 
-// Leader returns the leader as far as known.
+// Leader returns the leader of the group, empty when it is not known.
 func (r *Replica) Leader() replica.MemberID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.member.Leader()
 }
 
-// Config returns the epoch.
+// Config returns the configuration of the member's epoch.
 func (r *Replica) Config() replica.Config { return r.member.Config() }
 
 // Term returns the current term.
@@ -223,9 +225,9 @@
 	return r.member.Term()
 }
 
-// Propose replicates a command and returns its result once it is committed. An
-// error with code NotLeader proves that the command was not accepted here; one
-// with code PeerUnavailable leaves its outcome open.
+// Propose replicates a command and returns its result once it is committed. The error code
+// NotLeader proves that the command was not accepted; with PeerUnavailable it may still be
+// committed.
 func (r *Replica) Propose(ctx context.Context, data []byte) (any, error) {
 	done := make(chan any, 1)
 	accepted := false
@@ -250,7 +252,7 @@
 	}
 }
 
-// Read calls view with the state machine, under a lease that holds.
+// Read calls view while this node holds the lease, so that view sees everything committed.
 func (r *Replica) Read(view func()) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -261,12 +263,13 @@
 	return nil
 }
 
-// HandOver gives the lease to another member, where there is one.
+// HandOver transfers the leadership to another member, if there is one that is up to date.
 func (r *Replica) HandOver() {
 	r.withMember(func(now time.Duration) { r.member.HandOver(now) })
 }
 
-// Seal ends the member's part in its epoch.
+// Seal ends the member's part in its epoch. It returns the member's state, and how long its
+// last promise to a leader still lasts.
 func (r *Replica) Seal() (replica.State, time.Duration) {
 	var state replica.State
 	var promise time.Duration
@@ -274,7 +277,7 @@
 	return state, promise
 }
 
-// Sealed reports whether the member was sealed.
+// Sealed reports whether the member has been sealed.
 func (r *Replica) Sealed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/group/router.go
+++ b/internal/group/router.go
@@ -11,25 +11,25 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// MethodLeader asks a member who leads its group.
+// MethodLeader asks a member which node leads its group.
 const MethodLeader peer.Method = "group.leader"
 
 type leaderRequest struct {
 	Group string `json:"group"`
 }
 
-// Leader is what a member answers.
+// Leader is the answer to MethodLeader.
 type Leader struct {
 	Epoch uint64 `json:"epoch"`
 	Term  uint64 `json:"term"`
-	// Address is the leader's peer address, empty while there is none.
+	// Address is the leader's peer address, empty if no leader is known.
 	Address string `json:"address"`
 }
 
-// Directory knows where members of groups are.
+// Directory finds the members of groups.
 type Directory interface {
-	// MemberAddresses returns the peer addresses of a group's members, the leader's
-	// first, as far as known.
+	// MemberAddresses returns the known peer addresses of a group's members, the leader's
+	// first.
 	MemberAddresses(groupID string) []string
 }
 
@@ -43,7 +43,7 @@
 	confirmed map[string]*confirmation
 }
 
-// confirmation is the last answer to the question whether a node still leads.
+// confirmation is the last answer of a node that was asked whether it still leads.
 type confirmation struct {
 	mu      sync.Mutex
 	address string
@@ -56,7 +56,7 @@
 	return &Router{client: client, directory: directory, leaders: map[string]Leader{}, confirmed: map[string]*confirmation{}}
 }
 
-// RegisterRouting serves the questions of routers.
+// RegisterRouting registers the handler of MethodLeader.
 func (h *Host) RegisterRouting(server *peer.Server) {
 	peer.Handle(server, MethodLeader, func(_ context.Context, _ peer.Identity, request leaderRequest) (Leader, error) {
 		return h.leaderOf(request.Group)
@@ -91,10 +91,9 @@
 	leaderTimeout = 300 * time.Millisecond
 )
 
-// Call sends a request to the group's leader, and again to the next one while
-// there is none or it does not answer, until ctx ends. So the request may take
-// effect more than once: it must be idempotent. tryTimeout bounds one try; zero
-// leaves it to ctx.
+// Call sends a request to the group's leader. While there is no leader or it doesn't answer,
+// Call tries again with the next one until ctx ends. The request may therefore take effect more
+// than once and must be idempotent. tryTimeout limits one try; zero means no limit but ctx.
 func (r *Router) Call(ctx context.Context, groupID string, method peer.Method, tryTimeout time.Duration, request, response any) error {
 	last := result.New(result.NotLeader, "group %s has no known leader", groupID)
 	for {
@@ -132,7 +131,7 @@
 	return false
 }
 
-// Leader returns the address of a group's leader, empty when none is found.
+// Leader returns the address of a group's leader, or an empty string if none is found.
 func (r *Router) Leader(ctx context.Context, groupID string) string {
 	r.mu.Lock()
 	known := r.leaders[groupID]
@@ -167,7 +166,7 @@
 	}
 }
 
-// Forget drops what is known of a group's leader, when it did not act as one.
+// Forget drops the cached leader of a group after it didn't act as one.
 func (r *Router) Forget(groupID, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,13 +176,13 @@
 	}
 }
 
-// confirmationTTL is how long a confirmation holds: whoever waits for a leader's answer
-// asks together with the others.
+// confirmationTTL is how long a confirmation is reused, so that all callers that wait for the
+// same leader share one question.
 const confirmationTTL = 300 * time.Millisecond
 
-// Confirm asks whether the node at an address still answers as a group's leader, so
-// that a call which may take long need not be held to the end by a leader that is
-// paused or cut off.
+// Confirm asks whether the node at an address still answers as a group's leader. Callers use it
+// during calls that may take long, so as not to wait to the end for a leader that is suspended
+// or cut off.
 func (r *Router) Confirm(ctx context.Context, groupID, address string) bool {
 	r.mu.Lock()
 	last := r.confirmed[groupID]
@@ -199,12 +198,12 @@
 	}
 	answer, err := r.askLeader(ctx, address, groupID)
 	if ctx.Err() != nil {
-		return true // the caller's time is up: that says nothing of the leader
+		return true // the caller's time is up, which says nothing about the leader
 	}
 	last.address, last.at = address, time.Now()
 	last.leads = err == nil && answer.Address == address
 	return last.leads
 }
 
-// Members returns the addresses of a group's members.
+// Members returns the known addresses of a group's members, the leader's first.
 func (r *Router) Members(groupID string) []string { return r.directory.MemberAddresses(groupID) }
