--- a/internal/group/layout_test.go
+++ b/internal/group/layout_test.go
@@ -30,7 +30,7 @@
 	for number := range 50 {
 		chosen := ChooseMembers(fmt.Sprint("group-", number), nil, candidates(12, 3))
 		if len(chosen) != Size || ZoneCount(chosen) != 3 {
-			t.Fatalf("group %d stands in %d zones with %d members", number, ZoneCount(chosen), len(chosen))
+			t.Fatalf("group %d is in %d zones with %d members", number, ZoneCount(chosen), len(chosen))
 		}
 	}
 }
--- a/internal/group/manager.go
+++ b/internal/group/manager.go
@@ -135,7 +135,7 @@
 		return
 	}
 	if err := m.changeMembers(ctx, id, found); err != nil && ctx.Err() == nil {
-		m.log.WithError(err).WithField("group", id).Warn("the group's members could not be changed; will try again")
+		m.log.WithError(err).WithField("group", id).Warn("changing the group's members failed; will try again")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/group/replica.go
+++ b/internal/group/replica.go
@@ -127,7 +127,7 @@
 	if ready.Restore != nil {
 		if err := r.stateMachine.Restore(ready.Restore.Data); err != nil {
 			// A member without a readable state must not vote any more.
-			r.log.WithError(err).Error("the group's state can't be restored; the member is sealed")
+			r.log.WithError(err).Error("restoring the group's state failed; this member no longer takes part in its epoch")
 			r.member.Seal(r.now())
 			return nil
 		}
@@ -180,7 +180,7 @@
 		r.failProposals()
 		r.listener.Follow()
 	case former != 0:
-		r.log.WithField("fence", uint64(former)).Warn("the lease lapsed; not acting until it is renewed")
+		r.log.WithField("fence", uint64(former)).Warn("the leader lease expired; not acting as leader until it is renewed")
 		r.listener.Follow()
 	}
 	return true
