--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,9 +1,10 @@
-// Package ledger records claims of requests that must not run twice. It is the
-// state machine of a replica group: pure, and the same on each member.
+// Package ledger records which attempt runs a request that must not run twice. A record is
+// called a claim. The ledger is the state machine of a replica group: it does no I/O, and every
+// member computes the same state.
 //
-// Guarantee: for one key, at most one attempt at a time is on record, and a
-// recorded attempt is replaced only by the word that it did not run. A gateway
-// gives a request to an engine only after its claim was committed.
+// Guarantee: at any time at most one attempt is recorded for a key, and it is replaced by
+// another only after a gateway has learned that it did not run. A gateway sends a request to an
+// engine only after its claim has been committed.
 package ledger
 
 import (
@@ -14,20 +15,21 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Status is the state of a claim.
+// Status is the status of a claim.
 type Status string
 
-// The states.
+// Statuses of a claim.
 const (
-	// Running claims have been given to an engine, or are about to be.
+	// Running means that the attempt has been sent to an engine, or is about to be.
 	Running Status = "running"
-	// Done claims have their answer, here or at the engine.
+	// Done means that the request has been answered. The answer is in the claim, or only at the
+	// engine.
 	Done Status = "done"
-	// Lost claims may have run; their outcome can't be had any more.
+	// Lost means that the request may have run and its outcome can no longer be found out.
 	Lost Status = "lost"
 )
 
-// Location is where an attempt runs.
+// Location identifies the engine process that runs an attempt.
 type Location struct {
 	Pool        string            `json:"pool"`
 	Engine      string            `json:"engine"`
@@ -35,8 +37,8 @@
 	Incarnation engine.Identifier `json:"incarnation"`
 }
 
-// Answer is a stored answer. Answers longer than MaxInlineBytes are in the object
-// store, under the name in Object.
+// Answer is a stored answer. An answer longer than MaxInlineBytes is in the object store, under
+// the name Object.
 type Answer struct {
 	Text    string       `json:"text,omitempty"`
 	Object  string       `json:"object,omitempty"`
@@ -44,89 +46,89 @@
 	Created int64        `json:"created"`
 }
 
-// MaxInlineBytes is the longest answer that is kept in memory.
+// MaxInlineBytes is the length of the longest answer that the ledger itself stores.
 const MaxInlineBytes = 4 << 10
 
-// Claim is the record of one key.
+// Claim records the attempt that runs the request with a key.
 type Claim struct {
 	Key string `json:"key"`
-	// Digest identifies the request, so that a key that is used for another
-	// request is found out.
+	// Digest identifies the request's content, to detect a key that is used for another
+	// request.
 	Digest   string            `json:"digest"`
 	Attempt  engine.Identifier `json:"attempt"`
 	Location Location          `json:"location"`
 	Status   Status            `json:"status"`
 	Answer   *Answer           `json:"answer,omitempty"`
-	// ClaimedAt is when the attempt was recorded, in the group's milliseconds, and
-	// AgeMillis its age at the time of the answer.
+	// ClaimedAt is when the attempt was recorded, in the group's time in milliseconds.
+	// AgeMillis is the age of the attempt's record when the claim is read.
 	ClaimedAt int64 `json:"claimed_at"`
 	AgeMillis int64 `json:"age_ms,omitempty"`
-	// ExpiresAt is when the record is dropped, in the group's milliseconds.
+	// ExpiresAt is when the claim is removed, in the group's time in milliseconds.
 	ExpiresAt int64 `json:"expires_at"`
 }
 
-// CommandType is the sort of a command.
+// CommandType is the type of a command.
 type CommandType string
 
-// The commands.
+// Types of commands.
 const (
 	CommandClaim    CommandType = "claim"
 	CommandReplace  CommandType = "replace"
 	CommandRelease  CommandType = "release"
 	CommandComplete CommandType = "complete"
 	CommandLost     CommandType = "lost"
-	// CommandTick only lets time pass.
+	// CommandTick only advances the group's time.
 	CommandTick CommandType = "tick"
-	// CommandForget follows the loss of a majority: keys of before are unknown.
+	// CommandForget records that the group lost its state with a majority of its members, so
+	// that keys claimed before may be missing.
 	CommandForget CommandType = "forget"
 )
 
-// Command changes the ledger. It crosses the peer protocol and is replicated.
+// Command changes the ledger. It is sent over the peer protocol and replicated.
 type Command struct {
 	Type    CommandType       `json:"type"`
 	Key     string            `json:"key,omitempty"`
 	Digest  string            `json:"digest,omitempty"`
 	Attempt engine.Identifier `json:"attempt,omitempty"`
-	// Replaced is the attempt that CommandReplace knows not to have run.
+	// Replaced is the attempt that the sender of a CommandReplace knows not to have run.
 	Replaced engine.Identifier `json:"replaced,omitempty"`
 	Location Location          `json:"location,omitzero"`
 	Answer   *Answer           `json:"answer,omitempty"`
-	// WindowMillis is how long the key is remembered from its first sight.
+	// WindowMillis is how long after its first claim a key is remembered.
 	WindowMillis int64 `json:"window_ms,omitempty"`
-	// KeyTime is the time, in Unix milliseconds, that a key of the form UUIDv7
-	// (RFC 9562) carries; zero for other keys.
+	// KeyTime is the Unix time in milliseconds contained in a key that is a UUIDv7 (RFC 9562),
+	// and zero for other keys.
 	KeyTime int64 `json:"key_time,omitempty"`
 	// Time is the group's time in milliseconds, set by the leader.
 	Time int64 `json:"time,omitempty"`
-	// WallTime is the leader's Unix time in milliseconds; it is only compared
-	// with the time that a key carries.
+	// WallTime is the leader's Unix time in milliseconds. It is only compared with KeyTime.
 	WallTime int64 `json:"wall_time,omitempty"`
 }
 
 // Outcome is the result of a command.
 type Outcome struct {
-	// Granted tells that the command's attempt is the one on record.
+	// Granted means that the command's attempt is the recorded one.
 	Granted bool `json:"granted"`
-	// Claim is the record of the key after the command, nil for none.
+	// Claim is the claim of the key after the command, nil if there is none.
 	Claim *Claim        `json:"claim,omitempty"`
 	Error *result.Error `json:"error,omitempty"`
 }
 
-// keyTimeMargin is how far clocks of callers may be ahead.
+// keyTimeMargin is how far the callers' clocks may be ahead.
 const keyTimeMargin = 30 * time.Second
 
-// Ledger is the state machine. It is not safe for concurrent use.
+// Ledger is the state machine of a ledger group. It is not safe for concurrent use.
 type Ledger struct {
 	claims map[string]*Claim
-	// expiry holds keys by the second in which they expire.
+	// expiry holds the keys that expire in each second of the group's time.
 	expiry map[int64][]string
 	time   int64
-	// unknownUntil is the end, in the group's time, of the time in which an
-	// unknown key may have been claimed before the group lost its majority.
-	// Keys that carry a time after forgotAt are known to be new.
+	// unknownUntil is the group's time until which an unknown key may have been claimed before
+	// the group lost its state. stateLostAt is the Unix time of the loss in milliseconds: keys
+	// that contain a time well after it are known to be new.
 	unknownUntil  int64
 	stateLostAt   int64
-	longestWindow int64 // the longest window seen
+	longestWindow int64 // the longest window of any command, in milliseconds
 }
 
 // New returns an empty ledger.
@@ -134,13 +136,13 @@
 	return &Ledger{claims: map[string]*Claim{}, expiry: map[int64][]string{}}
 }
 
-// Len returns the number of live claims.
+// Len returns the number of claims that have not expired.
 func (l *Ledger) Len() int { return len(l.claims) }
 
 // Time returns the group's time in milliseconds.
 func (l *Ledger) Time() int64 { return l.time }
 
-// Lookup returns the claim of a key, nil for none.
+// Lookup returns the claim of a key, or nil.
 func (l *Ledger) Lookup(key string) *Claim {
 	return l.copyClaim(l.claims[key])
 }
@@ -170,8 +172,8 @@
 	return Outcome{}
 }
 
-// advance lets time pass and drops expired claims. Time never goes back: a new
-// leader's clock may be behind the former one's.
+// advance sets the group's time and removes expired claims. Time never goes back, also when a
+// new leader's clock is behind the former one's.
 func (l *Ledger) advance(to int64) {
 	if to <= l.time {
 		return
@@ -189,8 +191,8 @@
 	}
 }
 
-// expire drops the claims of a past second. A claim that was extended stands
-// under its new second too, and is kept.
+// expire removes the claims that expired in a past second. A claim that now expires in a later
+// second is listed there too, and is kept.
 func (l *Ledger) expire(second int64) {
 	if second >= l.time/1000 {
 		return
@@ -234,7 +236,7 @@
 	return l.outcome(claim, claim.Attempt == command.Attempt && claim.Status == Running)
 }
 
-// replace puts a new attempt in place of one that is known not to have run.
+// replace records a new attempt in place of one that is known not to have run.
 func (l *Ledger) replace(command Command) Outcome {
 	claim := l.claims[command.Key]
 	if claim == nil {
@@ -248,7 +250,7 @@
 	return l.outcome(claim, claim.Attempt == command.Attempt && claim.Status == Running)
 }
 
-// release drops the claim of an attempt that is known not to have run.
+// release removes the claim of an attempt that is known not to have run.
 func (l *Ledger) release(command Command) Outcome {
 	claim := l.claims[command.Key]
 	if claim == nil || claim.Attempt != command.Attempt || claim.Status != Running {
@@ -272,7 +274,7 @@
 	return Outcome{Granted: granted, Claim: l.copyClaim(claim)}
 }
 
-// copyClaim returns a copy of a claim with its age, nil for nil.
+// copyClaim returns a copy of a claim with its age set, or nil for nil.
 func (l *Ledger) copyClaim(claim *Claim) *Claim {
 	if claim == nil {
 		return nil
@@ -282,7 +284,7 @@
 	return &copied
 }
 
-// snapshot is the encoded state.
+// snapshot is the encoded form of the ledger.
 type snapshot struct {
 	Time        int64    `json:"time"`
 	ForgotUntil int64    `json:"forgot_until,omitempty"`
@@ -291,7 +293,7 @@
 	Claims      []*Claim `json:"claims"`
 }
 
-// Snapshot encodes the state.
+// Snapshot encodes the ledger.
 func (l *Ledger) Snapshot() []byte {
 	state := snapshot{Time: l.time, ForgotUntil: l.unknownUntil, ForgotAt: l.stateLostAt, Longest: l.longestWindow}
 	for _, claim := range l.claims {
@@ -299,12 +301,12 @@
 	}
 	data, err := json.Marshal(state)
 	if err != nil {
-		panic(err) // the types above can always be encoded
+		panic(err) // these types can always be encoded
 	}
 	return data
 }
 
-// Restore replaces the state. Empty data is the empty ledger.
+// Restore replaces the ledger by that of a snapshot. Empty data means the empty ledger.
 func (l *Ledger) Restore(data []byte) error {
 	*l = *New()
 	if len(data) == 0 {
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -22,14 +22,15 @@
 	MethodLookup  peer.Method = "ledger.lookup"
 )
 
-// GroupPrefix begins the names of ledger groups.
+// GroupPrefix is the prefix of the names of ledger groups.
 const GroupPrefix = "ledger/"
 
 // GroupName returns the name of a ledger group.
 func GroupName(number int) string { return fmt.Sprintf("%s%d", GroupPrefix, number) }
 
-// HomeGroup returns the group that keeps a key. It depends on nothing that an
-// operator can change while the key is remembered.
+// HomeGroup returns the group that holds the claim of a key. It depends only on the key and the
+// number of ledger groups, which is fixed for a cluster, so that a key keeps its group for as
+// long as it is remembered.
 func HomeGroup(key string, groups int) string {
 	return GroupName(int(xxhash.Sum64String(key) % uint64(groups)))
 }
@@ -48,12 +49,12 @@
 	Claim *Claim `json:"claim,omitempty"`
 }
 
-// ReplicatedLedger is the ledger as a group's state machine, with the group's clock.
+// ReplicatedLedger is a Ledger as the state machine of a group. It also keeps the group's time.
 type ReplicatedLedger struct {
 	mu     sync.Mutex
 	ledger *Ledger
-	// leadingSince and ledTime are the moment of the current leadership's start, in
-	// this process's time and in the group's.
+	// leadingSince and leadingSinceGroupTime are the start of the current leadership, in this
+	// process's time and in the group's.
 	leadingSince          time.Time
 	leadingSinceGroupTime int64
 	leading               bool
@@ -61,8 +62,8 @@
 	log                   logrus.FieldLogger
 }
 
-// NewReplicatedLedger returns the machine of a group. handle returns the group's member on
-// this node.
+// NewReplicatedLedger returns an empty ledger of a group. localReplica returns this node's
+// member of the group, nil when there is none.
 func NewReplicatedLedger(localReplica func() *group.Replica, log logrus.FieldLogger) *ReplicatedLedger {
 	return &ReplicatedLedger{ledger: New(), localReplica: localReplica, log: log}
 }
@@ -88,7 +89,7 @@
 	return l.ledger.Restore(data)
 }
 
-// Lead implements group.Leadership.
+// Lead implements group.LeadershipListener.
 func (l *ReplicatedLedger) Lead(engine.Fence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,22 +98,22 @@
 	l.leadingSinceGroupTime = l.ledger.Time()
 }
 
-// Follow implements group.Leadership.
+// Follow implements group.LeadershipListener.
 func (l *ReplicatedLedger) Follow() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leading = false
 }
 
-// Len returns the number of live claims.
+// Len returns the number of claims that have not expired.
 func (l *ReplicatedLedger) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ledger.Len()
 }
 
-// stamp gives a command the group's time: it goes on from where the former
-// leader's last command left it, so it never runs fast and never goes back.
+// stamp sets the times of a command. The group's time continues from the time at which this
+// leadership began, so it never runs faster than the leaders' clocks and never goes back.
 func (l *ReplicatedLedger) stamp(command *Command) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +121,7 @@
 	command.WallTime = time.Now().UnixMilli()
 }
 
-// execute replicates a command under this node's leadership.
+// execute replicates a command. It fails if this node doesn't lead the group.
 func (l *ReplicatedLedger) execute(ctx context.Context, command Command) (Outcome, error) {
 	r := l.localReplica()
 	if r == nil {
@@ -142,7 +143,7 @@
 	return outcome, nil
 }
 
-// now returns the group's time. The caller holds the lock and leads.
+// now returns the group's time. The caller holds the lock, and this node leads the group.
 func (l *ReplicatedLedger) now() int64 {
 	return l.leadingSinceGroupTime + time.Since(l.leadingSince).Milliseconds()
 }
@@ -158,17 +159,19 @@
 		defer l.mu.Unlock()
 		claim = l.ledger.Lookup(key)
 		if claim != nil {
-			// Time has passed since the last command.
+			// The claim's age was computed with the time of the last command.
 			claim.AgeMillis = max(claim.AgeMillis, l.now()-claim.ClaimedAt)
 		}
 	})
 	return claim, err
 }
 
-// tickEvery is how often time passes in a group without commands.
+// tickEvery is how often the group's time is advanced, so that claims expire without other
+// commands.
 const tickEvery = 5 * time.Second
 
-// RunTicks lets time pass in the groups that this node leads, until ctx ends.
+// RunTicks advances the time of the groups that this node leads until ctx ends. Groups without
+// claims need no ticks.
 func RunTicks(ctx context.Context, ledgers func() []*ReplicatedLedger) {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
@@ -191,7 +194,8 @@
 	}
 }
 
-// StateLossCommand returns the command for a group that lost its memory.
+// StateLossCommand returns the command for a group that lost its state. longestWindow is the
+// longest time for which any key may have to be remembered.
 func StateLossCommand(longestWindow time.Duration) ([]byte, error) {
 	return json.Marshal(Command{
 		Type:         CommandForget,
@@ -200,8 +204,8 @@
 	})
 }
 
-// Register serves the ledger groups of a node. find returns the machine of a
-// group, nil when this node is no member.
+// Register registers the handlers of the ledger protocol. find returns this node's ledger of a
+// group, nil when the node is not a member.
 func Register(server *peer.Server, find func(groupID string) *ReplicatedLedger) {
 	peer.Handle(server, MethodCommand, func(ctx context.Context, _ peer.Identity, request commandRequest) (Outcome, error) {
 		l := find(request.Group)
@@ -220,22 +224,22 @@
 	})
 }
 
-// Client reaches the ledger from a gateway.
+// Client gives gateways access to the ledger.
 type Client struct {
 	router *group.Router
 	groups int
 }
 
-// NewClient returns a client for a cluster with the given number of groups.
+// NewClient returns a client for a cluster with the given number of ledger groups.
 func NewClient(router *group.Router, groups int) *Client {
 	return &Client{router: router, groups: groups}
 }
 
-// tryTimeout bounds one try to reach a leader.
+// tryTimeout limits one try to call a leader.
 const tryTimeout = 500 * time.Millisecond
 
-// Execute runs a command at the key's home group. The command may be tried more
-// than once, which changes nothing. An error leaves open whether it took effect.
+// Execute runs a command at the key's home group. It may send the command more than once, which
+// has the same effect as once. After an error it is not known whether the command took effect.
 func (c *Client) Execute(ctx context.Context, command Command) (*Claim, bool, error) {
 	home := HomeGroup(command.Key, c.groups)
 	var outcome Outcome
@@ -248,7 +252,7 @@
 	return outcome.Claim, outcome.Granted, nil
 }
 
-// Lookup returns the claim of a key, nil for none.
+// Lookup returns the claim of a key, or nil.
 func (c *Client) Lookup(ctx context.Context, key string) (*Claim, error) {
 	home := HomeGroup(key, c.groups)
 	var response lookupResponse
