--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -124,8 +124,8 @@
 	expiry map[int64][]string
 	time   int64
 	// unknownUntil is the group's time until which an unknown key may have been claimed before
-	// the group lost its state. stateLostAt is the Unix time of the loss in milliseconds: keys
-	// that contain a time well after it are known to be new.
+	// the group lost its state. stateLostAt is the Unix time of the loss in milliseconds: a key
+	// whose own time is at least keyTimeMargin later is known to be new.
 	unknownUntil  int64
 	stateLostAt   int64
 	longestWindow int64 // the longest window of any command, in milliseconds
