--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -16,7 +16,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// serveCompletion serves one request, whole or streamed.
+// serveCompletion serves one request, as a whole answer or as a stream.
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request, endpoint openai.Endpoint) {
 	received := time.Now()
 	if s.active.Add(1) > s.settings.MaxActive {
@@ -50,7 +50,7 @@
 		Debug("request refused: " + failure.Message)
 }
 
-// read checks a request, from its key to its size.
+// read authenticates and parses a request, and checks it against the configuration.
 func (s *Server) read(w http.ResponseWriter, r *http.Request, endpoint openai.Endpoint, received time.Time) (*exchange, error) {
 	snapshot, tenant, err := s.authenticate(r)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return body, nil
 }
 
-// execute runs the exchange into the sink, and logs and counts its end.
+// execute runs the exchange, passes its events to the sink, and logs and counts the outcome.
 func (s *Server) execute(r *http.Request, x *exchange, target sink) outcome {
 	var end outcome
 	if x.key != "" {
@@ -116,7 +116,7 @@
 	return end
 }
 
-// collector is the sink of whole answers.
+// collector is the sink of requests that are answered as a whole.
 type collector struct {
 	text strings.Builder
 }
@@ -127,7 +127,7 @@
 	return err
 }
 
-// restart implements sink: the caller has seen nothing yet.
+// restart implements sink. Nothing has been sent to the caller yet.
 func (c *collector) restart() bool {
 	c.text.Reset()
 	return true
@@ -148,16 +148,16 @@
 	return openai.NewUsage(usage.PromptTokens, usage.OutputTokens, usage.CachedTokens)
 }
 
-// setWriteDeadline bounds the time that a caller may take to read.
+// setWriteDeadline limits the time that a caller may take to read the answer.
 func (s *Server) setWriteDeadline(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.settings.WriteTimeout))
 }
 
-// writeDeadlineEvery is how often the deadline of a stream's writes is moved on:
-// a system call for each event would cost as much as the write.
+// writeDeadlineEvery is how often the write deadline of a stream is extended. Doing so for each
+// event would take a system call that costs as much as the write.
 const writeDeadlineEvery = time.Second
 
-// streamSink writes events to a caller as they come.
+// streamSink sends events to a caller as they arrive.
 type streamSink struct {
 	writer     http.ResponseWriter
 	controller *http.ResponseController
@@ -184,7 +184,7 @@
 	return t.controller.Flush()
 }
 
-// restart implements sink.
+// restart implements sink. It is possible until the first event has been sent.
 func (t *streamSink) restart() bool { return !t.begun }
 
 var streamDone = []byte("data: [DONE]\n\n")
@@ -197,7 +197,7 @@
 			writeError(w, end.err, string(x.attempt))
 			return
 		}
-		// The stream ends without its mark, so it can't be taken for whole.
+		// The stream ends without [DONE], so callers can't take it for a whole answer.
 		_ = target.events(errorEvent(end.err, string(x.attempt)))
 		return
 	}
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -1,6 +1,6 @@
-// Package gateway serves callers: it takes OpenAI-compatible requests, has them
-// placed by the leader of a cell, streams from the engine, and answers whole or
-// with a numbered error.
+// Package gateway serves callers: it takes OpenAI-compatible requests, has the leader of a cell
+// place them on engines, relays the engines' streams, and gives a whole answer or an error with
+// a number.
 package gateway
 
 import (
@@ -19,11 +19,10 @@
 	tinarchv1 "github.com/tinarch/tinarch/api/tinarch/v1"
 )
 
-// maxPrefixBlocks bounds the prefix that is sent to a cell's leader: 128 thousand
-// tokens.
+// maxPrefixBlocks limits the prefix that is sent to a cell's leader to 128 thousand tokens.
 const maxPrefixBlocks = 512
 
-// exchange is one caller's request and all that was decided about it.
+// exchange is a caller's request with everything that was decided about it on arrival.
 type exchange struct {
 	endpoint     openai.Endpoint
 	request      *openai.Request
@@ -38,17 +37,17 @@
 	prefix       []prefix.Hash
 	received     time.Time
 	deadline     time.Time
-	// key identifies the caller's idempotency key with its tenant, empty where the
-	// request needs no claim.
+	// key identifies the caller's idempotency key together with its tenant. It is empty if the
+	// request needs no claim in the ledger.
 	key     string
 	keyTime int64
-	// attempt is the first attempt's identifier, by which logs and answers name
-	// the request.
+	// attempt is the identifier of the first attempt, which names the request in logs and
+	// answers.
 	attempt engine.Identifier
 	log     logrus.FieldLogger
 }
 
-// newExchange checks a request against the configuration.
+// newExchange checks a request against the limits of its kind and prepares it for an engine.
 func newExchange(snapshot *catalog.Snapshot, tenant *tinarchv1.Tenant, kind *catalog.Kind, endpoint openai.Endpoint,
 	request *openai.Request, received time.Time) (*exchange, error) {
 	prompt := request.PromptText()
@@ -83,7 +82,7 @@
 	return x, nil
 }
 
-// setKey makes the request one that runs at most once under the caller's key.
+// setKey makes the request run at most once under the caller's idempotency key.
 func (x *exchange) setKey(key string) {
 	digest := sha256.Sum256([]byte(x.tenant.GetName() + "\x00" + key))
 	x.key = hex.EncodeToString(digest[:16])
@@ -98,6 +97,6 @@
 	return hex.EncodeToString(hash.Sum(nil)[:16])
 }
 
-// runLimit is when an answer is given up that is still being written. It lies
-// within the time for which keys are remembered.
+// runLimit is when an answer that is still being generated is given up. It is before the time
+// at which the request's key is forgotten.
 func (x *exchange) runLimit() time.Time { return x.received.Add(2 * x.kind.Deadline) }
--- a/internal/gateway/key.go
+++ b/internal/gateway/key.go
@@ -15,7 +15,7 @@
 	uuidVersionAt = 14
 )
 
-// checkKey refuses keys that can't be stored.
+// checkKey refuses idempotency keys that are too long to be stored.
 func checkKey(key string) error {
 	if len(key) > maxKeyLength {
 		return result.New(result.InvalidRequest, "the Idempotency-Key has %d bytes, at most %d are allowed", len(key), maxKeyLength)
@@ -23,9 +23,9 @@
 	return nil
 }
 
-// uuidTime returns the Unix milliseconds that a key of the form UUIDv7 carries
-// (RFC 9562, section 5.7), zero for any other key. Such a key proves that it is
-// new even to a group that has lost its memory.
+// uuidTime returns the Unix time in milliseconds contained in a key that is a UUIDv7 (RFC 9562,
+// section 5.7), and zero for any other key. Such a key proves that it is new even to a ledger
+// group that has lost its state.
 func uuidTime(key string) int64 {
 	if len(key) != uuidLength || key[uuidVersionAt] != uuidVersion7 {
 		return 0
--- a/internal/gateway/keyed.go
+++ b/internal/gateway/keyed.go
@@ -14,14 +14,14 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// AnswerStore stores the answers that are too long for the ledger.
+// AnswerStore stores answers that are too long for the ledger.
 type AnswerStore interface {
 	Put(ctx context.Context, name string, content []byte) error
 	Get(ctx context.Context, name string) ([]byte, error)
 }
 
-// keyedRunner runs requests that must not run twice. Their execution does not depend on
-// any one caller: who comes with the same key reads the same stream.
+// keyedRunner runs requests with an idempotency key, which must not run twice. An execution
+// goes on when its caller leaves, and all callers with the same key read the same stream.
 type keyedRunner struct {
 	runner  *runner
 	ledger  *ledger.Client
@@ -33,7 +33,7 @@
 	executions map[string]*keyedExecution
 }
 
-// keyedExecution is one execution at this gateway.
+// keyedExecution is a running request at this gateway.
 type keyedExecution struct {
 	digest    string
 	recording *recording
@@ -46,15 +46,16 @@
 const (
 	ledgerTimeout = 3 * time.Second
 	storeTimeout  = 5 * time.Second
-	// takeOverDelay is how long another gateway gets to dispatch an attempt
-	// that it has claimed.
+	// takeOverDelay is how long another gateway has to dispatch an attempt after claiming it,
+	// before this one makes the engine refuse the attempt.
 	takeOverDelay = 250 * time.Millisecond
-	// claimAgeLimit is how old a claim may be for the engine's word that it never
-	// saw the attempt to count. It leaves room for clocks that run unevenly.
+	// claimAgeLimit is the age of a claim above which an engine's answer that it never saw the
+	// attempt proves nothing, since engines remember attempts for engine.AttemptMemory only.
+	// Half of that leaves a margin for clocks that run at different rates.
 	claimAgeLimit = engine.AttemptRetention / 2
 )
 
-// run joins the execution of the exchange's key, or begins it.
+// run joins the running execution of the exchange's key, or starts one.
 func (k *keyedRunner) run(ctx context.Context, x *exchange, target sink) outcome {
 	flight, fresh := k.join(x)
 	if flight.digest != x.digest() {
@@ -81,7 +82,7 @@
 	return flight, true
 }
 
-// execute runs the request to its end, whoever reads along.
+// execute runs the request to its end, even if all callers leave.
 func (k *keyedRunner) execute(ctx context.Context, x *exchange, flight *keyedExecution) {
 	end := k.executeOnce(ctx, x, flight.recording)
 	flight.recording.finish(end)
@@ -108,19 +109,20 @@
 		WithRetryAfter(time.Second)
 }
 
-// start runs a request whose key is not known.
+// start runs a request whose key has no claim.
 func (k *keyedRunner) start(ctx context.Context, x *exchange, target *recording) outcome {
 	guard := &claimGuard{keyed: k, x: x}
 	end := k.runner.run(ctx, x, guard, target)
 	if guard.otherClaim != nil {
-		// Another gateway was first.
+		// Another gateway has claimed the key in the meantime.
 		return k.continueClaim(ctx, x, guard.otherClaim, target)
 	}
 	k.recordEnd(ctx, x, guard, end, target)
 	return end
 }
 
-// recordEnd records how an execution ended.
+// recordEnd records the outcome of an execution in the ledger: its answer, or that it did not
+// run. A claim whose outcome is open stays.
 func (k *keyedRunner) recordEnd(ctx context.Context, x *exchange, guard *claimGuard, end outcome, target *recording) {
 	if guard.current == "" {
 		return // nothing was claimed
@@ -134,16 +136,16 @@
 	}
 }
 
-// command sends a command whose failure has no other consequence than that the
-// next caller with the key asks the engine.
+// command sends a command to the ledger and ignores failures. If one fails, the next caller
+// with the key asks the engine instead.
 func (k *keyedRunner) command(ctx context.Context, command ledger.Command) {
 	commandCtx, cancel := context.WithTimeout(ctx, ledgerTimeout)
 	defer cancel()
 	_, _, _ = k.ledger.Execute(commandCtx, command)
 }
 
-// complete stores the answer: in the ledger, or in the object store where it is
-// long. Where neither can be had, the engine still has it for a while.
+// complete stores the answer in the ledger, or in the object store if it is long. If that
+// fails, the engine still has the answer for a while.
 func (k *keyedRunner) complete(ctx context.Context, x *exchange, attempt engine.Identifier, end outcome, target *recording) {
 	content, _, _, _ := target.snapshot(0)
 	text, err := textOf(content)
@@ -163,7 +165,7 @@
 	k.command(ctx, ledger.Command{Type: ledger.CommandComplete, Key: x.key, Attempt: attempt, Answer: answer})
 }
 
-// textOf returns the text of recorded events.
+// textOf returns the answer's text in recorded events.
 func textOf(content []byte) (string, error) {
 	var text strings.Builder
 	for event := range bytes.SplitSeq(content, eventEnd) {
@@ -180,7 +182,8 @@
 	return text.String(), nil
 }
 
-// continueClaim serves a request that was claimed before, here or elsewhere.
+// continueClaim serves a request whose key has already been claimed, by this gateway or
+// another.
 func (k *keyedRunner) continueClaim(ctx context.Context, x *exchange, claim *ledger.Claim, target *recording) outcome {
 	if claim.Digest != x.digest() {
 		return outcome{err: result.New(result.KeyReused, "the idempotency key was used for another request; use a new key")}
@@ -194,7 +197,7 @@
 	return k.takeOver(ctx, x, claim, target)
 }
 
-// replay answers from what is stored.
+// replay answers with the stored answer.
 func (k *keyedRunner) replay(ctx context.Context, x *exchange, claim *ledger.Claim, target *recording) outcome {
 	answer := claim.Answer
 	if answer == nil {
@@ -218,17 +221,16 @@
 	return outcome{usage: answer.Usage, engine: claim.Location.Engine}
 }
 
-// takeOver goes on with an attempt that another gateway has begun, or that this
-// one has lost sight of. The other gateway may be paused with the request still in
-// hand: so an attempt that the engine does not know is cancelled there before
-// another takes its place.
+// takeOver continues an attempt that another gateway started, or that this one lost track of.
+// The other gateway may be suspended and still about to dispatch the request. Therefore, if the
+// engine doesn't know the attempt, it is told to refuse it before another attempt replaces it.
 func (k *keyedRunner) takeOver(ctx context.Context, x *exchange, claim *ledger.Claim, target *recording) outcome {
 	placed := placement{ticket: engine.Ticket{
 		Attempt: claim.Attempt, Engine: claim.Location.Engine, Address: claim.Location.Address, Incarnation: claim.Location.Incarnation,
 	}}
 	if time.Duration(claim.AgeMillis)*time.Millisecond > claimAgeLimit {
-		// The engine may have forgotten the attempt: that it does not know it
-		// would prove nothing.
+		// The engine may have forgotten the attempt, so not knowing it would not prove that it
+		// did not run.
 		return outcome{engine: claim.Location.Engine, err: result.New(result.OutcomeUnknown,
 			"the request was given to engine %s too long ago to ask about it", claim.Location.Engine)}
 	}
@@ -274,13 +276,14 @@
 	return end
 }
 
-// claimGuard claims each attempt of one execution before the engine sees it.
+// claimGuard implements claims: it records each attempt of an execution in the ledger before
+// the engine gets it.
 type claimGuard struct {
 	keyed *keyedRunner
 	x     *exchange
-	// current is the attempt on record, empty before the first claim.
+	// current is the recorded attempt, empty before the first claim.
 	current engine.Identifier
-	// otherClaim is the claim of another gateway that was first.
+	// otherClaim is the claim of another gateway that was faster.
 	otherClaim *ledger.Claim
 }
 
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are a gateway's metrics. Tenants are not a label: there are thousands.
+// Metrics are a gateway's metrics. Tenants are not a label, since there are thousands of them.
 type Metrics struct {
 	Requests        *prometheus.CounterVec
 	InDeadline      *prometheus.CounterVec
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -13,13 +13,13 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Methods of the peer protocol that cells serve.
+// Methods of the peer protocol that the members of cells serve.
 const (
 	MethodPlace    peer.Method = "cell.place"
 	MethodProgress peer.Method = "cell.progress"
 )
 
-// placement is a ticket with the node that gave it and the time of its receipt.
+// placement is a ticket, the node that issued it, and when it was received.
 type placement struct {
 	ticket   engine.Ticket
 	cell     string
@@ -27,18 +27,18 @@
 	received time.Time
 }
 
-// expired reports whether the ticket may not be dispatched any more. A gateway
-// that was paused finds out here, and the engine refuses what slips through.
+// expired reports whether the ticket must not be dispatched any more. This catches a gateway
+// that was suspended in between; the engine refuses a ticket that expires after the check.
 func (p placement) expired() bool {
 	return time.Since(p.received) > time.Duration(p.ticket.ValidMillis)*time.Millisecond
 }
 
-// Placer asks cells for engines.
+// Placer asks the leaders of cells to place requests.
 type Placer struct {
 	client *peer.Client
 	router *group.Router
 	zone   string
-	// askCell asks one cell; tests replace it.
+	// askCell asks one cell. Tests replace it.
 	askCell func(ctx context.Context, x *exchange, request cell.PlaceRequest) (placement, error)
 }
 
@@ -51,9 +51,9 @@
 
 const placeRetryPause = 30 * time.Millisecond
 
-// place waits until a cell has placed an attempt, or refuses it. A cell without a
-// fitting engine speaks for itself only: the pool's other cells are asked before
-// the request is refused, since engines may be moving between them.
+// place waits until a cell has placed or refused an attempt. If a cell has no suitable engine,
+// the pool's other cells are asked before the request is refused, since engines may be moving
+// between cells.
 func (p *Placer) place(ctx context.Context, x *exchange, attempt engine.Identifier, excluded []string) (placement, error) {
 	ctx, cancel := context.WithDeadline(ctx, x.deadline)
 	defer cancel()
@@ -97,7 +97,7 @@
 	}
 }
 
-// mayPlaceElsewhere reports whether another node may place the request.
+// mayPlaceElsewhere reports whether after this error another node may still place the request.
 func mayPlaceElsewhere(code result.Code) bool {
 	switch code {
 	case result.NotLeader, result.PeerUnavailable, result.Stopping:
@@ -106,8 +106,9 @@
 	return false
 }
 
-// firstCell keeps requests with the same beginning in the same cell of a pool with
-// several, so that the prefix caches there are used; later tries go round.
+// firstCell returns the cell to ask first. Requests with the same prefix go to the same cell of
+// a pool, where engines have that prefix in their caches. Requests without a prefix get a
+// random cell.
 func firstCell(x *exchange) int {
 	switch {
 	case len(x.prefix) > 0:
@@ -118,7 +119,7 @@
 	return 0
 }
 
-// CellPrefix begins the names of cells' groups.
+// CellPrefix is the prefix of the names of cells, which are also the names of their groups.
 const CellPrefix = "cell/"
 
 // CellName returns the name of a pool's cell and of its group.
@@ -126,9 +127,9 @@
 	return fmt.Sprintf("%s%s/%d", CellPrefix, pool, number)
 }
 
-// ask asks the cell's leader. While there is none, repeatable requests are placed
-// by any other member: engines refuse what does not fit them, so this costs only
-// the exactness of the picture.
+// ask asks the cell's leader. While there is none, any other member may place a repeatable
+// request: its view of the load is less exact than a leader's, but engines refuse what they
+// can't take.
 func (p *Placer) ask(ctx context.Context, x *exchange, request cell.PlaceRequest) (placement, error) {
 	if address := p.router.Leader(ctx, request.Cell); address != "" {
 		placed, err := p.askLeader(ctx, address, request)
@@ -150,11 +151,12 @@
 	return placement{}, result.New(result.NotLeader, "cell %s has no leader now", request.Cell)
 }
 
-// confirmEvery is how often a request that waits makes sure that its leader lives.
+// confirmEvery is how often a waiting request checks that the leader it waits for still
+// answers.
 const confirmEvery = 400 * time.Millisecond
 
-// askLeader asks the leader, and gives the wait up when the leader does not answer
-// any more: a request may wait for long, and must not do so at a paused process.
+// askLeader asks the leader, and stops waiting when the leader no longer answers. A request may
+// wait in a queue for long, and must not do so at a suspended process.
 func (p *Placer) askLeader(ctx context.Context, address string, request cell.PlaceRequest) (placement, error) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/gateway/placer_test.go
+++ b/internal/gateway/placer_test.go
@@ -11,8 +11,8 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// placeWith places a request of a pool with two cells, of which those named have
-// no engine, and returns the cells asked.
+// placeWith places a request in a pool of two cells and returns the cells that were asked. The
+// cells in empty have no engine.
 func placeWith(t *testing.T, empty map[string]bool) (asked []string, err error) {
 	t.Helper()
 	p := &Placer{askCell: func(_ context.Context, _ *exchange, request cell.PlaceRequest) (placement, error) {
@@ -27,8 +27,8 @@
 	return asked, err
 }
 
-// TestPlaceAsksOtherCellsOfAPool: while engines move between cells, one of them may
-// have none; the request belongs to the pool and goes to the other.
+// TestPlaceAsksOtherCellsOfAPool guards against refusing a request because one cell has no
+// engine while engines move between the cells of its pool.
 func TestPlaceAsksOtherCellsOfAPool(t *testing.T) {
 	for _, empty := range []string{CellName("pool", 0), CellName("pool", 1)} {
 		if asked, err := placeWith(t, map[string]bool{empty: true}); err != nil {
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestPlaceRefusesWhenNoCellHasAnEngine: each cell is asked, and then the caller is
-// told at once.
+// TestPlaceRefusesWhenNoCellHasAnEngine checks that the caller gets the refusal once each cell
+// has been asked, without more rounds.
 func TestPlaceRefusesWhenNoCellHasAnEngine(t *testing.T) {
 	asked, err := placeWith(t, map[string]bool{CellName("pool", 0): true, CellName("pool", 1): true})
 	if result.CodeOf(err) != result.NoEngine {
--- a/internal/gateway/progress.go
+++ b/internal/gateway/progress.go
@@ -9,7 +9,7 @@
 	"github.com/tinarch/tinarch/internal/peer"
 )
 
-// progressEvery is how long reports are gathered before they are sent.
+// progressEvery is how long progress reports are collected before they are sent.
 const progressEvery = 10 * time.Millisecond
 
 type reportTarget struct {
@@ -17,7 +17,7 @@
 	cell    string
 }
 
-// reporter tells placing nodes how attempts go, many in one message.
+// reporter sends progress reports on attempts to the nodes that placed them, in batches.
 type reporter struct {
 	client *peer.Client
 	mu     sync.Mutex
@@ -40,7 +40,7 @@
 	}
 }
 
-// run sends reports until ctx ends, and then what is left.
+// run sends reports until ctx ends, and then those that are left.
 func (r *reporter) run(ctx context.Context) {
 	for {
 		select {
@@ -64,7 +64,7 @@
 	r.mu.Unlock()
 	for target, reports := range queued {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		// A lost report is made up for by the engine's status.
+		// After a lost report, the placing node learns from the engine's status.
 		_ = r.client.Notify(ctx, target.address, MethodProgress, cell.ProgressBatch{Cell: target.cell, Reports: reports})
 		cancel()
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -11,14 +11,15 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// fingerprint names what the request asks an engine for.
+// fingerprint identifies the content of the request for the quarantine.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	content := quarantine.Content{Host: x.kind.Name, Target: string(x.endpoint), Tenant: x.tenant.GetName(), Body: x.body}
 	return content.Fingerprint()
 }
 
-// checkQuarantine tells why a request may be given to no engine, nil where it may: engines ended
-// whenever they ran it.
+// checkQuarantine returns an error if the request is in quarantine because engines crashed
+// whenever they ran it. If its last crash is so recent that reports from other nodes may still
+// arrive, it waits for them first.
 func (r *runner) checkQuarantine(ctx context.Context, request quarantine.Fingerprint) error {
 	status := r.quarantine.Standing(request, time.Now())
 	for status.Settling > 0 {
@@ -33,13 +34,13 @@
 	return result.New(result.RequestQuarantined, "engines ended whenever they ran this request (%s)", request).WithRetryAfter(status.Left)
 }
 
-// probeTimeout bounds the look at an engine that was lost: a few times the way to another
-// zone and back.
+// probeTimeout limits the probe of an engine after a lost attempt. It is a few round trips to
+// another zone.
 const probeTimeout = 200 * time.Millisecond
 
-// checkForCrash records that an engine has ended under a request, if that is why an attempt was
-// lost: its address takes no connections any more, or another incarnation has it. Otherwise
-// only the answer broke off. answering tells that the engine had begun to answer.
+// checkForCrash probes the engine of a lost attempt and reports a crash to the quarantine if
+// its address refuses connections or belongs to another incarnation. Otherwise only the stream
+// broke. answering means that the engine had begun to answer.
 func (r *runner) checkForCrash(ctx context.Context, x *exchange, ticket engine.Ticket, answering bool) {
 	lookCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
--- a/internal/gateway/recording.go
+++ b/internal/gateway/recording.go
@@ -7,8 +7,8 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// recording keeps the events of a stream, so that several callers can read them
-// from the start, at their own pace. It is a sink.
+// recording stores the events of a stream, so that several callers can each read them from the
+// start at their own pace. It implements sink.
 type recording struct {
 	mu      sync.Mutex
 	content []byte
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// restart implements sink. Callers may have read any of the content.
+// restart implements sink. It is possible only while there is no content, since callers may
+// have read any of it.
 func (r *recording) restart() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,14 +47,15 @@
 	r.changed = make(chan struct{})
 }
 
-// snapshot returns what follows offset, and a channel closed when there is more.
+// snapshot returns the content from offset on, and a channel that is closed when there is more.
 func (r *recording) snapshot(offset int) (more []byte, ended bool, end outcome, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.content[offset:], r.ended, r.end, r.changed
 }
 
-// play copies the recording into a sink, from the start to the end.
+// play sends the recorded events to a sink from the start, and waits for more until the
+// recording ends.
 func (r *recording) play(ctx context.Context, target sink) outcome {
 	offset := 0
 	for {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -11,16 +11,16 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// sink takes the accepted events of a stream, each with its closing blank line.
+// sink receives the accepted events of a stream, each including the blank line that ends it.
 type sink interface {
-	// events takes one or more whole events.
+	// events receives one or more complete events.
 	events(chunk []byte) error
-	// restart forgets what was taken, so that another attempt may follow. It
-	// reports false when somebody has seen it already.
+	// restart discards the events received so far, so that another attempt may follow. It
+	// returns false if a caller may have seen any of them.
 	restart() bool
 }
 
-// errSink marks an error of the sink: the caller has left.
+// errSink is an error of the sink, which means that the caller has left.
 type errSink struct{ cause error }
 
 func (e errSink) Error() string { return "the caller does not read any more: " + e.cause.Error() }
@@ -28,23 +28,23 @@
 const (
 	readBufferBytes = 4 << 10
 	maxEventBytes   = 1 << 20
-	// resumePause is the first pause before a stream is resumed; it doubles.
+	// resumePause is the pause before a broken stream is first resumed. It doubles up to
+	// maxResumePause.
 	resumePause    = 20 * time.Millisecond
 	maxResumePause = 500 * time.Millisecond
-	// resumeFor is how long an engine may be unreachable before the answer is
-	// given up.
+	// resumeFor is how long an engine may be unreachable before the attempt is given up.
 	resumeFor = 5 * time.Second
 )
 
-// relay copies one attempt's stream into a sink. It goes on over broken
-// connections.
+// relay copies the stream of one attempt into a sink. When the connection breaks, it resumes
+// the stream on another.
 type relay struct {
 	client  *engine.Client
 	ticket  engine.Ticket
 	reader  *engine.StreamReader
 	target  sink
 	metrics *Metrics
-	// first is called at the first event.
+	// first is called when the first event has been accepted. It may be nil.
 	first func()
 
 	buffer   []byte
@@ -60,8 +60,8 @@
 	}
 }
 
-// run copies until the stream is whole. stream is the open connection, nil where
-// the stream is to be resumed first. A *result.Error says why it ended otherwise.
+// run copies until the stream is complete. stream is the open connection, or nil if the stream
+// has to be resumed first. If the stream ends in another way, run returns the reason.
 func (r *relay) run(ctx context.Context, stream io.ReadCloser) error {
 	var unreachableSince time.Time
 	pause := resumePause
@@ -99,7 +99,8 @@
 	}
 }
 
-// streamIsGone reports whether the engine said that the stream is gone.
+// streamIsGone reports whether the engine said that the stream no longer exists there, so that
+// it can't be resumed.
 func streamIsGone(err error) bool {
 	switch result.CodeOf(err) {
 	case result.StreamUnknown, result.IncarnationMismatch, result.InvalidRequest:
@@ -117,8 +118,8 @@
 	}
 }
 
-// copy reads one connection until it ends. It returns an error only for what a
-// resume can't mend.
+// copy reads one connection until it ends. It returns an error only if resuming the stream
+// would not help.
 func (r *relay) copy(stream io.Reader) error {
 	r.pending = r.pending[:0]
 	for {
@@ -139,7 +140,7 @@
 
 var eventEnd = []byte("\n\n")
 
-// consume splits what was read into events and passes the accepted ones on.
+// consume splits received data into events and passes the accepted ones to the sink.
 func (r *relay) consume(chunk []byte) error {
 	if len(r.pending) > 0 {
 		r.pending = append(r.pending, chunk...)
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// classify keeps an event or drops it. It reports true when the stream has a gap.
+// classify accepts an event or drops it. It returns true if events before it are missing.
 func (r *relay) classify(event []byte) (gap bool, err error) {
 	disposition, err := r.reader.Classify(event)
 	if err != nil {
--- a/internal/gateway/runner.go
+++ b/internal/gateway/runner.go
@@ -18,32 +18,33 @@
 )
 
 const (
-	// maxAttempts bounds how often one request is placed.
+	// maxAttempts limits the number of attempts of one request.
 	maxAttempts = 4
-	// retryRatio and retryCeiling are the gateway's retry budget.
+	// retryRatio and retryCeiling set the gateway's retry budget: how much each request adds to
+	// it, and its maximum.
 	retryRatio   = 0.2
 	retryCeiling = 50
 	retryPause   = 10 * time.Millisecond
 	cancelWait   = time.Second
-	// askPause is the time between questions about an attempt whose fate is not
-	// known.
+	// askPause is the time between two questions to an engine about an attempt whose state is
+	// unknown.
 	askPause = 100 * time.Millisecond
 )
 
-// outcome is how an exchange ended.
+// outcome is the result of an exchange.
 type outcome struct {
 	usage  engine.Usage
 	engine string
 	err    error
 }
 
-// claims is what a runner does around its attempts where the request may run only
-// once. For other requests all its methods do nothing.
+// claims records the attempts of a request that may run only once. For all other requests
+// noClaims is used, which does nothing.
 type claims interface {
-	// begin is called with a new attempt before the engine sees it. replaced is
-	// the attempt that is known not to have run, empty for none.
+	// begin is called with a new attempt before the engine gets it. replaced is the attempt
+	// before it, which is known not to have run; it is empty for the first.
 	begin(ctx context.Context, p placement, replaced engine.Identifier) error
-	// lost is called when the outcome of the attempt can't be had.
+	// lost is called when the outcome of an attempt can no longer be found out.
 	lost(ctx context.Context, attempt engine.Identifier)
 }
 
@@ -52,13 +53,13 @@
 func (noClaims) begin(context.Context, placement, engine.Identifier) error { return nil }
 func (noClaims) lost(context.Context, engine.Identifier)                   {}
 
-// runner executes exchanges: it places attempts and relays their streams.
+// runner executes exchanges: it has attempts placed and relays their streams.
 type runner struct {
 	placer   *Placer
 	engines  *engine.Client
 	reporter *reporter
 	metrics  *Metrics
-	// quarantine keeps requests under which engines end away from them.
+	// quarantine holds back requests that make engines crash.
 	quarantine *quarantine.Manager
 
 	mu     sync.Mutex
@@ -84,21 +85,22 @@
 	return r.budget.Withdraw()
 }
 
-// attemptState is what is known of one attempt after it failed.
+// attemptState is what is known about a failed attempt.
 type attemptState int
 
 const (
-	// notRun attempts are proved not to have run: they may be placed again.
+	// notRun means that the attempt is proved not to have run, so another may follow.
 	notRun attemptState = iota
-	// mayHaveRun attempts must not run again unless the kind is repeatable.
+	// mayHaveRun means that another attempt may follow only if the request's kind is
+	// repeatable.
 	mayHaveRun
-	// finished attempts ended for good: with a whole answer, or a refusal that
-	// another attempt would meet too.
+	// finished means that no other attempt should follow: the answer is complete, the caller
+	// has left, or the engine refused the request for a reason that holds on every engine.
 	finished
 )
 
-// run places and relays until the answer is whole or given up. The sink ends with
-// events of one attempt only: once anybody has seen any, no other attempt follows.
+// run makes attempts until the answer is complete or the request is given up. The sink gets
+// events of one attempt only: no other attempt follows once a caller may have seen an event.
 func (r *runner) run(ctx context.Context, x *exchange, guard claims, target sink) outcome {
 	r.deposit()
 	var excluded []string
@@ -141,8 +143,8 @@
 	}
 }
 
-// neverFalselyNotRun never lets a request be called not run when an earlier attempt may have
-// been.
+// neverFalselyNotRun replaces an error that says that the request did not run, if an earlier
+// attempt may have run.
 func neverFalselyNotRun(err error, mayHaveRunBefore bool) error {
 	failure := result.From(err)
 	if !mayHaveRunBefore || failure.Code.Entry().Outcome != result.DidNotRun {
@@ -154,8 +156,8 @@
 	return &changed
 }
 
-// shouldRetry decides whether a failed attempt is followed by another. fresh tells that
-// nobody has seen anything of it.
+// shouldRetry decides whether another attempt follows a failed one. fresh means that no caller
+// has seen any of its events.
 func (r *runner) shouldRetry(ctx context.Context, x *exchange, state attemptState, fresh bool, try int) bool {
 	if ctx.Err() != nil || !fresh || try >= maxAttempts || time.Now().After(x.deadline) {
 		return false
@@ -169,7 +171,7 @@
 	return false
 }
 
-// callerError turns the failure of the last attempt into what the caller is told.
+// callerError converts the failure of the last attempt into the error that the caller gets.
 func (r *runner) callerError(ctx context.Context, x *exchange, guard claims, attempt engine.Identifier, state attemptState, fresh bool, err error) error {
 	failure := result.From(err)
 	switch {
@@ -190,7 +192,7 @@
 	return result.New(result.OutcomeUnknown, "the request was given to an engine and its outcome can't be had: %s", failure.Message)
 }
 
-// attempt runs one attempt to its end.
+// attempt dispatches one attempt and relays its stream to the end.
 func (r *runner) attempt(ctx context.Context, x *exchange, placed placement, target sink) (engine.Usage, attemptState, error) {
 	if placed.expired() {
 		return engine.Usage{}, notRun, result.New(result.TicketRefused, "the ticket was too old to be dispatched")
@@ -211,7 +213,7 @@
 	return r.follow(runCtx, x, placed, target, stream)
 }
 
-// follow relays an attempt that was accepted.
+// follow relays the stream of an attempt that an engine has accepted.
 func (r *runner) follow(ctx context.Context, x *exchange, placed placement, target sink, stream io.ReadCloser) (engine.Usage, attemptState, error) {
 	copier := newRelay(r.engines, placed.ticket, target, r.metrics, func() {
 		r.metrics.FirstToken.WithLabelValues(x.kind.Name).Observe(time.Since(x.received).Seconds())
@@ -236,11 +238,11 @@
 	return engine.Usage{}, mayHaveRun, err
 }
 
-// runLimitReached reports whether an exchange has reached its run limit.
+// runLimitReached reports whether the exchange has reached its run limit.
 func runLimitReached(ctx context.Context) bool { return errors.Is(ctx.Err(), context.DeadlineExceeded) }
 
-// classifyStartError decides what a failed start means. No error means that the attempt
-// does run and its stream can be read.
+// classifyStartError decides what a failed start means for the attempt. A nil error means that
+// the attempt is running and its stream can be read.
 func (r *runner) classifyStartError(ctx context.Context, x *exchange, placed placement, err error) (attemptState, error) {
 	failure := result.From(err)
 	switch failure.Code {
@@ -260,9 +262,9 @@
 	return r.resolveAttempt(ctx, placed.ticket, 0)
 }
 
-// resolveAttempt finds out what became of an attempt whose start was not answered. An
-// engine that has not seen it within patience is told to refuse it from then on,
-// which proves that it did not and will not run.
+// resolveAttempt asks the engine about an attempt whose start was not answered. An engine that
+// still has not seen the attempt after delay is told to refuse it from then on, which proves
+// that it did not run and will not.
 func (r *runner) resolveAttempt(ctx context.Context, ticket engine.Ticket, delay time.Duration) (attemptState, error) {
 	begun := time.Now()
 	giveUp := begun.Add(resumeFor)
@@ -285,7 +287,7 @@
 	}
 	switch result.CodeOf(err) {
 	case result.IncarnationMismatch:
-		// The engine restarted: what it did before is not known any more.
+		// The engine has restarted and no longer knows what it did before.
 		return mayHaveRun, true, err
 	case result.StreamUnknown:
 		if !refuse {
@@ -296,15 +298,15 @@
 		case cancelErr == nil && !reply.Seen:
 			return notRun, true, result.New(result.TicketRefused, "engine %s never saw the attempt and will refuse it", ticket.Engine)
 		case cancelErr == nil && reply.Seen && refuse:
-			// It ran, and its stream is not kept any more.
+			// The attempt ran, and its stream is no longer stored.
 			return mayHaveRun, true, result.New(result.AnswerExpired, "engine %s ran the attempt and does not keep its answer any more", ticket.Engine)
 		}
 	}
 	return mayHaveRun, false, err
 }
 
-// cancel frees the engine from an attempt that nobody waits for. It does not
-// depend on the exchange, which may be over.
+// cancel tells the engine to stop an attempt that nobody waits for. It uses its own context,
+// since the exchange may be over.
 func (r *runner) cancel(ticket engine.Ticket) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelWait)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -27,29 +27,29 @@
 	tinarchv1 "github.com/tinarch/tinarch/api/tinarch/v1"
 )
 
-// Headers of the callers' interface.
+// HTTP headers of requests and answers.
 const (
 	HeaderKind    = "Tinarch-Kind"
 	HeaderKey     = "Idempotency-Key"
 	HeaderAttempt = "Tinarch-Attempt"
 )
 
-// Settings are the limits of a gateway.
+// Settings are a gateway's limits.
 type Settings struct {
-	// MaxBodyBytes is the largest request body.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
 	// ReadTimeout is how long a request may take to arrive.
 	ReadTimeout time.Duration
-	// WriteTimeout is how long a caller may take to read what was written.
+	// WriteTimeout is how long a caller may take to read what has been sent.
 	WriteTimeout time.Duration
-	// MaxActive is the most requests in progress at once.
+	// MaxActive is the maximum number of requests in progress.
 	MaxActive int64
-	// StopGrace is how long a stopping gateway still answers on connections that
-	// callers hold open, before it closes them.
+	// StopGrace is how long a stopping gateway still answers on open connections before it
+	// begins to close them.
 	StopGrace time.Duration
 }
 
-// DefaultSettings returns the limits that hold where none are set.
+// DefaultSettings returns the limits used where the settings name none.
 func DefaultSettings() Settings {
 	return Settings{
 		MaxBodyBytes: 8 << 20,
@@ -60,12 +60,12 @@
 	}
 }
 
-// Catalog is where a gateway gets its configuration from.
+// Catalog provides a gateway's configuration.
 type Catalog interface {
 	Current() *catalog.Snapshot
 }
 
-// Server is the callers' interface of a node.
+// Server is the HTTP server for the callers of a node.
 type Server struct {
 	settings Settings
 	catalog  Catalog
@@ -84,7 +84,7 @@
 	ended    chan struct{}
 }
 
-// Dependencies are what a gateway works with.
+// Dependencies are the parts of a node that its gateway uses.
 type Dependencies struct {
 	Catalog Catalog
 	Placer  *Placer
@@ -93,18 +93,18 @@
 	Ledger  *ledger.Client
 	Answers AnswerStore
 	Metrics *Metrics
-	// Quarantine keeps requests under which engines end away from engines.
+	// Quarantine holds back requests that make engines crash.
 	Quarantine *quarantine.Manager
-	// WrapHandler wraps the handler of callers' requests; nil leaves it.
+	// WrapHandler, if not nil, wraps the gateway's HTTP handler.
 	WrapHandler func(http.Handler) http.Handler
 	// MetricsPage serves /metrics.
 	MetricsPage http.Handler
-	// Ready tells why the node can't take requests, nil when it can.
+	// Ready returns why the node can't take requests, or nil if it can.
 	Ready func() error
 	Log   logrus.FieldLogger
 }
 
-// NewServer returns a gateway. Serve starts it.
+// NewServer returns a gateway, which Serve starts.
 func NewServer(settings Settings, with Dependencies) *Server {
 	reports := newReporter(with.Peers)
 	executor := newRunner(with.Placer, with.Engines, reports, with.Metrics, with.Quarantine)
@@ -156,7 +156,7 @@
 	return router
 }
 
-// Serve accepts callers until Stop.
+// Serve starts to serve callers on the listener, until Stop or Close.
 func (s *Server) Serve(listener net.Listener) {
 	s.address = listener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -172,9 +172,8 @@
 	}()
 }
 
-// Stop ends the gateway without cutting a request: it asks callers to close
-// their connections, stops listening, and waits for what is in progress or for
-// ctx.
+// Stop shuts the gateway down gracefully: it asks callers to close their connections, stops
+// listening after StopGrace, and waits until the requests in progress have ended or ctx ends.
 func (s *Server) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
 	select {
@@ -196,7 +195,7 @@
 	return err
 }
 
-// Close ends the gateway at once.
+// Close shuts the gateway down at once.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	s.stopRun()
@@ -206,8 +205,8 @@
 // Active returns the number of requests in progress.
 func (s *Server) Active() int64 { return s.active.Load() }
 
-// closeWhenStopping asks callers to use another node, while their request is
-// still served.
+// closeWhenStopping tells callers of a stopping node to close their connections after the
+// current answer, so that they connect to another node.
 func (s *Server) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.stopping.Load() {
@@ -229,7 +228,7 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// authenticate returns the tenant of a request.
+// authenticate returns the current configuration and the tenant of a request.
 func (s *Server) authenticate(r *http.Request) (*catalog.Snapshot, *tinarchv1.Tenant, error) {
 	if err := s.ready(); err != nil {
 		return nil, nil, err
@@ -249,7 +248,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// writeError answers with a numbered error, and with the time to come back where
+// writeError answers with an error and its number, and with the time after which to retry if
 // there is one.
 func writeError(w http.ResponseWriter, err error, attempt string) {
 	failure := result.From(err)
@@ -259,7 +258,8 @@
 		w.Header().Set("Retry-After-Ms", strconv.FormatInt(failure.RetryAfterMillis, 10))
 	}
 	if !failure.Code.Entry().Repeat {
-		// Read by OpenAI clients: an unknown outcome must not be retried blindly.
+		// OpenAI clients obey this header. A request with an unknown outcome must not be
+		// retried blindly.
 		w.Header().Set("X-Should-Retry", "false")
 	}
 	writeJSON(w, failure.Code.Entry().HTTPStatus, openai.NewErrorBody(failure, attempt))
