--- a/internal/membership/driver.go
+++ b/internal/membership/driver.go
@@ -17,17 +17,17 @@
 	MethodJoin     peer.Method = "membership.join"
 )
 
-// message carries updates, with the sender's configuration revision.
+// message carries updates and the sender's configuration revision.
 type message struct {
 	Updates  []Update `json:"u,omitempty"`
 	Revision uint64   `json:"r,omitempty"`
-	// Incarnation is set in answers: who answered.
+	// Incarnation identifies the process that answered. It is set in answers only.
 	Incarnation string `json:"i,omitempty"`
 }
 
 type indirectRequest struct {
 	Target string `json:"t"`
-	// Incarnation is the one that is suspected.
+	// Incarnation is the process that did not answer the direct probe.
 	Incarnation string `json:"i"`
 }
 
@@ -35,12 +35,12 @@
 	Reached bool `json:"ok"`
 }
 
-// fullSyncEvery is the number of periods between full exchanges with a random node.
-// They repair what the spreading of changes has missed.
+// fullSyncEvery is the number of periods between exchanges of all records with a random node.
+// They repair what updates have missed.
 const fullSyncEvery = 60
 
-// fullSyncDue reports whether a full exchange belongs to a period. A young node has
-// missed what was spreading while it started, so its first ones come sooner.
+// fullSyncDue reports whether all records are exchanged in this period. A new node has missed
+// the updates sent while it started, so its first exchanges come sooner.
 func fullSyncDue(period int) bool {
 	switch period {
 	case 4, 10, 20, 40:
@@ -49,20 +49,20 @@
 	return period%fullSyncEvery == 0
 }
 
-// duplicateNameLogEvery is the number of periods between complaints about a name that is
+// duplicateNameLogEvery is the number of periods between log messages about a node name that is
 // used twice.
 const duplicateNameLogEvery = 10
 
-// Driver probes other nodes and serves their probes.
+// Driver runs the protocol for a Table: it probes other nodes and answers their probes.
 type Driver struct {
 	settings Settings
 	client   *peer.Client
 	log      logrus.FieldLogger
 	origin   time.Time
-	// seeds returns addresses to join through.
+	// seeds returns the addresses of nodes through which to join the cluster.
 	seeds func() []string
-	// revision returns the configuration revision in force, and observed is
-	// called with those of other nodes.
+	// revision returns this node's configuration revision. observeRevision is called with the
+	// revisions of other nodes.
 	revision        func() uint64
 	observeRevision func(address string, revision uint64)
 
@@ -79,7 +79,7 @@
 	}
 }
 
-// Register serves the protocol.
+// Register registers the handlers of the membership protocol.
 func (d *Driver) Register(server *peer.Server) {
 	peer.Handle(server, MethodProbe, func(_ context.Context, from peer.Identity, request message) (message, error) {
 		return d.receive(from, request), nil
@@ -144,8 +144,8 @@
 	}
 }
 
-// join exchanges everything with the first seed that answers, or with a random
-// node.
+// join exchanges all records with a random live node or, if it knows none that answers, with
+// the first seed that does.
 func (d *Driver) join(ctx context.Context) {
 	addresses := d.seeds()
 	d.mu.Lock()
@@ -179,7 +179,8 @@
 	return nil
 }
 
-// probe checks a node directly, then through others.
+// probe probes a node directly and then through other nodes. If neither reaches the node, it
+// becomes suspect.
 func (d *Driver) probe(ctx context.Context, target Node) {
 	if d.probeOnce(ctx, target) {
 		return
@@ -200,7 +201,7 @@
 	d.mu.Lock()
 	updates := d.table.Updates()
 	if target.State == Suspect {
-		// Tell the node what is believed of it, so that it can refute.
+		// Tell the node that it is suspected, so that it can refute that.
 		updates = append(updates, Update{Node: &target})
 	}
 	d.mu.Unlock()
@@ -233,7 +234,7 @@
 	return false
 }
 
-// Announce spreads a change of this node's own record at once to some nodes.
+// Announce changes this node's own record and sends it to some nodes at once.
 func (d *Driver) Announce(ctx context.Context, leaving, serving bool) {
 	d.mu.Lock()
 	d.table.SetSelf(leaving, serving)
@@ -245,21 +246,21 @@
 	}
 }
 
-// SetGroup records and spreads a group's leadership.
+// SetGroup applies a record of a group's leadership and queues it for the other nodes.
 func (d *Driver) SetGroup(group Group) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table.SetGroup(group)
 }
 
-// Group returns what is known of a group.
+// Group returns the record of a group by identifier.
 func (d *Driver) Group(id string) (Group, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table.Group(id)
 }
 
-// Groups returns all known groups.
+// Groups returns the records of all known groups.
 func (d *Driver) Groups() []Group {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/membership/records.go
+++ b/internal/membership/records.go
@@ -1,22 +1,20 @@
-// Package membership keeps each node's view of the other nodes and of which node
-// leads which replica group. It follows SWIM (Das, Gupta and Motivala, DSN 2002):
-// each node probes one other in each period, asks others to probe for it before
-// it suspects, and spreads only changes, so that the traffic of a node does not
-// grow with their number.
+// Package membership keeps each node's view of the other nodes, and of which node leads which
+// replica group. It implements SWIM (Das, Gupta and Motivala, DSN 2002): in each period a node
+// probes one other node, and asks others to probe it before it suspects it. Messages carry
+// changes only, so the traffic of a node doesn't grow with the number of nodes.
 //
-// Table is pure: time and randomness are arguments, and its driver does the
-// probing. What it says about failures is a hint: nothing that must never happen
-// twice depends on it.
+// Table does no I/O and reads no clock; its Driver does the probing. What it says about
+// failures is a hint: nothing that must never happen twice may depend on it.
 package membership
 
 import (
 	"time"
 )
 
-// State is what is believed of a node.
+// State is what a node believes about another.
 type State string
 
-// The states, in rising order of precedence within one generation.
+// States of a node, in rising order of precedence within one generation.
 const (
 	Alive   State = "alive"
 	Suspect State = "suspect"
@@ -25,27 +23,27 @@
 
 var statePrecedence = map[State]int{Alive: 0, Suspect: 1, Dead: 2}
 
-// Node is the record of one process. A restarted process is a new incarnation
-// with a later start.
+// Node describes one process of a node. After a restart, the process is a new incarnation with
+// a later start time.
 type Node struct {
 	Name        string `json:"n"`
 	Incarnation string `json:"i"`
-	// Started is the start of the process in Unix milliseconds. Of two
-	// incarnations of one name, the later one holds.
+	// Started is the start time of the process in Unix milliseconds. Of two incarnations with
+	// the same name, the one that started later is valid.
 	Started int64  `json:"s"`
 	Address string `json:"a"`
 	Zone    string `json:"z,omitempty"`
-	// Generation is raised by the node itself, to refute a suspicion or to
-	// spread a change.
+	// Generation is increased only by the node itself, to refute a suspicion or to announce a
+	// change.
 	Generation uint64 `json:"g"`
 	State      State  `json:"st"`
-	// Leaving tells that the node is being stopped and takes no new work.
+	// Leaving means that the node is stopping and takes no new work.
 	Leaving bool `json:"l,omitempty"`
-	// Serving tells that the node takes callers' requests.
+	// Serving means that the node takes callers' requests.
 	Serving bool `json:"v,omitempty"`
 }
 
-// newer reports whether update replaces known.
+// newer reports whether update supersedes known.
 func newer(update, known Node) bool {
 	if update.Started != known.Started {
 		return update.Started > known.Started
@@ -59,7 +57,7 @@
 	return statePrecedence[update.State] > statePrecedence[known.State]
 }
 
-// Group is the record of a replica group's leadership.
+// Group describes which node leads a replica group.
 type Group struct {
 	ID    string `json:"id"`
 	Epoch uint64 `json:"e"`
@@ -80,32 +78,34 @@
 	return g.Leader != "" && than.Leader == ""
 }
 
-// Update is one change that spreads.
+// Update is a changed record that nodes pass on to each other: either of a node or of a group.
 type Update struct {
 	Node  *Node  `json:"node,omitempty"`
 	Group *Group `json:"group,omitempty"`
 }
 
-// Settings are the protocol's times. The defaults detect a dead node within
+// Settings are the protocol's parameters. With the defaults, a dead node is detected within
 // about four periods.
 type Settings struct {
 	// Period is the time between probes.
 	Period time.Duration
-	// ProbeTimeout is how long an answer may take before others are asked.
+	// ProbeTimeout is how long an answer to a probe may take before other nodes are asked to
+	// probe.
 	ProbeTimeout time.Duration
-	// SuspectFor is how long a suspicion may be refuted.
+	// SuspectFor is how long a suspected node has to refute the suspicion before it is
+	// considered dead.
 	SuspectFor time.Duration
 	// ForgetAfter is how long a dead node is remembered.
 	ForgetAfter time.Duration
-	// IndirectProbes is the number of nodes asked to probe for us.
+	// IndirectProbes is the number of nodes that are asked to probe a node that did not answer.
 	IndirectProbes int
-	// MaxUpdates is the most updates in one message, and BurstUpdates while more
-	// than so many wait.
+	// MaxUpdates is the maximum number of updates in one message. While more than BurstUpdates
+	// updates are queued, messages carry BurstUpdates of them.
 	MaxUpdates   int
 	BurstUpdates int
 }
 
-// DefaultSettings returns the settings that nodes use.
+// DefaultSettings returns the settings of production nodes.
 func DefaultSettings() Settings {
 	return Settings{
 		Period:         time.Second,
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// retransmitFactor times the logarithm of the number of nodes is how often an
-// update is passed on (SWIM section 4.1).
+// retransmitFactor times the logarithm of the number of nodes is the number of messages in
+// which an update is sent (SWIM, section 4.1).
 const retransmitFactor = 3
 
-// entry is a node as this node sees it.
+// entry is another node as this node sees it.
 type entry struct {
 	node    Node
 	changed time.Duration
 	heard   time.Duration
 }
 
-// queued is an update being spread.
+// queued is an update that has to be sent in further messages.
 type queued struct {
 	key       string
 	update    Update
 	remaining int
 }
 
-// Table is one node's view. It is not safe for concurrent use.
+// Table is one node's view of the cluster. It is not safe for concurrent use.
 type Table struct {
 	settings Settings
 	self     Node
@@ -34,13 +34,14 @@
 	entries  map[string]*entry
 	groups   map[string]Group
 	queue    []queued
-	// superseded tells that a later process runs under this node's name.
+	// superseded is set when a process with a later start time runs under this node's name.
 	superseded bool
-	// probeOrder is the shuffled list of nodes to probe.
+	// probeOrder holds the names of the nodes still to be probed in this round, in random
+	// order.
 	probeOrder []string
 }
 
-// New returns a table that knows only its own node.
+// New returns a table that contains only its own node.
 func New(settings Settings, self Node, random *rand.Rand) *Table {
 	self.State = Alive
 	t := &Table{
@@ -54,14 +55,14 @@
 	return t
 }
 
-// Superseded reports whether a later process runs under this node's name, which is
-// a mistake in the settings of one of the two.
+// Superseded reports whether a process with a later start time runs under this node's name,
+// which means that two nodes are configured with the same name.
 func (t *Table) Superseded() bool { return t.superseded }
 
 // Self returns the record of this node.
 func (t *Table) Self() Node { return t.self }
 
-// SetSelf changes what this node says of itself, and spreads it.
+// SetSelf changes this node's record and queues it for the other nodes.
 func (t *Table) SetSelf(leaving, serving bool) {
 	if t.self.Leaving == leaving && t.self.Serving == serving {
 		return
@@ -85,13 +86,12 @@
 	return retransmitFactor * (bits.Len(uint(len(t.entries))) + 1)
 }
 
-// Updates returns the updates to put into the next message, the least often sent
-// first.
+// Updates returns the updates for the next message, those sent the fewest times first.
 func (t *Table) Updates() []Update {
 	slices.SortStableFunc(t.queue, func(left, right queued) int { return cmp.Compare(right.remaining, left.remaining) })
 	count := min(len(t.queue), t.settings.MaxUpdates)
 	if len(t.queue) > t.settings.BurstUpdates {
-		// Many nodes come or go at once: spread that faster, for as long as it lasts.
+		// Many nodes have come or gone at once: send more updates until the queue is shorter.
 		count = t.settings.BurstUpdates
 	}
 	updates := make([]Update, 0, count)
@@ -103,7 +103,7 @@
 	return updates
 }
 
-// AllUpdates returns all records, for a node that joins.
+// AllUpdates returns all records as updates, for a node that joins.
 func (t *Table) AllUpdates() []Update {
 	self := t.self
 	updates := []Update{{Node: &self}}
@@ -132,7 +132,7 @@
 	return names
 }
 
-// Merge takes updates from another node.
+// Merge applies updates from another node.
 func (t *Table) Merge(now time.Duration, updates []Update) {
 	for _, update := range updates {
 		if update.Node != nil {
@@ -168,7 +168,8 @@
 	t.enqueue("node/"+update.Name, Update{Node: &update})
 }
 
-// mergeSelf refutes what others believe of this node.
+// mergeSelf handles an update about this node. If others suspect it or consider it dead, it
+// refutes that with a higher generation.
 func (t *Table) mergeSelf(update Node) {
 	if update.Incarnation != t.self.Incarnation && update.Started > t.self.Started && update.State == Alive {
 		t.superseded = true
@@ -180,8 +181,8 @@
 	t.enqueueSelf()
 }
 
-// SetGroup takes a record of a group's leadership. It reports whether the record
-// was news.
+// SetGroup applies a record of a group's leadership. It reports whether the record was newer
+// than the known one.
 func (t *Table) SetGroup(group Group) bool {
 	known, exists := t.groups[group.ID]
 	if exists && !group.newer(known) {
@@ -192,13 +193,13 @@
 	return true
 }
 
-// Group returns what is known of a group.
+// Group returns the record of a group by identifier.
 func (t *Table) Group(id string) (Group, bool) {
 	group, exists := t.groups[id]
 	return group, exists
 }
 
-// Groups returns all known groups in order of identifier.
+// Groups returns the records of all known groups, sorted by identifier.
 func (t *Table) Groups() []Group {
 	groups := make([]Group, 0, len(t.groups))
 	for _, group := range t.groups {
@@ -208,13 +209,13 @@
 	return groups
 }
 
-// NodeView is a node with the time since it was last heard of.
+// NodeView is a node with the time since it was last heard from.
 type NodeView struct {
 	Node
 	HeardAgo time.Duration
 }
 
-// Nodes returns all known nodes, this one included, in order of name.
+// Nodes returns all known nodes including this one, sorted by name.
 func (t *Table) Nodes(now time.Duration) []NodeView {
 	views := []NodeView{{Node: t.self}}
 	for _, e := range t.entries {
@@ -235,8 +236,8 @@
 	return Node{}, false
 }
 
-// NextProbeTarget chooses the node to probe in this period: each once a round, in random
-// order. It returns false when there is no other node.
+// NextProbeTarget returns the node to probe in this period. Each node is probed once a round,
+// in random order. It returns false if there is no other node.
 func (t *Table) NextProbeTarget() (Node, bool) {
 	for len(t.probeOrder) > 0 || t.shuffle() {
 		name := t.probeOrder[len(t.probeOrder)-1]
@@ -258,7 +259,7 @@
 	return len(t.probeOrder) > 0
 }
 
-// Helpers chooses the nodes that are asked to probe target.
+// Helpers returns random nodes that are to probe target for this node.
 func (t *Table) Helpers(target string) []Node {
 	var helpers []Node
 	names := t.names()
@@ -271,7 +272,7 @@
 	return helpers
 }
 
-// RandomAlive chooses any node that is believed alive.
+// RandomAlive returns a random node that is believed to be alive.
 func (t *Table) RandomAlive() (Node, bool) {
 	names := t.names()
 	t.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
@@ -283,15 +284,16 @@
 	return Node{}, false
 }
 
-// RecordAnswer notes that a node has answered. It does not end a suspicion: the node
-// does that itself, with a higher generation, when it hears of it.
+// RecordAnswer notes that a node has answered. It doesn't end a suspicion: the node does that
+// itself with a higher generation, once it learns of the suspicion.
 func (t *Table) RecordAnswer(now time.Duration, name string) {
 	if e := t.entries[name]; e != nil {
 		e.heard = now
 	}
 }
 
-// RecordProbeFailure notes that neither a probe nor the helpers reached an incarnation.
+// RecordProbeFailure makes an incarnation suspect that could not be reached directly or through
+// other nodes.
 func (t *Table) RecordProbeFailure(now time.Duration, target Node) {
 	e := t.entries[target.Name]
 	if e == nil || e.node.Incarnation != target.Incarnation || e.node.State != Alive {
@@ -307,7 +309,8 @@
 	t.enqueue("node/"+node.Name, Update{Node: &node})
 }
 
-// Tick turns suspicions that were not refuted into deaths, and forgets the dead.
+// Tick marks suspects dead that did not refute the suspicion in time, and removes nodes that
+// have been dead for ForgetAfter.
 func (t *Table) Tick(now time.Duration) {
 	for _, name := range t.names() {
 		e := t.entries[name]
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestChangeSpreadsInLogarithmicRounds gossips a death among 200 tables.
+// TestChangeSpreadsInLogarithmicRounds counts the rounds until 200 tables know of a suspicion.
 func TestChangeSpreadsInLogarithmicRounds(t *testing.T) {
 	const count = 200
 	tables := make([]*Table, count)
@@ -109,7 +109,7 @@
 	}
 }
 
-// gossip lets each table probe one other.
+// gossip lets each table exchange updates with the next node that it probes.
 func gossip(tables []*Table) {
 	for i, table := range tables {
 		target, found := table.NextProbeTarget()
