--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -13,19 +13,20 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// redialPause keeps a node from dialling a dead peer for each message.
+	// redialPause is the minimum time between a failed dial and the next. Without it a node
+	// would dial a dead peer for each message.
 	redialPause = 250 * time.Millisecond
-	// idleAfter is how long a connection is kept without use. Nodes probe each
-	// other at random, so without it each would come to hold one to every other.
+	// idleAfter is how long an unused connection is kept. Since nodes probe each other at
+	// random, every node would otherwise end up with a connection to every other.
 	idleAfter = 5 * time.Second
 )
 
-// Client calls other nodes, over one connection to each address.
+// Client calls other nodes, using one connection for each address.
 type Client struct {
 	identity Identity
 	security *tls.Config
 	counters *Counters
-	// Dial may be replaced by tests that delay or cut connections.
+	// Dial opens a network connection. Tests replace it to delay or cut connections.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
 	mu     sync.Mutex
@@ -47,7 +48,8 @@
 	}
 }
 
-// link is the connection to one address, dialled when it is needed.
+// link holds the connection to one address, which is opened when it is needed, and the calls
+// that wait for answers.
 type link struct {
 	client  *Client
 	address string
@@ -60,9 +62,9 @@
 	pending  map[uint64]chan frame
 }
 
-// Call sends a request and waits for its answer. The error of the remote handler
-// comes back with its code; PeerUnavailable means that no answer came, and the
-// request may have taken effect.
+// Call sends a request and waits for its answer. An error of the remote handler is returned
+// with its code. PeerUnavailable means that no answer came; the request may have taken effect
+// nevertheless.
 func (c *Client) Call(ctx context.Context, address string, method Method, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// Notify sends a notice, which has no answer.
+// Notify sends a notice, which gets no answer.
 func (c *Client) Notify(ctx context.Context, address string, method Method, notice any) error {
 	body, err := json.Marshal(notice)
 	if err != nil {
@@ -105,8 +107,8 @@
 	return connection.send(frame{Type: frameNotice, Method: method, Body: body})
 }
 
-// Connected reports whether there is a connection to an address, so that a
-// notice can be sent without dialling.
+// Connected reports whether a connection to an address is open, so that a notice can be sent
+// without dialling.
 func (c *Client) Connected(address string) bool {
 	c.mu.Lock()
 	l := c.links[address]
@@ -119,7 +121,7 @@
 	return l.current != nil
 }
 
-// Close drops all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +131,7 @@
 	}
 }
 
-// Disconnect drops the connection to an address that is not needed any more.
+// Disconnect closes the connection to an address that is no longer needed.
 func (c *Client) Disconnect(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,7 +163,7 @@
 	}
 }
 
-// connect returns the open connection, or dials.
+// connect returns the open connection, or opens one.
 func (l *link) connect(ctx context.Context) (*conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -184,8 +186,8 @@
 	return connection, nil
 }
 
-// closeIdle closes a connection that was not used for a while, and looks again
-// later otherwise.
+// closeIdle closes the connection if it has not been used for idleAfter and no call waits on
+// it. Otherwise it checks again later.
 func (l *link) closeIdle(connection *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -246,7 +248,7 @@
 	}
 }
 
-// failPending fails every call that waits on a broken connection.
+// failPending fails every call that waits for an answer on a broken connection.
 func (l *link) failPending(connection *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -18,7 +18,7 @@
 	bufferBytes    = 4 << 10
 )
 
-// Counters count a node's control traffic.
+// Counters count a node's traffic with its peers.
 type Counters struct {
 	BytesSent     atomic.Int64
 	BytesReceived atomic.Int64
@@ -27,7 +27,7 @@
 	Malformed     atomic.Int64
 }
 
-// conn is one connection after its greeting.
+// conn is a connection to a peer.
 type conn struct {
 	network  net.Conn
 	reader   *lineReader
@@ -35,7 +35,7 @@
 	closed   chan struct{}
 	once     sync.Once
 	counters *Counters
-	// remote is what the other side said of itself.
+	// remote is the identity in the peer's greeting.
 	remote Identity
 }
 
@@ -61,7 +61,8 @@
 	return count, err
 }
 
-// greet exchanges identities; both sides speak first.
+// greet exchanges greetings and checks the peer's. Both sides send theirs without waiting for
+// the other's.
 func (c *conn) greet(own Identity) error {
 	line, err := encodeFrame(frame{Type: frameHello, Version: ProtocolVersion, Hello: &own})
 	if err != nil {
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// send queues a frame. It fails when the connection is closed or the peer reads
-// too slowly.
+// send queues a frame. It fails if the connection is closed, or if the queue is full because
+// the peer reads too slowly.
 func (c *conn) send(f frame) error {
 	line, err := encodeFrame(f)
 	if err != nil {
@@ -111,7 +112,7 @@
 	}
 }
 
-// writeLoop writes queued lines, as many as there are with one flush.
+// writeLoop writes queued lines, and flushes when the queue is empty.
 func (c *conn) writeLoop() {
 	defer c.close()
 	buffered := bufio.NewWriterSize(c.network, bufferBytes)
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,6 +1,6 @@
-// Package peer is the protocol between tinarch's own nodes: typed requests,
-// answers and notices as JSON lines over TCP, multiplexed on one connection for
-// each direction of calling, with optional mutual TLS.
+// Package peer implements the protocol between tinarch's nodes: typed requests, answers and
+// notices as JSON lines over TCP, with optional mutual TLS. All calls from one node to another
+// share one connection.
 package peer
 
 import (
@@ -12,10 +12,11 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// ProtocolVersion is sent in the greeting. Nodes of another version are refused.
+// ProtocolVersion is sent in the greeting. A node refuses connections of nodes with another
+// version.
 const ProtocolVersion = 1
 
-// MaxLineBytes is the longest line that a node accepts.
+// MaxLineBytes is the maximum length of a line.
 const MaxLineBytes = 8 << 20
 
 type frameType string
@@ -31,7 +32,7 @@
 // Method names a request or notice.
 type Method string
 
-// Identity is what a node says of itself in its greeting.
+// Identity is how a node identifies itself in its greeting.
 type Identity struct {
 	Cluster     string `json:"cluster"`
 	Node        string `json:"node"`
@@ -39,7 +40,7 @@
 	Zone        string `json:"zone,omitempty"`
 }
 
-// frame is one line.
+// frame is one message, encoded as one line.
 type frame struct {
 	Type    frameType       `json:"type"`
 	Version int             `json:"version,omitempty"`
@@ -60,8 +61,8 @@
 	return &lineReader{buffered: bufio.NewReaderSize(source, bufferBytes)}
 }
 
-// next reads one frame. A *result.Error means that the line was malformed; any
-// other error is the connection's.
+// next reads one frame. If the line is malformed, the error is a *result.Error; any other error
+// comes from the connection.
 func (r *lineReader) next() (frame, error) {
 	r.line = r.line[:0]
 	for {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,7 +15,7 @@
 // handler serves one method.
 type handler func(ctx context.Context, from Identity, body json.RawMessage) (any, error)
 
-// Server accepts connections of other nodes.
+// Server answers the requests and notices of other nodes.
 type Server struct {
 	identity Identity
 	log      logrus.FieldLogger
@@ -27,14 +27,14 @@
 	running  sync.WaitGroup
 }
 
-// NewServer returns a server without any method.
+// NewServer returns a server without handlers.
 func NewServer(identity Identity, counters *Counters, log logrus.FieldLogger) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Server{identity: identity, counters: counters, log: log, handlers: map[Method]handler{}, ctx: ctx, cancel: cancel}
 }
 
-// Handle registers the function that serves a method. It must be called before
-// Serve. The context ends when the caller gives up or its connection breaks.
+// Handle registers the handler of a method. It must be called before Serve. The handler's
+// context ends when the caller gives up or its connection breaks.
 func Handle[Request, Response any](s *Server, method Method, serve func(context.Context, Identity, Request) (Response, error)) {
 	s.handlers[method] = func(ctx context.Context, from Identity, body json.RawMessage) (any, error) {
 		var request Request
@@ -45,8 +45,8 @@
 	}
 }
 
-// Serve accepts connections until Close. With a TLS configuration, peers must
-// show a certificate that it accepts.
+// Serve starts to accept connections, until Close. With a TLS configuration that requires
+// client certificates, peers must present one that it accepts.
 func (s *Server) Serve(listener net.Listener, security *tls.Config) {
 	if security != nil {
 		listener = tls.NewListener(listener, security)
@@ -100,8 +100,8 @@
 	s.readLoop(ctx, c, &handling)
 }
 
-// readLoop serves requests until the connection breaks. A malformed line ends
-// the connection: what follows it can't be trusted.
+// readLoop handles frames until the connection breaks. A malformed line ends the connection,
+// since the lines after it can't be trusted.
 func (s *Server) readLoop(ctx context.Context, c *conn, handling *sync.WaitGroup) {
 	calls := &callTable{cancels: map[uint64]context.CancelFunc{}}
 	for {
@@ -148,7 +148,8 @@
 	_ = c.send(response) // a caller that is gone gets no answer
 }
 
-// notice runs a notice's handler in the order of arrival.
+// notice calls the handler of a notice. Notices of a connection are handled one after the
+// other, in the order in which they arrive.
 func (s *Server) notice(ctx context.Context, c *conn, f frame) {
 	if _, err := s.dispatch(ctx, c, f); err != nil {
 		s.log.WithError(err).WithField("peer", c.remote.Node).Debug("notice failed")
@@ -163,7 +164,7 @@
 	return serve(ctx, c.remote, f.Body)
 }
 
-// callTable holds the calls in progress of one connection.
+// callTable holds the running calls of one connection, so that the caller can cancel them.
 type callTable struct {
 	mu      sync.Mutex
 	cancels map[uint64]context.CancelFunc
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -16,7 +16,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// authority signs certificates of nodes.
+// authority is a certificate authority for nodes.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -46,7 +46,7 @@
 	return &authority{certificate, key, pool}
 }
 
-// security returns the mutual TLS of a node.
+// security returns a node's configuration for mutual TLS, with a certificate of this authority.
 func (a *authority) security(t *testing.T) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
