--- a/internal/platform/httpclient/httpclient.go
+++ b/internal/platform/httpclient/httpclient.go
@@ -1,5 +1,6 @@
-// Package httpclient makes the HTTP clients of the platform's adapters: each holds
-// few connections, and none for long, because there are hundreds of nodes.
+// Package httpclient creates the HTTP clients for the services of the platform. Each client
+// keeps few connections open and closes them soon, because hundreds of nodes use the same
+// services.
 package httpclient
 
 import (
@@ -14,7 +15,7 @@
 	maxIdle     = 2
 )
 
-// New returns a client whose calls take at most timeout.
+// New returns a client whose calls take no longer than timeout.
 func New(timeout time.Duration) *http.Client {
 	return &http.Client{
 		Timeout: timeout,
