--- a/internal/platform/machines/machines.go
+++ b/internal/platform/machines/machines.go
@@ -1,6 +1,6 @@
-// Package machines is the adapter to the machine list, which speaks the
-// Prometheus HTTP service discovery format
-// (https://prometheus.io/docs/prometheus/latest/http_sd/). The list lags.
+// Package machines is the client for the platform's machine list, which uses the Prometheus
+// HTTP service discovery format (https://prometheus.io/docs/prometheus/latest/http_sd/). The
+// list is updated with a delay.
 package machines
 
 import (
@@ -15,15 +15,14 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Kind tells engines, nodes and workers apart.
+// Kind is the kind of a machine: engine, node or worker.
 type Kind string
 
 // The kinds.
 const (
 	KindEngine Kind = "engine"
 	KindNode   Kind = "node"
-	// KindWorker machines are workers of a service behind routes; the service is
-	// their pool.
+	// KindWorker is a worker of a service behind routes. Its pool is the service.
 	KindWorker Kind = "worker"
 )
 
@@ -38,7 +37,7 @@
 	stateLeaving = "leaving"
 )
 
-// Machine is one entry of the list.
+// Machine is a machine in the list.
 type Machine struct {
 	Kind    Kind
 	Name    string
@@ -48,7 +47,7 @@
 	Leaving bool
 }
 
-// targetGroup is an element of the list.
+// targetGroup is an element of the list as encoded.
 type targetGroup struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
@@ -70,7 +69,7 @@
 	return &Client{url: url, http: httpclient.New(requestTimeout)}
 }
 
-// List reads the list.
+// List fetches the list.
 func (c *Client) List(ctx context.Context) ([]Machine, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
@@ -91,8 +90,8 @@
 	return Parse(content)
 }
 
-// Parse reads a list. Entries without name or address are an error: a list read
-// in part would take machines for gone.
+// Parse decodes a list. An entry without name or address is an error for the whole list,
+// because leaving it out would make its machine look removed.
 func Parse(content []byte) ([]Machine, error) {
 	var groups []targetGroup
 	if err := json.Unmarshal(content, &groups); err != nil {
@@ -117,7 +116,7 @@
 	return list, nil
 }
 
-// Render writes a list in the same format.
+// Render encodes a list in the format that Parse reads.
 func Render(list []Machine) ([]byte, error) {
 	groups := make([]targetGroup, 0, len(list))
 	for _, machine := range list {
