--- a/internal/platform/objects/objects.go
+++ b/internal/platform/objects/objects.go
@@ -1,6 +1,6 @@
-// Package objects is the adapter to the object store, which speaks the S3 API
-// (Amazon S3 API Reference, version 2006-03-01). Objects are written once under
-// names that are never reused, so a repeated write is harmless.
+// Package objects is the client for the platform's object store, which has the S3 API (Amazon
+// S3 API Reference, version 2006-03-01). Each object is written under a name that is never used
+// for another, so repeating a write is harmless.
 package objects
 
 import (
@@ -21,10 +21,11 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// ErrNotFound means that there is no such object.
+// ErrNotFound means that there is no object with the name.
 var ErrNotFound = errors.New("objects: no such object")
 
-// Settings configure the adapter.
+// Settings configure a Client. RequestsPerSecond limits the rate of this node's requests.
+// Attempt limits the time of one try, Total that of all tries of a call together.
 type Settings struct {
 	Endpoint          string
 	Region            string
@@ -44,7 +45,7 @@
 	burst                    = 10
 )
 
-// Client is a connection to the object store.
+// Client reads and writes objects.
 type Client struct {
 	settings Settings
 	s3       *s3.Client
@@ -79,7 +80,7 @@
 	}
 }
 
-// Put stores an object.
+// Put writes an object.
 func (c *Client) Put(ctx context.Context, name string, content []byte) error {
 	_, err := retry(ctx, c, func(attempt context.Context) (*s3.PutObjectOutput, error) {
 		return c.s3.PutObject(attempt, &s3.PutObjectInput{
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// Get reads an object. It returns ErrNotFound when there is none.
+// Get reads an object. It returns ErrNotFound if there is none.
 func (c *Client) Get(ctx context.Context, name string) ([]byte, error) {
 	content, err := retry(ctx, c, func(attempt context.Context) ([]byte, error) {
 		output, err := c.s3.GetObject(attempt, &s3.GetObjectInput{Bucket: aws.String(c.settings.Bucket), Key: aws.String(name)})
