--- a/internal/platform/table/retry.go
+++ b/internal/platform/table/retry.go
@@ -11,18 +11,19 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// attemptError is the last failure of a call that was tried several times.
+// attemptError is the last error of a call that was tried several times.
 type attemptError struct {
 	cause error
-	// mayHaveApplied tells that one of the tries was sent and not answered.
+	// mayHaveApplied means that at least one try may have reached the service, without an
+	// answer that proves that it had no effect.
 	mayHaveApplied bool
 }
 
 func (e *attemptError) Error() string { return e.cause.Error() }
 func (e *attemptError) Unwrap() error { return e.cause }
 
-// retry tries a call until it is answered for good or its time is used up. Each
-// try waits for the rate limit.
+// retry repeats a call until it succeeds, fails with a final error, or Settings.Total is over.
+// Each try waits for the rate limiter.
 func retry[Output any](ctx context.Context, c *Client, call func(context.Context) (Output, error)) (Output, error) {
 	total, cancel := context.WithTimeout(ctx, c.settings.Total)
 	defer cancel()
@@ -50,7 +51,8 @@
 	return output, &attemptError{cause: err, mayHaveApplied: mayHaveApplied && !final(err)}
 }
 
-// final reports whether the service has answered for good.
+// final reports whether the error is the service's final answer, so that trying again can't
+// help.
 func final(err error) bool {
 	var cancelled *types.TransactionCanceledException
 	if errors.As(err, &cancelled) {
@@ -65,8 +67,8 @@
 	return errors.As(err, &api) && api.ErrorCode() == "ValidationException"
 }
 
-// notExecuted reports whether err proves that the call had no effect: it was
-// throttled, or the connection was never made.
+// notExecuted reports whether the error proves that the try had no effect, because it was
+// throttled, its transaction was cancelled, or no connection was made.
 func notExecuted(err error) bool {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
--- a/internal/platform/table/table.go
+++ b/internal/platform/table/table.go
@@ -1,7 +1,7 @@
-// Package table is the adapter to the transactional table service, which speaks
-// the DynamoDB JSON API (Amazon DynamoDB API Reference, version 2012-08-10). It
-// brings its own rate limit, deadlines and retries, and tells apart what was not
-// done from what may have been done.
+// Package table is the client for the platform's transactional table service, which has the
+// DynamoDB JSON API (Amazon DynamoDB API Reference, version 2012-08-10). It applies its own
+// rate limit, deadlines and retries, and its errors tell writes that had no effect from those
+// that may have had one.
 package table
 
 import (
@@ -21,22 +21,21 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Sentinel errors of the table.
+// Errors of the table that callers compare with.
 var (
-	// ErrConflict means that an item was not at the expected revision. Nothing
-	// was written.
+	// ErrConflict means that an item did not have the expected revision. Nothing was written.
 	ErrConflict = errors.New("table: an item is not at the expected revision")
-	// ErrNotFound means that there is no such item.
+	// ErrNotFound means that there is no item with the key.
 	ErrNotFound = errors.New("table: no such item")
 )
 
-// Key names an item.
+// Key identifies an item.
 type Key struct {
 	Partition string
 	Sort      string
 }
 
-// Item is a stored value with its revision, which rises with each write.
+// Item is a stored value with its revision, which increases with each write.
 type Item struct {
 	Key      Key
 	Revision uint64
@@ -46,11 +45,12 @@
 // Write is one conditional write of a transaction.
 type Write struct {
 	Item
-	// Expected is the revision that the stored item must have, zero for none.
+	// Expected is the revision that the stored item must have, or zero if there must be no such
+	// item.
 	Expected uint64
 }
 
-// Settings configure the adapter.
+// Settings configure a Client.
 type Settings struct {
 	Endpoint  string
 	Region    string
@@ -59,12 +59,12 @@
 	SecretKey string
 	// RequestsPerSecond is this node's share of the table's rate limit.
 	RequestsPerSecond float64
-	// Attempt bounds one try, Total all tries of one call together.
+	// Attempt limits the time of one try, Total that of all tries of a call together.
 	Attempt time.Duration
 	Total   time.Duration
 }
 
-// Default limits.
+// Defaults for settings that are zero, and the pauses between tries.
 const (
 	defaultRequestsPerSecond = 10
 	defaultAttempt           = 2 * time.Second
@@ -74,7 +74,7 @@
 	burst                    = 5
 )
 
-// Client is a connection to the table service.
+// Client reads and writes items of the table.
 type Client struct {
 	settings Settings
 	dynamo   *dynamodb.Client
@@ -114,7 +114,7 @@
 	attributeValue     = "val"
 )
 
-// Get reads one item, consistently. It returns ErrNotFound when there is none.
+// Get reads one item with strong consistency. It returns ErrNotFound if there is none.
 func (c *Client) Get(ctx context.Context, key Key) (Item, error) {
 	output, err := retry(ctx, c, func(attempt context.Context) (*dynamodb.GetItemOutput, error) {
 		return c.dynamo.GetItem(attempt, &dynamodb.GetItemInput{
@@ -132,8 +132,8 @@
 	return decodeItem(output.Item)
 }
 
-// Query reads the items of a partition with a sort key of at least from, in
-// order, at most limit of them.
+// Query reads at most limit items of a partition in the order of their sort keys, starting at
+// the sort key from.
 func (c *Client) Query(ctx context.Context, partition, from string, limit int) ([]Item, error) {
 	output, err := retry(ctx, c, func(attempt context.Context) (*dynamodb.QueryOutput, error) {
 		return c.dynamo.Query(attempt, &dynamodb.QueryInput{
@@ -161,11 +161,11 @@
 	return items, nil
 }
 
-// Transact makes all writes or none. The token makes repeated calls of the same
-// transaction take effect once, even after a lost answer (ClientRequestToken; the
-// service remembers it for ten minutes). The outcome is one of: nil; ErrConflict;
-// a TableUnavailable error, which proves that nothing was written; or an
-// ApplyUnknown error.
+// Transact makes all writes or none. Calls with the same token and writes take effect once,
+// even if the answer to one of them was lost (the service remembers its ClientRequestToken for
+// ten minutes). The result is nil, ErrConflict, a TableUnavailable error, which proves that
+// nothing was written, or an ApplyUnknown error. A token used before for other writes gives an
+// OperationMismatch error.
 func (c *Client) Transact(ctx context.Context, token string, writes []Write) error {
 	items := make([]types.TransactWriteItem, len(writes))
 	for i, write := range writes {
@@ -254,7 +254,7 @@
 	return result.Wrap(err, result.TableUnavailable, "the table service failed at "+format, arguments...)
 }
 
-// retryPolicy returns the pauses between tries.
+// retryPolicy returns the backoff between tries.
 func retryPolicy() *backoff.ExponentialBackOff {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval = firstRetryPause
