--- a/internal/cell/state_test.go
+++ b/internal/cell/state_test.go
@@ -100,7 +100,7 @@
 	b.enqueue(t, "a", "urgent")
 	placed := b.state.Dispatch(b.now)
 	if len(placed) != 1 || placed[0].Ticket.Version != "1" || placed[0].Ticket.Fence != 5 || placed[0].Ticket.Incarnation == "" {
-		t.Fatalf("placed %+v", placed)
+		t.Fatalf("placed %+v, want one attempt with version 1, fence 5 and an incarnation", placed)
 	}
 }
 
@@ -111,7 +111,7 @@
 	b.enqueue(t, "calm-1", "calm")
 	b.enqueue(t, "urgent-1", "urgent")
 	if placed := b.state.Dispatch(b.now); len(placed) != 0 {
-		t.Fatalf("a full engine got %v", placedAttempts(placed))
+		t.Fatalf("a full engine got attempts %v", placedAttempts(placed))
 	}
 	b.state.Report(Progress{Attempt: "running", Type: ProgressDone})
 	if placed := placedAttempts(b.state.Dispatch(b.now)); len(placed) != 1 || placed[0] != "urgent-1" {
@@ -126,7 +126,7 @@
 	b.enqueue(t, "b", "urgent")
 	placed := b.state.Dispatch(b.now)
 	if len(placed) != 1 || placed[0].Ticket.Engine != "e1" {
-		t.Errorf("placed %+v", placed)
+		t.Errorf("placed %+v, want one attempt on e1", placed)
 	}
 }
 
@@ -137,7 +137,7 @@
 	b.state.SetCatalog(snapshot(t, 2, func(c *tinarchv1.Catalog) { c.Models[0].DefaultVersion = "2" }))
 	b.enqueue(t, "meanwhile", "urgent")
 	if placed := b.state.Dispatch(b.now); len(placed) != 1 || placed[0].Ticket.Version != "1" {
-		t.Fatalf("a request during the change was placed as %+v", placed)
+		t.Fatalf("during the version change placed %+v, want one attempt with version 1", placed)
 	}
 	b.state.Report(Progress{Attempt: "meanwhile", Type: ProgressDone})
 	for range 3 {
@@ -154,7 +154,7 @@
 			}
 		}
 		if changing > 1 {
-			t.Fatalf("%d of 4 engines out at once, 25 %% are allowed", changing)
+			t.Fatalf("%d of 4 engines are out of service at once, 25 %% are allowed", changing)
 		}
 	}
 	b.converge()
@@ -162,7 +162,7 @@
 	b.converge()
 	for name, status := range b.statuses {
 		if status.Deployment.Version != "2" || status.Draining {
-			t.Errorf("%s ends as %+v", name, status)
+			t.Errorf("%s has status %+v, want version 2 and not draining", name, status)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	b := newFixture(t, 1)
 	_, err := b.state.Enqueue(b.now, PlaceRequest{Attempt: "a", Tenant: "t", Kind: "urgent", PromptTokens: 90_000, OutputTokens: 100, DeadlineMillis: 50})
 	if result.CodeOf(err) != result.DeadlineUnreachable || result.From(err).RetryAfterMillis == 0 {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want DeadlineUnreachable with a time to retry after", err)
 	}
 }
 
@@ -183,7 +183,7 @@
 	b.now = 59*time.Second + 990*time.Millisecond
 	refused := b.state.Expire(b.now)
 	if len(refused) != 1 || refused[0].Attempt != "late" || result.CodeOf(refused[0].Err) != result.DeadlineUnreachable {
-		t.Errorf("refused %+v", refused)
+		t.Errorf("refused %+v, want attempt late with DeadlineUnreachable", refused)
 	}
 }
 
@@ -198,7 +198,7 @@
 	}
 	b.enqueue(t, "next", "urgent")
 	if placed := b.state.Dispatch(b.now); len(placed) != 1 || placed[0].Ticket.Incarnation != "i2" {
-		t.Errorf("placed %+v", placed)
+		t.Errorf("placed %+v, want one attempt with incarnation i2", placed)
 	}
 }
 
@@ -214,7 +214,7 @@
 	}
 	b.converge()
 	if placed := b.state.Dispatch(b.now); len(placed) != 1 || placed[0].Ticket.Fence != 6 {
-		t.Errorf("placed %+v", placed)
+		t.Errorf("placed %+v, want one attempt with fence 6", placed)
 	}
 }
 
