--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -63,11 +63,11 @@
 		t.Fatal("nobody took over from the paused leader")
 	}
 	if after := fence(c, next); after <= before {
-		t.Errorf("fence %d after %d", after, before)
+		t.Errorf("the new leader's fence %d is not above %d", after, before)
 	}
 	old.Paused = false
 	if _, _, ok := old.Member.Propose(old.Clock(c.Now), []byte("stale")); ok {
-		t.Error("the woken leader accepted a command")
+		t.Error("the former leader accepted a command after its pause")
 	}
 	run(t, c, time.Second)
 }
@@ -90,12 +90,12 @@
 	c := newCluster(t, 3, replica.DefaultSettings())
 	old := c.Leader()
 	if !old.Member.HandOver(old.Clock(c.Now)) {
-		t.Fatal("no follower to hand over to")
+		t.Fatal("no follower to transfer the leadership to")
 	}
 	c.Collect(old)
 	run(t, c, 300*time.Millisecond)
 	if next := c.Leader(); next == nil || next == old {
-		t.Error("the lease was not taken over within a few round trips")
+		t.Error("no other member became leader within a few round trips")
 	}
 }
 
@@ -139,6 +139,6 @@
 	}
 	run(t, c, 5*time.Second)
 	if c.Leader() != nil || c.Committed() != committed {
-		t.Error("the sealed epoch went on")
+		t.Error("the sealed epoch elected a leader or committed a command")
 	}
 }
