--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -51,7 +51,7 @@
 		t.Error("an attempt that is not on record was replaced")
 	}
 	if right := apply(l, Command{Type: CommandReplace, Key: "k", Replaced: "a1", Attempt: "a2"}); !right.Granted {
-		t.Errorf("replace: %+v", right)
+		t.Errorf("replacing the recorded attempt: %+v", right)
 	}
 	if late := apply(l, Command{Type: CommandReplace, Key: "k", Replaced: "a1", Attempt: "a3"}); late.Granted {
 		t.Error("two gateways replaced the same attempt")
@@ -82,7 +82,7 @@
 	}
 	apply(l, Command{Type: CommandTick, Time: 1_000_000})
 	if l.Len() != 0 || len(l.expiry) != 0 {
-		t.Errorf("%d claims and %d seconds left", l.Len(), len(l.expiry))
+		t.Errorf("%d claims and %d seconds with expiring claims left", l.Len(), len(l.expiry))
 	}
 }
 
@@ -90,15 +90,15 @@
 	l := New()
 	apply(l, Command{Type: CommandForget, WindowMillis: 10_000, Time: 1000, WallTime: 5_000_000})
 	if old := apply(l, claimCommand("k", "a", 2000)); old.Error == nil || old.Error.Code != result.OutcomeUnknown {
-		t.Errorf("a key that may be old: %+v", old)
+		t.Errorf("claim of a key that may be old: %+v", old)
 	}
 	proved := claimCommand("new", "a", 2000)
 	proved.KeyTime = 5_000_000 + keyTimeMargin.Milliseconds()
 	if fresh := apply(l, proved); !fresh.Granted {
-		t.Errorf("a key that proves its time: %+v", fresh)
+		t.Errorf("claim of a key that proves its time: %+v", fresh)
 	}
 	if later := apply(l, claimCommand("k", "a", 11_001)); !later.Granted {
-		t.Errorf("after the window: %+v", later)
+		t.Errorf("claim after the window: %+v", later)
 	}
 }
 
