--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -32,11 +32,11 @@
 	table.Merge(2*time.Second, nodeUpdate("c", 1, Alive)) // c refutes
 	table.Tick(time.Second + table.settings.SuspectFor)
 	if stateOf(table, "b") != Dead || stateOf(table, "c") != Alive {
-		t.Errorf("b is %s, c is %s", stateOf(table, "b"), stateOf(table, "c"))
+		t.Errorf("b is %s, c is %s, want dead and alive", stateOf(table, "b"), stateOf(table, "c"))
 	}
 	table.Tick(time.Hour)
 	if _, known := table.Node("b"); known {
-		t.Error("the dead node is remembered for ever")
+		t.Error("the dead node was not removed")
 	}
 }
 
@@ -44,7 +44,7 @@
 	table := newTable("a")
 	table.Merge(0, nodeUpdate("a", 0, Suspect))
 	if self := table.Self(); self.Generation != 1 || self.State != Alive {
-		t.Errorf("self is %+v", self)
+		t.Errorf("self is %+v, want generation 1 and alive", self)
 	}
 }
 
@@ -53,13 +53,13 @@
 	table.Merge(0, nodeUpdate("b", 5, Alive))
 	table.Merge(0, nodeUpdate("b", 4, Dead))
 	if stateOf(table, "b") != Alive {
-		t.Error("news of an old generation was taken")
+		t.Error("a record of an older generation replaced a newer one")
 	}
 	restarted := Node{Name: "b", Incarnation: "new", Started: 2, State: Alive}
 	table.Merge(0, []Update{{Node: &restarted}})
 	table.Merge(0, nodeUpdate("b", 9, Dead))
 	if node, _ := table.Node("b"); node.Incarnation != "new" || node.State != Alive {
-		t.Errorf("news of the old incarnation was taken: %+v", node)
+		t.Errorf("a record of the old incarnation replaced that of the new one: %+v", node)
 	}
 }
 
@@ -67,10 +67,10 @@
 	table := newTable("a")
 	table.SetGroup(Group{ID: "g", Epoch: 2, Term: 1, Leader: "x"})
 	if table.SetGroup(Group{ID: "g", Epoch: 1, Term: 9, Leader: "y"}) {
-		t.Error("an older epoch was news")
+		t.Error("a record of an older epoch was accepted")
 	}
 	if group, _ := table.Group("g"); group.Leader != "x" {
-		t.Errorf("leader %s", group.Leader)
+		t.Errorf("leader is %s, want x", group.Leader)
 	}
 }
 
