--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -79,7 +79,7 @@
 	address := startServer(t, serveEcho)
 	client := newTestClient(t, "c")
 	if err := client.Call(context.Background(), address, "echo", echo{Text: "fail"}, nil); result.CodeOf(err) != result.QueueFull {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want QueueFull", err)
 	}
 	if err := client.Call(context.Background(), address, "none", echo{}, nil); result.CodeOf(err) != result.PeerProtocol {
 		t.Errorf("unknown method: %v", err)
@@ -93,7 +93,7 @@
 	address := startServer(t, serveEcho)
 	client := newTestClient(t, "other")
 	if err := client.Call(context.Background(), address, "echo", echo{}, nil); result.CodeOf(err) != result.PeerUnavailable {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want PeerUnavailable", err)
 	}
 }
 
@@ -114,7 +114,7 @@
 		cancel()
 	}()
 	if err := client.Call(ctx, address, "wait", echo{}, nil); result.CodeOf(err) != result.PeerUnavailable {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want PeerUnavailable", err)
 	}
 	<-ended
 }
@@ -132,7 +132,7 @@
 	}
 	var answer echo
 	if err := newTestClient(t, "c").Call(context.Background(), address, "echo", echo{Text: "x"}, &answer); err != nil {
-		t.Errorf("the server does not serve any more: %v", err)
+		t.Errorf("the server stopped serving: %v", err)
 	}
 }
 
