--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -47,7 +47,7 @@
 	status, err := r.engines.Status(lookCtx, ticket.Address)
 	ended := result.CodeOf(err) == result.NoEngine || err == nil && status.Incarnation != ticket.Incarnation
 	x.log.WithFields(logrus.Fields{"engine": ticket.Engine, "ended": ended, "fingerprint": x.fingerprint().String()}).
-		Info("engine looked at: an attempt was lost")
+		Info("engine probed after a lost attempt")
 	if !ended {
 		return
 	}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -167,7 +167,7 @@
 	}()
 	go func() {
 		if err := s.http.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			s.log.WithError(err).Error("the callers' port failed")
+			s.log.WithError(err).Error("the HTTP server for callers failed")
 		}
 	}()
 }
