--- a/internal/cell/engines.go
+++ b/internal/cell/engines.go
@@ -23,20 +23,20 @@
 	}
 	demands := s.snapshot.Demands(s.pool)
 	members := make([]fleet.Engine, 0, len(s.ordered))
-	for _, m := range s.ordered {
-		if m.machine.Leaving {
+	for _, e := range s.ordered {
+		if e.machine.Leaving {
 			continue
 		}
-		status, _ := m.control.LastStatus()
-		members = append(members, fleet.Engine{Name: m.machine.Name, Serving: status.Deployment, Assigned: m.desired.Deployment})
+		status, _ := e.control.LastStatus()
+		members = append(members, fleet.Engine{Name: e.machine.Name, Serving: status.Deployment, Assigned: e.desired.Deployment})
 	}
 	assigned := fleet.Assign(members, demands)
-	for _, m := range s.ordered {
-		target, ok := assigned[m.machine.Name]
+	for _, e := range s.ordered {
+		target, ok := assigned[e.machine.Name]
 		if !ok {
 			continue // leaving engines keep their deployment
 		}
-		m.desired = control.Desired{Deployment: target, SizeBytes: s.sizeOf(target), Drained: m.drained}
+		e.desired = control.Desired{Deployment: target, SizeBytes: s.sizeOf(target), Drained: e.drained}
 	}
 }
 
@@ -53,19 +53,19 @@
 	}
 	budget := s.changeBudget(now)
 	var instructions []Instruction
-	for _, m := range s.ordered {
-		if m.machine.Leaving {
+	for _, e := range s.ordered {
+		if e.machine.Leaving {
 			continue
 		}
-		mayChange := budget > 0 && s.mayLoad(now, m)
-		wasChanging := m.control.Changing()
-		order, send := m.control.NextOrder(now, m.desired, m.candidate.InFlight, mayChange)
-		if m.control.Changing() && !wasChanging {
+		mayChange := budget > 0 && s.mayLoad(now, e)
+		wasChanging := e.control.Changing()
+		order, send := e.control.NextOrder(now, e.desired, e.candidate.InFlight, mayChange)
+		if e.control.Changing() && !wasChanging {
 			budget--
-			s.scheduleNextLoad(now, m)
+			s.scheduleNextLoad(now, e)
 		}
 		if send {
-			instructions = append(instructions, Instruction{Engine: m.machine.Name, Address: m.machine.Address, Order: order})
+			instructions = append(instructions, Instruction{Engine: e.machine.Name, Address: e.machine.Address, Order: order})
 		}
 	}
 	return instructions
@@ -78,8 +78,8 @@
 func (s *State) changeBudget(now time.Duration) int {
 	limit := max(1, len(s.ordered)*catalog.MaxUnavailablePercent(s.snapshot.Pool(s.pool))/100)
 	unavailable := 0
-	for _, m := range s.ordered {
-		if m.control.Changing() || m.control.Lost(now) && m.listed {
+	for _, e := range s.ordered {
+		if e.control.Changing() || e.control.Lost(now) && e.listed {
 			unavailable++
 		}
 	}
@@ -92,8 +92,8 @@
 // servingNothing reports whether no engine serves a model of the pool, as when a cluster starts
 // for the first time.
 func (s *State) servingNothing() bool {
-	for _, m := range s.ordered {
-		status, seen := m.control.LastStatus()
+	for _, e := range s.ordered {
+		status, seen := e.control.LastStatus()
 		if seen && s.snapshot.ServedBy(status.Deployment.Model, s.pool) {
 			return false
 		}
@@ -103,36 +103,36 @@
 
 // mayLoad reports whether an engine may begin its change now: a change that loads weights waits
 // until the weight store has had time for the loads before it.
-func (s *State) mayLoad(now time.Duration, m *cellEngine) bool {
-	return now >= s.nextLoadAt || !m.control.NeedsLoad(m.desired)
+func (s *State) mayLoad(now time.Duration, e *cellEngine) bool {
+	return now >= s.nextLoadAt || !e.control.NeedsLoad(e.desired)
 }
 
-func (s *State) scheduleNextLoad(now time.Duration, m *cellEngine) {
-	if s.loadRate <= 0 || !m.control.NeedsLoad(m.desired) {
+func (s *State) scheduleNextLoad(now time.Duration, e *cellEngine) {
+	if s.loadRate <= 0 || !e.control.NeedsLoad(e.desired) {
 		return
 	}
-	seconds := float64(m.desired.SizeBytes) / s.loadRate
+	seconds := float64(e.desired.SizeBytes) / s.loadRate
 	s.nextLoadAt = max(now, s.nextLoadAt) + time.Duration(seconds*float64(time.Second))
 }
 
 // HandleOrderResult records an engine's answer to an order, or the error of sending it.
 func (s *State) HandleOrderResult(now time.Duration, instruction Instruction, status engine.Status, err error) {
-	m := s.engines[instruction.Engine]
-	if m == nil {
+	e := s.engines[instruction.Engine]
+	if e == nil {
 		return
 	}
 	if err == nil {
 		s.ObserveStatus(now, instruction.Engine, status)
 		return
 	}
-	m.control.HandleOrderResult(now, instruction.Order, status, err)
+	e.control.HandleOrderResult(now, instruction.Order, status, err)
 }
 
 // PollTargets lists the engines whose status is to be polled.
 func (s *State) PollTargets() []Machine {
 	targets := make([]Machine, 0, len(s.ordered))
-	for _, m := range s.ordered {
-		targets = append(targets, m.machine)
+	for _, e := range s.ordered {
+		targets = append(targets, e.machine)
 	}
 	return targets
 }
--- a/internal/cell/requests.go
+++ b/internal/cell/requests.go
@@ -101,9 +101,9 @@
 		return kind.Version
 	}
 	counts := map[string]int{}
-	for _, m := range s.ordered {
-		deployment := m.candidate.Deployment
-		usable := m.candidate.Availability == placement.Ready || m.candidate.Availability == placement.Unknown
+	for _, e := range s.ordered {
+		deployment := e.candidate.Deployment
+		usable := e.candidate.Availability == placement.Ready || e.candidate.Availability == placement.Unknown
 		if usable && deployment.Model == kind.Model && deployment.HasAdapter(kind.Adapter) {
 			counts[deployment.Version]++
 		}
@@ -150,8 +150,8 @@
 
 func (s *State) exclude(w *waiting) {
 	for _, name := range w.request.Excluded {
-		if m := s.engines[name]; m != nil {
-			w.target.Excluded |= 1 << m.candidate.Slot
+		if e := s.engines[name]; e != nil {
+			w.target.Excluded |= 1 << e.candidate.Slot
 		}
 	}
 }
@@ -284,11 +284,11 @@
 
 func (s *State) place(now time.Duration, w *waiting, decision placement.Decision) Placed {
 	candidate := decision.Candidate
-	m := s.slots[candidate.Slot]
+	e := s.slots[candidate.Slot]
 	uncached := w.target.PromptTokens - decision.CachedTokens
 	f := &flight{
 		attempt:   w.request.Attempt,
-		engine:    m,
+		engine:    e,
 		rank:      w.target.Rank,
 		pending:   uncached,
 		reserved:  w.target.PromptTokens + w.target.OutputTokens,
@@ -300,11 +300,11 @@
 	candidate.Backlog.Add(f.rank, f.pending)
 	candidate.ReservedTokens += f.reserved
 	s.index.RecordPlacement(now, candidate.Slot, w.target.Prefix)
-	status, _ := m.control.LastStatus()
+	status, _ := e.control.LastStatus()
 	return Placed{Attempt: f.attempt, Ticket: engine.Ticket{
 		Attempt:     f.attempt,
-		Engine:      m.machine.Name,
-		Address:     m.machine.Address,
+		Engine:      e.machine.Name,
+		Address:     e.machine.Address,
 		Incarnation: status.Incarnation,
 		Model:       w.target.Model,
 		Version:     w.target.Version,
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -144,8 +144,8 @@
 	}
 	s.snapshot = snapshot
 	running := catalog.MaxRunningPerEngine(snapshot.Pool(s.pool))
-	for _, m := range s.ordered {
-		m.candidate.MaxRunning = running
+	for _, e := range s.ordered {
+		e.candidate.MaxRunning = running
 	}
 	s.assign()
 }
@@ -154,16 +154,16 @@
 // cell.
 func (s *State) SetFence(fence engine.Fence) {
 	s.fence = fence
-	for _, m := range s.ordered {
-		m.control.SetFence(fence)
+	for _, e := range s.ordered {
+		e.control.SetFence(fence)
 	}
 }
 
 // ObserveMachines updates the cell's engines from the machine list. An engine that is no longer
 // listed is treated as leaving, and is removed once it has no attempts in flight.
 func (s *State) ObserveMachines(machines []Machine) {
-	for _, m := range s.ordered {
-		m.listed = false
+	for _, e := range s.ordered {
+		e.listed = false
 	}
 	for _, machine := range machines {
 		s.observeMachine(machine)
@@ -173,36 +173,36 @@
 }
 
 func (s *State) observeMachine(machine Machine) {
-	m := s.engines[machine.Name]
-	if m == nil {
+	e := s.engines[machine.Name]
+	if e == nil {
 		slot := s.freeSlot()
 		if slot < 0 {
 			return // cells are laid out with at most MaxEngines engines
 		}
-		m = &cellEngine{candidate: placement.Candidate{Slot: slot, Name: machine.Name, MaxRunning: catalog.MaxRunningPerEngine(nil)}}
+		e = &cellEngine{candidate: placement.Candidate{Slot: slot, Name: machine.Name, MaxRunning: catalog.MaxRunningPerEngine(nil)}}
 		if s.snapshot != nil {
-			m.candidate.MaxRunning = catalog.MaxRunningPerEngine(s.snapshot.Pool(s.pool))
+			e.candidate.MaxRunning = catalog.MaxRunningPerEngine(s.snapshot.Pool(s.pool))
 		}
-		m.control.SetFence(s.fence)
-		m.candidate.Rates = m.candidate.Rates.WithDefaults()
-		m.machine = machine
-		s.engines[machine.Name] = m
-		s.slots[slot] = m
-		s.ordered = append(s.ordered, m)
+		e.control.SetFence(s.fence)
+		e.candidate.Rates = e.candidate.Rates.WithDefaults()
+		e.machine = machine
+		s.engines[machine.Name] = e
+		s.slots[slot] = e
+		s.ordered = append(s.ordered, e)
 		slices.SortFunc(s.ordered, func(left, right *cellEngine) int { return cmp.Compare(left.machine.Name, right.machine.Name) })
 		s.rebuildCandidates()
 	}
-	if m.machine.Address != machine.Address {
-		s.index.RemoveEngine(m.candidate.Slot)
+	if e.machine.Address != machine.Address {
+		s.index.RemoveEngine(e.candidate.Slot)
 	}
-	m.machine = machine
-	m.listed = true
-	m.candidate.Zone = machine.Zone
+	e.machine = machine
+	e.listed = true
+	e.candidate.Zone = machine.Zone
 }
 
 func (s *State) freeSlot() int {
-	for slot, m := range s.slots {
-		if m == nil {
+	for slot, e := range s.slots {
+		if e == nil {
 			return slot
 		}
 	}
@@ -210,45 +210,45 @@
 }
 
 func (s *State) dropUnlisted() {
-	for _, m := range slices.Clone(s.ordered) {
-		if m.listed {
+	for _, e := range slices.Clone(s.ordered) {
+		if e.listed {
 			continue
 		}
-		m.machine.Leaving = true
-		if m.candidate.InFlight > 0 {
+		e.machine.Leaving = true
+		if e.candidate.InFlight > 0 {
 			continue
 		}
-		delete(s.engines, m.machine.Name)
-		s.slots[m.candidate.Slot] = nil
-		s.index.RemoveEngine(m.candidate.Slot)
-		s.ordered = slices.DeleteFunc(s.ordered, func(other *cellEngine) bool { return other == m })
+		delete(s.engines, e.machine.Name)
+		s.slots[e.candidate.Slot] = nil
+		s.index.RemoveEngine(e.candidate.Slot)
+		s.ordered = slices.DeleteFunc(s.ordered, func(other *cellEngine) bool { return other == e })
 		s.rebuildCandidates()
 	}
 }
 
 func (s *State) rebuildCandidates() {
 	s.candidates = s.candidates[:0]
-	for _, m := range s.ordered {
-		s.candidates = append(s.candidates, &m.candidate)
+	for _, e := range s.ordered {
+		s.candidates = append(s.candidates, &e.candidate)
 	}
 }
 
 // ObserveStatus records an engine's status report. A new incarnation of the engine ends all
 // attempts in flight on it and clears its prefix index.
 func (s *State) ObserveStatus(now time.Duration, name string, status engine.Status) {
-	m := s.engines[name]
-	if m == nil {
+	e := s.engines[name]
+	if e == nil {
 		return
 	}
-	previous, seen := m.control.LastStatus()
-	m.control.Observe(now, status)
+	previous, seen := e.control.LastStatus()
+	e.control.Observe(now, status)
 	if seen && previous.Incarnation != status.Incarnation {
-		s.dropFlights(m)
-		s.index.RemoveEngine(m.candidate.Slot)
+		s.dropFlights(e)
+		s.index.RemoveEngine(e.candidate.Slot)
 	}
-	s.updateFromReport(m, status)
+	s.updateFromReport(e, status)
 	if status.Running == 0 {
-		s.dropUnreportedFlights(now, m)
+		s.dropUnreportedFlights(now, e)
 	}
 	if !seen || !previous.Deployment.Serves(status.Deployment) {
 		s.assign()
@@ -258,10 +258,10 @@
 // updateFromReport takes deployment, speed and cache capacity from a status report. Reports of
 // any age are used for speed and capacity, since both change slowly. The report's queue lengths
 // are not used, because the cell's own counts are newer.
-func (s *State) updateFromReport(m *cellEngine, status engine.Status) {
-	m.candidate.Deployment = status.Deployment
+func (s *State) updateFromReport(e *cellEngine, status engine.Status) {
+	e.candidate.Deployment = status.Deployment
 	if status.Load.MemoryTotalTokens > 0 {
-		m.candidate.MemoryTokens = int(status.Load.MemoryTotalTokens)
+		e.candidate.MemoryTokens = int(status.Load.MemoryTotalTokens)
 	}
 	reported := placement.Rates{
 		PrefillTokensPerSecond: status.Load.PrefillTokensPerSecond,
@@ -269,23 +269,23 @@
 		MixedStep:              time.Duration(status.Load.MixedStepMillis * float64(time.Millisecond)),
 	}
 	if reported.PrefillTokensPerSecond > 0 && reported.DecodeStep > 0 {
-		m.candidate.Rates = reported.WithDefaults()
+		e.candidate.Rates = reported.WithDefaults()
 	}
 }
 
 // dropUnreportedFlights ends the flights of an idle engine whose gateways never reported the
 // end, once their tickets have expired and can't be dispatched any more.
-func (s *State) dropUnreportedFlights(now time.Duration, m *cellEngine) {
+func (s *State) dropUnreportedFlights(now time.Duration, e *cellEngine) {
 	for _, f := range s.flights {
-		if f.engine == m && now-f.placedAt > 2*TicketValidity {
+		if f.engine == e && now-f.placedAt > 2*TicketValidity {
 			s.endFlight(f)
 		}
 	}
 }
 
-func (s *State) dropFlights(m *cellEngine) {
+func (s *State) dropFlights(e *cellEngine) {
 	for _, f := range s.flights {
-		if f.engine == m {
+		if f.engine == e {
 			s.endFlight(f)
 		}
 	}
@@ -293,32 +293,32 @@
 
 // ObserveCacheEvents applies a page of an engine's cache events to the prefix index.
 func (s *State) ObserveCacheEvents(now time.Duration, name string, page engine.CacheEvents) {
-	if m := s.engines[name]; m != nil {
-		s.index.Apply(now, m.candidate.Slot, page)
+	if e := s.engines[name]; e != nil {
+		s.index.Apply(now, e.candidate.Slot, page)
 	}
 }
 
 // NextCacheEvent returns the sequence number of the first cache event still to be read from an
 // engine.
 func (s *State) NextCacheEvent(name string) uint64 {
-	m := s.engines[name]
-	if m == nil {
+	e := s.engines[name]
+	if e == nil {
 		return 0
 	}
-	status, _ := m.control.LastStatus()
-	return s.index.NextEvent(m.candidate.Slot, status.Incarnation)
+	status, _ := e.control.LastStatus()
+	return s.index.NextEvent(e.candidate.Slot, status.Incarnation)
 }
 
 // refreshAvailability recomputes the availability of all candidates.
 func (s *State) refreshAvailability(now time.Duration) {
-	for _, m := range s.ordered {
+	for _, e := range s.ordered {
 		if s.fence == 0 {
-			m.candidate.Availability = m.control.FollowerAvailability(now)
+			e.candidate.Availability = e.control.FollowerAvailability(now)
 		} else {
-			m.candidate.Availability = m.control.Availability(now, m.desired)
+			e.candidate.Availability = e.control.Availability(now, e.desired)
 		}
-		if m.machine.Leaving && m.candidate.Availability != placement.Lost {
-			m.candidate.Availability = placement.Leaving
+		if e.machine.Leaving && e.candidate.Availability != placement.Lost {
+			e.candidate.Availability = placement.Leaving
 		}
 	}
 }
@@ -327,25 +327,25 @@
 func (s *State) Engines(now time.Duration) []*tinarchv1.EngineStatus {
 	s.refreshAvailability(now)
 	list := make([]*tinarchv1.EngineStatus, 0, len(s.ordered))
-	for _, m := range s.ordered {
-		status, seen := m.control.LastStatus()
+	for _, e := range s.ordered {
+		status, seen := e.control.LastStatus()
 		description := &tinarchv1.EngineStatus{
-			Name:                m.machine.Name,
+			Name:                e.machine.Name,
 			Pool:                s.pool,
-			Zone:                m.machine.Zone,
-			Address:             m.machine.Address,
+			Zone:                e.machine.Zone,
+			Address:             e.machine.Address,
 			Incarnation:         string(status.Incarnation),
-			State:               m.candidate.Availability.String(),
+			State:               e.candidate.Availability.String(),
 			Role:                string(status.Deployment.Role),
-			InFlight:            uint32(m.candidate.InFlight),
-			PendingPromptTokens: uint64(m.candidate.Backlog.Total()),
-			LastError:           m.control.LastError(),
+			InFlight:            uint32(e.candidate.InFlight),
+			PendingPromptTokens: uint64(e.candidate.Backlog.Total()),
+			LastError:           e.control.LastError(),
 		}
 		if status.Deployment.Model != "" {
 			description.Model = catalog.VersionName(status.Deployment.Model, status.Deployment.Version)
 		}
 		if seen {
-			age := m.control.ReportAge(now).Milliseconds() + max(status.Load.AgeMillis, 0)
+			age := e.control.ReportAge(now).Milliseconds() + max(status.Load.AgeMillis, 0)
 			description.ReportAgeMs = uint64(max(age, 0))
 		}
 		list = append(list, description)
@@ -355,27 +355,27 @@
 
 // SetDrained sets the engines that operators have drained; all others are undrained.
 func (s *State) SetDrained(names []string) {
-	for _, m := range s.ordered {
-		m.drained = slices.Contains(names, m.machine.Name)
-		m.desired.Drained = m.drained
+	for _, e := range s.ordered {
+		e.drained = slices.Contains(names, e.machine.Name)
+		e.desired.Drained = e.drained
 	}
 }
 
 // EngineInFlight returns the number of attempts in flight on an engine.
 func (s *State) EngineInFlight(name string) (inFlight int, err error) {
-	m := s.engines[name]
-	if m == nil {
+	e := s.engines[name]
+	if e == nil {
 		return 0, result.New(result.NotFound, "cell %s has no engine %q; see `tinarch engines`", s.name, name)
 	}
-	return m.candidate.InFlight, nil
+	return e.candidate.InFlight, nil
 }
 
 // HighestFence returns the highest fencing token that any engine has seen. It can exceed this
 // leadership's token when an engine has moved here from another cell.
 func (s *State) HighestFence() engine.Fence {
 	highest := engine.Fence(0)
-	for _, m := range s.ordered {
-		status, _ := m.control.LastStatus()
+	for _, e := range s.ordered {
+		status, _ := e.control.LastStatus()
 		highest = max(highest, status.Fence)
 	}
 	return highest
--- a/internal/cell/state_test.go
+++ b/internal/cell/state_test.go
@@ -148,8 +148,8 @@
 			}
 		}
 		changing := 0
-		for _, m := range b.state.ordered {
-			if m.control.Changing() {
+		for _, e := range b.state.ordered {
+			if e.control.Changing() {
 				changing++
 			}
 		}
