--- a/internal/gateway/keyed.go
+++ b/internal/gateway/keyed.go
@@ -57,11 +57,11 @@
 
 // run joins the running execution of the exchange's key, or starts one.
 func (k *keyedRunner) run(ctx context.Context, x *exchange, target sink) outcome {
-	flight, fresh := k.join(x)
+	flight, isNew := k.join(x)
 	if flight.digest != x.digest() {
 		return outcome{err: result.New(result.KeyReused, "the idempotency key is in use for another request; use a new key")}
 	}
-	if fresh {
+	if isNew {
 		k.running.Add(1)
 		go func() {
 			defer k.running.Done()
@@ -71,7 +71,7 @@
 	return flight.recording.play(ctx, target)
 }
 
-func (k *keyedRunner) join(x *exchange) (flight *keyedExecution, fresh bool) {
+func (k *keyedRunner) join(x *exchange) (flight *keyedExecution, isNew bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if running := k.executions[x.key]; running != nil {
--- a/internal/gateway/runner.go
+++ b/internal/gateway/runner.go
@@ -110,15 +110,15 @@
 	fingerprint := x.fingerprint()
 	for try := 1; ; try++ {
 		if err := r.checkQuarantine(ctx, fingerprint); err != nil {
-			return outcome{err: neverFalselyNotRun(err, mayHaveRunBefore)}
+			return outcome{err: accountForEarlierAttempts(err, mayHaveRunBefore)}
 		}
 		placed, err := r.placer.place(ctx, x, attempt, excluded)
 		if err != nil {
-			return outcome{err: neverFalselyNotRun(err, mayHaveRunBefore)}
+			return outcome{err: accountForEarlierAttempts(err, mayHaveRunBefore)}
 		}
 		if err := guard.begin(ctx, placed, replaced); err != nil {
 			r.reporter.report(placed, cell.ProgressDone)
-			return outcome{err: neverFalselyNotRun(err, mayHaveRunBefore)}
+			return outcome{err: accountForEarlierAttempts(err, mayHaveRunBefore)}
 		}
 		usage, state, err := r.attempt(ctx, x, placed, target)
 		r.reporter.report(placed, cell.ProgressDone)
@@ -127,10 +127,10 @@
 			return outcome{usage: usage, engine: placed.ticket.Engine}
 		}
 		log := x.log.WithFields(logrus.Fields{"attempt": attempt, "engine": placed.ticket.Engine}).WithError(err)
-		fresh := target.restart()
-		if !r.shouldRetry(ctx, x, state, fresh, try) {
+		unseen := target.restart()
+		if !r.shouldRetry(ctx, x, state, unseen, try) {
 			log.Debug("attempt failed")
-			return outcome{engine: placed.ticket.Engine, err: neverFalselyNotRun(r.callerError(ctx, x, guard, attempt, state, fresh, err), mayHaveRunBefore)}
+			return outcome{engine: placed.ticket.Engine, err: accountForEarlierAttempts(r.callerError(ctx, x, guard, attempt, state, unseen, err), mayHaveRunBefore)}
 		}
 		mayHaveRunBefore = mayHaveRunBefore || state == mayHaveRun
 		log.Info("attempt failed; placing the request again")
@@ -143,9 +143,9 @@
 	}
 }
 
-// neverFalselyNotRun replaces an error that says that the request did not run, if an earlier
+// accountForEarlierAttempts replaces an error that says that the request did not run, if an earlier
 // attempt may have run.
-func neverFalselyNotRun(err error, mayHaveRunBefore bool) error {
+func accountForEarlierAttempts(err error, mayHaveRunBefore bool) error {
 	failure := result.From(err)
 	if !mayHaveRunBefore || failure.Code.Entry().Outcome != result.DidNotRun {
 		return failure
@@ -158,8 +158,8 @@
 
 // shouldRetry decides whether another attempt follows a failed one. fresh means that no caller
 // has seen any of its events.
-func (r *runner) shouldRetry(ctx context.Context, x *exchange, state attemptState, fresh bool, try int) bool {
-	if ctx.Err() != nil || !fresh || try >= maxAttempts || time.Now().After(x.deadline) {
+func (r *runner) shouldRetry(ctx context.Context, x *exchange, state attemptState, unseen bool, try int) bool {
+	if ctx.Err() != nil || !unseen || try >= maxAttempts || time.Now().After(x.deadline) {
 		return false
 	}
 	switch state {
@@ -172,7 +172,7 @@
 }
 
 // callerError converts the failure of the last attempt into the error that the caller gets.
-func (r *runner) callerError(ctx context.Context, x *exchange, guard claims, attempt engine.Identifier, state attemptState, fresh bool, err error) error {
+func (r *runner) callerError(ctx context.Context, x *exchange, guard claims, attempt engine.Identifier, state attemptState, unseen bool, err error) error {
 	failure := result.From(err)
 	switch {
 	case state == finished:
@@ -183,7 +183,7 @@
 		return failure
 	case failure.Code == result.DeadlineExceeded && x.kind.Repeatable:
 		return failure
-	case x.kind.Repeatable && !fresh:
+	case x.kind.Repeatable && !unseen:
 		return result.New(result.AnswerCut, "the answer broke off: %s", failure.Message)
 	}
 	if streamIsGone(err) {
