--- a/internal/group/manager.go
+++ b/internal/group/manager.go
@@ -41,9 +41,9 @@
 	stateLossCommand func(groupID string) ([]byte, error)
 
 	mu sync.Mutex
-	// since holds for each group why its members should change and since when this node has
+	// pending holds for each group why its members should change and pending when this node has
 	// seen that.
-	since map[string]need
+	pending map[string]pendingChange
 }
 
 // reason is why a group's members should change.
@@ -62,7 +62,7 @@
 	reasonZones
 )
 
-type need struct {
+type pendingChange struct {
 	reason reason
 	since  time.Time
 }
@@ -85,7 +85,7 @@
 	stateLossCommand func(string) ([]byte, error)) *Manager {
 	return &Manager{
 		self: self, host: host, records: records{tableClient}, client: client, cluster: cluster, log: log,
-		stateLossCommand: stateLossCommand, since: map[string]need{},
+		stateLossCommand: stateLossCommand, pending: map[string]pendingChange{},
 	}
 }
 
@@ -139,7 +139,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.since, id)
+	delete(m.pending, id)
 }
 
 // catchUp reads the table when another node knows a later epoch than the one that this node
@@ -246,12 +246,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if found == reasonNone {
-		delete(m.since, id)
+		delete(m.pending, id)
 		return false
 	}
-	known, exists := m.since[id]
+	known, exists := m.pending[id]
 	if !exists || known.reason != found {
-		m.since[id] = need{reason: found, since: time.Now()}
+		m.pending[id] = pendingChange{reason: found, since: time.Now()}
 		return false
 	}
 	return time.Since(known.since) >= delay
