--- a/internal/group/manager.go
+++ b/internal/group/manager.go
@@ -41,8 +41,7 @@
 	stateLossCommand func(groupID string) ([]byte, error)
 
 	mu sync.Mutex
-	// pending holds for each group why its members should change and pending when this node has
-	// seen that.
+	// pending holds the reason for a change that this node has seen last, by group.
 	pending map[string]pendingChange
 }
 
@@ -62,6 +61,7 @@
 	reasonZones
 )
 
+// pendingChange is why a group's members should change, and since when this node has seen that.
 type pendingChange struct {
 	reason reason
 	since  time.Time
@@ -71,13 +71,18 @@
 // have lasted before this node acts on it. delayPerRank makes nodes act one after the other in
 // the group's rendezvous order, so that usually only one acts.
 const (
-	checkEvery    = 250 * time.Millisecond
-	delayNew      = 200 * time.Millisecond
-	delayMissing  = 2 * time.Second
+	checkEvery = 250 * time.Millisecond
+	// delayNew applies where no node knows of the group.
+	delayNew = 200 * time.Millisecond
+	// delayMissing applies at a member that knows no leader, or that has been sealed.
+	delayMissing = 2 * time.Second
+	// delayOutsider applies at other nodes, when the last known leader is lost.
 	delayOutsider = 5 * time.Second
-	delayLost     = 2 * time.Second
-	delayZones    = 20 * time.Second
-	delayPerRank  = 1000 * time.Millisecond
+	// delayLost applies when members are lost, or fewer than there could be.
+	delayLost = 2 * time.Second
+	// delayZones applies when the members could be in more zones.
+	delayZones   = 20 * time.Second
+	delayPerRank = 1000 * time.Millisecond
 )
 
 // NewManager returns the manager of a node's groups.
