--- a/internal/cell/requests.go
+++ b/internal/cell/requests.go
@@ -158,6 +158,7 @@
 
 // capacity is what the cell's engines can do for one request.
 type capacity struct {
+	// engines is the number of engines that could serve the request.
 	engines int
 	// service is the time from dispatch to the end of the answer on the engine that would be
 	// fastest if idle.
