--- a/internal/cell/engines.go
+++ b/internal/cell/engines.go
@@ -9,34 +9,34 @@
 	"github.com/tinarch/tinarch/internal/fleet"
 )
 
-// Instruction is an order to send to an engine.
+// Instruction is an order with the engine to send it to.
 type Instruction struct {
 	Engine  string
 	Address string
 	Order   engine.Order
 }
 
-// assign decides what each engine should serve.
+// assign decides which deployment each engine should serve.
 func (s *State) assign() {
 	if s.snapshot == nil {
 		return
 	}
 	demands := s.snapshot.Demands(s.pool)
-	members := make([]fleet.Engine, 0, len(s.order))
-	for _, m := range s.order {
-		if m.machine.Leaving {
+	members := make([]fleet.Engine, 0, len(s.ordered))
+	for _, e := range s.ordered {
+		if e.machine.Leaving {
 			continue
 		}
-		status, _ := m.control.LastStatus()
-		members = append(members, fleet.Engine{Name: m.machine.Name, Serving: status.Deployment, Assigned: m.desired.Deployment})
+		status, _ := e.control.LastStatus()
+		members = append(members, fleet.Engine{Name: e.machine.Name, Serving: status.Deployment, Assigned: e.desired.Deployment})
 	}
 	assigned := fleet.Assign(members, demands)
-	for _, m := range s.order {
-		target, ok := assigned[m.machine.Name]
+	for _, e := range s.ordered {
+		target, ok := assigned[e.machine.Name]
 		if !ok {
-			continue // leaving engines keep what they have
+			continue // leaving engines keep their deployment
 		}
-		m.desired = control.Desired{Deployment: target, SizeBytes: s.sizeOf(target), Drained: m.drained}
+		e.desired = control.Desired{Deployment: target, SizeBytes: s.sizeOf(target), Drained: e.drained}
 	}
 }
 
@@ -45,53 +45,55 @@
 	return version.GetSizeBytes() + s.snapshot.AdapterBytes(target.Adapters)
 }
 
-// Reconcile returns the orders to send now. The caller checks its authority
-// again before each leaves, and feeds the outcome to Answered.
+// Reconcile returns the orders to send now. The caller must check its lease again before it
+// sends each of them, and pass the result to HandleOrderResult.
 func (s *State) Reconcile(now time.Duration) []Instruction {
 	if s.snapshot == nil || s.fence == 0 {
 		return nil
 	}
 	budget := s.changeBudget(now)
 	var instructions []Instruction
-	for _, m := range s.order {
-		if m.machine.Leaving {
+	for _, e := range s.ordered {
+		if e.machine.Leaving {
 			continue
 		}
-		mayChange := budget > 0 && s.mayLoad(now, m)
-		wasChanging := m.control.Changing()
-		order, send := m.control.NextOrder(now, m.desired, m.candidate.InFlight, mayChange)
-		if m.control.Changing() && !wasChanging {
+		mayChange := budget > 0 && s.mayLoad(now, e)
+		wasChanging := e.control.Changing()
+		order, send := e.control.NextOrder(now, e.desired, e.candidate.InFlight, mayChange)
+		if e.control.Changing() && !wasChanging {
 			budget--
-			s.spaceLoads(now, m)
+			s.scheduleNextLoad(now, e)
 		}
 		if send {
-			instructions = append(instructions, Instruction{Engine: m.machine.Name, Address: m.machine.Address, Order: order})
+			instructions = append(instructions, Instruction{Engine: e.machine.Name, Address: e.machine.Address, Order: order})
 		}
 	}
 	return instructions
 }
 
-// changeBudget returns how many more engines may begin a planned change. An
-// engine that serves nothing of use is no loss, but the limit on loads applies.
+// changeBudget returns how many more engines may begin a planned change, so that at most the
+// pool's MaxUnavailablePercent of the engines are out of service at once. While no engine
+// serves a model of the pool there is no service to protect, and all may change; loads are
+// still spaced by the weight store's rate.
 func (s *State) changeBudget(now time.Duration) int {
-	limit := max(1, len(s.order)*catalog.MaxUnavailablePercent(s.snapshot.Pool(s.pool))/100)
-	out := 0
-	for _, m := range s.order {
-		if m.control.Changing() || m.control.Lost(now) && m.listed {
-			out++
+	limit := max(1, len(s.ordered)*catalog.MaxUnavailablePercent(s.snapshot.Pool(s.pool))/100)
+	unavailable := 0
+	for _, e := range s.ordered {
+		if e.control.Changing() || e.control.Lost(now) && e.listed {
+			unavailable++
 		}
 	}
 	if s.servingNothing() {
-		return len(s.order)
+		return len(s.ordered)
 	}
-	return limit - out
+	return limit - unavailable
 }
 
-// servingNothing reports that no engine serves a model of the pool, as at a first
-// start: then there is no service to protect.
+// servingNothing reports whether no engine serves a model of the pool, as when a cluster starts
+// for the first time.
 func (s *State) servingNothing() bool {
-	for _, m := range s.order {
-		status, seen := m.control.LastStatus()
+	for _, e := range s.ordered {
+		status, seen := e.control.LastStatus()
 		if seen && s.snapshot.ServedBy(status.Deployment.Model, s.pool) {
 			return false
 		}
@@ -99,37 +101,38 @@
 	return true
 }
 
-// mayLoad spaces loads by the weight store's rate.
-func (s *State) mayLoad(now time.Duration, m *member) bool {
-	return now >= s.nextLoadAt || !m.control.NeedsLoad(m.desired)
+// mayLoad reports whether an engine may begin its change now: a change that loads weights waits
+// until the weight store has had time for the loads before it.
+func (s *State) mayLoad(now time.Duration, e *cellEngine) bool {
+	return now >= s.nextLoadAt || !e.control.NeedsLoad(e.desired)
 }
 
-func (s *State) spaceLoads(now time.Duration, m *member) {
-	if s.loadRate <= 0 || !m.control.NeedsLoad(m.desired) {
+func (s *State) scheduleNextLoad(now time.Duration, e *cellEngine) {
+	if s.loadRate <= 0 || !e.control.NeedsLoad(e.desired) {
 		return
 	}
-	seconds := float64(m.desired.SizeBytes) / s.loadRate
+	seconds := float64(e.desired.SizeBytes) / s.loadRate
 	s.nextLoadAt = max(now, s.nextLoadAt) + time.Duration(seconds*float64(time.Second))
 }
 
-// HandleOrderResult takes the outcome of an order.
+// HandleOrderResult records an engine's answer to an order, or the error of sending it.
 func (s *State) HandleOrderResult(now time.Duration, instruction Instruction, status engine.Status, err error) {
-	m := s.members[instruction.Engine]
-	if m == nil {
+	e := s.engines[instruction.Engine]
+	if e == nil {
 		return
 	}
 	if err == nil {
 		s.ObserveStatus(now, instruction.Engine, status)
 		return
 	}
-	m.control.HandleOrderResult(now, instruction.Order, status, err)
+	e.control.HandleOrderResult(now, instruction.Order, status, err)
 }
 
-// PollTargets lists the engines to ask for their status.
+// PollTargets lists the engines whose status is to be polled.
 func (s *State) PollTargets() []Machine {
-	targets := make([]Machine, 0, len(s.order))
-	for _, m := range s.order {
-		targets = append(targets, m.machine)
+	targets := make([]Machine, 0, len(s.ordered))
+	for _, e := range s.ordered {
+		targets = append(targets, e.machine)
 	}
 	return targets
 }
--- a/internal/cell/requests.go
+++ b/internal/cell/requests.go
@@ -15,8 +15,8 @@
 	tinarchv1 "github.com/tinarch/tinarch/api/tinarch/v1"
 )
 
-// Enqueue admits a request or refuses it at once. Requests of lower classes
-// that had to make room are returned as shed.
+// Enqueue admits a request or refuses it at once. shed holds requests of lower classes that
+// were removed from a full queue to make room.
 func (s *State) Enqueue(now time.Duration, request PlaceRequest) (shed []Refused, err error) {
 	if s.snapshot == nil {
 		return nil, result.New(result.NotConfigured, "cell %s has no configuration yet", s.name)
@@ -28,7 +28,7 @@
 	if _, twice := s.waiting[request.Attempt]; twice {
 		return nil, result.New(result.InvalidRequest, "attempt %s waits already", request.Attempt)
 	}
-	s.refresh(now)
+	s.refreshAvailability(now)
 	class := s.snapshot.ClassOf(tenant, kind)
 	w := s.newWaiting(now, request, kind, class)
 	s.exclude(w)
@@ -57,7 +57,8 @@
 	return s.push(w, capacity)
 }
 
-// newWaiting describes a request that is to wait in the lane of its version.
+// newWaiting builds the queue entry of a request, for the lane of the version that serves it
+// now.
 func (s *State) newWaiting(now time.Duration, request PlaceRequest, kind *catalog.Kind, class *tinarchv1.PriorityClass) *waiting {
 	version := s.versionFor(kind)
 	return &waiting{
@@ -77,7 +78,8 @@
 	}
 }
 
-// charge takes a request's tokens from its tenant's rates, once for all attempts.
+// charge takes a request's tokens from its tenant's rate limits. Only the first attempt of a
+// request is charged.
 func (s *State) charge(now time.Duration, request PlaceRequest, tenant *tinarchv1.Tenant) error {
 	if request.Retry {
 		return nil
@@ -90,18 +92,18 @@
 	return s.limiter.Take(now, request.Tenant, limits, request.PromptTokens, request.OutputTokens)
 }
 
-// versionFor returns the version that serves a request of a kind now. While a new
-// default version is being loaded, engine after engine, requests go to the version
-// that more engines serve, so that the change costs no request. A kind that names
-// its version gets no other.
+// versionFor returns the model version that should serve a request of a kind now. While engines
+// load a new default version one after the other, requests go to the version that most engines
+// serve, so that no request fails because of the change. A kind that names its version always
+// gets that version.
 func (s *State) versionFor(kind *catalog.Kind) string {
 	if kind.Pinned {
 		return kind.Version
 	}
 	counts := map[string]int{}
-	for _, m := range s.order {
-		deployment := m.candidate.Deployment
-		usable := m.candidate.Availability == placement.Ready || m.candidate.Availability == placement.Unknown
+	for _, e := range s.ordered {
+		deployment := e.candidate.Deployment
+		usable := e.candidate.Availability == placement.Ready || e.candidate.Availability == placement.Unknown
 		if usable && deployment.Model == kind.Model && deployment.HasAdapter(kind.Adapter) {
 			counts[deployment.Version]++
 		}
@@ -148,19 +150,21 @@
 
 func (s *State) exclude(w *waiting) {
 	for _, name := range w.request.Excluded {
-		if m := s.members[name]; m != nil {
-			w.target.Excluded |= 1 << m.candidate.Slot
+		if e := s.engines[name]; e != nil {
+			w.target.Excluded |= 1 << e.candidate.Slot
 		}
 	}
 }
 
-// capacity is what the cell can do for one request.
+// capacity is what the cell's engines can do for one request.
 type capacity struct {
+	// engines is the number of engines that could serve the request.
 	engines int
-	// service is the time from dispatch to the end of the answer on the engine
-	// that would be fastest were it idle.
+	// service is the time from dispatch to the end of the answer on the engine that would be
+	// fastest if idle.
 	service time.Duration
-	// cost is the share of an engine's time that the request takes.
+	// cost is the engine time that the request takes, its decode time shared by decodeBatch
+	// sequences.
 	cost time.Duration
 }
 
@@ -169,7 +173,7 @@
 	var matches placement.Matches
 	s.index.Match(w.target.Prefix, ^uint64(0), &matches)
 	for _, candidate := range s.candidates {
-		// An unknown engine answers, and waits to be claimed by a new leader.
+		// Unknown engines count too: they answer, and a new leader will claim them soon.
 		usable := candidate.Availability == placement.Ready || candidate.Availability == placement.Unknown
 		if !usable || !(placement.Serves{}).Keep(&w.target, candidate, &matches) {
 			continue
@@ -186,8 +190,8 @@
 	return found
 }
 
-// checkDeadline refuses at once what can't be answered in time: waiting would
-// only make the refusal later.
+// checkDeadline refuses a request that can't be answered before its deadline, so that its
+// caller doesn't wait for a refusal that is certain.
 func (s *State) checkDeadline(now time.Duration, w *waiting, capacity capacity) error {
 	wait := w.lane.queue.EstimateWait(w.item, float64(capacity.engines))
 	excess := now + wait + capacity.service - w.deadline
@@ -199,10 +203,10 @@
 		WithRetryAfter(max(excess, minimumRetry))
 }
 
-// Dispatch places waiting requests while engines have room. The caller checks
-// its authority again before the tickets leave.
+// Dispatch places waiting requests while engines have capacity. The caller must check its lease
+// again before it hands out the tickets.
 func (s *State) Dispatch(now time.Duration) []Placed {
-	s.refresh(now)
+	s.refreshAvailability(now)
 	var placed []Placed
 	for _, key := range s.laneOrder() {
 		l := s.lanes[key]
@@ -212,11 +216,11 @@
 				break
 			}
 			w := s.waiting[engine.Identifier(item.ID)]
-			decision, err := s.cycle.Place(&w.target, s.candidates)
+			decision, err := s.pipeline.Place(&w.target, s.candidates)
 			if err != nil {
 				if result.CodeOf(err) == result.RetriesExhausted && w.target.Excluded != 0 {
-					// Every engine refused once: allow them again rather than
-					// hold up the lane.
+					// Every engine has refused the request once: allow them again rather than
+					// block the lane.
 					w.target.Excluded = 0
 					continue
 				}
@@ -233,14 +237,14 @@
 	return placed
 }
 
-// retarget moves requests that wait for a version which no engine serves any more
-// to the one that has taken its place.
+// retarget moves requests from a lane whose version no engine serves any more to the version
+// that serves them now.
 func (s *State) retarget(l *lane) {
 	for _, attempt := range s.waitingIn(l) {
 		w := s.waiting[attempt]
 		_, kind, err := s.snapshot.Resolve(w.request.Tenant, w.request.Kind)
 		if err != nil {
-			continue // it expires
+			continue // the request stays queued until it expires
 		}
 		version := s.versionFor(kind)
 		if version == w.target.Version || kind.Model != w.target.Model {
@@ -256,7 +260,7 @@
 	}
 }
 
-// waitingIn returns the attempts that wait in a lane, in order.
+// waitingIn returns the attempts that wait in a lane, sorted by identifier.
 func (s *State) waitingIn(l *lane) []engine.Identifier {
 	var attempts []engine.Identifier
 	for attempt, w := range s.waiting {
@@ -281,27 +285,27 @@
 
 func (s *State) place(now time.Duration, w *waiting, decision placement.Decision) Placed {
 	candidate := decision.Candidate
-	m := s.slots[candidate.Slot]
+	e := s.slots[candidate.Slot]
 	uncached := w.target.PromptTokens - decision.CachedTokens
 	f := &flight{
-		attempt:  w.request.Attempt,
-		member:   m,
-		rank:     w.target.Rank,
-		pending:  uncached,
-		reserved: w.target.PromptTokens + w.target.OutputTokens,
-		placedAt: now,
-		lapsesAt: w.deadline + flightGrace,
+		attempt:   w.request.Attempt,
+		engine:    e,
+		rank:      w.target.Rank,
+		pending:   uncached,
+		reserved:  w.target.PromptTokens + w.target.OutputTokens,
+		placedAt:  now,
+		expiresAt: w.deadline + flightGrace,
 	}
 	s.flights[f.attempt] = f
 	candidate.InFlight++
 	candidate.Backlog.Add(f.rank, f.pending)
 	candidate.ReservedTokens += f.reserved
 	s.index.RecordPlacement(now, candidate.Slot, w.target.Prefix)
-	status, _ := m.control.LastStatus()
+	status, _ := e.control.LastStatus()
 	return Placed{Attempt: f.attempt, Ticket: engine.Ticket{
 		Attempt:     f.attempt,
-		Engine:      m.machine.Name,
-		Address:     m.machine.Address,
+		Engine:      e.machine.Name,
+		Address:     e.machine.Address,
 		Incarnation: status.Incarnation,
 		Model:       w.target.Model,
 		Version:     w.target.Version,
@@ -313,30 +317,30 @@
 	}}
 }
 
-// Report takes a gateway's news of an attempt. News of an unknown attempt is
-// ignored: it is late.
+// Report applies a gateway's progress report. Reports about attempts that are not in flight
+// come late and are ignored.
 func (s *State) Report(progress Progress) {
 	f := s.flights[progress.Attempt]
 	if f == nil {
 		return
 	}
-	f.member.candidate.Backlog.Add(f.rank, -f.pending)
+	f.engine.candidate.Backlog.Add(f.rank, -f.pending)
 	f.pending = 0
 	if progress.Type == ProgressDone {
-		s.land(f)
+		s.endFlight(f)
 	}
 }
 
-// land ends a flight.
-func (s *State) land(f *flight) {
+// endFlight removes a flight and releases what it has reserved on its engine.
+func (s *State) endFlight(f *flight) {
 	delete(s.flights, f.attempt)
-	f.member.candidate.InFlight--
-	f.member.candidate.Backlog.Add(f.rank, -f.pending)
-	f.member.candidate.ReservedTokens -= f.reserved
+	f.engine.candidate.InFlight--
+	f.engine.candidate.Backlog.Add(f.rank, -f.pending)
+	f.engine.candidate.ReservedTokens -= f.reserved
 }
 
-// Cancel removes a waiting request whose caller has left. It reports whether the
-// request was still waiting.
+// Cancel removes a waiting request whose caller has left. It reports whether the request was
+// still waiting.
 func (s *State) Cancel(attempt engine.Identifier) bool {
 	w := s.waiting[attempt]
 	if w == nil {
@@ -347,8 +351,8 @@
 	return true
 }
 
-// Expire gives up requests that can't be answered in time any more, and flights
-// without news for long.
+// Expire refuses waiting requests that can't be answered before their deadline any more, and
+// ends flights that have not been reported on for too long.
 func (s *State) Expire(now time.Duration) []Refused {
 	refused := s.displaced
 	s.displaced = nil
@@ -361,15 +365,15 @@
 		}
 	}
 	for _, f := range s.flights {
-		if now > f.lapsesAt {
-			s.land(f)
+		if now > f.expiresAt {
+			s.endFlight(f)
 		}
 	}
 	s.limiter.EvictIdle(now)
 	return refused
 }
 
-// RefuseAll gives up every waiting request, for instance when leadership ends.
+// RefuseAll refuses every waiting request, for instance when leadership ends.
 func (s *State) RefuseAll(code result.Code, message string) []Refused {
 	var refused []Refused
 	for attempt, w := range s.waiting {
--- a/internal/cell/service.go
+++ b/internal/cell/service.go
@@ -15,20 +15,20 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Catalog is where a cell gets its configuration from.
+// Catalog provides a cell's configuration.
 type Catalog interface {
 	Current() *catalog.Snapshot
 	WaitFor(ctx context.Context, revision uint64) error
 }
 
-// Engines is how a cell talks to its engines.
+// Engines is the client for the engines' control API.
 type Engines interface {
 	Status(ctx context.Context, address string) (engine.Status, error)
 	Order(ctx context.Context, address string, order engine.Order) (engine.Status, error)
 	CacheEvents(ctx context.Context, address string, from uint64) (engine.CacheEvents, error)
 }
 
-// The periods of a cell's work.
+// Periods of a cell's background work, and timeouts of its calls.
 const (
 	statusEvery         = time.Second
 	statusEveryFollower = 2 * time.Second
@@ -40,61 +40,63 @@
 	revisionWait        = 500 * time.Millisecond
 )
 
-// decision ends the wait of a request.
-type decision struct {
+// placeResult is the outcome of a placement request: a ticket or an error.
+type placeResult struct {
 	ticket engine.Ticket
 	err    error
 }
 
-// Service drives a cell on one of its group's members. It implements
-// group.StateMachine and group.Leadership.
+// Service runs a cell on one member of its replica group: it polls engines, sends them orders
+// and answers placement requests. It implements group.StateMachine and
+// group.LeadershipListener.
 type Service struct {
 	*registry
-	name    string
-	catalog Catalog
-	engines Engines
-	handle  func() *group.Replica
-	log     logrus.FieldLogger
-	origin  time.Time
+	name         string
+	catalog      Catalog
+	engines      Engines
+	localReplica func() *group.Replica
+	log          logrus.FieldLogger
+	origin       time.Time
 
 	mu      sync.Mutex
 	state   *State
 	leading engine.Fence
-	results map[engine.Identifier]chan decision
-	// ordering marks engines to which an order is on its way.
-	ordering map[string]bool
+	results map[engine.Identifier]chan placeResult
+	// ordersInFlight marks the engines to which an order has been sent whose answer has not
+	// arrived.
+	ordersInFlight map[string]bool
 
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
-// NewService starts the service of a cell. handle returns the group's member on
-// this node.
-func NewService(options Options, source Catalog, engines Engines, handle func() *group.Replica, log logrus.FieldLogger) *Service {
+// NewService starts the service of a cell. localReplica returns this node's member of the
+// cell's group, nil when there is none.
+func NewService(options Options, source Catalog, engines Engines, localReplica func() *group.Replica, log logrus.FieldLogger) *Service {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Service{
-		registry: newRegistry(),
-		name:     options.Name,
-		catalog:  source,
-		engines:  engines,
-		handle:   handle,
-		log:      log.WithField("cell", options.Name),
-		origin:   time.Now(),
-		state:    NewState(options),
-		results:  map[engine.Identifier]chan decision{},
-		ordering: map[string]bool{},
-		stop:     cancel,
+		registry:       newRegistry(),
+		name:           options.Name,
+		catalog:        source,
+		engines:        engines,
+		localReplica:   localReplica,
+		log:            log.WithField("cell", options.Name),
+		origin:         time.Now(),
+		state:          NewState(options),
+		results:        map[engine.Identifier]chan placeResult{},
+		ordersInFlight: map[string]bool{},
+		stop:           cancel,
 	}
 	s.state.SetCatalog(source.Current())
-	s.every(ctx, expireEvery, s.expire)
-	s.every(ctx, reconcileEvery, s.reconcile)
-	s.every(ctx, statusEvery, s.pollStatus)
-	s.every(ctx, cacheEventsEvery, s.pollCacheEvents)
+	s.runEvery(ctx, expireEvery, s.expire)
+	s.runEvery(ctx, reconcileEvery, s.reconcile)
+	s.runEvery(ctx, statusEvery, s.pollStatus)
+	s.runEvery(ctx, cacheEventsEvery, s.pollCacheEvents)
 	return s
 }
 
-// every runs work until ctx ends.
-func (s *Service) every(ctx context.Context, period time.Duration, work func(context.Context)) {
+// runEvery calls work once in each period until ctx ends.
+func (s *Service) runEvery(ctx context.Context, period time.Duration, work func(context.Context)) {
 	s.done.Add(1)
 	go func() {
 		defer s.done.Done()
@@ -111,18 +113,18 @@
 	}()
 }
 
-// Close stops the service.
+// Close stops the background work and refuses all waiting requests.
 func (s *Service) Close() {
 	s.stop()
 	s.done.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle(nil, s.state.RefuseAll(result.Stopping, "the node is stopping"))
+	s.deliverAll(nil, s.state.RefuseAll(result.Stopping, "the node is stopping"))
 }
 
 func (s *Service) now() time.Duration { return time.Since(s.origin) }
 
-// Lead implements group.Leadership.
+// Lead implements group.LeadershipListener.
 func (s *Service) Lead(fence engine.Fence) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,23 +132,25 @@
 	s.state.SetFence(fence)
 }
 
-// Follow implements group.Leadership. Waiting requests go to the next leader.
+// Follow implements group.LeadershipListener. It refuses waiting requests, so that their
+// gateways ask the next leader.
 func (s *Service) Follow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leading = 0
 	s.state.SetFence(0)
-	s.settle(nil, s.state.RefuseAll(result.NotLeader, "leadership of the cell has changed"))
+	s.deliverAll(nil, s.state.RefuseAll(result.NotLeader, "leadership of the cell has changed"))
 }
 
-// SetCatalog takes a newer revision.
+// SetCatalog makes a configuration current, unless its revision is lower than the current
+// one's.
 func (s *Service) SetCatalog(snapshot *catalog.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.SetCatalog(snapshot)
 }
 
-// ObserveMachines takes the cell's engines from the machine list.
+// ObserveMachines updates the cell's engines from the machine list.
 func (s *Service) ObserveMachines(machines []Machine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,17 +158,17 @@
 	s.dispatch()
 }
 
-// settle ends the waits of requests. The caller holds the lock.
-func (s *Service) settle(placed []Placed, refused []Refused) {
+// deliverAll passes results to the waiting callers of Place. The caller holds the lock.
+func (s *Service) deliverAll(placed []Placed, refused []Refused) {
 	for _, p := range placed {
-		s.end(p.Attempt, decision{ticket: p.Ticket})
+		s.deliver(p.Attempt, placeResult{ticket: p.Ticket})
 	}
 	for _, r := range refused {
-		s.end(r.Attempt, decision{err: r.Err})
+		s.deliver(r.Attempt, placeResult{err: r.Err})
 	}
 }
 
-func (s *Service) end(attempt engine.Identifier, outcome decision) {
+func (s *Service) deliver(attempt engine.Identifier, outcome placeResult) {
 	waiter := s.results[attempt]
 	delete(s.results, attempt)
 	if waiter != nil {
@@ -172,10 +176,10 @@
 	}
 }
 
-// dispatch places what can be placed. The caller holds the lock.
-func (s *Service) dispatch() { s.settle(s.state.Dispatch(s.now()), nil) }
+// dispatch places all waiting requests that can be placed now. The caller holds the lock.
+func (s *Service) dispatch() { s.deliverAll(s.state.Dispatch(s.now()), nil) }
 
-// Place waits until the request has an engine, or is refused.
+// Place queues the request and waits until it is placed on an engine or refused.
 func (s *Service) Place(ctx context.Context, request PlaceRequest) (engine.Ticket, error) {
 	if err := s.awaitRevision(ctx, request.Revision); err != nil {
 		return engine.Ticket{}, err
@@ -189,7 +193,7 @@
 		if outcome.err != nil {
 			return engine.Ticket{}, outcome.err
 		}
-		return s.confirm(request, outcome.ticket)
+		return s.recheckLease(request, outcome.ticket)
 	case <-ctx.Done():
 		s.withdraw(request.Attempt, waiter)
 		return engine.Ticket{}, result.New(result.CallerGone, "the caller left while the request waited")
@@ -205,29 +209,30 @@
 	return s.catalog.WaitFor(waitCtx, revision)
 }
 
-func (s *Service) enqueue(request PlaceRequest) (chan decision, error) {
+func (s *Service) enqueue(request PlaceRequest) (chan placeResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leading == 0 && !request.AnyMember {
 		return nil, result.New(result.NotLeader, "this node does not lead cell %s", s.name)
 	}
-	waiter := make(chan decision, 1)
+	waiter := make(chan placeResult, 1)
 	shed, err := s.state.Enqueue(s.now(), request)
 	if err != nil {
 		return nil, err
 	}
 	s.results[request.Attempt] = waiter
-	s.settle(nil, shed)
+	s.deliverAll(nil, shed)
 	s.dispatch()
 	return waiter, nil
 }
 
-// confirm looks at the lease again, just before the ticket leaves.
-func (s *Service) confirm(request PlaceRequest, ticket engine.Ticket) (engine.Ticket, error) {
+// recheckLease checks just before a ticket is returned that this node still holds the lease
+// under which the request was placed. Requests that any member may place need no lease.
+func (s *Service) recheckLease(request PlaceRequest, ticket engine.Ticket) (engine.Ticket, error) {
 	if request.AnyMember {
 		return ticket, nil
 	}
-	if r := s.handle(); r != nil {
+	if r := s.localReplica(); r != nil {
 		if fence, active := r.Fence(); active && fence == ticket.Fence {
 			return ticket, nil
 		}
@@ -236,8 +241,9 @@
 	return engine.Ticket{}, result.New(result.NotLeader, "leadership of cell %s has changed", s.name)
 }
 
-// withdraw takes a request back whose caller has left.
-func (s *Service) withdraw(attempt engine.Identifier, waiter chan decision) {
+// withdraw removes a request whose caller has left, or ends its flight if it has just been
+// placed.
+func (s *Service) withdraw(attempt engine.Identifier, waiter chan placeResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.results, attempt)
@@ -254,7 +260,7 @@
 	s.dispatch()
 }
 
-// Report takes the news of gateways.
+// Report applies progress reports of gateways.
 func (s *Service) Report(reports []Progress) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,8 +277,8 @@
 	return s.state.Engines(s.now())
 }
 
-// HigherFence returns the highest fence that an engine has seen, when it is above
-// that of this leadership, and zero otherwise.
+// HigherFence returns the highest fencing token that an engine has seen, if it exceeds the
+// token of this leadership, and zero otherwise.
 func (s *Service) HigherFence() engine.Fence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -282,16 +288,16 @@
 	return 0
 }
 
-// Load returns the numbers of waiting requests by class, and of requests in
-// flight.
+// Load returns the number of waiting requests of each priority class, the number of attempts in
+// flight, and whether this node leads the cell.
 func (s *Service) Load() (waiting map[string]int, inFlight int, leading bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.QueueLength(), s.state.InFlight(), s.leading != 0
 }
 
-// Drain replicates an operator's word, and returns the attempts in flight on the
-// engine.
+// Drain replicates an operator's request to drain an engine, or to undo that, and returns the
+// number of attempts in flight on the engine.
 func (s *Service) Drain(ctx context.Context, name string, undo bool) (int, error) {
 	s.mu.Lock()
 	_, err := s.state.EngineInFlight(name)
@@ -307,7 +313,7 @@
 	if err != nil {
 		return 0, result.Wrap(err, result.Internal, "encoding a cell command")
 	}
-	r := s.handle()
+	r := s.localReplica()
 	if r == nil {
 		return 0, result.New(result.NotLeader, "this node is no member of cell %s", s.name)
 	}
@@ -323,6 +329,6 @@
 func (s *Service) expire(context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle(nil, s.state.Expire(s.now()))
+	s.deliverAll(nil, s.state.Expire(s.now()))
 	s.dispatch()
 }
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// maxQueued bounds the requests that wait in one lane.
+	// maxQueued limits the number of requests waiting in one lane.
 	maxQueued = 8192
-	// prefixCapacity bounds the blocks known in one cell: 60 bytes each.
+	// prefixCapacity limits the prompt blocks in a cell's prefix index, which takes about 60
+	// bytes for each.
 	prefixCapacity = 1 << 18
-	// decodeBatch is the number of sequences that are taken to share an
-	// iteration when the cost of an answer is estimated.
+	// decodeBatch is the number of sequences assumed to share a decode step when the cost of a
+	// request is estimated.
 	decodeBatch = 16
-	// flightGrace is how long past its deadline an attempt without news is
-	// counted as in flight.
+	// flightGrace is how long after its deadline an attempt still counts as in flight when no
+	// progress report has arrived.
 	flightGrace = 30 * time.Second
 )
 
-// member is one engine of the cell.
-type member struct {
+// cellEngine is what the cell knows of one of its engines, and what it wants of it.
+type cellEngine struct {
 	machine   Machine
 	listed    bool
 	candidate placement.Candidate
@@ -39,18 +40,18 @@
 	drained   bool
 }
 
-// flight is one attempt placed and not known to be over.
+// flight is an attempt that was placed on an engine and is not known to have ended.
 type flight struct {
-	attempt  engine.Identifier
-	member   *member
-	rank     int32
-	pending  int // prompt tokens not known to be read
-	reserved int // KV memory
-	placedAt time.Duration
-	lapsesAt time.Duration
+	attempt   engine.Identifier
+	engine    *cellEngine
+	rank      int32
+	pending   int // prompt tokens not yet known to be prefilled
+	reserved  int // tokens of KV cache reserved for prompt and answer
+	placedAt  time.Duration
+	expiresAt time.Duration
 }
 
-// waiting is one request in a lane.
+// waiting is a request in the queue of a lane.
 type waiting struct {
 	request  PlaceRequest
 	target   placement.Request
@@ -59,47 +60,48 @@
 	lane     *lane
 }
 
-// lane queues the requests for one model version: a full engine of one model
-// must not hold up requests for another.
+// lane holds the queue of one model version. Each version has its own queue, so that requests
+// for one model don't wait because the engines of another are full.
 type lane struct {
 	model, version string
 	queue          *admission.Queue
 }
 
-// Placed is a request that got its engine.
+// Placed is a request that was placed on an engine.
 type Placed struct {
 	Attempt engine.Identifier
 	Ticket  engine.Ticket
 }
 
-// Refused is a request that is given up, on proof that it was not run.
+// Refused is a request that is given up and is known not to have run.
 type Refused struct {
 	Attempt engine.Identifier
 	Err     error
 }
 
-// State is what a cell's leader knows and decides. It is pure: time is an
-// argument, measured from any fixed instant, and the caller does all I/O. It is
-// not safe for concurrent use.
+// State holds what a cell's leader knows about engines and requests, and makes its decisions.
+// It does no I/O and reads no clock: the caller passes the time, measured from a fixed instant
+// of its choice. It is not safe for concurrent use.
 type State struct {
 	name     string
 	pool     string
 	snapshot *catalog.Snapshot
 	fence    engine.Fence
 
-	members    map[string]*member
-	order      []*member
+	engines    map[string]*cellEngine
+	ordered    []*cellEngine
 	candidates []*placement.Candidate
-	slots      [placement.MaxEngines]*member
+	slots      [placement.MaxEngines]*cellEngine
 
-	index   *placement.PrefixIndex
-	cycle   *placement.Pipeline
-	limiter *admission.Limiter
-	lanes   map[string]*lane
-	waiting map[engine.Identifier]*waiting
-	flights map[engine.Identifier]*flight
+	index    *placement.PrefixIndex
+	pipeline *placement.Pipeline
+	limiter  *admission.Limiter
+	lanes    map[string]*lane
+	waiting  map[engine.Identifier]*waiting
+	flights  map[engine.Identifier]*flight
 
-	// displaced holds requests that found no room when their version was replaced.
+	// displaced holds requests for which the queue of the new version was full when their
+	// version was replaced.
 	displaced []Refused
 
 	nextLoadAt time.Duration
@@ -112,20 +114,20 @@
 	Pool string
 	// Policy selects the placement policy; empty means PolicyPredicted.
 	Policy placement.Policy
-	// WeightBytesPerSecond is the weight store's rate limit for the cell. Zero
-	// means no spacing of loads.
+	// WeightBytesPerSecond is the rate limit of the weight store for the cell. Zero means that
+	// engines may load weights at the same time.
 	WeightBytesPerSecond float64
 }
 
-// NewState returns an empty cell.
+// NewState returns the state of a cell without engines or requests.
 func NewState(options Options) *State {
 	index := placement.NewPrefixIndex(prefixCapacity)
 	return &State{
 		name:     options.Name,
 		pool:     options.Pool,
-		members:  map[string]*member{},
+		engines:  map[string]*cellEngine{},
 		index:    index,
-		cycle:    placement.NewPolicyPipeline(options.Policy, index),
+		pipeline: placement.NewPolicyPipeline(options.Policy, index),
 		limiter:  admission.NewLimiter(),
 		lanes:    map[string]*lane{},
 		waiting:  map[engine.Identifier]*waiting{},
@@ -134,33 +136,34 @@
 	}
 }
 
-// SetCatalog takes a newer revision; an older one is ignored.
+// SetCatalog makes a configuration current, unless its revision is lower than the current
+// one's.
 func (s *State) SetCatalog(snapshot *catalog.Snapshot) {
 	if s.snapshot != nil && snapshot.Revision < s.snapshot.Revision {
 		return
 	}
 	s.snapshot = snapshot
 	running := catalog.MaxRunningPerEngine(snapshot.Pool(s.pool))
-	for _, m := range s.order {
-		m.candidate.MaxRunning = running
+	for _, e := range s.ordered {
+		e.candidate.MaxRunning = running
 	}
 	s.assign()
 }
 
-// SetFence takes the authority of a new leadership.
+// SetFence sets the fencing token of this node's leadership, or zero when it doesn't lead the
+// cell.
 func (s *State) SetFence(fence engine.Fence) {
 	s.fence = fence
-	for _, m := range s.order {
-		m.control.SetFence(fence)
+	for _, e := range s.ordered {
+		e.control.SetFence(fence)
 	}
 }
 
-// ObserveMachines takes the machine list's engines of the pool. An engine that
-// is no longer listed counts as leaving; it is forgotten when nothing of ours is
-// in flight on it.
+// ObserveMachines updates the cell's engines from the machine list. An engine that is no longer
+// listed is treated as leaving, and is removed once it has no attempts in flight.
 func (s *State) ObserveMachines(machines []Machine) {
-	for _, m := range s.order {
-		m.listed = false
+	for _, e := range s.ordered {
+		e.listed = false
 	}
 	for _, machine := range machines {
 		s.observeMachine(machine)
@@ -170,36 +173,36 @@
 }
 
 func (s *State) observeMachine(machine Machine) {
-	m := s.members[machine.Name]
-	if m == nil {
+	e := s.engines[machine.Name]
+	if e == nil {
 		slot := s.freeSlot()
 		if slot < 0 {
-			return // the layout keeps cells within MaxEngines
+			return // cells are laid out with at most MaxEngines engines
 		}
-		m = &member{candidate: placement.Candidate{Slot: slot, Name: machine.Name, MaxRunning: catalog.MaxRunningPerEngine(nil)}}
+		e = &cellEngine{candidate: placement.Candidate{Slot: slot, Name: machine.Name, MaxRunning: catalog.MaxRunningPerEngine(nil)}}
 		if s.snapshot != nil {
-			m.candidate.MaxRunning = catalog.MaxRunningPerEngine(s.snapshot.Pool(s.pool))
+			e.candidate.MaxRunning = catalog.MaxRunningPerEngine(s.snapshot.Pool(s.pool))
 		}
-		m.control.SetFence(s.fence)
-		m.candidate.Rates = m.candidate.Rates.WithDefaults()
-		m.machine = machine
-		s.members[machine.Name] = m
-		s.slots[slot] = m
-		s.order = append(s.order, m)
-		slices.SortFunc(s.order, func(left, right *member) int { return cmp.Compare(left.machine.Name, right.machine.Name) })
+		e.control.SetFence(s.fence)
+		e.candidate.Rates = e.candidate.Rates.WithDefaults()
+		e.machine = machine
+		s.engines[machine.Name] = e
+		s.slots[slot] = e
+		s.ordered = append(s.ordered, e)
+		slices.SortFunc(s.ordered, func(left, right *cellEngine) int { return cmp.Compare(left.machine.Name, right.machine.Name) })
 		s.rebuildCandidates()
 	}
-	if m.machine.Address != machine.Address {
-		s.index.RemoveEngine(m.candidate.Slot)
+	if e.machine.Address != machine.Address {
+		s.index.RemoveEngine(e.candidate.Slot)
 	}
-	m.machine = machine
-	m.listed = true
-	m.candidate.Zone = machine.Zone
+	e.machine = machine
+	e.listed = true
+	e.candidate.Zone = machine.Zone
 }
 
 func (s *State) freeSlot() int {
-	for slot, m := range s.slots {
-		if m == nil {
+	for slot, e := range s.slots {
+		if e == nil {
 			return slot
 		}
 	}
@@ -207,56 +210,58 @@
 }
 
 func (s *State) dropUnlisted() {
-	for _, m := range slices.Clone(s.order) {
-		if m.listed {
+	for _, e := range slices.Clone(s.ordered) {
+		if e.listed {
 			continue
 		}
-		m.machine.Leaving = true
-		if m.candidate.InFlight > 0 {
+		e.machine.Leaving = true
+		if e.candidate.InFlight > 0 {
 			continue
 		}
-		delete(s.members, m.machine.Name)
-		s.slots[m.candidate.Slot] = nil
-		s.index.RemoveEngine(m.candidate.Slot)
-		s.order = slices.DeleteFunc(s.order, func(other *member) bool { return other == m })
+		delete(s.engines, e.machine.Name)
+		s.slots[e.candidate.Slot] = nil
+		s.index.RemoveEngine(e.candidate.Slot)
+		s.ordered = slices.DeleteFunc(s.ordered, func(other *cellEngine) bool { return other == e })
 		s.rebuildCandidates()
 	}
 }
 
 func (s *State) rebuildCandidates() {
 	s.candidates = s.candidates[:0]
-	for _, m := range s.order {
-		s.candidates = append(s.candidates, &m.candidate)
+	for _, e := range s.ordered {
+		s.candidates = append(s.candidates, &e.candidate)
 	}
 }
 
-// ObserveStatus takes an engine's report of itself.
+// ObserveStatus records an engine's status report. A new incarnation of the engine ends all
+// attempts in flight on it and clears its prefix index.
 func (s *State) ObserveStatus(now time.Duration, name string, status engine.Status) {
-	m := s.members[name]
-	if m == nil {
+	e := s.engines[name]
+	if e == nil {
 		return
 	}
-	previous, seen := m.control.LastStatus()
-	m.control.Observe(now, status)
+	previous, seen := e.control.LastStatus()
+	e.control.Observe(now, status)
 	if seen && previous.Incarnation != status.Incarnation {
-		s.dropFlights(m)
-		s.index.RemoveEngine(m.candidate.Slot)
+		s.dropFlights(e)
+		s.index.RemoveEngine(e.candidate.Slot)
 	}
-	s.learn(m, status)
+	s.updateFromReport(e, status)
 	if status.Running == 0 {
-		s.dropForgotten(now, m)
+		s.dropUnreportedFlights(now, e)
 	}
 	if !seen || !previous.Deployment.Serves(status.Deployment) {
 		s.assign()
 	}
 }
 
-// learn takes speed and memory from a load report, however old: they change
-// slowly. Its queue lengths are not used, our own counts are newer.
-func (s *State) learn(m *member, status engine.Status) {
-	m.candidate.Deployment = status.Deployment
+// updateFromReport takes deployment, speed and cache capacity from a status report. Reports of
+// any age are used for speed and capacity, since both change slowly. The report's queue lengths
+// are not used, because the cell's own counts are newer.
+func (s *State) updateFromReport(e *cellEngine, status engine.Status) {
+	e.candidate.Deployment = status.Deployment
 	if status.Load.MemoryTotalTokens > 0 {
-		m.candidate.MemoryTokens = int(status.Load.MemoryTotalTokens)
+		e.candidate.MemoryTokens = int(status.Load.MemoryTotalTokens)
 	}
 	reported := placement.Rates{
 		PrefillTokensPerSecond: status.Load.PrefillTokensPerSecond,
@@ -264,83 +269,83 @@
 		MixedStep:              time.Duration(status.Load.MixedStepMillis * float64(time.Millisecond)),
 	}
 	if reported.PrefillTokensPerSecond > 0 && reported.DecodeStep > 0 {
-		m.candidate.Rates = reported.WithDefaults()
+		e.candidate.Rates = reported.WithDefaults()
 	}
 }
 
-// dropForgotten ends flights whose gateways never reported: the engine runs
-// nothing, and their tickets can't be dispatched any more.
-func (s *State) dropForgotten(now time.Duration, m *member) {
+// dropUnreportedFlights ends the flights of an idle engine whose gateways never reported the
+// end, once their tickets have expired and can't be dispatched any more.
+func (s *State) dropUnreportedFlights(now time.Duration, e *cellEngine) {
 	for _, f := range s.flights {
-		if f.member == m && now-f.placedAt > 2*TicketValidity {
-			s.land(f)
+		if f.engine == e && now-f.placedAt > 2*TicketValidity {
+			s.endFlight(f)
 		}
 	}
 }
 
-func (s *State) dropFlights(m *member) {
+func (s *State) dropFlights(e *cellEngine) {
 	for _, f := range s.flights {
-		if f.member == m {
-			s.land(f)
+		if f.engine == e {
+			s.endFlight(f)
 		}
 	}
 }
 
-// ObserveCacheEvents takes a page of an engine's cache events.
+// ObserveCacheEvents applies a page of an engine's cache events to the prefix index.
 func (s *State) ObserveCacheEvents(now time.Duration, name string, page engine.CacheEvents) {
-	if m := s.members[name]; m != nil {
-		s.index.Apply(now, m.candidate.Slot, page)
+	if e := s.engines[name]; e != nil {
+		s.index.Apply(now, e.candidate.Slot, page)
 	}
 }
 
-// NextCacheEvent returns the sequence number of the cache event to ask an
-// engine for.
+// NextCacheEvent returns the sequence number of the first cache event still to be read from an
+// engine.
 func (s *State) NextCacheEvent(name string) uint64 {
-	m := s.members[name]
-	if m == nil {
+	e := s.engines[name]
+	if e == nil {
 		return 0
 	}
-	status, _ := m.control.LastStatus()
-	return s.index.NextEvent(m.candidate.Slot, status.Incarnation)
+	status, _ := e.control.LastStatus()
+	return s.index.NextEvent(e.candidate.Slot, status.Incarnation)
 }
 
-// refresh brings the candidates' availability in line.
-func (s *State) refresh(now time.Duration) {
-	for _, m := range s.order {
+// refreshAvailability recomputes the availability of all candidates.
+func (s *State) refreshAvailability(now time.Duration) {
+	for _, e := range s.ordered {
 		if s.fence == 0 {
-			m.candidate.Availability = m.control.FollowerAvailability(now)
+			e.candidate.Availability = e.control.FollowerAvailability(now)
 		} else {
-			m.candidate.Availability = m.control.Availability(now, m.desired)
+			e.candidate.Availability = e.control.Availability(now, e.desired)
 		}
-		if m.machine.Leaving && m.candidate.Availability != placement.Lost {
-			m.candidate.Availability = placement.Leaving
+		if e.machine.Leaving && e.candidate.Availability != placement.Lost {
+			e.candidate.Availability = placement.Leaving
 		}
 	}
 }
 
 // Engines describes the cell's engines for operators.
 func (s *State) Engines(now time.Duration) []*tinarchv1.EngineStatus {
-	s.refresh(now)
-	list := make([]*tinarchv1.EngineStatus, 0, len(s.order))
-	for _, m := range s.order {
-		status, seen := m.control.LastStatus()
+	s.refreshAvailability(now)
+	list := make([]*tinarchv1.EngineStatus, 0, len(s.ordered))
+	for _, e := range s.ordered {
+		status, seen := e.control.LastStatus()
 		description := &tinarchv1.EngineStatus{
-			Name:                m.machine.Name,
+			Name:                e.machine.Name,
 			Pool:                s.pool,
-			Zone:                m.machine.Zone,
-			Address:             m.machine.Address,
+			Zone:                e.machine.Zone,
+			Address:             e.machine.Address,
 			Incarnation:         string(status.Incarnation),
-			State:               m.candidate.Availability.String(),
+			State:               e.candidate.Availability.String(),
 			Role:                string(status.Deployment.Role),
-			InFlight:            uint32(m.candidate.InFlight),
-			PendingPromptTokens: uint64(m.candidate.Backlog.Total()),
-			LastError:           m.control.LastError(),
+			InFlight:            uint32(e.candidate.InFlight),
+			PendingPromptTokens: uint64(e.candidate.Backlog.Total()),
+			LastError:           e.control.LastError(),
 		}
 		if status.Deployment.Model != "" {
 			description.Model = catalog.VersionName(status.Deployment.Model, status.Deployment.Version)
 		}
 		if seen {
-			age := m.control.ReportAge(now).Milliseconds() + max(status.Load.AgeMillis, 0)
+			age := e.control.ReportAge(now).Milliseconds() + max(status.Load.AgeMillis, 0)
 			description.ReportAgeMs = uint64(max(age, 0))
 		}
 		list = append(list, description)
@@ -348,35 +353,35 @@
 	return list
 }
 
-// SetDrained names the engines that operators keep without work.
+// SetDrained sets the engines that operators have drained; all others are undrained.
 func (s *State) SetDrained(names []string) {
-	for _, m := range s.order {
-		m.drained = slices.Contains(names, m.machine.Name)
-		m.desired.Drained = m.drained
+	for _, e := range s.ordered {
+		e.drained = slices.Contains(names, e.machine.Name)
+		e.desired.Drained = e.drained
 	}
 }
 
 // EngineInFlight returns the number of attempts in flight on an engine.
 func (s *State) EngineInFlight(name string) (inFlight int, err error) {
-	m := s.members[name]
-	if m == nil {
+	e := s.engines[name]
+	if e == nil {
 		return 0, result.New(result.NotFound, "cell %s has no engine %q; see `tinarch engines`", s.name, name)
 	}
-	return m.candidate.InFlight, nil
+	return e.candidate.InFlight, nil
 }
 
-// HighestFence returns the highest fence that any engine has seen. It is above the
-// own one when an engine came from another cell.
+// HighestFence returns the highest fencing token that any engine has seen. It can exceed this
+// leadership's token when an engine has moved here from another cell.
 func (s *State) HighestFence() engine.Fence {
 	highest := engine.Fence(0)
-	for _, m := range s.order {
-		status, _ := m.control.LastStatus()
+	for _, e := range s.ordered {
+		status, _ := e.control.LastStatus()
 		highest = max(highest, status.Fence)
 	}
 	return highest
 }
 
-// QueueLength returns the number of waiting requests by class.
+// QueueLength returns the number of waiting requests of each priority class.
 func (s *State) QueueLength() map[string]int {
 	lengths := map[string]int{}
 	for _, w := range s.waiting {
@@ -385,7 +390,7 @@
 	return lengths
 }
 
-// InFlight returns the number of attempts placed and not known to be over.
+// InFlight returns the number of attempts that were placed and are not known to have ended.
 func (s *State) InFlight() int { return len(s.flights) }
 
 func laneKey(model, version string) string { return fmt.Sprintf("%s/%s", model, version) }
--- a/internal/gateway/runner.go
+++ b/internal/gateway/runner.go
@@ -18,32 +18,33 @@
 )
 
 const (
-	// maxAttempts bounds how often one request is placed.
+	// maxAttempts limits the number of attempts of one request.
 	maxAttempts = 4
-	// retryRatio and retryCeiling are the gateway's retry budget.
+	// retryRatio and retryCeiling set the gateway's retry budget: how much each request adds to
+	// it, and its maximum.
 	retryRatio   = 0.2
 	retryCeiling = 50
 	retryPause   = 10 * time.Millisecond
 	cancelWait   = time.Second
-	// askPause is the time between questions about an attempt whose fate is not
-	// known.
+	// askPause is the time between two questions to an engine about an attempt whose state is
+	// unknown.
 	askPause = 100 * time.Millisecond
 )
 
-// outcome is how an exchange ended.
+// outcome is the result of an exchange.
 type outcome struct {
 	usage  engine.Usage
 	engine string
 	err    error
 }
 
-// claims is what a runner does around its attempts where the request may run only
-// once. For other requests all its methods do nothing.
+// claims records the attempts of a request that may run only once. For all other requests
+// noClaims is used, which does nothing.
 type claims interface {
-	// begin is called with a new attempt before the engine sees it. replaced is
-	// the attempt that is known not to have run, empty for none.
+	// begin is called with a new attempt before the engine gets it. replaced is the attempt
+	// before it, which is known not to have run; it is empty for the first.
 	begin(ctx context.Context, p placement, replaced engine.Identifier) error
-	// lost is called when the outcome of the attempt can't be had.
+	// lost is called when the outcome of an attempt can no longer be found out.
 	lost(ctx context.Context, attempt engine.Identifier)
 }
 
@@ -52,13 +53,13 @@
 func (noClaims) begin(context.Context, placement, engine.Identifier) error { return nil }
 func (noClaims) lost(context.Context, engine.Identifier)                   {}
 
-// runner executes exchanges: it places attempts and relays their streams.
+// runner executes exchanges: it has attempts placed and relays their streams.
 type runner struct {
 	placer   *Placer
 	engines  *engine.Client
 	reporter *reporter
 	metrics  *Metrics
-	// quarantine keeps requests under which engines end away from them.
+	// quarantine holds back requests that make engines crash.
 	quarantine *quarantine.Manager
 
 	mu     sync.Mutex
@@ -84,21 +85,22 @@
 	return r.budget.Withdraw()
 }
 
-// attemptState is what is known of one attempt after it failed.
+// attemptState is what is known about a failed attempt.
 type attemptState int
 
 const (
-	// notRun attempts are proved not to have run: they may be placed again.
+	// notRun means that the attempt is proved not to have run, so another may follow.
 	notRun attemptState = iota
-	// mayHaveRun attempts must not run again unless the kind is repeatable.
+	// mayHaveRun means that another attempt may follow only if the request's kind is
+	// repeatable.
 	mayHaveRun
-	// over attempts ended for good: with a whole answer, or a refusal that
-	// another attempt would meet too.
-	over
+	// finished means that no other attempt should follow: the answer is complete, the caller
+	// has left, or the engine refused the request for a reason that holds on every engine.
+	finished
 )
 
-// run places and relays until the answer is whole or given up. The sink ends with
-// events of one attempt only: once anybody has seen any, no other attempt follows.
+// run makes attempts until the answer is complete or the request is given up. The sink gets
+// events of one attempt only: no other attempt follows once a caller may have seen an event.
 func (r *runner) run(ctx context.Context, x *exchange, guard claims, target sink) outcome {
 	r.deposit()
 	var excluded []string
@@ -107,16 +109,16 @@
 	mayHaveRunBefore := false
 	fingerprint := x.fingerprint()
 	for try := 1; ; try++ {
-		if err := r.mayRun(ctx, fingerprint); err != nil {
-			return outcome{err: honest(err, mayHaveRunBefore)}
+		if err := r.checkQuarantine(ctx, fingerprint); err != nil {
+			return outcome{err: accountForEarlierAttempts(err, mayHaveRunBefore)}
 		}
 		placed, err := r.placer.place(ctx, x, attempt, excluded)
 		if err != nil {
-			return outcome{err: honest(err, mayHaveRunBefore)}
+			return outcome{err: accountForEarlierAttempts(err, mayHaveRunBefore)}
 		}
 		if err := guard.begin(ctx, placed, replaced); err != nil {
 			r.reporter.report(placed, cell.ProgressDone)
-			return outcome{err: honest(err, mayHaveRunBefore)}
+			return outcome{err: accountForEarlierAttempts(err, mayHaveRunBefore)}
 		}
 		usage, state, err := r.attempt(ctx, x, placed, target)
 		r.reporter.report(placed, cell.ProgressDone)
@@ -125,10 +127,10 @@
 			return outcome{usage: usage, engine: placed.ticket.Engine}
 		}
 		log := x.log.WithFields(logrus.Fields{"attempt": attempt, "engine": placed.ticket.Engine}).WithError(err)
-		fresh := target.restart()
-		if !r.again(ctx, x, state, fresh, try) {
+		unseen := target.restart()
+		if !r.shouldRetry(ctx, x, state, unseen, try) {
 			log.Debug("attempt failed")
-			return outcome{engine: placed.ticket.Engine, err: honest(r.final(ctx, x, guard, attempt, state, fresh, err), mayHaveRunBefore)}
+			return outcome{engine: placed.ticket.Engine, err: accountForEarlierAttempts(r.callerError(ctx, x, guard, attempt, state, unseen, err), mayHaveRunBefore)}
 		}
 		mayHaveRunBefore = mayHaveRunBefore || state == mayHaveRun
 		log.Info("attempt failed; placing the request again")
@@ -141,9 +143,9 @@
 	}
 }
 
-// honest never lets a request be called not run when an earlier attempt may have
-// been.
-func honest(err error, mayHaveRunBefore bool) error {
+// accountForEarlierAttempts replaces an error that says that the request did not run, if an earlier
+// attempt may have run.
+func accountForEarlierAttempts(err error, mayHaveRunBefore bool) error {
 	failure := result.From(err)
 	if !mayHaveRunBefore || failure.Code.Entry().Outcome != result.DidNotRun {
 		return failure
@@ -154,10 +156,10 @@
 	return &changed
 }
 
-// again decides whether a failed attempt is followed by another. fresh tells that
-// nobody has seen anything of it.
-func (r *runner) again(ctx context.Context, x *exchange, state attemptState, fresh bool, try int) bool {
-	if ctx.Err() != nil || !fresh || try >= maxAttempts || time.Now().After(x.deadline) {
+// shouldRetry decides whether another attempt follows a failed one. fresh means that no caller
+// has seen any of its events.
+func (r *runner) shouldRetry(ctx context.Context, x *exchange, state attemptState, unseen bool, try int) bool {
+	if ctx.Err() != nil || !unseen || try >= maxAttempts || time.Now().After(x.deadline) {
 		return false
 	}
 	switch state {
@@ -169,11 +171,11 @@
 	return false
 }
 
-// final turns the failure of the last attempt into what the caller is told.
-func (r *runner) final(ctx context.Context, x *exchange, guard claims, attempt engine.Identifier, state attemptState, fresh bool, err error) error {
+// callerError converts the failure of the last attempt into the error that the caller gets.
+func (r *runner) callerError(ctx context.Context, x *exchange, guard claims, attempt engine.Identifier, state attemptState, unseen bool, err error) error {
 	failure := result.From(err)
 	switch {
-	case state == over:
+	case state == finished:
 		return failure
 	case state == notRun:
 		return result.New(result.RetriesExhausted, "no engine took the request; the last one said: %s", failure.Message).WithRetryAfter(time.Second)
@@ -181,16 +183,16 @@
 		return failure
 	case failure.Code == result.DeadlineExceeded && x.kind.Repeatable:
 		return failure
-	case x.kind.Repeatable && !fresh:
+	case x.kind.Repeatable && !unseen:
 		return result.New(result.AnswerCut, "the answer broke off: %s", failure.Message)
 	}
-	if resumeIsHopeless(err) {
+	if streamIsGone(err) {
 		guard.lost(ctx, attempt)
 	}
 	return result.New(result.OutcomeUnknown, "the request was given to an engine and its outcome can't be had: %s", failure.Message)
 }
 
-// attempt runs one attempt to its end.
+// attempt dispatches one attempt and relays its stream to the end.
 func (r *runner) attempt(ctx context.Context, x *exchange, placed placement, target sink) (engine.Usage, attemptState, error) {
 	if placed.expired() {
 		return engine.Usage{}, notRun, result.New(result.TicketRefused, "the ticket was too old to be dispatched")
@@ -199,10 +201,10 @@
 	defer cancel()
 	stream, err := r.engines.Start(runCtx, placed.ticket, string(x.endpoint), x.body)
 	if err != nil {
-		state, startErr := r.judgeStart(runCtx, x, placed, err)
+		state, startErr := r.classifyStartError(runCtx, x, placed, err)
 		if startErr != nil {
 			if state == mayHaveRun {
-				r.observeLoss(ctx, x, placed.ticket, false)
+				r.checkForCrash(ctx, x, placed.ticket, false)
 			}
 			return engine.Usage{}, state, startErr
 		}
@@ -211,7 +213,7 @@
 	return r.follow(runCtx, x, placed, target, stream)
 }
 
-// follow relays an attempt that was accepted.
+// follow relays the stream of an attempt that an engine has accepted.
 func (r *runner) follow(ctx context.Context, x *exchange, placed placement, target sink, stream io.ReadCloser) (engine.Usage, attemptState, error) {
 	copier := newRelay(r.engines, placed.ticket, target, r.metrics, func() {
 		r.metrics.FirstToken.WithLabelValues(x.kind.Name).Observe(time.Since(x.received).Seconds())
@@ -219,55 +221,55 @@
 	})
 	err := copier.run(ctx, stream)
 	if err == nil {
-		return copier.reader.Usage(), over, nil
+		return copier.reader.Usage(), finished, nil
 	}
-	if x.key == "" || runCtxEnded(ctx) {
+	if x.key == "" || runLimitReached(ctx) {
 		r.cancel(placed.ticket)
 	}
 	var left errSink
 	if errors.As(err, &left) || errors.Is(ctx.Err(), context.Canceled) {
-		return engine.Usage{}, over, result.New(result.CallerGone, "the caller left before the answer was whole")
+		return engine.Usage{}, finished, result.New(result.CallerGone, "the caller left before the answer was whole")
 	}
-	if runCtxEnded(ctx) {
+	if runLimitReached(ctx) {
 		err = result.New(result.DeadlineExceeded, "the answer was not whole after %v", 2*x.kind.Deadline)
 	} else {
-		r.observeLoss(ctx, x, placed.ticket, copier.reader.Next() > 1)
+		r.checkForCrash(ctx, x, placed.ticket, copier.reader.Next() > 1)
 	}
 	return engine.Usage{}, mayHaveRun, err
 }
 
-// runCtxEnded reports whether an exchange has reached its run limit.
-func runCtxEnded(ctx context.Context) bool { return errors.Is(ctx.Err(), context.DeadlineExceeded) }
+// runLimitReached reports whether the exchange has reached its run limit.
+func runLimitReached(ctx context.Context) bool { return errors.Is(ctx.Err(), context.DeadlineExceeded) }
 
-// judgeStart decides what a failed start means. No error means that the attempt
-// does run and its stream can be read.
-func (r *runner) judgeStart(ctx context.Context, x *exchange, placed placement, err error) (attemptState, error) {
+// classifyStartError decides what a failed start means for the attempt. A nil error means that
+// the attempt is running and its stream can be read.
+func (r *runner) classifyStartError(ctx context.Context, x *exchange, placed placement, err error) (attemptState, error) {
 	failure := result.From(err)
 	switch failure.Code {
 	case result.NoEngine, result.TicketRefused, result.IncarnationMismatch, result.EngineBusy, result.FenceStale:
 		return notRun, failure
 	case result.InvalidRequest, result.PromptTooLong, result.OutputTooLong:
-		return over, failure
+		return finished, failure
 	}
 	if ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled) {
 		r.cancel(placed.ticket)
-		return over, result.New(result.CallerGone, "the caller left before the answer began")
+		return finished, result.New(result.CallerGone, "the caller left before the answer began")
 	}
 	if x.kind.Repeatable {
 		r.cancel(placed.ticket)
 		return mayHaveRun, failure
 	}
-	return r.askAbout(ctx, placed.ticket, 0)
+	return r.resolveAttempt(ctx, placed.ticket, 0)
 }
 
-// askAbout finds out what became of an attempt whose start was not answered. An
-// engine that has not seen it within patience is told to refuse it from then on,
-// which proves that it did not and will not run.
-func (r *runner) askAbout(ctx context.Context, ticket engine.Ticket, patience time.Duration) (attemptState, error) {
+// resolveAttempt asks the engine about an attempt whose start was not answered. An engine that
+// still has not seen the attempt after delay is told to refuse it from then on, which proves
+// that it did not run and will not.
+func (r *runner) resolveAttempt(ctx context.Context, ticket engine.Ticket, delay time.Duration) (attemptState, error) {
 	begun := time.Now()
 	giveUp := begun.Add(resumeFor)
 	for {
-		state, settled, err := r.askOnce(ctx, ticket, time.Since(begun) >= patience)
+		state, settled, err := r.queryAttempt(ctx, ticket, time.Since(begun) >= delay)
 		if settled {
 			return state, err
 		}
@@ -277,15 +279,15 @@
 	}
 }
 
-func (r *runner) askOnce(ctx context.Context, ticket engine.Ticket, refuse bool) (state attemptState, settled bool, err error) {
+func (r *runner) queryAttempt(ctx context.Context, ticket engine.Ticket, refuse bool) (state attemptState, known bool, err error) {
 	stream, err := r.engines.Resume(ctx, ticket.Address, ticket.Incarnation, ticket.Attempt, 1)
 	if err == nil {
 		_ = stream.Close()
-		return over, true, nil
+		return finished, true, nil
 	}
 	switch result.CodeOf(err) {
 	case result.IncarnationMismatch:
-		// The engine restarted: what it did before is not known any more.
+		// The engine has restarted and no longer knows what it did before.
 		return mayHaveRun, true, err
 	case result.StreamUnknown:
 		if !refuse {
@@ -296,15 +298,15 @@
 		case cancelErr == nil && !reply.Seen:
 			return notRun, true, result.New(result.TicketRefused, "engine %s never saw the attempt and will refuse it", ticket.Engine)
 		case cancelErr == nil && reply.Seen && refuse:
-			// It ran, and its stream is not kept any more.
+			// The attempt ran, and its stream is no longer stored.
 			return mayHaveRun, true, result.New(result.AnswerExpired, "engine %s ran the attempt and does not keep its answer any more", ticket.Engine)
 		}
 	}
 	return mayHaveRun, false, err
 }
 
-// cancel frees the engine from an attempt that nobody waits for. It does not
-// depend on the exchange, which may be over.
+// cancel tells the engine to stop an attempt that nobody waits for. It uses its own context,
+// since the exchange may be over.
 func (r *runner) cancel(ticket engine.Ticket) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelWait)
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	writeTimeout  = 5 * time.Second
-	helloTimeout  = 2 * time.Second
-	maxQueuedLine = 1024
-	bufferBytes   = 4 << 10
+	writeTimeout   = 5 * time.Second
+	helloTimeout   = 2 * time.Second
+	maxQueuedLines = 1024
+	bufferBytes    = 4 << 10
 )
 
-// Counters count a node's control traffic.
+// Counters count a node's traffic with its peers.
 type Counters struct {
 	BytesSent     atomic.Int64
 	BytesReceived atomic.Int64
@@ -27,7 +27,7 @@
 	Malformed     atomic.Int64
 }
 
-// conn is one connection after its greeting.
+// conn is a connection to a peer.
 type conn struct {
 	network  net.Conn
 	reader   *lineReader
@@ -35,14 +35,14 @@
 	closed   chan struct{}
 	once     sync.Once
 	counters *Counters
-	// remote is what the other side said of itself.
+	// remote is the identity in the peer's greeting.
 	remote Identity
 }
 
 func newConn(network net.Conn, counters *Counters) *conn {
 	c := &conn{
 		network:  network,
-		outgoing: make(chan []byte, maxQueuedLine),
+		outgoing: make(chan []byte, maxQueuedLines),
 		closed:   make(chan struct{}),
 		counters: counters,
 	}
@@ -61,7 +61,8 @@
 	return count, err
 }
 
-// greet exchanges identities; both sides speak first.
+// greet exchanges greetings and checks the peer's. Both sides send theirs without waiting for
+// the other's.
 func (c *conn) greet(own Identity) error {
 	line, err := encodeFrame(frame{Type: frameHello, Version: ProtocolVersion, Hello: &own})
 	if err != nil {
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// send queues a frame. It fails when the connection is closed or the peer reads
-// too slowly.
+// send queues a frame. It fails if the connection is closed, or if the queue is full because
+// the peer reads too slowly.
 func (c *conn) send(f frame) error {
 	line, err := encodeFrame(f)
 	if err != nil {
@@ -107,11 +108,11 @@
 	case <-c.closed:
 		return result.New(result.PeerUnavailable, "the connection to %s is closed", c.remote.Node)
 	default:
-		return result.New(result.PeerUnavailable, "%d messages to %s wait already", maxQueuedLine, c.remote.Node)
+		return result.New(result.PeerUnavailable, "%d messages to %s wait already", maxQueuedLines, c.remote.Node)
 	}
 }
 
-// writeLoop writes queued lines, as many as there are with one flush.
+// writeLoop writes queued lines, and flushes when the queue is empty.
 func (c *conn) writeLoop() {
 	defer c.close()
 	buffered := bufio.NewWriterSize(c.network, bufferBytes)
--- a/internal/replica/election.go
+++ b/internal/replica/election.go
@@ -4,20 +4,20 @@
 	"time"
 )
 
-// scheduleCampaign sets the time of the next candidacy, at the earliest when the
-// promise to the leader has lapsed.
+// scheduleCampaign sets the time of the next election that this member starts. It is not before
+// the promise to the leader has expired.
 func (m *Member) scheduleCampaign(now time.Duration, extra time.Duration) {
 	earliest := max(now+m.settings.Heartbeat, m.promiseUntil) + extra
 	m.campaignAt = earliest + time.Duration(m.random.Int64N(int64(m.settings.ElectionSpread)+1))
 }
 
-// campaign asks for votes, first whether they would be given.
-func (m *Member) campaign(now time.Duration, pre bool) {
+// campaign starts a pre-vote or an election.
+func (m *Member) campaign(now time.Duration, preVote bool) {
 	m.role = roleCandidate
 	m.leader = ""
-	m.pre = pre
+	m.preVote = preVote
 	m.votes = map[MemberID]bool{m.id: true}
-	if !pre {
+	if !preVote {
 		m.term++
 		m.votedFor = m.id
 	}
@@ -27,11 +27,11 @@
 		return
 	}
 	term := m.term
-	if pre {
+	if preVote {
 		term++
 	}
-	// The lease was handed over for one candidacy only: later, the others may
-	// have promised it to somebody else.
+	// The transfer of leadership is good for one election only: by the next, other members may
+	// have promised their vote to a new leader.
 	handedOver := m.handedOver
 	m.handedOver = false
 	for _, member := range m.config.Members {
@@ -39,7 +39,7 @@
 			continue
 		}
 		m.send(Message{
-			Type: MessageVote, To: member, Term: term, Pre: pre, HandedOver: handedOver,
+			Type: MessageVote, To: member, Term: term, Pre: preVote, HandedOver: handedOver,
 			LastIndex: m.log.lastIndex(), LastTerm: m.log.lastTerm(),
 		})
 	}
@@ -48,15 +48,15 @@
 func (m *Member) won() bool { return len(m.votes) >= m.config.majority() }
 
 func (m *Member) advanceCampaign(now time.Duration) {
-	if m.pre {
+	if m.preVote {
 		m.campaign(now, false)
 		return
 	}
 	m.becomeLeader(now)
 }
 
-// stepVote answers a candidate. A member bound by a promise gives no vote, and
-// does not even take over the candidate's term: its leader goes on.
+// stepVote answers a candidate. A member that is bound by a promise gives no vote and doesn't
+// adopt the candidate's term either, so that its leader stays in office.
 func (m *Member) stepVote(now time.Duration, message Message) {
 	bound := now < m.promiseUntil && !message.HandedOver
 	if m.role == roleLeader && !m.released {
@@ -69,7 +69,7 @@
 		granted := !bound && upToDate && message.Term > m.term
 		reply := Message{Type: MessageVoteReply, To: message.From, Pre: true, Granted: granted, Term: message.Term}
 		if !granted {
-			// The candidate learns a higher term from the refusal.
+			// Let the candidate learn this member's term, which may be higher.
 			reply.Term = m.term
 		}
 		m.send(reply)
@@ -92,10 +92,10 @@
 
 func (m *Member) stepVoteReply(now time.Duration, message Message) {
 	wanted := m.term
-	if m.pre {
+	if m.preVote {
 		wanted++
 	}
-	if m.role != roleCandidate || message.Pre != m.pre || message.Term != wanted || !message.Granted {
+	if m.role != roleCandidate || message.Pre != m.preVote || message.Term != wanted || !message.Granted {
 		return
 	}
 	m.votes[message.From] = true
@@ -116,20 +116,21 @@
 			m.peers[member] = &progress{next: m.log.lastIndex() + 1, sentAt: map[uint64]time.Duration{}}
 		}
 	}
-	m.appendOwn(nil)
+	m.appendCommand(nil)
 	m.termStart = m.log.lastIndex()
 	m.replicate(now, true)
 }
 
-// HandOver gives the lease up and tells the follower that is furthest on to
-// stand for election. It reports false when there is none to hand over to.
+// HandOver transfers leadership: it gives up the lease and tells the most up-to-date follower
+// to start an election. It returns false if no follower has answered recently with everything
+// committed.
 func (m *Member) HandOver(now time.Duration) bool {
 	if m.role != roleLeader {
 		return false
 	}
 	var best MemberID
 	for member, peer := range m.peers {
-		if !peer.heard || now-peer.heardAt > m.settings.Lease || peer.match < m.commit {
+		if !peer.acked || now-peer.ackedSentAt > m.settings.Lease || peer.match < m.commit {
 			continue
 		}
 		if best == "" || peer.match > m.peers[best].match || (peer.match == m.peers[best].match && member < best) {
@@ -145,8 +146,8 @@
 	return true
 }
 
-// stepHandOver starts a candidacy at once. The leader has given its lease up
-// before it sent the message, so promises to it bind nobody any more.
+// stepHandOver starts an election at once. The leader gave up its lease before it sent the
+// message, so promises to it no longer bind anyone.
 func (m *Member) stepHandOver(now time.Duration, message Message) {
 	if message.Term != m.term || m.role != roleFollower {
 		return
