--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -1,8 +1,8 @@
 package placement
 
-// Backlog counts the prompt tokens that an engine has been given and is not known
-// to have read, by the rank of their class. Engines honour ranks: what is below a
-// request's own rank does not make it wait.
+// Backlog counts, by rank of their class, the prompt tokens that were given to an engine and
+// that it has not reported as prefilled. Engines prefill higher ranks first, so tokens of a
+// lower rank do not delay a request.
 type Backlog struct {
 	levels []backlogLevel
 	total  int
@@ -13,7 +13,7 @@
 	tokens int
 }
 
-// Add changes the backlog of a rank.
+// Add adds tokens, which may be negative, to the backlog of a rank.
 func (b *Backlog) Add(rank int32, tokens int) {
 	b.total += tokens
 	for i := range b.levels {
@@ -28,7 +28,8 @@
 // Total returns the backlog of all ranks.
 func (b *Backlog) Total() int { return b.total }
 
-// Ahead returns the backlog that a request of the rank waits for.
+// Ahead returns the tokens that an engine prefills before a new request of the given rank:
+// those of the same rank and of higher ones.
 func (b *Backlog) Ahead(rank int32) int {
 	ahead := 0
 	for _, level := range b.levels {
--- a/internal/placement/filters.go
+++ b/internal/placement/filters.go
@@ -8,8 +8,8 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Serves keeps engines that serve the request's model version and adapter in a
-// role that runs whole requests.
+// Serves keeps engines that serve the request's model version and adapter in the mixed role,
+// which both prefills and decodes.
 type Serves struct{}
 
 // Keep implements Filter.
@@ -24,8 +24,7 @@
 // Refusal implements Filter.
 func (Serves) Refusal() result.Code { return result.NoEngine }
 
-// Available keeps engines that are ready: claimed, read, answering, neither
-// draining nor leaving.
+// Available keeps engines whose availability is Ready.
 type Available struct{}
 
 // Keep implements Filter.
@@ -36,7 +35,7 @@
 // Refusal implements Filter.
 func (Available) Refusal() result.Code { return result.NoEngine }
 
-// NotExcluded drops engines that refused the request before.
+// NotExcluded drops the engines in Request.Excluded, those that refused the request before.
 type NotExcluded struct{}
 
 // Keep implements Filter.
@@ -47,8 +46,8 @@
 // Refusal implements Filter.
 func (NotExcluded) Refusal() result.Code { return result.RetriesExhausted }
 
-// HasCapacity drops engines that run as many requests as they may. Waiting here
-// rather than in the engine keeps the order of classes in our hands.
+// HasCapacity drops engines that run as many requests as they may. Further requests wait in the
+// cell rather than in the engine, so that the cell's queue decides the order of classes.
 type HasCapacity struct{}
 
 // Keep implements Filter.
@@ -59,17 +58,16 @@
 // Refusal implements Filter.
 func (HasCapacity) Refusal() result.Code { return result.QueueFull }
 
-// HasPrefillCapacity drops engines that have prompts of the request's rank or above to
-// read for some time already:
-// what waits here instead can still be put behind a more urgent request, be
-// refused in time, or find a free engine elsewhere. An engine that has read the
-// beginning of the prompt may have as much more ahead of it as that saves: to wait
-// there is no slower than to read it again elsewhere.
+// HasPrefillCapacity drops engines that are still busy for maxPrefillBacklog with the prefill
+// of prompts of the request's rank or above. A request that waits in the cell instead can still
+// be overtaken by a more urgent one, be refused in time, or go to another engine that becomes
+// free. The limit rises by the time that an engine's cached prefix saves: waiting for that
+// engine is no slower than prefilling the prefix again elsewhere.
 type HasPrefillCapacity struct{}
 
-// promptBacklog is how much prompt an engine is given ahead, in time. It covers
-// the way of a few reports and tickets, so that engines do not run dry.
-const promptBacklog = 1500 * time.Millisecond
+// maxPrefillBacklog is how much prefill work, in time, an engine is given in advance. It spans
+// the delay of a few load reports and tickets, so that engines do not run idle between them.
+const maxPrefillBacklog = 1500 * time.Millisecond
 
 // Keep implements Filter.
 func (HasPrefillCapacity) Keep(request *Request, candidate *Candidate, matches *Matches) bool {
@@ -78,7 +76,7 @@
 		return true
 	}
 	cached := min(matches[candidate.Slot]*prefix.BlockTokens, request.PromptTokens)
-	return candidate.Rates.PrefillTime(ahead-cached) < promptBacklog
+	return candidate.Rates.PrefillTime(ahead-cached) < maxPrefillBacklog
 }
 
 // Refusal implements Filter.
--- a/internal/placement/pickers.go
+++ b/internal/placement/pickers.go
@@ -1,7 +1,8 @@
 package placement
 
-// LowestCost picks the engine with the lowest cost, the first of equals. Own
-// placements are counted exactly, so equal costs do not stay equal.
+// LowestCost picks the engine with the lowest cost, and the first of several with the same.
+// Engines don't stay equal for long, because each placement raises the cost of its engine at
+// once.
 type LowestCost struct{}
 
 // Pick implements Picker.
@@ -15,8 +16,7 @@
 	return best
 }
 
-// RoundRobin picks one engine after the other: the baseline that looks at
-// nothing.
+// RoundRobin picks the engines in turn, whatever their costs. It is a baseline for experiments.
 type RoundRobin struct{ next int }
 
 // Pick implements Picker.
@@ -25,18 +25,18 @@
 	return r.next % len(costs)
 }
 
-// Policy names a set of scorers and a picker.
+// Policy names a combination of scorers and a picker.
 type Policy string
 
-// The policies. The latter two are baselines for experiments.
+// PolicyPredicted is the one that nodes use; the other two are baselines for experiments.
 const (
 	PolicyPredicted   Policy = "predicted"
 	PolicyRoundRobin  Policy = "round-robin"
 	PolicyLeastLoaded Policy = "least-loaded"
 )
 
-// NewPolicyPipeline returns the cycle of a policy, that of PolicyPredicted for any
-// other name.
+// NewPolicyPipeline returns the pipeline of a policy; an unknown name stands for
+// PolicyPredicted.
 func NewPolicyPipeline(policy Policy, index *PrefixIndex) *Pipeline {
 	switch policy {
 	case PolicyRoundRobin:
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement chooses the engine for a request: a cycle of filters,
-// scorers and a picker. It is pure: time is an argument, and nothing here does
-// I/O. Costs are predicted seconds, so that scorers add up without weights.
+// Package placement chooses the engine for a request with a pipeline of filters, scorers and a
+// picker. It is deterministic: the caller passes the current time, and nothing here does I/O.
+// Scorers return predicted seconds, so that their costs can be added without weights.
 package placement
 
 import (
@@ -11,27 +11,30 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// MaxEngines is the most engines in one cell: engine sets are 64-bit masks.
+// MaxEngines is the largest number of engines in one cell: sets of engines are 64-bit masks.
 const MaxEngines = 64
 
-// Availability tells whether an engine may get work.
+// Availability says whether an engine may be given requests.
 type Availability int
 
 // The availabilities.
 const (
-	// Unknown engines have not been claimed and read.
+	// Unknown: no leader has claimed the engine and seen a status report since. (Claiming
+	// raises the engine's fencing token, see engine.OrderClaim.)
 	Unknown Availability = iota
-	// Empty engines serve no model yet.
+	// Empty: the engine serves no model yet.
 	Empty
-	// Ready engines get work.
+	// Ready: the engine accepts requests.
 	Ready
-	// Draining engines get none until a planned change is done.
+	// Draining: the engine finishes its requests and gets no new ones, because an operator
+	// drained it or a change of its deployment is about to begin.
 	Draining
-	// Changing engines carry out an order.
+	// Changing: the engine is executing an order, for instance loading a model.
 	Changing
-	// Leaving engines are marked so by the machine list, and get none any more.
+	// Leaving: the machine list marks the engine as about to be removed; it gets no more
+	// requests.
 	Leaving
-	// Lost engines do not answer.
+	// Lost: the engine does not answer.
 	Lost
 )
 
@@ -40,45 +43,47 @@
 // String returns the name that operators see.
 func (a Availability) String() string { return availabilityNames[a] }
 
-// Candidate is what placement knows of one engine. In-flight figures are exact,
-// counted from this cell's own placements; the load report lags.
+// Candidate is what placement knows of one engine. InFlight, Backlog and ReservedTokens are
+// counted from this cell's own placements and are exact, whereas the engine's load report is
+// always somewhat old.
 type Candidate struct {
-	// Slot is the engine's index in masks, below MaxEngines.
+	// Slot is the engine's bit in masks and its index in Matches, below MaxEngines.
 	Slot         int
 	Name         string
 	Zone         string
 	Availability Availability
 	Deployment   engine.Deployment
-	// InFlight counts placements not finished.
+	// InFlight counts the placed requests that have not finished.
 	InFlight int
-	// MaxRunning is the most requests the engine runs before further ones wait.
+	// MaxRunning is the largest number of requests that the engine runs at once.
 	MaxRunning int
-	// Backlog counts prompt tokens placed and not known to be read.
+	// Backlog counts the prompt tokens placed here whose prefill has not been reported.
 	Backlog Backlog
-	// ReservedTokens counts the KV memory that placements need.
+	// ReservedTokens is the KV cache, in tokens, that requests in flight need, and MemoryTokens
+	// the engine's KV cache capacity; zero means not reported yet.
 	ReservedTokens int
 	MemoryTokens   int
-	// Rates are learned from load reports.
+	// Rates come from the engine's load reports.
 	Rates Rates
 }
 
-// Rates describe an engine's speed.
+// Rates describes an engine's speed.
 type Rates struct {
 	PrefillTokensPerSecond float64
-	// DecodeStep is the length of an iteration that reads no prompt, MixedStep of
-	// one that reads as much of prompts as it may.
+	// DecodeStep is the duration of an iteration of the engine's batch that only decodes,
+	// MixedStep that of one that also prefills as many prompt tokens as fit into it.
 	DecodeStep time.Duration
 	MixedStep  time.Duration
 }
 
-// Default rates until a report has come.
+// Rates that are assumed until the engine has reported its own.
 const (
 	defaultPrefillRate = 10_000
 	defaultDecodeStep  = 10 * time.Millisecond
 	defaultMixedStep   = 50 * time.Millisecond
 )
 
-// WithDefaults fills in what no report has told yet.
+// WithDefaults replaces rates that have not been reported yet by the defaults.
 func (r Rates) WithDefaults() Rates {
 	if r.PrefillTokensPerSecond <= 0 {
 		r.PrefillTokensPerSecond = defaultPrefillRate
@@ -92,13 +97,14 @@
 	return r
 }
 
-// PrefillTime predicts how long reading tokens takes.
+// PrefillTime predicts how long the prefill of the given number of tokens takes.
 func (r Rates) PrefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / r.PrefillTokensPerSecond * float64(time.Second))
 }
 
-// DecodeTime predicts how long writing tokens takes while, at its beginning, the
-// engine has pending prompt tokens of other requests to read.
+// DecodeTime predicts how long it takes to generate the given number of tokens when, at the
+// start, the engine still has to prefill pendingPrompt tokens of other requests: until those
+// are done, each token takes a MixedStep.
 func (r Rates) DecodeTime(tokens, pendingPrompt int) time.Duration {
 	busy := r.PrefillTime(pendingPrompt)
 	mixed := min(tokens, int(busy/r.MixedStep))
@@ -114,21 +120,21 @@
 	OutputTokens int
 	Prefix       []prefix.Hash
 	Zone         string
-	// Rank is that of the request's class.
+	// Rank is the rank of the request's priority class; engines run higher ranks first.
 	Rank int32
-	// Excluded is the mask of engines tried before.
+	// Excluded is the mask of the engines that must not be tried again.
 	Excluded uint64
 }
 
-// Matches holds, for each slot, how many leading blocks of the prompt the
-// engine should have cached.
+// Matches holds, by slot, how many leading blocks of the prompt the engine is expected to have
+// in its prefix cache.
 type Matches [MaxEngines]int
 
-// Filter removes engines that must not or can't take a request.
+// Filter rules out engines that cannot or must not run a request.
 type Filter interface {
 	// Keep reports whether the engine may take the request.
 	Keep(request *Request, candidate *Candidate, matches *Matches) bool
-	// Refusal is the code when this filter removed the last engine.
+	// Refusal is the result code when no engine is left and the last one fell to this filter.
 	Refusal() result.Code
 }
 
@@ -137,117 +143,118 @@
 	Cost(request *Request, candidate *Candidate, matches *Matches) float64
 }
 
-// Picker chooses among the engines that passed all filters.
+// Picker chooses one of the engines that passed all filters.
 type Picker interface {
 	// Pick returns an index into costs.
 	Pick(costs []float64) int
 }
 
-// Decision is the outcome of one cycle.
+// Decision is the outcome of placing one request.
 type Decision struct {
 	Candidate *Candidate
 	// Cost is the predicted cost, in seconds.
 	Cost float64
-	// CachedTokens is the part of the prompt that should be cached.
+	// CachedTokens is how many prompt tokens the engine is expected to have cached.
 	CachedTokens int
 }
 
-// Pipeline places one request at a time.
+// Pipeline places one request at a time: filters rule engines out, scorers add up a cost for
+// each engine that is left, and the picker chooses by cost.
 type Pipeline struct {
 	filters []Filter
 	scorers []Scorer
 	picker  Picker
 	index   *PrefixIndex
 
-	matches Matches
-	kept    []*Candidate
-	costs   []float64
+	matches  Matches
+	eligible []*Candidate
+	costs    []float64
 }
 
-// NewPipeline returns a cycle. The index may be nil where no scorer needs it.
+// NewPipeline returns a pipeline. The index may be nil when no filter or scorer uses matches.
 func NewPipeline(filters []Filter, scorers []Scorer, picker Picker, index *PrefixIndex) *Pipeline {
 	return &Pipeline{
-		filters: filters,
-		scorers: scorers,
-		picker:  picker,
-		index:   index,
-		kept:    make([]*Candidate, 0, MaxEngines),
-		costs:   make([]float64, 0, MaxEngines),
+		filters:  filters,
+		scorers:  scorers,
+		picker:   picker,
+		index:    index,
+		eligible: make([]*Candidate, 0, MaxEngines),
+		costs:    make([]float64, 0, MaxEngines),
 	}
 }
 
-// DefaultFilters returns the filters of every policy.
+// DefaultFilters returns the filters that every policy uses.
 func DefaultFilters() []Filter {
 	return []Filter{Serves{}, Available{}, NotExcluded{}, HasCapacity{}, HasPrefillCapacity{}}
 }
 
-// NewDefaultPipeline returns the cycle that nodes use.
+// NewDefaultPipeline returns the pipeline that nodes use.
 func NewDefaultPipeline(index *PrefixIndex) *Pipeline {
 	scorers := []Scorer{PrefillDelay{}, DecodeSlowdown{}, MemoryPressure{}, ZoneDistance{}}
 	return NewPipeline(DefaultFilters(), scorers, LowestCost{}, index)
 }
 
-// Place chooses an engine. The error names the filter that left none; with code
-// QueueFull it only means that every engine is full now.
-func (c *Pipeline) Place(request *Request, candidates []*Candidate) (Decision, error) {
-	c.match(request, candidates)
-	if code := c.filter(request, candidates); code != result.OK {
+// Place chooses an engine for a request. When no engine is left, the error's code tells which
+// filter ruled out the last ones; QueueFull means that every suitable engine is full for now.
+func (p *Pipeline) Place(request *Request, candidates []*Candidate) (Decision, error) {
+	p.matchPrefix(request, candidates)
+	if code := p.applyFilters(request, candidates); code != result.OK {
 		return Decision{}, result.New(code, "none of %d engines can take a request for %s/%s now", len(candidates), request.Model, request.Version)
 	}
-	c.costs = c.costs[:0]
-	for _, candidate := range c.kept {
+	p.costs = p.costs[:0]
+	for _, candidate := range p.eligible {
 		cost := 0.0
-		for _, scorer := range c.scorers {
-			cost += scorer.Cost(request, candidate, &c.matches)
+		for _, scorer := range p.scorers {
+			cost += scorer.Cost(request, candidate, &p.matches)
 		}
-		c.costs = append(c.costs, cost)
+		p.costs = append(p.costs, cost)
 	}
-	chosen := c.picker.Pick(c.costs)
-	candidate := c.kept[chosen]
+	chosen := p.picker.Pick(p.costs)
+	candidate := p.eligible[chosen]
 	return Decision{
 		Candidate:    candidate,
-		Cost:         c.costs[chosen],
-		CachedTokens: min(c.matches[candidate.Slot]*prefix.BlockTokens, request.PromptTokens),
+		Cost:         p.costs[chosen],
+		CachedTokens: min(p.matches[candidate.Slot]*prefix.BlockTokens, request.PromptTokens),
 	}, nil
 }
 
-// filter keeps the candidates that pass all filters. It returns the refusal of
-// the filter that the most promising candidate failed at.
-func (c *Pipeline) filter(request *Request, candidates []*Candidate) result.Code {
-	c.kept = c.kept[:0]
+// applyFilters collects the candidates that pass all filters. If there are none, it returns the
+// refusal of the filter that rejected the candidate which had passed the most filters.
+func (p *Pipeline) applyFilters(request *Request, candidates []*Candidate) result.Code {
+	p.eligible = p.eligible[:0]
 	furthest, code := -1, result.NoEngine
 	for _, candidate := range candidates {
-		failed := c.firstFailure(request, candidate)
-		if failed < 0 {
-			c.kept = append(c.kept, candidate)
+		rejectedBy := p.firstRejection(request, candidate)
+		if rejectedBy < 0 {
+			p.eligible = append(p.eligible, candidate)
 			continue
 		}
-		if failed > furthest {
-			furthest, code = failed, c.filters[failed].Refusal()
+		if rejectedBy > furthest {
+			furthest, code = rejectedBy, p.filters[rejectedBy].Refusal()
 		}
 	}
-	if len(c.kept) > 0 {
+	if len(p.eligible) > 0 {
 		return result.OK
 	}
 	return code
 }
 
-func (c *Pipeline) firstFailure(request *Request, candidate *Candidate) int {
-	for i, filter := range c.filters {
-		if !filter.Keep(request, candidate, &c.matches) {
+func (p *Pipeline) firstRejection(request *Request, candidate *Candidate) int {
+	for i, filter := range p.filters {
+		if !filter.Keep(request, candidate, &p.matches) {
 			return i
 		}
 	}
 	return -1
 }
 
-func (c *Pipeline) match(request *Request, candidates []*Candidate) {
-	if c.index == nil {
+func (p *Pipeline) matchPrefix(request *Request, candidates []*Candidate) {
+	if p.index == nil {
 		return
 	}
 	var mask uint64
 	for _, candidate := range candidates {
 		mask |= 1 << candidate.Slot
 	}
-	c.index.Match(request.Prefix, mask, &c.matches)
+	p.index.Match(request.Prefix, mask, &p.matches)
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -27,7 +27,7 @@
 	return &Request{Model: "m", Version: "v", PromptTokens: 1000, OutputTokens: 10, Zone: "a"}
 }
 
-func TestFiltersRefuse(t *testing.T) {
+func TestFiltersDropUnsuitableEngines(t *testing.T) {
 	cases := []struct {
 		name   string
 		filter Filter
@@ -48,34 +48,36 @@
 		r, c := request(), candidate(0)
 		var matches Matches
 		if !test.filter.Keep(r, c, &matches) {
-			t.Errorf("%s: a fitting engine is removed", test.name)
+			t.Errorf("%s: a suitable engine is dropped", test.name)
 		}
 		test.change(r, c)
 		if test.filter.Keep(r, c, &matches) {
-			t.Errorf("%s: the engine is kept", test.name)
+			t.Errorf("%s: an unsuitable engine is kept", test.name)
 		}
 	}
 }
 
-// TestCachedPrefixMayWaitLonger: requests for one long text went to ever more
-// engines, each of which read it again, because its reader was busy reading it.
-func TestCachedPrefixMayWaitLonger(t *testing.T) {
+// TestCachedPrefixRaisesPrefillCapacity guards against spreading requests with one long prefix
+// over ever more engines, each of which prefills it again, only because the engine that has it
+// cached, or is prefilling it, is busy.
+func TestCachedPrefixRaisesPrefillCapacity(t *testing.T) {
 	r, c := request(), candidate(0)
 	r.PromptTokens = 40_000
 	c.Backlog.Add(0, 32_000)
 	var matches Matches
 	if (HasPrefillCapacity{}).Keep(r, c, &matches) {
-		t.Error("a busy engine that has nothing of the prompt is kept")
+		t.Error("a busy engine without any of the prompt cached is kept")
 	}
 	matches[0] = 32_000 / prefix.BlockTokens
 	if !(HasPrefillCapacity{}).Keep(r, c, &matches) {
-		t.Error("the engine that reads the text is dropped")
+		t.Error("a busy engine with the prefix cached is dropped")
 	}
 }
 
-// TestLowerRanksDoNotBlock: a citation check waited in the queue while every engine
-// had comparisons to read, although engines put higher ranks first.
-func TestLowerRanksDoNotBlock(t *testing.T) {
+// TestBacklogOfLowerRanksIsIgnored guards against an urgent request that waits in the cell
+// because all engines have prompts of a lower rank to prefill, although engines would run the
+// urgent one first.
+func TestBacklogOfLowerRanksIsIgnored(t *testing.T) {
 	r, c := request(), candidate(0)
 	c.Backlog.Add(1, 50_000)
 	var matches Matches
@@ -92,16 +94,16 @@
 	}
 }
 
-func TestPlaceNamesTheReason(t *testing.T) {
+func TestPlaceReportsWhyNoEngineIsLeft(t *testing.T) {
 	full := candidate(0)
 	full.InFlight = full.MaxRunning
 	other := candidate(1)
 	other.Deployment.Model = "other"
-	cycle := NewDefaultPipeline(NewPrefixIndex(10))
-	if _, err := cycle.Place(request(), []*Candidate{other, full}); result.CodeOf(err) != result.QueueFull {
+	pipeline := NewDefaultPipeline(NewPrefixIndex(10))
+	if _, err := pipeline.Place(request(), []*Candidate{other, full}); result.CodeOf(err) != result.QueueFull {
 		t.Errorf("full engine: %v", err)
 	}
-	if _, err := cycle.Place(request(), []*Candidate{other}); result.CodeOf(err) != result.NoEngine {
+	if _, err := pipeline.Place(request(), []*Candidate{other}); result.CodeOf(err) != result.NoEngine {
 		t.Errorf("no engine of the model: %v", err)
 	}
 }
@@ -138,17 +140,17 @@
 	index := NewPrefixIndex(1000)
 	chain := []prefix.Hash{1, 2, 3}
 	index.RecordPlacement(0, 1, chain)
-	cycle := NewDefaultPipeline(index)
+	pipeline := NewDefaultPipeline(index)
 	engines := []*Candidate{candidate(0), candidate(1)}
 	r := request()
 	r.Prefix = chain
-	decision, err := cycle.Place(r, engines)
+	decision, err := pipeline.Place(r, engines)
 	if err != nil || decision.Candidate.Slot != 1 || decision.CachedTokens != 768 {
 		t.Fatalf("decision %+v, error %v; want slot 1 with 768 cached tokens", decision, err)
 	}
 	engines[1].Backlog.Add(0, 9000)
-	if decision, _ = cycle.Place(r, engines); decision.Candidate.Slot != 0 {
-		t.Error("a long queue did not outweigh the cached prefix")
+	if decision, _ = pipeline.Place(r, engines); decision.Candidate.Slot != 0 {
+		t.Error("the request went to the engine with the cached prefix despite its long queue")
 	}
 }
 
@@ -186,7 +188,7 @@
 		index.RecordPlacement(time.Duration(i), i%64, []prefix.Hash{prefix.Hash(1000 + i)})
 	}
 	if index.Len() > 100 || len(index.order) > 200 {
-		t.Errorf("%d blocks and %d in order, capacity 100", index.Len(), len(index.order))
+		t.Errorf("%d blocks, %d in the eviction order; capacity is 100", index.Len(), len(index.order))
 	}
 	if got := matchOf(index, 499%64, hot...); got != 3 {
 		t.Errorf("the prefix in steady use matches %d blocks, want 3", got)
@@ -207,13 +209,13 @@
 	for slot := range engines {
 		engines[slot] = candidate(slot)
 	}
-	cycle := NewDefaultPipeline(index)
+	pipeline := NewDefaultPipeline(index)
 	r := request()
 	r.PromptTokens = 40 * prefix.BlockTokens
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		r.Prefix = chains[i%len(chains)]
-		if _, err := cycle.Place(r, engines); err != nil {
+		if _, err := pipeline.Place(r, engines); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/placement/prefixindex.go
+++ b/internal/placement/prefixindex.go
@@ -8,22 +8,22 @@
 	"github.com/tinarch/tinarch/internal/prefix"
 )
 
-// PrefixIndex remembers which engines should have which prefix cached. What
-// engines publish comes late and with gaps, so entries are hints: they are made
-// by our own placements as well, age, and are corrected by what a finished
-// request reports as really cached.
+// PrefixIndex records which engines are expected to have which prefix blocks in their caches.
+// The events that engines publish come late and can be lost, so an entry is a hint only:
+// entries are also added for this cell's own placements, and they expire.
 type PrefixIndex struct {
 	capacity int
 	blocks   map[prefix.Hash]hint
-	// order holds blocks in the order of their addition, for eviction. Blocks
-	// removed meanwhile are skipped.
+	// order lists the blocks in the order in which they were added, for eviction. It may still
+	// hold blocks that have been removed; eviction skips them.
 	order   []prefix.Hash
 	cursors [MaxEngines]eventCursor
 }
 
 type hint struct {
 	engines uint64
-	// added is when the block got its place in the eviction order.
+	// added is the time at which the block got its current position in the eviction order, and
+	// touched the last time that an engine was recorded to have it.
 	added   time.Duration
 	touched time.Duration
 }
@@ -33,27 +33,27 @@
 	next        uint64
 }
 
-// hintAge is how long a hint is believed that nothing has confirmed.
-const hintAge = 20 * time.Minute
+// maxHintAge is how long eviction spares a block after its last event or placement.
+const maxHintAge = 20 * time.Minute
 
 // NewPrefixIndex returns an index of at most capacity blocks.
 func NewPrefixIndex(capacity int) *PrefixIndex {
 	return &PrefixIndex{capacity: capacity, blocks: make(map[prefix.Hash]hint, min(capacity, 1<<16))}
 }
 
-// Len returns the number of blocks known.
+// Len returns the number of blocks in the index.
 func (x *PrefixIndex) Len() int { return len(x.blocks) }
 
-// Match sets, for each slot in mask, how many leading blocks of chain the
-// engine should have.
+// Match sets, for each slot in mask, how many leading blocks of chain the engine is expected to
+// have cached.
 func (x *PrefixIndex) Match(chain []prefix.Hash, mask uint64, matches *Matches) {
 	remaining := mask
 	for i, block := range chain {
-		holding := x.blocks[block].engines
-		for dropped := remaining &^ holding; dropped != 0; dropped &= dropped - 1 {
-			matches[bits.TrailingZeros64(dropped)] = i
+		holders := x.blocks[block].engines
+		for diverged := remaining &^ holders; diverged != 0; diverged &= diverged - 1 {
+			matches[bits.TrailingZeros64(diverged)] = i
 		}
-		remaining &= holding
+		remaining &= holders
 		if remaining == 0 {
 			return
 		}
@@ -63,12 +63,13 @@
 	}
 }
 
-// RecordPlacement notes that an engine will have read the whole prompt.
+// RecordPlacement records that an engine is about to prefill, and thereby cache, a whole
+// prompt.
 func (x *PrefixIndex) RecordPlacement(now time.Duration, slot int, chain []prefix.Hash) {
 	for _, block := range chain {
 		x.add(now, slot, block)
 	}
-	x.shrink(now)
+	x.evict(now)
 }
 
 func (x *PrefixIndex) add(now time.Duration, slot int, block prefix.Hash) {
@@ -82,9 +83,9 @@
 	x.blocks[block] = known
 }
 
-// Apply takes a page of an engine's cache events. After a gap, events are still
-// taken one by one: a lost removal ages out, a lost addition is made up for by
-// our own placements.
+// Apply records a page of an engine's cache events. After a gap in the sequence the remaining
+// events still count: a lost removal expires, and a lost addition is made up for by the cell's
+// own placements. A new incarnation of the engine starts with an empty cache.
 func (x *PrefixIndex) Apply(now time.Duration, slot int, page engine.CacheEvents) {
 	cursor := &x.cursors[slot]
 	if cursor.incarnation != page.Incarnation {
@@ -100,10 +101,10 @@
 			x.removeBlock(slot, event.Block)
 		}
 	}
-	x.shrink(now)
+	x.evict(now)
 }
 
-// NextEvent returns the sequence number to ask an incarnation for.
+// NextEvent returns the number of the first cache event to request from an incarnation.
 func (x *PrefixIndex) NextEvent(slot int, incarnation engine.Identifier) uint64 {
 	if x.cursors[slot].incarnation != incarnation {
 		return 0
@@ -124,7 +125,7 @@
 	x.blocks[block] = known
 }
 
-// RemoveEngine drops all that is known of one engine.
+// RemoveEngine deletes everything that is recorded of one engine.
 func (x *PrefixIndex) RemoveEngine(slot int) {
 	for block := range x.blocks {
 		x.removeBlock(slot, block)
@@ -132,16 +133,17 @@
 	x.cursors[slot] = eventCursor{}
 }
 
-// shrink evicts the oldest blocks until the index fits. Blocks touched since
-// their addition get a second chance (the clock algorithm, Corbató, 1968).
-func (x *PrefixIndex) shrink(now time.Duration) {
+// evict deletes the oldest blocks until the index is within its capacity. A block that was
+// touched after it was added, and within maxHintAge, moves to the end of the order instead
+// (second chance or clock algorithm; Corbató, 1968).
+func (x *PrefixIndex) evict(now time.Duration) {
 	for len(x.blocks) > x.capacity || len(x.order) > 2*x.capacity {
 		block := x.order[0]
 		x.order = x.order[1:]
 		known, exists := x.blocks[block]
 		switch {
 		case !exists:
-		case known.added < known.touched && now-known.touched <= hintAge:
+		case known.added < known.touched && now-known.touched <= maxHintAge:
 			known.added = known.touched
 			x.blocks[block] = known
 			x.order = append(x.order, block)
--- a/internal/placement/scorers.go
+++ b/internal/placement/scorers.go
@@ -4,10 +4,10 @@
 	"github.com/tinarch/tinarch/internal/prefix"
 )
 
-// PrefillDelay predicts the time until the first token: the prompt tokens that
-// wait before the request, and its own that are not cached. It makes shared
-// prompts stick to the engines that have read them, until the queue there costs
-// more than reading again.
+// PrefillDelay predicts the time to the first token: the prefill of the prompt tokens that are
+// ahead of the request and of its own that are not cached. It makes prompts with a shared
+// prefix go to engines that have it cached, until the queue there costs more than prefilling
+// the prefix again elsewhere.
 type PrefillDelay struct{}
 
 // Cost implements Scorer.
@@ -17,25 +17,25 @@
 	return float64(tokens) / candidate.Rates.PrefillTokensPerSecond
 }
 
-// DecodeSlowdown predicts the time to write the output: each token waits for one
-// iteration, and an iteration is longer the more prompt tokens of others are read
-// in it and the more sequences decode.
+// DecodeSlowdown predicts the time to generate the output. Each token takes one iteration of
+// the engine's batch, and iterations take longer when they also prefill prompts of other
+// requests and when more sequences are decoded in them.
 type DecodeSlowdown struct{}
 
-// sequenceShare is the lengthening of an iteration by one more decoding
-// sequence, as a share of the iteration. At 2,000 cached tokens of 17 ns against
-// 7.5 ms it is 0.5 %; doubled for sampling and output handling.
-const sequenceShare = 0.01
+// slowdownPerSequence is the share by which one more decoding sequence lengthens an iteration.
+// A sequence with 2,000 cached tokens of 17 ns each adds 0.5 % to an iteration of 7.5 ms;
+// doubled to allow for sampling and output handling.
+const slowdownPerSequence = 0.01
 
 // Cost implements Scorer.
 func (DecodeSlowdown) Cost(request *Request, candidate *Candidate, _ *Matches) float64 {
 	decode := candidate.Rates.DecodeTime(request.OutputTokens, candidate.Backlog.Total()).Seconds()
-	return decode * (1 + sequenceShare*float64(candidate.InFlight))
+	return decode * (1 + slowdownPerSequence*float64(candidate.InFlight))
 }
 
-// MemoryPressure charges for memory that must be freed: cached prefixes are
-// evicted and will be read again. A request that does not fit at all waits in
-// the engine for others to end.
+// MemoryPressure charges for KV cache that has to be freed for the request, as the time to
+// prefill the evicted prefixes again. A request for which there is no memory at all waits
+// inside the engine until others finish.
 type MemoryPressure struct{}
 
 // Cost implements Scorer.
@@ -51,22 +51,22 @@
 	return float64(excess) / candidate.Rates.PrefillTokensPerSecond
 }
 
-// ZoneDistance charges for the way to another zone: small, so that it only
-// decides between engines that are otherwise alike.
+// ZoneDistance adds a small cost for engines in another zone, which only decides between
+// engines that are otherwise about equal.
 type ZoneDistance struct{}
 
-// otherZoneCost is a few round trips between zones, in seconds.
-const otherZoneCost = 0.003
+// crossZoneCost is the time of a few round trips between zones, in seconds.
+const crossZoneCost = 0.003
 
 // Cost implements Scorer.
 func (ZoneDistance) Cost(request *Request, candidate *Candidate, _ *Matches) float64 {
 	if request.Zone == "" || request.Zone == candidate.Zone {
 		return 0
 	}
-	return otherZoneCost
+	return crossZoneCost
 }
 
-// InFlightOnly is the cost of the least-loaded baseline.
+// InFlightOnly is the cost of the least-loaded baseline: the number of requests in flight.
 type InFlightOnly struct{}
 
 // Cost implements Scorer.
