--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -45,11 +45,11 @@
 	push(t, q, item("modest", "c", "modest", 1, 1))
 	q.Pop()
 	if got := q.Pop(); got.Tenant != "modest" {
-		t.Errorf("second dispatch is of tenant %s", got.Tenant)
+		t.Errorf("the second request dispatched is of tenant %s, want modest", got.Tenant)
 	}
 }
 
-func TestIdleClassDoesNotSaveUp(t *testing.T) {
+func TestIdleClassAccruesNoCredit(t *testing.T) {
 	q := NewQueue(1000)
 	for i := range 100 {
 		push(t, q, item(fmt.Sprint("a", i), "a", "t", 1, 1))
@@ -77,17 +77,17 @@
 		t.Fatalf("shed %v, error %v; want low shed", shed, err)
 	}
 	if _, err := q.Push(item("low2", "low", "t", 1, 1)); result.CodeOf(err) != result.QueueFull {
-		t.Errorf("a low request displaced a higher one: %v", err)
+		t.Errorf("a full queue accepted a low request: %v", err)
 	}
 }
 
-func TestExpiredLeavesOnlyReachableDeadlines(t *testing.T) {
+func TestExpiredRemovesUnreachableDeadlines(t *testing.T) {
 	q := NewQueue(10)
-	late := item("late", "c", "t", 1, 1)
-	late.Deadline, late.ServiceTime = 10*time.Second, 6*time.Second
-	push(t, q, late, item("fine", "c", "t", 1, 1))
+	unreachable := item("late", "c", "t", 1, 1)
+	unreachable.Deadline, unreachable.ServiceTime = 10*time.Second, 6*time.Second
+	push(t, q, unreachable, item("fine", "c", "t", 1, 1))
 	if expired := q.Expired(3 * time.Second); len(expired) != 0 {
-		t.Fatalf("expired too early: %v", expired)
+		t.Fatalf("expired although the deadline can still be met: %v", expired)
 	}
 	if expired := q.Expired(5 * time.Second); len(expired) != 1 || expired[0].ID != "late" {
 		t.Fatalf("expired %v, want late", expired)
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestWaitGrowsWithBacklogOfOwnShare(t *testing.T) {
+func TestEstimateWaitCountsOwnClassOnly(t *testing.T) {
 	q := NewQueue(1000)
 	for i := range 10 {
 		push(t, q, item(fmt.Sprint(i), "low", "t", 1, 1))
@@ -110,8 +110,9 @@
 	}
 }
 
-// TestQueueLosesNothing compares the queue with a set under random operations.
-func TestQueueLosesNothing(t *testing.T) {
+// TestQueueMatchesSetModel applies random operations to a queue and to a plain set, and checks
+// that no request is lost or appears twice.
+func TestQueueMatchesSetModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(30)
 		waiting := map[string]*Item{}
@@ -136,7 +137,7 @@
 					t.Fatalf("pop %v with %d waiting", got, len(waiting))
 				}
 				if got != nil && waiting[got.ID] != got {
-					t.Fatalf("popped %s, which does not wait", got.ID)
+					t.Fatalf("popped %s, which was not waiting", got.ID)
 				}
 				if got != nil {
 					delete(waiting, got.ID)
@@ -145,7 +146,7 @@
 			"remove": func(t *rapid.T) {
 				for id, it := range waiting {
 					if !q.Remove(it) {
-						t.Fatalf("%s can't be removed", id)
+						t.Fatalf("%s was waiting but Remove returned false", id)
 					}
 					delete(waiting, id)
 					break
@@ -160,15 +161,15 @@
 	})
 }
 
-func TestLimiterHarmsOnlyTheGreedyTenant(t *testing.T) {
+func TestLimiterRefusesOnlyTheTenantOverItsRate(t *testing.T) {
 	l := NewLimiter()
 	limits := Limits{PromptTokensPerSecond: 100, OutputTokensPerSecond: 10, BurstSeconds: 2}
 	if err := l.Take(0, "a", limits, 150, 5); err != nil {
-		t.Fatalf("within the burst: %v", err)
+		t.Fatalf("request within the burst was refused: %v", err)
 	}
 	err := l.Take(0, "a", limits, 150, 5)
 	if result.CodeOf(err) != result.TenantLimit {
-		t.Fatalf("over the limit: %v", err)
+		t.Fatalf("request over the limit: got %v, want TenantLimit", err)
 	}
 	if after := result.From(err).RetryAfterMillis; after != 1000 {
 		t.Errorf("retry after %d ms, want 1000", after)
@@ -177,11 +178,11 @@
 		t.Errorf("another tenant was refused: %v", err)
 	}
 	if err := l.Take(time.Second, "a", limits, 150, 5); err != nil {
-		t.Errorf("after the wait: %v", err)
+		t.Errorf("request after the advised wait was refused: %v", err)
 	}
 	l.EvictIdle(time.Hour)
 	if l.Len() != 0 {
-		t.Errorf("%d tenants remembered", l.Len())
+		t.Errorf("%d tenants still have buckets, want 0", l.Len())
 	}
 }
 
@@ -195,6 +196,6 @@
 		}
 	}
 	if allowed > 12 {
-		t.Errorf("%d retries for 100 tries, want at most 12", allowed)
+		t.Errorf("%d retries for 100 first attempts, want at most 12", allowed)
 	}
 }
--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -1,24 +1,24 @@
 package admission
 
-// RetryBudget bounds retries to a share of the first tries, so that a failing
-// fleet is not loaded further (Google SRE book, chapter 21, "Client-Side
-// Throttling" and retry budgets).
+// RetryBudget limits retries to a fraction of the first attempts, so that retries don't
+// overload engines that are already failing (see retry budgets in the Google SRE book, chapter
+// 21, "Handling Overload").
 type RetryBudget struct {
 	ratio   float64
 	ceiling float64
 	balance float64
 }
 
-// NewRetryBudget returns a budget that allows ratio retries for each first try,
-// and saves up at most ceiling retries.
+// NewRetryBudget returns a budget that allows ratio retries per first attempt. It starts with
+// ceiling retries, which is also the most that it accumulates.
 func NewRetryBudget(ratio, ceiling float64) *RetryBudget {
 	return &RetryBudget{ratio: ratio, ceiling: ceiling, balance: ceiling}
 }
 
-// Deposit counts a first try.
+// Deposit credits a first attempt.
 func (b *RetryBudget) Deposit() { b.balance = min(b.balance+b.ratio, b.ceiling) }
 
-// Withdraw takes one retry, and reports whether the budget allows it.
+// Withdraw spends one retry if the budget has one, and reports whether it did.
 func (b *RetryBudget) Withdraw() bool {
 	if b.balance < 1 {
 		return false
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -8,25 +8,25 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Limits are the token rates of one tenant. Zero rates mean no limit.
+// Limits are the token rates that one tenant may use. A rate of zero means no limit.
 type Limits struct {
 	PromptTokensPerSecond int
 	OutputTokensPerSecond int
 	BurstSeconds          int
 }
 
-// Limiter holds the token buckets of all tenants. Prompt and output tokens are
-// separate costs, because they load engines differently.
+// Limiter holds a pair of token buckets for each tenant. Prompt and output tokens are limited
+// separately, because prefill and decode load engines differently.
 type Limiter struct {
 	origin  time.Time
 	tenants map[string]*tenantBuckets
 }
 
 type tenantBuckets struct {
-	limits Limits
-	prompt *rate.Limiter
-	output *rate.Limiter
-	used   time.Duration
+	limits   Limits
+	prompt   *rate.Limiter
+	output   *rate.Limiter
+	lastUsed time.Duration
 }
 
 // NewLimiter returns an empty limiter.
@@ -34,14 +34,15 @@
 	return &Limiter{origin: time.Unix(0, 0), tenants: map[string]*tenantBuckets{}}
 }
 
-// Len returns the number of tenants with buckets.
+// Len returns the number of tenants that have buckets.
 func (l *Limiter) Len() int { return len(l.tenants) }
 
-// Take charges a request to its tenant, or refuses it and tells when to come
-// back. A request larger than the burst is charged the whole burst.
+// Take charges a request to its tenant's buckets. If they don't hold enough, it charges nothing
+// and returns TenantLimit with the time after which to retry. A request that is larger than the
+// burst is charged the whole burst.
 func (l *Limiter) Take(now time.Duration, tenant string, limits Limits, promptTokens, outputTokens int) error {
 	buckets := l.buckets(tenant, limits, now)
-	buckets.used = now
+	buckets.lastUsed = now
 	at := l.origin.Add(now)
 	prompt := reserve(buckets.prompt, at, promptTokens)
 	output := reserve(buckets.output, at, outputTokens)
@@ -59,10 +60,10 @@
 	buckets := l.tenants[tenant]
 	if buckets == nil || buckets.limits != limits {
 		buckets = &tenantBuckets{
-			limits: limits,
-			prompt: newBucket(limits.PromptTokensPerSecond, limits.BurstSeconds),
-			output: newBucket(limits.OutputTokensPerSecond, limits.BurstSeconds),
-			used:   now,
+			limits:   limits,
+			prompt:   newBucket(limits.PromptTokensPerSecond, limits.BurstSeconds),
+			output:   newBucket(limits.OutputTokensPerSecond, limits.BurstSeconds),
+			lastUsed: now,
 		}
 		l.tenants[tenant] = buckets
 	}
@@ -98,11 +99,12 @@
 	}
 }
 
-// EvictIdle drops the buckets of tenants idle for so long that they are full.
+// EvictIdle drops the buckets of tenants that have been idle for long enough to have full
+// buckets again.
 func (l *Limiter) EvictIdle(now time.Duration) {
 	for tenant, buckets := range l.tenants {
 		full := time.Duration(max(buckets.limits.BurstSeconds, 1)) * time.Second
-		if now-buckets.used > full {
+		if now-buckets.lastUsed > full {
 			delete(l.tenants, tenant)
 		}
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -1,6 +1,6 @@
-// Package admission decides which requests wait, in which order they go on, and
-// which are refused at once. It is pure: time is an argument, and nothing here
-// does I/O.
+// Package admission decides which requests wait, in which order waiting requests are
+// dispatched, and which requests are refused at once. It is deterministic: the caller passes
+// the current time, and nothing here does I/O.
 package admission
 
 import (
@@ -13,52 +13,53 @@
 
 // Item is a waiting request.
 type Item struct {
-	// ID is the caller's handle.
+	// ID is chosen by the caller of this package and not interpreted here.
 	ID string
-	// Tenant is the flow that the request belongs to.
+	// Tenant is the flow that the request belongs to: the tenants of a class get equal shares.
 	Tenant string
-	// Class is the name of its priority class, with the class's settings.
+	// Class is the name of the request's priority class; Rank, Weight and MaxQueued are the
+	// settings of that class.
 	Class     string
 	Rank      int32
 	Weight    float64
 	MaxQueued int
-	// Cost is the estimated work, in seconds of one engine.
+	// Cost is the estimated work of the request, in seconds of one engine.
 	Cost float64
-	// Deadline is when the answer stops being useful. It is measured, like every
-	// time in this package, from any fixed instant.
+	// Deadline is the time by which the answer must be complete. Like all times in this package
+	// it is the duration since an arbitrary fixed instant.
 	Deadline time.Duration
 	// ServiceTime is the estimated time from dispatch to the end of the answer.
 	ServiceTime time.Duration
 
-	start float64 // virtual start time in the class
+	startTag float64 // virtual time at which the request may start within its class
 }
 
-// Queue orders waiting requests by weighted fair queueing in two levels: first
-// between classes by weight, then between the tenants of a class evenly. Both
-// levels use start-time fair queueing (Goyal et al., SIGCOMM 1996).
+// Queue orders waiting requests by weighted fair queueing on two levels: classes share the
+// engines by weight, and the tenants of a class share evenly. Both levels use start-time fair
+// queueing (Goyal et al., SIGCOMM 1996).
 type Queue struct {
-	limit   int
-	length  int
-	virtual float64
-	classes map[string]*classQueue
+	limit       int
+	length      int
+	virtualTime float64
+	classes     map[string]*classQueue
 }
 
 type classQueue struct {
-	name      string
-	rank      int32
-	weight    float64
-	maxQueued int
-	length    int
-	cost      float64
-	virtual   float64 // finish tag of the class's last dispatch
-	clock     float64 // virtual time between the class's tenants
-	flows     map[string]*flow
+	name        string
+	rank        int32
+	weight      float64
+	maxQueued   int
+	length      int
+	cost        float64
+	startTag    float64 // start tag of the class's next request
+	virtualTime float64 // virtual time of the fair queueing between the class's tenants
+	flows       map[string]*flow
 }
 
 type flow struct {
-	tenant string
-	finish float64
-	items  []*Item
+	tenant    string
+	finishTag float64
+	items     []*Item
 }
 
 // NewQueue returns a queue that holds at most limit requests.
@@ -69,8 +70,8 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.length }
 
-// Push adds a request. When the queue is full, the youngest request of the
-// lowest class below the newcomer's makes room and is returned as shed.
+// Push adds a request. If the queue is full, it removes the newest request of the lowest class
+// below the new request's and returns it as shed; if there is none, it returns QueueFull.
 func (q *Queue) Push(item *Item) (shed *Item, err error) {
 	class := q.class(item)
 	if class.length >= class.maxQueued {
@@ -82,7 +83,7 @@
 			return nil, result.New(result.QueueFull, "%d requests wait already, none of a lower class", q.length)
 		}
 	}
-	class.push(item, q.virtual)
+	class.push(item, q.virtualTime)
 	q.length++
 	return shed, nil
 }
@@ -93,30 +94,30 @@
 		class = &classQueue{name: item.Class, flows: map[string]*flow{}}
 		q.classes[item.Class] = class
 	}
-	// The settings follow the latest revision.
+	// A configuration change may have altered the class; the newest request has the latest
+	// settings.
 	class.rank, class.weight, class.maxQueued = item.Rank, item.Weight, item.MaxQueued
 	return class
 }
 
-func (c *classQueue) push(item *Item, virtual float64) {
+func (c *classQueue) push(item *Item, virtualTime float64) {
 	if c.length == 0 {
-		// A class that was idle does not catch up for the time it asked nothing.
-		c.virtual = max(c.virtual, virtual)
+		// A class gains no credit for the time during which it had no requests waiting.
+		c.startTag = max(c.startTag, virtualTime)
 	}
 	f := c.flows[item.Tenant]
 	if f == nil {
-		f = &flow{tenant: item.Tenant, finish: c.clock}
+		f = &flow{tenant: item.Tenant, finishTag: c.virtualTime}
 		c.flows[item.Tenant] = f
 	}
-	item.start = max(c.clock, f.finish)
-	f.finish = item.start + item.Cost
+	item.startTag = max(c.virtualTime, f.finishTag)
+	f.finishTag = item.startTag + item.Cost
 	f.items = append(f.items, item)
 	c.length++
 	c.cost += item.Cost
 }
 
-// Peek returns the request that goes on next without removing it, nil when
-// none waits.
+// Peek returns the request that Pop would return, without removing it.
 func (q *Queue) Peek() *Item {
 	if class := q.nextClass(); class != nil {
 		return class.nextFlow().items[0]
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// Pop removes and returns the request that goes on next, nil when none waits.
+// Pop removes and returns the request to dispatch next, nil if none waits.
 func (q *Queue) Pop() *Item {
 	class := q.nextClass()
 	if class == nil {
@@ -132,14 +133,15 @@
 	}
 	f := class.nextFlow()
 	item := f.items[0]
-	class.clock = max(class.clock, item.start)
-	q.virtual = max(q.virtual, class.virtual)
-	class.virtual += item.Cost / class.weight
+	class.virtualTime = max(class.virtualTime, item.startTag)
+	q.virtualTime = max(q.virtualTime, class.startTag)
+	class.startTag += item.Cost / class.weight
 	q.removeAt(class, f, 0)
 	return item
 }
 
-// Remove takes a request out, for instance when its caller has left.
+// Remove removes a request, for instance because its caller has disconnected, and reports
+// whether it was waiting.
 func (q *Queue) Remove(item *Item) bool {
 	class := q.classes[item.Class]
 	if class == nil {
@@ -158,8 +160,8 @@
 	return false
 }
 
-// Expired removes and returns the requests that can't be answered in time any
-// more, were they dispatched now.
+// Expired removes and returns the requests that would miss their deadline even if they were
+// dispatched now.
 func (q *Queue) Expired(now time.Duration) []*Item {
 	var expired []*Item
 	for _, class := range q.classes {
@@ -186,7 +188,7 @@
 	class.length--
 	class.cost -= item.Cost
 	q.length--
-	if len(f.items) == 0 && f.finish <= class.clock {
+	if len(f.items) == 0 && f.finishTag <= class.virtualTime {
 		delete(class.flows, f.tenant)
 	}
 	if class.length == 0 {
@@ -195,8 +197,7 @@
 	}
 }
 
-// nextClass returns the class with the lowest start tag; the higher rank wins a
-// tie.
+// nextClass returns the class with the lowest start tag. Ties go to the higher rank.
 func (q *Queue) nextClass() *classQueue {
 	var best *classQueue
 	for _, class := range q.classes {
@@ -211,8 +212,8 @@
 }
 
 func (c *classQueue) before(other *classQueue) bool {
-	if c.virtual != other.virtual {
-		return c.virtual < other.virtual
+	if c.startTag != other.startTag {
+		return c.startTag < other.startTag
 	}
 	if c.rank != other.rank {
 		return c.rank > other.rank
@@ -234,13 +235,14 @@
 }
 
 func (f *flow) before(other *flow) bool {
-	if f.items[0].start != other.items[0].start {
-		return f.items[0].start < other.items[0].start
+	if f.items[0].startTag != other.items[0].startTag {
+		return f.items[0].startTag < other.items[0].startTag
 	}
 	return f.tenant < other.tenant
 }
 
-// shedBelow removes the youngest request of the lowest class below rank.
+// shedBelow removes and returns the newest request of the lowest class whose rank is below the
+// given one, nil if there is none.
 func (q *Queue) shedBelow(rank int32) *Item {
 	var lowest *classQueue
 	for _, class := range q.classes {
@@ -255,37 +257,37 @@
 		return nil
 	}
 	var youngest *Item
-	var from *flow
+	var youngestFlow *flow
 	for _, f := range lowest.flows {
 		if len(f.items) == 0 {
 			continue
 		}
 		last := f.items[len(f.items)-1]
-		if youngest == nil || last.start > youngest.start || (last.start == youngest.start && f.tenant < from.tenant) {
-			youngest, from = last, f
+		if youngest == nil || last.startTag > youngest.startTag || (last.startTag == youngest.startTag && f.tenant < youngestFlow.tenant) {
+			youngest, youngestFlow = last, f
 		}
 	}
-	q.removeAt(lowest, from, len(from.items)-1)
+	q.removeAt(lowest, youngestFlow, len(youngestFlow.items)-1)
 	return youngest
 }
 
-// EstimateWait estimates how long a new request of the class would wait, when the
-// engines together do rate seconds of work a second. The class gets its weight's
-// share of the rate among the classes that have requests waiting.
+// EstimateWait estimates how long a new request of item's class would wait if the engines
+// together do rate seconds of work per second. The class gets the share of that rate which its
+// weight has among the classes with waiting requests.
 func (q *Queue) EstimateWait(item *Item, rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Duration(1<<63 - 1)
 	}
-	total, own := item.Weight, 0.0
+	totalWeight, ownCost := item.Weight, 0.0
 	for _, class := range q.classes {
 		if class.name == item.Class {
-			own = class.cost
+			ownCost = class.cost
 			continue
 		}
 		if class.length > 0 {
-			total += class.weight
+			totalWeight += class.weight
 		}
 	}
-	share := item.Weight / total
-	return time.Duration(own / (rate * share) * float64(time.Second))
+	share := item.Weight / totalWeight
+	return time.Duration(ownCost / (rate * share) * float64(time.Second))
 }
