--- a/internal/fleet/assign.go
+++ b/internal/fleet/assign.go
@@ -1,4 +1,5 @@
-// Package fleet decides what each engine of a cell should serve. It is pure.
+// Package fleet decides which model version each engine of a cell should serve. It has no state
+// and does no I/O.
 package fleet
 
 import (
@@ -9,39 +10,40 @@
 	"github.com/tinarch/tinarch/internal/engine"
 )
 
-// Engine is an engine as assignment sees it.
+// Engine is what Assign needs to know of an engine.
 type Engine struct {
 	Name string
-	// Serving is what it serves now. Its zero value is nothing.
+	// Serving is what the engine serves now; the zero value means nothing.
 	Serving engine.Deployment
-	// Assigned is what it was last told to serve.
+	// Assigned is what an earlier call assigned to the engine.
 	Assigned engine.Deployment
 }
 
-// Assign gives each engine a model version, in proportion to the demands'
-// shares, and moves as few engines as possible. Every demand gets an engine
-// while there are enough. Engines are in the order of their names in the result.
-func Assign(members []Engine, demands []catalog.Demand) map[string]engine.Deployment {
-	assigned := make(map[string]engine.Deployment, len(members))
+// Assign gives each engine a model version, in proportion to the shares of the demands, and
+// changes the version of as few engines as possible. Each demand gets at least one engine, as
+// long as there are enough of them. Engines are considered in order of name, so that the same
+// input always gives the same result.
+func Assign(engines []Engine, demands []catalog.Demand) map[string]engine.Deployment {
+	assigned := make(map[string]engine.Deployment, len(engines))
 	if len(demands) == 0 {
 		return assigned
 	}
-	quota := quotas(len(members), demands)
-	var free []Engine
-	for _, member := range sorted(members) {
-		i := keeps(member, demands, quota)
+	wanted := apportion(len(engines), demands)
+	var unassigned []Engine
+	for _, e := range sortedByName(engines) {
+		i := demandServed(e, demands, wanted)
 		if i < 0 {
-			free = append(free, member)
+			unassigned = append(unassigned, e)
 			continue
 		}
-		quota[i]--
-		assigned[member.Name] = deployment(demands[i])
+		wanted[i]--
+		assigned[e.Name] = deployment(demands[i])
 	}
-	for _, member := range free {
+	for _, e := range unassigned {
 		for i := range demands {
-			if quota[i] > 0 {
-				quota[i]--
-				assigned[member.Name] = deployment(demands[i])
+			if wanted[i] > 0 {
+				wanted[i]--
+				assigned[e.Name] = deployment(demands[i])
 				break
 			}
 		}
@@ -49,17 +51,18 @@
 	return assigned
 }
 
-func sorted(members []Engine) []Engine {
-	ordered := slices.Clone(members)
+func sortedByName(engines []Engine) []Engine {
+	ordered := slices.Clone(engines)
 	slices.SortFunc(ordered, func(left, right Engine) int { return cmp.Compare(left.Name, right.Name) })
 	return ordered
 }
 
-// keeps returns the demand that the engine already fulfils, -1 for none.
-func keeps(member Engine, demands []catalog.Demand, quota []int) int {
-	for _, current := range []engine.Deployment{member.Assigned, member.Serving} {
+// demandServed returns the index of the demand to which the engine is assigned already, or that
+// it serves, and that still wants engines; -1 if there is none.
+func demandServed(e Engine, demands []catalog.Demand, wanted []int) int {
+	for _, current := range []engine.Deployment{e.Assigned, e.Serving} {
 		for i, demand := range demands {
-			if quota[i] > 0 && current.Model == demand.Model && current.Version == demand.Version {
+			if wanted[i] > 0 && current.Model == demand.Model && current.Version == demand.Version {
 				return i
 			}
 		}
@@ -71,33 +74,34 @@
 	return engine.Deployment{Model: demand.Model, Version: demand.Version, Role: engine.RoleMixed, Adapters: demand.Adapters}
 }
 
-// quotas splits count by the largest remainder, after one for each demand.
-func quotas(count int, demands []catalog.Demand) []int {
-	quota := make([]int, len(demands))
+// apportion returns how many engines each demand gets: one each first, as far as the engines
+// go, and the rest in proportion to the shares by the largest remainder method.
+func apportion(engines int, demands []catalog.Demand) []int {
+	counts := make([]int, len(demands))
 	total := 0
 	for i, demand := range demands {
 		total += demand.Share
-		if i < count {
-			quota[i] = 1
+		if i < engines {
+			counts[i] = 1
 		}
 	}
-	rest := count - min(count, len(demands))
+	rest := engines - min(engines, len(demands))
 	remainders := make([]int, len(demands))
-	given := 0
+	assigned := 0
 	for i, demand := range demands {
-		quota[i] += rest * demand.Share / total
-		given += rest * demand.Share / total
+		counts[i] += rest * demand.Share / total
+		assigned += rest * demand.Share / total
 		remainders[i] = rest * demand.Share % total
 	}
-	for ; given < rest; given++ {
+	for ; assigned < rest; assigned++ {
 		largest := 0
 		for i := range remainders {
 			if remainders[i] > remainders[largest] {
 				largest = i
 			}
 		}
-		quota[largest]++
+		counts[largest]++
 		remainders[largest] = -1
 	}
-	return quota
+	return counts
 }
--- a/internal/fleet/assign_test.go
+++ b/internal/fleet/assign_test.go
@@ -7,7 +7,7 @@
 	"github.com/tinarch/tinarch/internal/catalog"
 )
 
-func members(count int) []Engine {
+func namedEngines(count int) []Engine {
 	list := make([]Engine, count)
 	for i := range list {
 		list[i].Name = fmt.Sprintf("engine-%02d", i)
@@ -18,7 +18,7 @@
 func TestAssignSplitsByShare(t *testing.T) {
 	demands := []catalog.Demand{{Model: "a", Version: "1", Share: 3}, {Model: "b", Version: "1", Share: 1}}
 	counts := map[string]int{}
-	for _, deployment := range Assign(members(10), demands) {
+	for _, deployment := range Assign(namedEngines(10), demands) {
 		counts[deployment.Model]++
 	}
 	if counts["a"] != 7 || counts["b"] != 3 {
@@ -27,7 +27,7 @@
 }
 
 func TestAssignMovesFewEngines(t *testing.T) {
-	list := members(9)
+	list := namedEngines(9)
 	before := []catalog.Demand{{Model: "a", Version: "1", Share: 1}}
 	first := Assign(list, before)
 	for i := range list {
@@ -41,13 +41,13 @@
 		}
 	}
 	if moved != 4 && moved != 5 {
-		t.Errorf("%d of 9 engines moved, want half", moved)
+		t.Errorf("%d of 9 engines moved, want 4 or 5", moved)
 	}
 }
 
 func TestAssignWithFewerEnginesThanDemands(t *testing.T) {
 	demands := []catalog.Demand{{Model: "a", Version: "1", Share: 1}, {Model: "b", Version: "1", Share: 1}}
-	if got := Assign(members(1), demands); len(got) != 1 {
-		t.Errorf("assigned %v", got)
+	if got := Assign(namedEngines(1), demands); len(got) != 1 {
+		t.Errorf("assigned %v, want one engine", got)
 	}
 }
