--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,6 +1,6 @@
-// Package prefix computes the identifiers of prompt prefixes that engines and
-// nodes share. A prompt is cut into blocks of BlockBytes; the identifier of
-// block n covers the blocks 0 to n, so that equal identifiers mean equal
+// Package prefix computes the identifiers of prompt prefixes by which nodes and engines tell
+// each other what is in a prefix cache. A prompt is cut into blocks of BlockBytes. The
+// identifier of block n is a hash of all blocks from 0 to n, so equal identifiers mean equal
 // prefixes.
 package prefix
 
@@ -11,8 +11,8 @@
 )
 
 const (
-	// BytesPerToken is the mean length of a token that nodes assume when they
-	// estimate costs. Engines count exactly.
+	// BytesPerToken is the mean length of a token that nodes assume for estimates. Engines
+	// count the exact number of tokens.
 	BytesPerToken = 4
 	// BlockTokens is the number of tokens in one block.
 	BlockTokens = 256
@@ -20,15 +20,15 @@
 	BlockBytes = BlockTokens * BytesPerToken
 )
 
-// EstimateTokens estimates the number of tokens in a text of the given length.
+// EstimateTokens estimates the number of tokens in a text of the given length in bytes.
 func EstimateTokens(bytes int) int { return (bytes + BytesPerToken - 1) / BytesPerToken }
 
-// Hash identifies a prefix.
+// Hash identifies a prefix of a prompt that ends at a block boundary.
 type Hash = uint64
 
-// Chain returns the identifiers of the whole blocks of prompt under the given
-// seed, which names model, version and adapter: caches of different weights
-// never match.
+// Chain returns the identifiers of the prefixes of prompt, one for each complete block. The
+// seed names model, version and adapter, so that prefixes cached for different weights never
+// have the same identifier.
 func Chain(seed string, prompt string) []Hash {
 	count := len(prompt) / BlockBytes
 	if count == 0 {
@@ -36,12 +36,12 @@
 	}
 	hashes := make([]Hash, count)
 	previous := xxhash.Sum64String(seed)
-	var link [8]byte
+	var previousBytes [8]byte
 	digest := xxhash.New()
 	for i := range hashes {
 		digest.Reset()
-		binary.LittleEndian.PutUint64(link[:], previous)
-		_, _ = digest.Write(link[:])
+		binary.LittleEndian.PutUint64(previousBytes[:], previous)
+		_, _ = digest.Write(previousBytes[:])
 		_, _ = digest.WriteString(prompt[i*BlockBytes : (i+1)*BlockBytes])
 		previous = digest.Sum64()
 		hashes[i] = previous
