--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -21,13 +21,13 @@
 	dialTimeout   = 500 * time.Millisecond
 )
 
-// Client talks to engines over HTTP. It never retries: whether a message may
-// be sent again is the caller's decision.
+// Client sends requests and orders to engines over HTTP. It never retries, because only its
+// caller knows whether a message may be sent again.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient returns a client whose connections are shared by all engines.
+// NewClient returns a client with one connection pool for all engines.
 func NewClient() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
@@ -42,11 +42,11 @@
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// NotSent reports whether err proves that no byte of a request reached the
-// engine: the connection itself was not made.
+// NotSent reports whether err proves that nothing of a request reached the engine, because no
+// connection was established.
 func NotSent(err error) bool {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -55,15 +55,15 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Start sends a request to the engine that the ticket names, and returns its
-// stream. A *result.Error whose outcome is DidNotRun proves that the engine
-// did not run the attempt; any other error leaves that open.
+// Start sends a request to the engine that the ticket names, and returns the stream of its
+// answer. A *result.Error whose outcome is DidNotRun proves that the engine did not run the
+// attempt; after any other error it may have run.
 func (c *Client) Start(ctx context.Context, ticket Ticket, path string, body []byte) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ticket.Address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, result.Wrap(err, result.Internal, "building a request to %s", ticket.Engine)
 	}
-	// Without GetBody the transport can't send the request a second time.
+	// Without GetBody, the transport cannot send the request a second time on its own.
 	request.GetBody = nil
 	header := request.Header
 	header.Set("Content-Type", "application/json")
@@ -77,7 +77,8 @@
 	return c.openStream(request, ticket.Engine)
 }
 
-// Resume reads an accepted attempt's stream from the given event number.
+// Resume reads the stream of an attempt that the engine has accepted, from the given event
+// number on.
 func (c *Client) Resume(ctx context.Context, address string, incarnation, attempt Identifier, from int) (io.ReadCloser, error) {
 	url := fmt.Sprintf("http://%s/engine/v1/streams/%s?from=%d&incarnation=%s", address, attempt, from, incarnation)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -115,7 +116,7 @@
 	return &refusal
 }
 
-// Cancel stops an attempt and makes the engine refuse it from then on.
+// Cancel stops an attempt, and makes the engine refuse it if it arrives later.
 func (c *Client) Cancel(ctx context.Context, address string, incarnation, attempt Identifier) (CancelReply, error) {
 	var reply CancelReply
 	path := fmt.Sprintf("/engine/v1/streams/%s?incarnation=%s", attempt, incarnation)
@@ -123,8 +124,8 @@
 	return reply, err
 }
 
-// RefuseUnseen makes the engine refuse an attempt that it has not accepted so far.
-// An attempt that it has accepted goes on, and the reply says so.
+// RefuseUnseen makes the engine refuse an attempt that it has not accepted yet. If it has
+// accepted the attempt, the attempt goes on and the reply has Seen set.
 func (c *Client) RefuseUnseen(ctx context.Context, address string, incarnation, attempt Identifier) (CancelReply, error) {
 	var reply CancelReply
 	path := fmt.Sprintf("/engine/v1/streams/%s?incarnation=%s&only_unseen=true", attempt, incarnation)
@@ -132,21 +133,21 @@
 	return reply, err
 }
 
-// Status reads the engine's report of itself.
+// Status returns the engine's current status report.
 func (c *Client) Status(ctx context.Context, address string) (Status, error) {
 	var status Status
 	err := c.call(ctx, http.MethodGet, address, "/engine/v1/status", nil, &status)
 	return status, err
 }
 
-// Order sends an order and returns the engine's state after it was accepted.
+// Order sends an order and returns the engine's status after it has accepted the order.
 func (c *Client) Order(ctx context.Context, address string, order Order) (Status, error) {
 	var status Status
 	err := c.call(ctx, http.MethodPost, address, "/engine/v1/orders", order, &status)
 	return status, err
 }
 
-// CacheEvents reads the cache events from the given sequence number on.
+// CacheEvents returns the cache events from the given sequence number on.
 func (c *Client) CacheEvents(ctx context.Context, address string, from uint64) (CacheEvents, error) {
 	var events CacheEvents
 	path := "/engine/v1/cache-events?from=" + strconv.FormatUint(from, 10)
@@ -154,7 +155,7 @@
 	return events, err
 }
 
-// ExportKV reads the cached prompt of an attempt.
+// ExportKV returns the KV cache of an attempt's prompt.
 func (c *Client) ExportKV(ctx context.Context, address string, incarnation, attempt Identifier) (KVExport, error) {
 	var export KVExport
 	path := fmt.Sprintf("/engine/v1/kv/%s?incarnation=%s", attempt, incarnation)
@@ -162,7 +163,7 @@
 	return export, err
 }
 
-// ImportKV gives an engine a cached prompt.
+// ImportKV adds the KV cache of a prompt to an engine's cache.
 func (c *Client) ImportKV(ctx context.Context, address string, export KVExport) error {
 	return c.call(ctx, http.MethodPost, address, "/engine/v1/kv", export, nil)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,5 +1,6 @@
-// Package engine defines how nodes talk to engines: an OpenAI-compatible HTTP
-// interface for requests, and /engine/v1/ for orders, load and streams.
+// Package engine defines the protocol between nodes and engines: an OpenAI-compatible HTTP API
+// for completions, and /engine/v1/ for orders, status, streams, cache events and KV cache
+// transfer.
 package engine
 
 import (
@@ -10,8 +11,8 @@
 	"github.com/tinarch/tinarch/internal/prefix"
 )
 
-// Identifier is a random 128-bit value in hexadecimal: a process incarnation,
-// an attempt or an order.
+// Identifier is a random 128-bit value in hexadecimal. It identifies an incarnation of an
+// engine process, an attempt or an order.
 type Identifier string
 
 // NewIdentifier returns a random identifier.
@@ -21,7 +22,7 @@
 	return Identifier(hex.EncodeToString(raw[:]))
 }
 
-// Role is the sort of work that an engine does.
+// Role says which phases of inference an engine runs: prefill, decode, or both.
 type Role string
 
 // The roles.
@@ -31,11 +32,11 @@
 	RoleDecode  Role = "decode"
 )
 
-// Fence is a leader's authority as one rising number: an order with a lower
-// fence than the highest that an engine has seen has no effect.
+// Fence is a leader's fencing token. It is higher for each new leader, and engines refuse
+// orders whose token is lower than the highest that they have seen.
 type Fence uint64
 
-// Deployment is what an engine serves.
+// Deployment is the model version that an engine serves, with its role and adapters.
 type Deployment struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
@@ -43,8 +44,8 @@
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// HasAdapter reports whether the adapter is loaded. The empty name is no
-// adapter and always there.
+// HasAdapter reports whether the adapter is loaded. The empty name stands for no adapter, for
+// which the answer is always true.
 func (d Deployment) HasAdapter(name string) bool {
 	if name == "" {
 		return true
@@ -57,14 +58,15 @@
 	return false
 }
 
-// Serves reports whether both serve the same model version in the same role.
+// Serves reports whether d and other have the same model version and role. Adapters are not
+// compared.
 func (d Deployment) Serves(other Deployment) bool {
 	return d.Model == other.Model && d.Version == other.Version && d.Role == other.Role
 }
 
-// Ticket permits one attempt on one incarnation of one engine. The engine
-// refuses a ticket that does not match its own state; such a refusal proves
-// that the attempt did not run.
+// Ticket permits one attempt of a request on one incarnation of one engine. An engine refuses a
+// ticket that does not match its current state; such a refusal proves that the attempt did not
+// run.
 type Ticket struct {
 	Attempt     Identifier `json:"attempt"`
 	Engine      string     `json:"engine"`
@@ -75,13 +77,13 @@
 	Adapter     string     `json:"adapter,omitempty"`
 	Role        Role       `json:"role"`
 	Fence       Fence      `json:"fence"`
-	// Priority is the rank of the request's class.
+	// Priority is the rank of the request's priority class.
 	Priority int32 `json:"priority"`
-	// ValidMillis is how long after its receipt the ticket may be dispatched.
+	// ValidMillis is the time within which the receiver of the ticket may send the request.
 	ValidMillis int64 `json:"valid_ms"`
 }
 
-// Headers of a request to an engine that carry its ticket.
+// Headers by which a request to an engine carries its ticket.
 const (
 	HeaderAttempt     = "Tinarch-Attempt"
 	HeaderIncarnation = "Tinarch-Engine-Incarnation"
@@ -90,18 +92,18 @@
 	HeaderAdapter     = "Tinarch-Adapter"
 	HeaderRole        = "Tinarch-Role"
 	HeaderPriority    = "Tinarch-Priority"
-	// HeaderCode carries the number of the result code on a refusal.
+	// HeaderCode carries the numeric result code when the engine refuses the request.
 	HeaderCode = "Tinarch-Code"
 )
 
-// OrderType is the sort of an order.
+// OrderType says what an order asks for.
 type OrderType string
 
-// The orders.
+// The order types.
 const (
-	// OrderClaim raises the engine's fence and changes nothing else.
+	// OrderClaim raises the fencing token that the engine has seen, and changes nothing else.
 	OrderClaim OrderType = "claim"
-	// OrderDeploy loads a model version with adapters and takes a role.
+	// OrderDeploy makes the engine load a model version with adapters and take a role.
 	OrderDeploy OrderType = "deploy"
 	// OrderDrain makes the engine refuse new attempts.
 	OrderDrain OrderType = "drain"
@@ -109,68 +111,69 @@
 	OrderUndrain OrderType = "undrain"
 )
 
-// Order is a fenced instruction to one incarnation of an engine.
+// Order is an instruction to one incarnation of an engine, protected by a fencing token.
 type Order struct {
 	ID    Identifier `json:"id"`
 	Type  OrderType  `json:"type"`
 	Fence Fence      `json:"fence"`
-	// Sequence rises with each order of one fence to one engine. The engine
-	// refuses an order that is not newer than the last by (fence, sequence), so
-	// that a copy which was delayed on the way can't undo a later order. The
-	// same order again is answered as before.
+	// Sequence rises with each order that a leader sends to an engine. The engine refuses an
+	// order unless its (fence, sequence) is higher than that of the last one, so that a copy of
+	// an order that was delayed in the network can't undo a later order. A repetition of the
+	// last order is answered as it was the first time.
 	Sequence    uint64     `json:"sequence"`
 	Incarnation Identifier `json:"incarnation"`
-	// Target is what a deploy order asks for.
+	// Target is the deployment that an OrderDeploy asks for.
 	Target *Deployment `json:"target,omitempty"`
-	// SizeBytes is the size of the weights that a deploy order loads.
+	// SizeBytes is the size of the weights that an OrderDeploy loads.
 	SizeBytes uint64 `json:"size_bytes,omitempty"`
 }
 
-// Status is an engine's report of itself. Load lags behind; the other fields
-// are current.
+// Status is what an engine reports of itself. Load was measured some time before the report;
+// the other fields are current.
 type Status struct {
 	Incarnation Identifier `json:"incarnation"`
 	Deployment  Deployment `json:"deployment"`
 	Draining    bool       `json:"draining"`
-	// Fence is the highest fence seen in this incarnation.
+	// Fence is the highest fencing token that this incarnation has seen.
 	Fence Fence `json:"fence"`
-	// Changing is the order in progress, empty when there is none.
+	// Changing is the order in progress, empty if there is none.
 	Changing Identifier `json:"changing,omitempty"`
 	// LastOrder is the last order that took effect.
 	LastOrder Identifier `json:"last_order,omitempty"`
-	// Running counts the attempts accepted and not finished. It is current.
+	// Running counts the attempts that were accepted and have not finished.
 	Running int  `json:"running"`
 	Load    Load `json:"load"`
 }
 
-// Load is an engine's load report, measured some time ago.
+// Load is an engine's load report, measured AgeMillis before it was sent.
 type Load struct {
 	AgeMillis int64 `json:"age_ms"`
 	Running   int   `json:"running"`
 	Waiting   int   `json:"waiting"`
-	// PendingPromptTokens counts prompt tokens accepted and not yet read.
+	// PendingPromptTokens counts the accepted prompt tokens whose prefill is not done. The two
+	// memory fields are the used and the total size of the KV cache, in tokens.
 	PendingPromptTokens int64 `json:"pending_prompt_tokens"`
 	MemoryUsedTokens    int64 `json:"memory_used_tokens"`
 	MemoryTotalTokens   int64 `json:"memory_total_tokens"`
-	// PrefillTokensPerSecond is the speed of reading prompts.
+	// PrefillTokensPerSecond is the prefill throughput.
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second"`
-	// DecodeStepMillis is the length of an iteration that reads no prompt, and
-	// MixedStepMillis of one that reads as much of prompts as it may.
+	// DecodeStepMillis is the duration of an iteration of the batch that only decodes, and
+	// MixedStepMillis that of one that also prefills as many prompt tokens as fit into it.
 	DecodeStepMillis float64 `json:"decode_step_ms"`
 	MixedStepMillis  float64 `json:"mixed_step_ms"`
 }
 
-// CacheEventType tells whether a block entered or left the prefix cache.
+// CacheEventType says whether a block was added to or removed from the prefix cache.
 type CacheEventType string
 
-// The cache events.
+// The types of cache events.
 const (
 	CacheStored  CacheEventType = "stored"
 	CacheRemoved CacheEventType = "removed"
 )
 
-// CacheEvent reports a change of an engine's prefix cache. Sequence numbers
-// rise by one; a gap means that events were lost.
+// CacheEvent reports a change of an engine's prefix cache. Sequence numbers increase by one; a
+// gap means that events were lost.
 type CacheEvent struct {
 	Sequence uint64         `json:"seq"`
 	Type     CacheEventType `json:"type"`
@@ -181,28 +184,28 @@
 type CacheEvents struct {
 	Incarnation Identifier   `json:"incarnation"`
 	Events      []CacheEvent `json:"events"`
-	// Next is the sequence number to ask for next.
+	// Next is the sequence number from which to read the next page.
 	Next uint64 `json:"next"`
 }
 
-// AttemptRetention is how long an engine remembers the attempts that it has accepted,
-// beyond the life of their streams. Attempts that it was told to refuse it
-// remembers as long as its incarnation lasts.
+// AttemptRetention is how long an engine remembers that it has accepted an attempt, even after
+// the attempt's stream is gone. An attempt that it was told to refuse it remembers until it
+// restarts.
 const AttemptRetention = time.Hour
 
-// CancelReply answers the cancellation of an attempt. The engine remembers the
-// attempt and refuses it from then on.
+// CancelReply answers the cancellation of an attempt. The engine has recorded the attempt and
+// refuses it from now on; RefuseUnseen makes an exception for attempts that were accepted.
 type CancelReply struct {
 	Incarnation Identifier `json:"incarnation"`
-	// Seen tells whether the attempt had been accepted before.
+	// Seen says whether the engine had accepted the attempt before.
 	Seen bool `json:"seen"`
 }
 
-// KVExport is the cached prompt of one attempt, as moved between engines.
+// KVExport is the KV cache of one attempt's prompt, as transferred between engines.
 type KVExport struct {
 	Incarnation Identifier    `json:"incarnation"`
 	Seed        string        `json:"seed"`
 	Blocks      []prefix.Hash `json:"blocks"`
-	// SizeBytes is the amount of memory that the blocks stand for.
+	// SizeBytes is the size of the KV cache for these blocks.
 	SizeBytes uint64 `json:"size_bytes"`
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -7,10 +7,9 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// An engine numbers the events of a stream with "id: <attempt>/<number>",
-// counted from one, and closes it with the comment
-// ": end tokens=<count> prompt=<count> cached=<count>" (server-sent events,
-// WHATWG HTML section 9.2). A stream without that mark is not whole.
+// Streams are server-sent events (WHATWG HTML, section 9.2). An engine numbers the events with
+// "id: <attempt>/<number>", starting at one, and ends the stream with the comment ": end
+// tokens=<count> prompt=<count> cached=<count>". A stream without that end mark is incomplete.
 const (
 	eventIDPrefix = "id: "
 	endMarkPrefix = ": end tokens="
@@ -18,7 +17,7 @@
 	endMarkCached = " cached="
 )
 
-// AppendEvent appends a numbered event to buffer.
+// AppendEvent appends an event with its number to buffer.
 func AppendEvent(buffer []byte, attempt Identifier, number int, data []byte) []byte {
 	buffer = append(buffer, eventIDPrefix...)
 	buffer = append(buffer, attempt...)
@@ -29,15 +28,15 @@
 	return append(buffer, "\n\n"...)
 }
 
-// Usage counts the tokens of a whole answer.
+// Usage is the token counts of a complete answer.
 type Usage struct {
 	OutputTokens int `json:"output_tokens"`
 	PromptTokens int `json:"prompt_tokens"`
-	// CachedTokens is the part of the prompt found in the prefix cache.
+	// CachedTokens is how many of the prompt's tokens were in the prefix cache.
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// AppendEnd appends the end mark of a stream.
+// AppendEnd appends the end mark of a stream, and the event that ends it for OpenAI clients.
 func AppendEnd(buffer []byte, usage Usage) []byte {
 	buffer = append(buffer, endMarkPrefix...)
 	buffer = strconv.AppendInt(buffer, int64(usage.OutputTokens), 10)
@@ -48,27 +47,29 @@
 	return append(buffer, "\n\ndata: [DONE]\n\n"...)
 }
 
-// EventDisposition tells what a reader does with an event.
+// EventDisposition says how to handle an event.
 type EventDisposition int
 
 // The dispositions.
 const (
-	// EventAccepted is the next event of the stream.
+	// EventAccepted is the event expected next.
 	EventAccepted EventDisposition = iota
-	// EventRepeated was read before, and is dropped.
+	// EventRepeated was received before and is dropped.
 	EventRepeated
-	// EventForeign belongs to another attempt, and is dropped.
+	// EventForeign belongs to another attempt and is dropped.
 	EventForeign
-	// EventGap has a higher number than expected: the reader resumes.
+	// EventGap means that events are missing: the event's number is higher than expected, or
+	// the end mark counts more or fewer tokens than events were received. The caller has to
+	// resume the stream from StreamReader.Next.
 	EventGap
 	// EventEnd is the end mark.
 	EventEnd
-	// EventOther carries no number.
+	// EventOther has no number, for instance a comment.
 	EventOther
 )
 
-// StreamReader checks the events of one attempt. It holds no connection: the
-// same reader goes on after a resume.
+// StreamReader checks that the events of one attempt arrive completely and in order. It does
+// not hold the connection, so the same StreamReader is used after a resume.
 type StreamReader struct {
 	attempt  string
 	next     int
@@ -76,18 +77,18 @@
 	usage    Usage
 }
 
-// NewStreamReader returns a reader that expects event number first.
+// NewStreamReader returns a reader that expects the event with the number first.
 func NewStreamReader(attempt Identifier, first int) *StreamReader {
 	return &StreamReader{attempt: string(attempt), next: first}
 }
 
-// Next returns the number of the next event expected.
+// Next returns the number of the event expected next.
 func (r *StreamReader) Next() int { return r.next }
 
-// Complete reports whether the end mark was read and its count matched.
+// Complete reports whether the end mark was received and its token count matched.
 func (r *StreamReader) Complete() bool { return r.complete }
 
-// Usage returns the counts of the end mark. It is valid once Complete.
+// Usage returns the token counts of the end mark. They are valid once Complete returns true.
 func (r *StreamReader) Usage() Usage { return r.usage }
 
 var (
@@ -95,7 +96,7 @@
 	endMarkBytes = []byte(endMarkPrefix)
 )
 
-// Classify judges one event, given without its closing blank line.
+// Classify returns how to handle an event, which is given without the blank line that ends it.
 func (r *StreamReader) Classify(event []byte) (EventDisposition, error) {
 	if bytes.HasPrefix(event, eventIDBytes) {
 		return r.classifyNumbered(event[len(eventIDBytes):])
@@ -172,7 +173,7 @@
 	return value, true
 }
 
-// EventData returns the data line of an event.
+// EventData returns the content of an event's data line, nil if it has none.
 func EventData(event []byte) []byte {
 	_, data, found := bytes.Cut(event, []byte("data: "))
 	if !found {
@@ -181,5 +182,5 @@
 	return bytes.TrimRight(data, "\r\n")
 }
 
-// CompletionID returns the identifier that an answer shows its caller.
+// CompletionID returns the identifier of an answer that its caller sees.
 func CompletionID(attempt Identifier) string { return "cmpl-" + string(attempt) }
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -40,7 +40,7 @@
 func TestStreamReaderRejectsMalformedNumbers(t *testing.T) {
 	for _, event := range []string{"id: aa/x\ndata: y", "id: aa\ndata: y", ": end tokens=2", ": end tokens= prompt=1 cached=0", "id: aa/99999999999\ndata: z"} {
 		if _, err := NewStreamReader("aa", 1).Classify([]byte(event)); err == nil {
-			t.Errorf("%q was accepted", event)
+			t.Errorf("%q was classified without an error", event)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	event := AppendEvent(nil, "aa", 1, []byte(`{"a":1}`))
 	reader := NewStreamReader("aa", 1)
 	if got := classify(t, reader, string(event[:len(event)-2])); got != EventAccepted {
-		t.Fatalf("disposition %d", got)
+		t.Fatalf("disposition %d, want EventAccepted", got)
 	}
 	if got := string(EventData(event[:len(event)-2])); got != `{"a":1}` {
 		t.Errorf("EventData = %q", got)
