--- a/internal/openai/answer.go
+++ b/internal/openai/answer.go
@@ -7,7 +7,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Usage is the token count of an answer.
+// Usage is the token counts of an answer.
 type Usage struct {
 	PromptTokens        int           `json:"prompt_tokens"`
 	CompletionTokens    int           `json:"completion_tokens"`
@@ -15,7 +15,7 @@
 	PromptTokensDetails *PromptDetail `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptDetail splits the prompt tokens.
+// PromptDetail says how many of the prompt tokens were in the prefix cache.
 type PromptDetail struct {
 	CachedTokens int `json:"cached_tokens"`
 }
@@ -30,14 +30,15 @@
 	}
 }
 
-// Delta is the text of one chunk of a chat answer.
+// Delta is the text that one chunk adds to a chat answer.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// Choice is one answer. Text is set in text completions, Delta in chunks of a
-// chat, Message in whole chat answers.
+// Choice is one of the alternatives of an answer; tinarch only returns one. Text is set in text
+// completions, Delta in the chunks of a streamed chat answer, and Message in chat answers that
+// are not streamed.
 type Choice struct {
 	Index        int            `json:"index"`
 	Text         *string        `json:"text,omitempty"`
@@ -46,13 +47,13 @@
 	FinishReason *string        `json:"finish_reason"`
 }
 
-// AnswerMessage is the message of a whole chat answer.
+// AnswerMessage is the message of a chat answer that is not streamed.
 type AnswerMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Answer is a whole answer or a chunk of one.
+// Answer is the body of an answer that is not streamed, or one chunk of a streamed one.
 type Answer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -70,14 +71,14 @@
 	finishLength    = "length"
 )
 
-// ChunkWriter renders chunks of one answer without reflection: chunks are the
-// most frequent message of all.
+// ChunkWriter writes the chunks of one answer without the reflection of encoding/json, because
+// chunks are the most frequent messages.
 type ChunkWriter struct {
 	head string
 	chat bool
 }
 
-// NewChunkWriter returns a writer for the answer with the given identifier.
+// NewChunkWriter returns a writer for the answer with the identifier id.
 func NewChunkWriter(endpoint Endpoint, id, model string, created int64) *ChunkWriter {
 	chat := endpoint == ChatCompletions
 	object := objectText
@@ -90,7 +91,8 @@
 	return &ChunkWriter{head: head, chat: chat}
 }
 
-// Append appends a chunk with the given text, which must not need escaping.
+// Append appends a chunk to buffer. The text must not contain characters that JSON escapes. The
+// last chunk gets a finish reason.
 func (w *ChunkWriter) Append(buffer, text []byte, last bool) []byte {
 	buffer = append(buffer, w.head...)
 	if w.chat {
@@ -108,7 +110,7 @@
 	return append(buffer, `,"finish_reason":null}]}`...)
 }
 
-// ChunkText returns the text of a chunk.
+// ChunkText returns the text that a chunk adds to the answer.
 func ChunkText(data []byte) (string, error) {
 	var chunk Answer
 	if err := json.Unmarshal(data, &chunk); err != nil {
@@ -127,7 +129,7 @@
 	return "", nil
 }
 
-// NewAnswer returns a whole answer.
+// NewAnswer returns the body of an answer that is not streamed.
 func NewAnswer(endpoint Endpoint, id, model string, created int64, text string, usage *Usage) Answer {
 	reason := finishLength
 	answer := Answer{ID: id, Object: objectText, Created: created, Model: model, Usage: usage}
@@ -142,7 +144,8 @@
 	return answer
 }
 
-// UsageChunk returns the last chunk of a stream whose caller asked for usage.
+// UsageChunk returns the chunk with the token counts that ends a stream if the caller has asked
+// for it (stream_options.include_usage).
 func UsageChunk(endpoint Endpoint, id, model string, created int64, usage *Usage) Answer {
 	object := objectText
 	if endpoint == ChatCompletions {
@@ -151,40 +154,40 @@
 	return Answer{ID: id, Object: object, Created: created, Model: model, Choices: []Choice{}, Usage: usage}
 }
 
-// ErrorBody is the body of a refusal, in the form that OpenAI clients read.
+// ErrorBody is the body of an error response, in the form that OpenAI clients expect.
 type ErrorBody struct {
 	Error ErrorContent `json:"error"`
 }
 
-// ErrorContent is the content of a refusal.
+// ErrorContent describes the error.
 type ErrorContent struct {
 	Message string `json:"message"`
-	// Type is the outcome: "ran", "did not run" or "unknown".
+	// Type is the outcome of the request: "ran", "did not run" or "unknown".
 	Type string `json:"type"`
 	// Code is the name of the result code.
 	Code string `json:"code"`
-	// Number is the result code.
+	// Number is the numeric result code.
 	Number int `json:"number"`
-	// Attempt is the identifier of the attempt, for support.
+	// Attempt is the identifier of the attempt, which callers can quote to support.
 	Attempt          string `json:"attempt,omitempty"`
 	RetryAfterMillis int64  `json:"retry_after_ms,omitempty"`
 }
 
-// NewErrorBody renders an error for a caller.
-func NewErrorBody(failure *result.Error, attempt string) ErrorBody {
-	entry := failure.Code.Entry()
+// NewErrorBody returns the error response for a caller.
+func NewErrorBody(err *result.Error, attempt string) ErrorBody {
+	entry := err.Code.Entry()
 	return ErrorBody{Error: ErrorContent{
-		Message:          failure.Message,
+		Message:          err.Message,
 		Type:             string(entry.Outcome),
 		Code:             entry.Name,
 		Number:           int(entry.Code),
 		Attempt:          attempt,
-		RetryAfterMillis: failure.RetryAfterMillis,
+		RetryAfterMillis: err.RetryAfterMillis,
 	}}
 }
 
-// TextChunk returns a chunk that holds a whole text, for answers that are read
-// from store.
+// TextChunk returns a chunk with the whole text of an answer. It is used for answers that were
+// stored earlier under an idempotency key and are streamed to the caller now.
 func TextChunk(endpoint Endpoint, id, model string, created int64, text string) ([]byte, error) {
 	reason := finishLength
 	answer := Answer{ID: id, Object: objectText, Created: created, Model: model}
--- a/internal/openai/request.go
+++ b/internal/openai/request.go
@@ -1,6 +1,5 @@
-// Package openai holds the part of the OpenAI HTTP interface that tinarch
-// speaks: text and chat completions, whole or streamed
-// (https://platform.openai.com/docs/api-reference).
+// Package openai implements the part of the OpenAI HTTP API that tinarch supports: text and
+// chat completions, streamed or not (https://platform.openai.com/docs/api-reference).
 package openai
 
 import (
@@ -14,7 +13,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Endpoint is the path of an interface.
+// Endpoint is the URL path of an API method.
 type Endpoint string
 
 // The endpoints.
@@ -30,7 +29,7 @@
 	Name    string  `json:"name,omitempty"`
 }
 
-// Content is the text of a message, sent as a string or as a list of parts.
+// Content is the text of a message. In JSON it is a string or a list of text parts.
 type Content string
 
 type contentPart struct {
@@ -67,8 +66,7 @@
 	IncludeObfuscation *bool `json:"include_obfuscation,omitempty"`
 }
 
-// Request is a completion request. Fields that steer sampling go to the engine
-// as they are.
+// Request is a completion request. The sampling parameters are passed to the engine unchanged.
 type Request struct {
 	Model               string          `json:"model"`
 	Prompt              *string         `json:"prompt,omitempty"`
@@ -88,7 +86,7 @@
 	Metadata            json.RawMessage `json:"metadata,omitempty"`
 }
 
-// Parse reads and checks a request body.
+// Parse decodes and validates a request body.
 func Parse(endpoint Endpoint, body []byte) (*Request, error) {
 	if !utf8.Valid(body) {
 		return nil, result.New(result.InvalidRequest, "the body is not valid UTF-8; encode it as UTF-8")
@@ -134,8 +132,8 @@
 	return nil
 }
 
-// PromptText returns the canonical text of the prompt, on which prefix
-// identifiers are computed.
+// PromptText returns the prompt as one text, from which the identifiers of its prefixes are
+// computed.
 func (r *Request) PromptText() string {
 	if r.Prompt != nil {
 		return *r.Prompt
@@ -153,8 +151,8 @@
 	return text.String()
 }
 
-// OutputLimit returns the largest number of output tokens asked for, or
-// fallback when the request names none.
+// OutputLimit returns the maximum number of output tokens that the request asks for, or
+// fallback if it doesn't say.
 func (r *Request) OutputLimit(fallback int) int {
 	switch {
 	case r.MaxCompletionTokens > 0:
@@ -165,8 +163,8 @@
 	return fallback
 }
 
-// ForEngine returns the body that is sent to an engine: always streamed, with
-// an explicit output limit.
+// ForEngine returns the request body to send to an engine. It always asks for a stream and an
+// explicit limit of the output, whatever the caller asked for.
 func (r *Request) ForEngine(model string, outputLimit int) ([]byte, error) {
 	forwarded := *r
 	forwarded.Model = model
