--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,6 @@
-// Package catalog holds the operators' configured objects: it merges changes,
-// validates the whole, and compiles it into the lookups that requests need.
+// Package catalog holds the configuration, a set of objects that operators define. It merges
+// changes into it, validates it as a whole, and compiles it into the lookups that requests
+// need.
 package catalog
 
 import (
@@ -19,22 +20,23 @@
 	Replace bool
 }
 
-// named is any configured object.
-type named interface {
+// namedObject is any object of a catalog that has a name.
+type namedObject interface {
 	proto.Message
 	GetName() string
 }
 
-// VersionName returns the reference of a model version.
+// VersionName returns the name by which other objects refer to a model version.
 func VersionName(model, version string) string { return model + "/" + version }
 
 func versionKey(version *tinarchv1.ModelVersion) string {
 	return VersionName(version.GetModel(), version.GetName())
 }
 
-func nameKey[T named](object T) string { return object.GetName() }
+func nameKey[T namedObject](object T) string { return object.GetName() }
 
-// Merge returns the catalog after the change. It does not validate.
+// Merge returns the catalog that results from a change, without changing current. It does not
+// validate the result.
 func Merge(current *tinarchv1.Catalog, change Change) (*tinarchv1.Catalog, error) {
 	next := &tinarchv1.Catalog{}
 	if current != nil && !change.Replace {
@@ -62,7 +64,7 @@
 	return next, nil
 }
 
-// upsert merges objects by key and returns them in order of key.
+// upsert replaces objects with the same key, adds the others, and returns all sorted by key.
 func upsert[T any](current, put []T, key func(T) string) []T {
 	index := make(map[string]int, len(current))
 	for i, object := range current {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -59,12 +59,12 @@
 			found = found || violation.GetObject() == test.object && violation.GetField() == test.field
 		}
 		if !found {
-			t.Errorf("%s: no mistake of %s, field %s, in\n%v", test.name, test.object, test.field, Validate(catalog))
+			t.Errorf("%s: no violation for object %s, field %s, in\n%v", test.name, test.object, test.field, Validate(catalog))
 		}
 	}
 }
 
-func TestFileMistakesNameLineAndField(t *testing.T) {
+func TestParseErrorsNameLineAndField(t *testing.T) {
 	for content, want := range map[string]string{
 		"pools:\n  - name: p\n    celz: 3\n":         "line 3",
 		"pools:\n  - name: p\n    cells: many\n":     "line 3",
@@ -91,22 +91,22 @@
 		t.Fatal(err)
 	}
 	if !proto.Equal(before, current) {
-		t.Error("the current catalog was changed")
+		t.Error("Merge changed its argument")
 	}
 	if len(next.GetClasses()) != 3 || len(next.GetTenants()) != 2 {
-		t.Errorf("%d classes and %d tenants", len(next.GetClasses()), len(next.GetTenants()))
+		t.Errorf("%d classes and %d tenants, want 3 and 2", len(next.GetClasses()), len(next.GetTenants()))
 	}
 	change.Delete[0].Name = "none"
 	if _, err := Merge(current, change); result.CodeOf(err) != result.NotFound {
-		t.Errorf("deleting what does not exist: %v", err)
+		t.Errorf("deleting an object that does not exist: got %v, want NotFound", err)
 	}
 	replaced, err := Merge(current, Change{Put: change.Put, Replace: true})
 	if err != nil || len(replaced.GetKinds()) != 0 {
-		t.Errorf("replace kept %d kinds, error %v", len(replaced.GetKinds()), err)
+		t.Errorf("replace kept %d kinds, want 0; error %v", len(replaced.GetKinds()), err)
 	}
 }
 
-func TestTenantIsFoundByItsKeyOnly(t *testing.T) {
+func TestTenantByKeyNeedsTheExactKey(t *testing.T) {
 	snapshot, err := Compile(1, readExample(t))
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 		t.Errorf("tenant %v, error %v", tenant, err)
 	}
 	if _, err := snapshot.TenantByKey("porto-keY"); result.CodeOf(err) != result.Unauthenticated {
-		t.Errorf("a wrong key: %v", err)
+		t.Errorf("wrong key: got %v, want Unauthenticated", err)
 	}
 }
 
@@ -129,12 +129,12 @@
 		parsed, err := Parse("fuzz.yaml", content)
 		if err != nil {
 			if result.CodeOf(err) != result.InvalidCatalog {
-				t.Fatalf("error without its code: %v", err)
+				t.Fatalf("error without the code InvalidCatalog: %v", err)
 			}
 			return
 		}
 		if _, err := Compile(1, parsed); err != nil && result.CodeOf(err) != result.InvalidCatalog {
-			t.Fatalf("error without its code: %v", err)
+			t.Fatalf("error without the code InvalidCatalog: %v", err)
 		}
 	})
 }
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestRoutesAreCompiled(t *testing.T) {
+func TestCompileRoutes(t *testing.T) {
 	snapshot, err := Compile(3, routedCatalog())
 	if err != nil {
 		t.Fatal(err)
@@ -163,11 +163,11 @@
 		t.Errorf("%+v", route)
 	}
 	if snapshot.SlotsOf("board") != defaultSlots || snapshot.SlotsOf("board-next") != 4 {
-		t.Error("slots are mistaken")
+		t.Errorf("SlotsOf: got %d and %d, want %d and 4", snapshot.SlotsOf("board"), snapshot.SlotsOf("board-next"), defaultSlots)
 	}
 }
 
-func TestRoutesAreChecked(t *testing.T) {
+func TestValidateChecksRoutes(t *testing.T) {
 	for _, example := range []struct {
 		name, object, field string
 		change              func(*tinarchv1.Catalog)
@@ -196,12 +196,12 @@
 			found = found || violation.GetObject() == example.object && violation.GetField() == example.field
 		}
 		if !found {
-			t.Errorf("%s: not found among %v", example.name, Validate(catalog))
+			t.Errorf("%s: no such violation in\n%v", example.name, Validate(catalog))
 		}
 	}
 }
 
-func TestRoutesAreMergedAndDeleted(t *testing.T) {
+func TestMergeRoutes(t *testing.T) {
 	changed := routedCatalog()
 	changed.Routes[0].TimeoutMs = 1
 	merged, err := Merge(routedCatalog(), Change{Put: &tinarchv1.Catalog{Routes: changed.Routes}})
--- a/internal/catalog/file.go
+++ b/internal/catalog/file.go
@@ -13,8 +13,8 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// ReadFile reads a catalog from a YAML or JSON file, in the form of the Catalog
-// message. Unknown fields are an error. It does not validate.
+// ReadFile reads a catalog from a YAML or JSON file that has the form of the Catalog message.
+// Unknown fields are an error. It does not validate the catalog.
 func ReadFile(path string) (*tinarchv1.Catalog, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return Parse(path, content)
 }
 
-// Parse reads the content of a file.
+// Parse decodes the content of a file. The path is only used in errors.
 func Parse(path string, content []byte) (*tinarchv1.Catalog, error) {
 	converted, err := yaml.YAMLToJSON(content)
 	if err != nil {
@@ -32,39 +32,40 @@
 	}
 	catalog := &tinarchv1.Catalog{}
 	if err := protojson.Unmarshal(converted, catalog); err != nil {
-		return nil, result.New(result.InvalidCatalog, "%s: %s", path, explain(err, content))
+		return nil, result.New(result.InvalidCatalog, "%s: %s", path, describeDecodeError(err, content))
 	}
 	return catalog, nil
 }
 
 var (
 	unknownField    = regexp.MustCompile(`unknown field "([^"]+)"`)
-	badValue        = regexp.MustCompile(`invalid value for (\S+) field (\S+): (.*)$`)
+	invalidValue    = regexp.MustCompile(`invalid value for (\S+) field (\S+): (.*)$`)
 	unexpectedToken = regexp.MustCompile(`unexpected token "?([^"]+)"?$`)
-	jsonPlace       = regexp.MustCompile(`\(line \d+:\d+\): `)
+	jsonPosition    = regexp.MustCompile(`\(line \d+:\d+\): `)
 	upperLetter     = regexp.MustCompile(`[A-Z]`)
 )
 
-// explain turns a decoder's message, whose line numbers are those of the
-// converted text, into one that names the field and its line in the file.
-func explain(err error, content []byte) string {
+// describeDecodeError returns a message that names the field and its line in the file. The
+// decoder's own line numbers are useless to the reader, as they refer to the JSON to which the
+// file was converted.
+func describeDecodeError(err error, content []byte) string {
 	message := strings.ReplaceAll(err.Error(), "\u00a0", " ")
-	message = jsonPlace.ReplaceAllString(strings.TrimPrefix(message, "proto: "), "")
+	message = jsonPosition.ReplaceAllString(strings.TrimPrefix(message, "proto: "), "")
 	if match := unknownField.FindStringSubmatch(message); match != nil {
-		return atLine(content, match[1]+":", message)
+		return withLine(content, match[1]+":", message)
 	}
-	if match := badValue.FindStringSubmatch(message); match != nil {
+	if match := invalidValue.FindStringSubmatch(message); match != nil {
 		field := snakeCase(match[2])
-		return atLine(content, field+":", fmt.Sprintf("field %s wants %s, not %s", field, match[1], match[3]))
+		return withLine(content, field+":", fmt.Sprintf("field %s wants %s, not %s", field, match[1], match[3]))
 	}
 	if match := unexpectedToken.FindStringSubmatch(message); match != nil {
-		return atLine(content, match[1], fmt.Sprintf("a list or an object is wanted, not %q", match[1]))
+		return withLine(content, match[1], fmt.Sprintf("a list or an object is wanted, not %q", match[1]))
 	}
 	return message
 }
 
-// atLine puts the number of the first line that holds text before a message.
-func atLine(content []byte, text, message string) string {
+// withLine prefixes message with the number of the first line that contains text.
+func withLine(content []byte, text, message string) string {
 	for number, line := range strings.Split(string(content), "\n") {
 		if strings.Contains(line, text) {
 			return fmt.Sprintf("line %d: %s", number+1, message)
@@ -73,7 +74,7 @@
 	return message
 }
 
-// snakeCase turns a field's JSON name into the one that the schema declares.
+// snakeCase converts the JSON name of a field to its name in the schema.
 func snakeCase(name string) string {
 	return upperLetter.ReplaceAllStringFunc(name, func(letter string) string { return "_" + strings.ToLower(letter) })
 }
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -19,8 +19,7 @@
 	defaultShare            = 1
 )
 
-// Snapshot is one accepted revision of the catalog, compiled for lookups. It
-// is immutable.
+// Snapshot is one accepted revision of the catalog, compiled for lookups. It is immutable.
 type Snapshot struct {
 	Revision uint64
 	Catalog  *tinarchv1.Catalog
@@ -35,7 +34,9 @@
 	keys     *tenant.Keyring[*tinarchv1.Tenant]
 }
 
-// Kind is a request kind with its references resolved and defaults filled in.
+// Kind is a request kind with its references resolved and defaults filled in. FirstToken is the
+// objective for the time to the first token, and KeyWindow how long an idempotency key is
+// remembered.
 type Kind struct {
 	Name    string
 	Class   string // empty: the tenant's class
@@ -43,8 +44,8 @@
 	Version string
 	Adapter string
 	Pool    string
-	// Pinned tells that the kind names its version, rather than to follow the
-	// model's default.
+	// Pinned says that the kind names its model version, instead of following the model's
+	// default version.
 	Pinned          bool
 	Repeatable      bool
 	Deadline        time.Duration
@@ -54,7 +55,7 @@
 	KeyWindow       time.Duration
 }
 
-// Compile validates a catalog and prepares its lookups.
+// Compile validates a catalog and builds its lookups.
 func Compile(revision uint64, source *tinarchv1.Catalog) (*Snapshot, error) {
 	if violations := Validate(source); len(violations) > 0 {
 		return nil, violations
@@ -115,7 +116,7 @@
 		resolved.MaxPromptTokens = int(model.GetContextTokens()) - resolved.MaxOutputTokens
 	}
 	if resolved.KeyWindow == 0 {
-		// A key must outlive every request that uses it.
+		// A key must be remembered for longer than any request with that key can take.
 		resolved.KeyWindow = max(defaultKeyWindow, 2*resolved.Deadline)
 	}
 	return resolved
@@ -124,21 +125,21 @@
 func milliseconds(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
 
 func (s *Snapshot) addKeys(owner *tinarchv1.Tenant) {
-	for _, rendered := range owner.GetKeySha256() {
+	for _, hexDigest := range owner.GetKeySha256() {
 		var digest tenant.Digest
-		_, _ = hex.Decode(digest[:], []byte(rendered)) // validated before
+		_, _ = hex.Decode(digest[:], []byte(hexDigest)) // Validate has checked that it is hexadecimal
 		s.keys.Add(digest, owner)
 	}
 }
 
-// KeyDigest returns the digest of an API key as tenants' key_sha256 holds it.
+// KeyDigest returns the digest of an API key in the form of a tenant's key_sha256.
 func KeyDigest(key string) string {
 	digest := tenant.DigestOf(key)
 	return hex.EncodeToString(digest[:])
 }
 
-// TenantByKey returns the tenant of an API key. The digest is compared in
-// constant time.
+// TenantByKey returns the tenant that an API key belongs to. Digests are compared in constant
+// time.
 func (s *Snapshot) TenantByKey(key string) (*tinarchv1.Tenant, error) {
 	if owner, found := s.keys.Owner(key); found {
 		return owner, nil
@@ -146,8 +147,8 @@
 	return nil, result.New(result.Unauthenticated, "the API key is not known; send a valid one as \"Authorization: Bearer KEY\"")
 }
 
-// KindFor selects the kind of a request: the one named, else the tenant's
-// default kind. The model, where the request names one, must be the kind's.
+// KindFor returns the kind of a request: the one it names, or else the tenant's default kind.
+// If the request names a model too, it must be the model of that kind.
 func (s *Snapshot) KindFor(tenant *tinarchv1.Tenant, name, model string) (*Kind, error) {
 	if name == "" {
 		name = tenant.GetDefaultKind()
@@ -168,7 +169,7 @@
 	return kind, nil
 }
 
-// Resolve returns a tenant and a kind by name.
+// Resolve looks up a tenant and a kind by name.
 func (s *Snapshot) Resolve(tenant, kind string) (*tinarchv1.Tenant, *Kind, error) {
 	foundTenant, foundKind := s.tenants[tenant], s.kinds[kind]
 	if foundTenant == nil {
@@ -180,7 +181,8 @@
 	return foundTenant, foundKind, nil
 }
 
-// ClassOf returns the class of a request.
+// ClassOf returns the priority class of a request: that of its kind, or else that of its
+// tenant.
 func (s *Snapshot) ClassOf(tenant *tinarchv1.Tenant, kind *Kind) *tinarchv1.PriorityClass {
 	if kind.Class != "" {
 		return s.classes[kind.Class]
@@ -188,47 +190,49 @@
 	return s.classes[tenant.GetPriorityClass()]
 }
 
-// Kind returns a kind by name, nil when there is none.
+// Kind returns a kind by name, nil if there is none.
 func (s *Snapshot) Kind(name string) *Kind { return s.kinds[name] }
 
-// Class returns a class by name, nil when there is none.
+// Class returns a priority class by name, nil if there is none.
 func (s *Snapshot) Class(name string) *tinarchv1.PriorityClass { return s.classes[name] }
 
-// Version returns a model version, nil when there is none.
+// Version returns a model version, nil if there is none.
 func (s *Snapshot) Version(model, version string) *tinarchv1.ModelVersion {
 	return s.versions[VersionName(model, version)]
 }
 
-// ServedBy reports whether a model belongs to a pool.
+// ServedBy reports whether the model is assigned to the pool.
 func (s *Snapshot) ServedBy(model, pool string) bool {
 	found := s.models[model]
 	return found != nil && found.GetPool() == pool
 }
 
-// Pool returns a pool, nil when there is none.
+// Pool returns a pool by name, nil if there is none.
 func (s *Snapshot) Pool(name string) *tinarchv1.Pool { return s.pools[name] }
 
-// MaxQueued returns the most requests of a class that may wait in one cell.
+// MaxQueued returns how many requests of a class may wait in one cell.
 func MaxQueued(class *tinarchv1.PriorityClass) int {
 	return orDefault(int(class.GetMaxQueued()), defaultMaxQueued)
 }
 
-// BurstSeconds returns the burst allowance of a tenant.
+// BurstSeconds returns for how many seconds of its token rate a tenant may accumulate unused
+// tokens.
 func BurstSeconds(tenant *tinarchv1.Tenant) int {
 	return orDefault(int(tenant.GetBurstSeconds()), defaultBurstSeconds)
 }
 
-// MaxUnavailablePercent returns the share of a pool that may be out at once.
+// MaxUnavailablePercent returns the percentage of a pool's engines that may be out of service
+// at once because of changes.
 func MaxUnavailablePercent(pool *tinarchv1.Pool) int {
 	return orDefault(int(pool.GetMaxUnavailablePercent()), defaultMaxUnavailable)
 }
 
-// MaxRunningPerEngine returns how many requests one engine of a pool runs.
+// MaxRunningPerEngine returns how many requests an engine of the pool runs at once.
 func MaxRunningPerEngine(pool *tinarchv1.Pool) int {
 	return orDefault(int(pool.GetMaxRunningPerEngine()), defaultRunningPerEngine)
 }
 
-// Cells returns the number of cells of a pool.
+// Cells returns the number of cells into which a pool is divided.
 func Cells(pool *tinarchv1.Pool) int { return orDefault(int(pool.GetCells()), 1) }
 
 func orDefault(value, fallback int) int {
@@ -238,7 +242,8 @@
 	return value
 }
 
-// Demand is one model version that a pool must serve.
+// Demand is a model version that a pool must serve. Share is the model's share of the pool's
+// engines, relative to the shares of the other demands.
 type Demand struct {
 	Model     string
 	Version   string
@@ -247,8 +252,8 @@
 	Adapters  []string
 }
 
-// Demands returns the model versions that a pool serves, in order of name: the
-// default version of each model, and every other version that a kind names.
+// Demands returns the model versions that a pool must serve, sorted by name: the default
+// version of each of its models, and each other version that a kind names.
 func (s *Snapshot) Demands(pool string) []Demand {
 	var demands []Demand
 	for _, model := range s.Catalog.GetModels() {
@@ -291,7 +296,7 @@
 	return adapters
 }
 
-// AdapterBytes returns the total size of adapters.
+// AdapterBytes returns the total size of the named adapters.
 func (s *Snapshot) AdapterBytes(names []string) uint64 {
 	var total uint64
 	for _, name := range names {
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -21,10 +21,10 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,62})$`)
 
-// Violations lists the mistakes of a catalog. It implements error.
+// Violations lists the mistakes in a catalog. It implements error.
 type Violations []*tinarchv1.Violation
 
-// Error lists all mistakes, one a line.
+// Error returns all mistakes, one per line.
 func (v Violations) Error() string {
 	lines := make([]string, len(v))
 	for i, violation := range v {
@@ -33,34 +33,34 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap gives the list its result code.
+// Unwrap returns the list as a result.Error, so that it has a result code.
 func (v Violations) Unwrap() error {
 	return result.New(result.InvalidCatalog, "%d mistakes in the configuration:\n%s", len(v), v.Error())
 }
 
 type validator struct {
-	catalog  *tinarchv1.Catalog
-	found    Violations
-	classes  map[string]bool
-	kinds    map[string]bool
-	models   map[string]*tinarchv1.Model
-	versions map[string]bool
-	adapters map[string]*tinarchv1.Adapter
-	pools    map[string]bool
-	digests  map[string]string
+	catalog      *tinarchv1.Catalog
+	violations   Violations
+	classes      map[string]bool
+	kinds        map[string]bool
+	models       map[string]*tinarchv1.Model
+	versions     map[string]bool
+	adapters     map[string]*tinarchv1.Adapter
+	pools        map[string]bool
+	digestOwners map[string]string
 }
 
-// Validate checks a catalog as a whole and returns every mistake.
+// Validate checks a catalog as a whole and returns all mistakes.
 func Validate(catalog *tinarchv1.Catalog) Violations {
 	v := &validator{
-		catalog:  catalog,
-		classes:  map[string]bool{},
-		kinds:    map[string]bool{},
-		models:   map[string]*tinarchv1.Model{},
-		versions: map[string]bool{},
-		adapters: map[string]*tinarchv1.Adapter{},
-		pools:    map[string]bool{},
-		digests:  map[string]string{},
+		catalog:      catalog,
+		classes:      map[string]bool{},
+		kinds:        map[string]bool{},
+		models:       map[string]*tinarchv1.Model{},
+		versions:     map[string]bool{},
+		adapters:     map[string]*tinarchv1.Adapter{},
+		pools:        map[string]bool{},
+		digestOwners: map[string]string{},
 	}
 	v.collect()
 	v.checkClasses()
@@ -72,48 +72,49 @@
 	v.checkTenants()
 	v.checkServices()
 	v.checkRoutes()
-	return v.found
+	return v.violations
 }
 
-func (v *validator) add(object, field, format string, arguments ...any) {
-	v.found = append(v.found, &tinarchv1.Violation{Object: object, Field: field, Message: fmt.Sprintf(format, arguments...)})
+func (v *validator) addViolation(object, field, format string, arguments ...any) {
+	v.violations = append(v.violations, &tinarchv1.Violation{Object: object, Field: field, Message: fmt.Sprintf(format, arguments...)})
 }
 
-// name checks an object's name and that it stands once.
-func (v *validator) name(object, name string, taken bool) {
+// checkName checks the form of an object's name, and adds a violation if it is a duplicate.
+func (v *validator) checkName(object, name string, duplicate bool) {
 	if !namePattern.MatchString(name) {
-		v.add(object, "name", "%q is not a name; use 1 to 63 of a-z, 0-9, '.', '_' and '-', starting with a letter or digit", name)
+		v.addViolation(object, "name", "%q is not a name; use 1 to 63 of a-z, 0-9, '.', '_' and '-', starting with a letter or digit", name)
 	}
-	if taken {
-		v.add(object, "name", "the name stands twice; remove one of the two")
+	if duplicate {
+		v.addViolation(object, "name", "the name stands twice; remove one of the two")
 	}
 }
 
-// collect gathers the names first, so that objects may refer to later ones.
+// collect checks and records the names of the objects to which others refer, so that the order
+// of objects in the catalog does not matter.
 func (v *validator) collect() {
 	for _, class := range v.catalog.GetClasses() {
-		v.name("class "+class.GetName(), class.GetName(), v.classes[class.GetName()])
+		v.checkName("class "+class.GetName(), class.GetName(), v.classes[class.GetName()])
 		v.classes[class.GetName()] = true
 	}
 	for _, kind := range v.catalog.GetKinds() {
-		v.name("kind "+kind.GetName(), kind.GetName(), v.kinds[kind.GetName()])
+		v.checkName("kind "+kind.GetName(), kind.GetName(), v.kinds[kind.GetName()])
 		v.kinds[kind.GetName()] = true
 	}
 	for _, model := range v.catalog.GetModels() {
-		v.name("model "+model.GetName(), model.GetName(), v.models[model.GetName()] != nil)
+		v.checkName("model "+model.GetName(), model.GetName(), v.models[model.GetName()] != nil)
 		v.models[model.GetName()] = model
 	}
 	for _, version := range v.catalog.GetVersions() {
 		key := versionKey(version)
-		v.name("version "+key, version.GetName(), v.versions[key])
+		v.checkName("version "+key, version.GetName(), v.versions[key])
 		v.versions[key] = true
 	}
 	for _, adapter := range v.catalog.GetAdapters() {
-		v.name("adapter "+adapter.GetName(), adapter.GetName(), v.adapters[adapter.GetName()] != nil)
+		v.checkName("adapter "+adapter.GetName(), adapter.GetName(), v.adapters[adapter.GetName()] != nil)
 		v.adapters[adapter.GetName()] = adapter
 	}
 	for _, pool := range v.catalog.GetPools() {
-		v.name("pool "+pool.GetName(), pool.GetName(), v.pools[pool.GetName()])
+		v.checkName("pool "+pool.GetName(), pool.GetName(), v.pools[pool.GetName()])
 		v.pools[pool.GetName()] = true
 	}
 }
@@ -122,7 +123,7 @@
 	for _, class := range v.catalog.GetClasses() {
 		object := "class " + class.GetName()
 		if class.GetWeight() < 1 || class.GetWeight() > maxWeight {
-			v.add(object, "weight", "%d is out of range; use 1 to %d", class.GetWeight(), maxWeight)
+			v.addViolation(object, "weight", "%d is out of range; use 1 to %d", class.GetWeight(), maxWeight)
 		}
 	}
 }
@@ -131,14 +132,14 @@
 	for _, pool := range v.catalog.GetPools() {
 		v.checkPoolCells(pool)
 		if pool.GetMaxUnavailablePercent() > 100 {
-			v.add("pool "+pool.GetName(), "max_unavailable_percent", "%d is out of range; use 0 to 100", pool.GetMaxUnavailablePercent())
+			v.addViolation("pool "+pool.GetName(), "max_unavailable_percent", "%d is out of range; use 0 to 100", pool.GetMaxUnavailablePercent())
 		}
 	}
 }
 
 func (v *validator) checkPoolCells(pool *tinarchv1.Pool) {
 	if pool.GetCells() > maxCells {
-		v.add("pool "+pool.GetName(), "cells", "%d is out of range; use 0 to %d", pool.GetCells(), maxCells)
+		v.addViolation("pool "+pool.GetName(), "cells", "%d is out of range; use 0 to %d", pool.GetCells(), maxCells)
 	}
 }
 
@@ -146,13 +147,13 @@
 	for _, model := range v.catalog.GetModels() {
 		object := "model " + model.GetName()
 		if !v.pools[model.GetPool()] {
-			v.add(object, "pool", "pool %q does not exist; add it or name another", model.GetPool())
+			v.addViolation(object, "pool", "pool %q does not exist; add it or name another", model.GetPool())
 		}
 		if model.GetContextTokens() < 1 || model.GetContextTokens() > maxContextTokens {
-			v.add(object, "context_tokens", "%d is out of range; use 1 to %d", model.GetContextTokens(), maxContextTokens)
+			v.addViolation(object, "context_tokens", "%d is out of range; use 1 to %d", model.GetContextTokens(), maxContextTokens)
 		}
 		if !v.versions[VersionName(model.GetName(), model.GetDefaultVersion())] {
-			v.add(object, "default_version", "version %q of the model does not exist; add it or name another", model.GetDefaultVersion())
+			v.addViolation(object, "default_version", "version %q of the model does not exist; add it or name another", model.GetDefaultVersion())
 		}
 	}
 }
@@ -161,10 +162,10 @@
 	for _, version := range v.catalog.GetVersions() {
 		object := "version " + versionKey(version)
 		if v.models[version.GetModel()] == nil {
-			v.add(object, "model", "model %q does not exist; add it or name another", version.GetModel())
+			v.addViolation(object, "model", "model %q does not exist; add it or name another", version.GetModel())
 		}
 		if version.GetWeights() == "" {
-			v.add(object, "weights", "the object in the weight store is missing; name it")
+			v.addViolation(object, "weights", "the object in the weight store is missing; name it")
 		}
 	}
 }
@@ -173,10 +174,10 @@
 	for _, adapter := range v.catalog.GetAdapters() {
 		object := "adapter " + adapter.GetName()
 		if v.models[adapter.GetModel()] == nil {
-			v.add(object, "model", "model %q does not exist; add it or name another", adapter.GetModel())
+			v.addViolation(object, "model", "model %q does not exist; add it or name another", adapter.GetModel())
 		}
 		if adapter.GetWeights() == "" {
-			v.add(object, "weights", "the object in the weight store is missing; name it")
+			v.addViolation(object, "weights", "the object in the weight store is missing; name it")
 		}
 	}
 }
@@ -185,22 +186,22 @@
 	for _, kind := range v.catalog.GetKinds() {
 		object := "kind " + kind.GetName()
 		if kind.GetPriorityClass() != "" && !v.classes[kind.GetPriorityClass()] {
-			v.add(object, "priority_class", "class %q does not exist; add it or name another", kind.GetPriorityClass())
+			v.addViolation(object, "priority_class", "class %q does not exist; add it or name another", kind.GetPriorityClass())
 		}
 		if kind.GetDeadlineMs() < 1 || kind.GetDeadlineMs() > maxDeadlineMs {
-			v.add(object, "deadline_ms", "%d is out of range; use 1 to %d", kind.GetDeadlineMs(), maxDeadlineMs)
+			v.addViolation(object, "deadline_ms", "%d is out of range; use 1 to %d", kind.GetDeadlineMs(), maxDeadlineMs)
 		}
 		if kind.GetFirstTokenMs() > kind.GetDeadlineMs() {
-			v.add(object, "first_token_ms", "%d is later than the deadline of %d ms; lower it", kind.GetFirstTokenMs(), kind.GetDeadlineMs())
+			v.addViolation(object, "first_token_ms", "%d is later than the deadline of %d ms; lower it", kind.GetFirstTokenMs(), kind.GetDeadlineMs())
 		}
 		if kind.GetMaxOutputTokens() < 1 {
-			v.add(object, "max_output_tokens", "it is missing; use at least 1")
+			v.addViolation(object, "max_output_tokens", "it is missing; use at least 1")
 		}
 		if kind.GetKeyWindowSeconds() > maxKeyWindow {
-			v.add(object, "key_window_seconds", "%d is out of range; use 0 to %d", kind.GetKeyWindowSeconds(), maxKeyWindow)
+			v.addViolation(object, "key_window_seconds", "%d is out of range; use 0 to %d", kind.GetKeyWindowSeconds(), maxKeyWindow)
 		}
 		if window := uint64(kind.GetKeyWindowSeconds()) * 1000; window > 0 && window < 2*uint64(kind.GetDeadlineMs()) {
-			v.add(object, "key_window_seconds", "a key must be remembered for at least twice the deadline, %d seconds", 2*uint64(kind.GetDeadlineMs())/1000)
+			v.addViolation(object, "key_window_seconds", "a key must be remembered for at least twice the deadline, %d seconds", 2*uint64(kind.GetDeadlineMs())/1000)
 		}
 		v.checkKindModel(object, kind)
 	}
@@ -209,23 +210,23 @@
 func (v *validator) checkKindModel(object string, kind *tinarchv1.RequestKind) {
 	model := v.models[kind.GetModel()]
 	if model == nil {
-		v.add(object, "model", "model %q does not exist; add it or name another", kind.GetModel())
+		v.addViolation(object, "model", "model %q does not exist; add it or name another", kind.GetModel())
 		return
 	}
 	if kind.GetVersion() != "" && !v.versions[VersionName(kind.GetModel(), kind.GetVersion())] {
-		v.add(object, "version", "version %q of model %q does not exist; add it or name another", kind.GetVersion(), kind.GetModel())
+		v.addViolation(object, "version", "version %q of model %q does not exist; add it or name another", kind.GetVersion(), kind.GetModel())
 	}
 	if kind.GetAdapter() != "" {
 		adapter := v.adapters[kind.GetAdapter()]
 		if adapter == nil {
-			v.add(object, "adapter", "adapter %q does not exist; add it or name another", kind.GetAdapter())
+			v.addViolation(object, "adapter", "adapter %q does not exist; add it or name another", kind.GetAdapter())
 		} else if adapter.GetModel() != kind.GetModel() {
-			v.add(object, "adapter", "adapter %q extends model %q, not %q", kind.GetAdapter(), adapter.GetModel(), kind.GetModel())
+			v.addViolation(object, "adapter", "adapter %q extends model %q, not %q", kind.GetAdapter(), adapter.GetModel(), kind.GetModel())
 		}
 	}
 	total := uint64(kind.GetMaxPromptTokens()) + uint64(kind.GetMaxOutputTokens())
 	if total > uint64(model.GetContextTokens()) {
-		v.add(object, "max_prompt_tokens", "prompt and output of %d tokens exceed the context window of %d of model %q; lower them",
+		v.addViolation(object, "max_prompt_tokens", "prompt and output of %d tokens exceed the context window of %d of model %q; lower them",
 			total, model.GetContextTokens(), model.GetName())
 	}
 }
@@ -234,17 +235,17 @@
 	seen := map[string]bool{}
 	for _, tenant := range v.catalog.GetTenants() {
 		object := "tenant " + tenant.GetName()
-		v.name(object, tenant.GetName(), seen[tenant.GetName()])
+		v.checkName(object, tenant.GetName(), seen[tenant.GetName()])
 		seen[tenant.GetName()] = true
 		if !v.classes[tenant.GetPriorityClass()] {
-			v.add(object, "priority_class", "class %q does not exist; add it or name another", tenant.GetPriorityClass())
+			v.addViolation(object, "priority_class", "class %q does not exist; add it or name another", tenant.GetPriorityClass())
 		}
 		if tenant.GetDefaultKind() != "" && !v.kinds[tenant.GetDefaultKind()] {
-			v.add(object, "default_kind", "kind %q does not exist; add it or name another", tenant.GetDefaultKind())
+			v.addViolation(object, "default_kind", "kind %q does not exist; add it or name another", tenant.GetDefaultKind())
 		}
 		for _, kind := range tenant.GetKinds() {
 			if !v.kinds[kind] {
-				v.add(object, "kinds", "kind %q does not exist; add it or remove it here", kind)
+				v.addViolation(object, "kinds", "kind %q does not exist; add it or remove it here", kind)
 			}
 		}
 		v.checkDigests(object, tenant)
@@ -255,11 +256,11 @@
 	for _, digest := range tenant.GetKeySha256() {
 		raw, err := hex.DecodeString(digest)
 		if err != nil || len(raw)*2 != digestHexLength || strings.ToLower(digest) != digest {
-			v.add(object, "key_sha256", "%q is not a SHA-256 digest in lower-case hexadecimal; use the output of `tinarch key`", digest)
+			v.addViolation(object, "key_sha256", "%q is not a SHA-256 digest in lower-case hexadecimal; use the output of `tinarch key`", digest)
 		}
-		if owner, taken := v.digests[digest]; taken {
-			v.add(object, "key_sha256", "the digest is also that of tenant %q; give each tenant keys of its own", owner)
+		if owner, taken := v.digestOwners[digest]; taken {
+			v.addViolation(object, "key_sha256", "the digest is also that of tenant %q; give each tenant keys of its own", owner)
 		}
-		v.digests[digest] = tenant.GetName()
+		v.digestOwners[digest] = tenant.GetName()
 	}
 }
