--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -11,10 +11,11 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// maxRecent is the number of changes kept for peers that lag behind.
-const maxRecent = 256
+// maxRecentChanges is the number of changes that are kept in memory for peers with an older
+// revision.
+const maxRecentChanges = 256
 
-// Manager holds the revision in force at this node.
+// Manager holds the revision that is in force at this node.
 type Manager struct {
 	mu       sync.Mutex
 	current  *catalog.Snapshot
@@ -23,7 +24,7 @@
 	watchers []func(*catalog.Snapshot)
 }
 
-// NewManager returns a manager with the empty configuration, revision zero.
+// NewManager returns a manager with revision zero, the empty configuration.
 func NewManager() *Manager {
 	empty, err := catalog.Compile(0, &tinarchv1.Catalog{})
 	if err != nil {
@@ -32,8 +33,8 @@
 	return &Manager{current: empty, changed: make(chan struct{})}
 }
 
-// OnChange registers a function that is called with each new revision, in order.
-// It must be called before the first change.
+// OnChange registers a function to be called with each new revision, in order. It must be
+// called before the first change is installed.
 func (m *Manager) OnChange(watch func(*catalog.Snapshot)) { m.watchers = append(m.watchers, watch) }
 
 // Current returns the revision in force.
@@ -46,30 +47,30 @@
 // Revision returns the number of the revision in force.
 func (m *Manager) Revision() uint64 { return m.Current().Revision }
 
-// Changed returns the revision in force, and a channel that is closed when a
-// later one is.
+// Changed returns the number of the revision in force, and a channel that is closed when a
+// newer one is installed.
 func (m *Manager) Changed() (uint64, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.current.Revision, m.changed
 }
 
-// WaitFor waits until a revision or a later one is in force.
+// WaitFor waits until the given revision or a newer one is in force.
 func (m *Manager) WaitFor(ctx context.Context, revision uint64) error {
 	for {
-		have, changed := m.Changed()
-		if have >= revision {
+		current, changed := m.Changed()
+		if current >= revision {
 			return nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return result.New(result.NotConfigured, "revision %d is not in force here yet, %d is", revision, have).WithRetryAfter(retryAfterLag)
+			return result.New(result.NotConfigured, "revision %d is not in force here yet, %d is", revision, current).WithRetryAfter(staleRetryAfter)
 		}
 	}
 }
 
-// InstallSnapshot puts a whole configuration in force, unless it is not newer.
+// InstallSnapshot puts a complete configuration in force if it is newer than the current one.
 func (m *Manager) InstallSnapshot(revision uint64, source *tinarchv1.Catalog) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,8 +80,8 @@
 	return m.install(revision, source, nil)
 }
 
-// InstallDelta puts the next change in force. It reports false when a revision
-// before it is missing.
+// InstallDelta puts the change that follows the current revision in force. It returns false if
+// revisions between the two are missing, and ignores a change that is not newer.
 func (m *Manager) InstallDelta(delta Delta) (bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +108,7 @@
 		m.recent = nil
 	} else {
 		m.recent = append(m.recent, *delta)
-		m.recent = m.recent[max(0, len(m.recent)-maxRecent):]
+		m.recent = m.recent[max(0, len(m.recent)-maxRecentChanges):]
 	}
 	close(m.changed)
 	m.changed = make(chan struct{})
@@ -117,16 +118,16 @@
 	return nil
 }
 
-// UpdatesSince returns what a peer with the given revision lacks: the changes where
-// they are still kept, else the whole.
-func (m *Manager) UpdatesSince(have uint64) (pullResponse, error) {
+// UpdatesSince returns what a peer with the given revision is missing: the changes if all of
+// them are still kept, or else a snapshot.
+func (m *Manager) UpdatesSince(revision uint64) (pullResponse, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	response := pullResponse{Revision: m.current.Revision}
-	if have >= m.current.Revision {
+	if revision >= m.current.Revision {
 		return response, nil
 	}
-	missing := int(m.current.Revision - have)
+	missing := int(m.current.Revision - revision)
 	if missing <= len(m.recent) {
 		response.Deltas = append(response.Deltas, m.recent[len(m.recent)-missing:]...)
 		return response, nil
@@ -139,7 +140,7 @@
 	return response, nil
 }
 
-// merge computes the catalog after a change.
+// merge returns the catalog that results from a change.
 func merge(current *tinarchv1.Catalog, delta Delta) (*tinarchv1.Catalog, error) {
 	request := &tinarchv1.ApplyRequest{}
 	if err := proto.Unmarshal(delta.Change, request); err != nil {
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -34,47 +34,50 @@
 	Snapshot []byte `json:"snapshot,omitempty"`
 }
 
-// pushNotice carries one change down the tree.
+// pushNotice sends one change to a node of the push tree.
 type pushNotice struct {
 	Delta Delta `json:"delta"`
 	// Source is the address of the node that accepted the change.
 	Source string `json:"source"`
-	// Below are the addresses that the receiver passes the change on to.
+	// Below are the addresses of the nodes below the receiver, to which it forwards the change.
 	Below []string `json:"below,omitempty"`
 }
 
 const (
-	// fanOut is the number of children of a node in the push tree: 370 nodes are
-	// reached in three steps.
-	fanOut        = 8
-	pullTimeout   = 2 * time.Second
-	pushTimeout   = time.Second
-	retryAfterLag = 500 * time.Millisecond
-	// pullPause keeps a node from pulling once for each peer that is ahead.
-	pullPause = 100 * time.Millisecond
-	// catchUpSample is the number of nodes that a starting one asks.
+	// fanOut is the number of children of a node in the push tree. With 8, a change reaches 370
+	// nodes in three steps.
+	fanOut          = 8
+	pullTimeout     = 2 * time.Second
+	pushTimeout     = time.Second
+	staleRetryAfter = 500 * time.Millisecond
+	// minPullInterval prevents a node that is behind from pulling from every peer that is ahead
+	// in quick succession.
+	minPullInterval = 100 * time.Millisecond
+	// catchUpSample is the number of peers that a starting node asks while the table service is
+	// down.
 	catchUpSample = 9
 )
 
-// Service accepts changes and keeps this node's revision up to date.
+// Service accepts changes of the configuration and keeps this node at the newest revision.
 type Service struct {
 	manager *Manager
 	store   *Store
 	client  *peer.Client
 	log     logrus.FieldLogger
 	address string
-	// peers returns the addresses of all other nodes believed alive.
+	// peers returns the addresses of all other nodes that are believed to be alive.
 	peers func() []string
-	// behind wakes the puller with the address of a node that is ahead.
-	behind chan string
+	// aheadPeers passes Run the address of a node with a newer revision. It holds one address;
+	// others are dropped, since every probe reports the revision again.
+	aheadPeers chan string
 }
 
 // NewService returns the service of a node with the given peer address.
 func NewService(manager *Manager, store *Store, client *peer.Client, log logrus.FieldLogger, address string, peers func() []string) *Service {
-	return &Service{manager: manager, store: store, client: client, log: log, address: address, peers: peers, behind: make(chan string, 1)}
+	return &Service{manager: manager, store: store, client: client, log: log, address: address, peers: peers, aheadPeers: make(chan string, 1)}
 }
 
-// Register serves the protocol.
+// Register registers the handlers of the peer protocol.
 func (s *Service) Register(server *peer.Server) {
 	peer.Handle(server, MethodPull, func(_ context.Context, _ peer.Identity, request pullRequest) (pullResponse, error) {
 		return s.manager.UpdatesSince(request.Have)
@@ -84,24 +87,25 @@
 	})
 }
 
-// ObserveRevision notes the revision of another node.
+// ObserveRevision is called with the revision that another node has reported. If it is newer,
+// Run pulls from that node.
 func (s *Service) ObserveRevision(address string, revision uint64) {
 	if revision <= s.manager.Revision() {
 		return
 	}
 	select {
-	case s.behind <- address:
+	case s.aheadPeers <- address:
 	default:
 	}
 }
 
-// Run pulls from nodes that are ahead, until ctx ends.
+// Run pulls changes from nodes with a newer revision, until ctx is done.
 func (s *Service) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case address := <-s.behind:
+		case address := <-s.aheadPeers:
 			if err := s.pull(ctx, address); err != nil && ctx.Err() == nil {
 				s.log.WithError(err).WithField("peer_address", address).Warn("could not read the configuration from a peer")
 			}
@@ -109,7 +113,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pullPause):
+		case <-time.After(minPullInterval):
 		}
 	}
 }
@@ -141,7 +145,7 @@
 }
 
 func (s *Service) receivePush(ctx context.Context, notice pushNotice) error {
-	s.passOn(ctx, notice.Delta, notice.Source, notice.Below)
+	s.forward(ctx, notice.Delta, notice.Source, notice.Below)
 	complete, err := s.manager.InstallDelta(notice.Delta)
 	if err == nil && !complete {
 		s.ObserveRevision(notice.Source, notice.Delta.Revision)
@@ -149,29 +153,29 @@
 	return err
 }
 
-// passOn sends a change to the heads of up to fanOut equal parts of targets,
-// each with the rest of its part.
-func (s *Service) passOn(ctx context.Context, delta Delta, source string, targets []string) {
+// forward divides targets into up to fanOut subtrees of equal size and sends the change to the
+// first node of each, which forwards it to the rest of its subtree.
+func (s *Service) forward(ctx context.Context, delta Delta, source string, targets []string) {
 	if len(targets) == 0 {
 		return
 	}
 	size := (len(targets) + fanOut - 1) / fanOut
-	for part := range slices.Chunk(targets, size) {
+	for subtree := range slices.Chunk(targets, size) {
 		go func() {
 			pushCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), pushTimeout)
 			defer cancel()
-			notice := pushNotice{Delta: delta, Source: source, Below: part[1:]}
-			err := s.client.Call(pushCtx, part[0], MethodPush, notice, nil)
-			if err != nil && len(part) > 1 {
-				// The head of the part is gone: its children move up.
-				s.passOn(ctx, delta, source, part[1:])
+			notice := pushNotice{Delta: delta, Source: source, Below: subtree[1:]}
+			err := s.client.Call(pushCtx, subtree[0], MethodPush, notice, nil)
+			if err != nil && len(subtree) > 1 {
+				// The first node does not answer, so this node serves its subtree directly.
+				s.forward(ctx, delta, source, subtree[1:])
 			}
 		}()
 	}
 }
 
-// Load brings this node up to the newest accepted revision from the table
-// service and the object store.
+// Load brings this node to the newest accepted revision, from the table service and the object
+// store.
 func (s *Service) Load(ctx context.Context) error {
 	revision, snapshot, err := s.store.Head(ctx)
 	if err != nil {
@@ -202,9 +206,9 @@
 	return nil
 }
 
-// CatchUp brings a starting node up to the table's revision. While the table is
-// down, it asks a sample of the other nodes instead, and needs a majority of the
-// sample to answer: all of them would be a storm when many nodes start.
+// CatchUp brings a starting node to the newest revision. If the table service is down, it asks
+// a random sample of the other nodes instead, and fails unless more than half of the sample
+// answer. Asking all nodes would overload them when many nodes start at once.
 func (s *Service) CatchUp(ctx context.Context) error {
 	tableErr := s.Load(ctx)
 	if tableErr == nil {
@@ -228,8 +232,8 @@
 	return nil
 }
 
-// Apply makes a change. The change is in force at this node when Apply returns
-// without an error, and is on its way to the others.
+// Apply validates, stores and installs a change. When it returns without an error, the change
+// is in force at this node and is being sent to the others.
 func (s *Service) Apply(ctx context.Context, request *tinarchv1.ApplyRequest) (uint64, error) {
 	if request.GetOperationId() == "" {
 		return 0, result.New(result.InvalidRequest, "operation_id is empty; choose a random one for each change")
@@ -254,7 +258,7 @@
 	if violations := catalog.Validate(next); len(violations) > 0 {
 		return 0, violations
 	}
-	snapshot, err := s.saveSnapshot(ctx, current)
+	snapshot, err := s.ensureSnapshot(ctx, current)
 	if err != nil {
 		return 0, err
 	}
@@ -263,17 +267,18 @@
 		return 0, s.describeConflict(ctx, err)
 	}
 	if revision != delta.Revision {
-		return revision, nil // accepted earlier, as another revision
+		return revision, nil // an earlier call had stored the operation, with this revision
 	}
 	if complete, err := s.manager.InstallDelta(delta); err != nil || !complete {
 		return revision, s.Load(ctx)
 	}
-	s.passOn(ctx, delta, s.address, s.peers())
+	s.forward(ctx, delta, s.address, s.peers())
 	return revision, nil
 }
 
-// applyStale handles a change against a revision that is not current. It may be
-// the repetition of one that was accepted.
+// applyStale handles a change that was made against a revision other than the current one. It
+// succeeds if the same operation was accepted before, because then the caller is repeating a
+// call whose answer it did not get.
 func (s *Service) applyStale(ctx context.Context, request *tinarchv1.ApplyRequest, delta Delta, current uint64) (uint64, error) {
 	revision, err := s.store.Operation(ctx, delta.Operation, delta.Change)
 	if err == nil {
@@ -301,25 +306,26 @@
 	return &conflict
 }
 
-// saveSnapshot writes a snapshot of the current revision when the last one is
-// old, and returns the revision of the newest snapshot. A failure to write it
-// only means that starting nodes read more changes.
-func (s *Service) saveSnapshot(ctx context.Context, current *catalog.Snapshot) (uint64, error) {
-	_, newest, err := s.store.Head(ctx)
+// ensureSnapshot saves a snapshot of the current revision if the last one is snapshotEvery or
+// more revisions old, and returns the revision of the newest snapshot. If saving fails,
+// starting nodes only have to read more changes, so that is logged and not an error.
+func (s *Service) ensureSnapshot(ctx context.Context, current *catalog.Snapshot) (uint64, error) {
+	_, newestSnapshot, err := s.store.Head(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if current.Revision < newest+snapshotEvery {
-		return newest, nil
+	if current.Revision < newestSnapshot+snapshotEvery {
+		return newestSnapshot, nil
 	}
 	if err := s.store.SaveSnapshot(ctx, current.Revision, current.Catalog); err != nil {
 		s.log.WithError(err).WithField("revision", current.Revision).Warn("could not save a snapshot of the configuration")
-		return newest, nil
+		return newestSnapshot, nil
 	}
 	return current.Revision, nil
 }
 
-// encodeDelta encodes a change without what only concerns its delivery.
+// encodeDelta encodes a change without the fields that only matter for its acceptance, such as
+// the operation id.
 func encodeDelta(request *tinarchv1.ApplyRequest) (Delta, error) {
 	stored := &tinarchv1.ApplyRequest{Put: request.GetPut(), Delete: request.GetDelete(), Replace: request.GetReplace()}
 	change, err := proto.MarshalOptions{Deterministic: true}.Marshal(stored)
@@ -328,13 +334,14 @@
 	}
 	return Delta{
 		Revision:  request.GetExpectedRevision() + 1,
-		Operation: operationName(request.GetOperationId()),
+		Operation: storedOperationID(request.GetOperationId()),
 		Change:    change,
 	}, nil
 }
 
-// operationName bounds the length of the stored name.
-func operationName(id string) string {
+// storedOperationID returns the id under which an operation is stored. It has at most 128
+// bytes; a longer operation id is replaced by its hash.
+func storedOperationID(id string) string {
 	const longest = 128
 	if len(id) <= longest {
 		return id
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -1,8 +1,7 @@
-// Package rollout accepts changes of the configuration and brings accepted
-// revisions into force on every node. A change is accepted by one transaction in
-// the table service; from there it reaches nodes by push along a tree of peers,
-// and by comparison of revisions with each probe. A node never goes back to a
-// lower revision.
+// Package rollout accepts changes of the configuration and distributes accepted revisions to
+// all nodes. A change is accepted by one transaction in the table service. Nodes then push it
+// to each other along a tree; a node that missed it learns of the newer revision from the next
+// membership probe and pulls it. A node never goes back to an older revision.
 package rollout
 
 import (
@@ -20,20 +19,20 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Table is the part of the table service that rollout needs.
+// Table is the part of the table service's client that rollout uses.
 type Table interface {
 	Get(ctx context.Context, key table.Key) (table.Item, error)
 	Query(ctx context.Context, partition, from string, limit int) ([]table.Item, error)
 	Transact(ctx context.Context, token string, writes []table.Write) error
 }
 
-// Objects is the part of the object store that rollout needs.
+// Objects is the part of the object store's client that rollout uses.
 type Objects interface {
 	Put(ctx context.Context, name string, content []byte) error
 	Get(ctx context.Context, name string) ([]byte, error)
 }
 
-// Delta is one accepted change.
+// Delta is one accepted change, which leads from the revision before to Revision.
 type Delta struct {
 	Revision  uint64 `json:"revision"`
 	Operation string `json:"operation"`
@@ -41,19 +40,20 @@
 	Change []byte `json:"change"`
 }
 
-// head is the newest revision, stored under one key that each change rewrites.
+// head is the newest accepted revision. It is stored under one key that every change
+// overwrites.
 type head struct {
 	Revision uint64 `json:"revision"`
-	// Snapshot is the revision of the newest snapshot in the object store, zero
-	// for none.
+	// Snapshot is the revision of the newest snapshot in the object store, zero if there is
+	// none.
 	Snapshot uint64 `json:"snapshot"`
 }
 
-// operation is the outcome of an accepted operation.
+// operation is the stored record of an accepted operation.
 type operation struct {
 	Revision uint64 `json:"revision"`
-	// Fingerprint identifies the change, so that an operation id that is used
-	// for another one is found out.
+	// Fingerprint is the hash of the change, by which the reuse of an operation id for another
+	// change is detected.
 	Fingerprint string `json:"fingerprint"`
 }
 
@@ -65,13 +65,13 @@
 
 	// snapshotEvery is the number of revisions between snapshots.
 	snapshotEvery = 64
-	// logPage is the number of revisions read at once.
-	logPage = 64
-	// maxDeltaBytes keeps an item below the table service's limit of 400 KB.
+	// logPageSize is the number of revisions that one query reads.
+	logPageSize = 64
+	// maxDeltaBytes keeps a stored change below the table service's limit of 400 KB per item.
 	maxDeltaBytes = 350 << 10
 )
 
-// Store reads and writes the configuration in the users' services.
+// Store stores the configuration in the table service and the object store of the deployment.
 type Store struct {
 	table   Table
 	objects Objects
@@ -92,7 +92,7 @@
 	return table.Key{Partition: partitionOperations, Sort: id}
 }
 
-// Head returns the newest accepted revision and that of the newest snapshot.
+// Head returns the newest accepted revision and the revision of the newest snapshot.
 func (s *Store) Head(ctx context.Context) (revision, snapshot uint64, err error) {
 	item, err := s.table.Get(ctx, headKey())
 	if errors.Is(err, table.ErrNotFound) {
@@ -117,7 +117,8 @@
 	return decodeCatalog(content)
 }
 
-// SaveSnapshot writes a snapshot. Its name is never used for other content.
+// SaveSnapshot writes a snapshot. A name is derived from the revision, so it never gets other
+// content.
 func (s *Store) SaveSnapshot(ctx context.Context, revision uint64, catalog *tinarchv1.Catalog) error {
 	content, err := proto.Marshal(catalog)
 	if err != nil {
@@ -126,9 +127,10 @@
 	return s.objects.Put(ctx, snapshotName(revision), content)
 }
 
-// Deltas reads accepted changes from the given revision on, in order.
+// Deltas returns accepted changes in order, starting with the given revision, at most
+// logPageSize.
 func (s *Store) Deltas(ctx context.Context, from uint64) ([]Delta, error) {
-	items, err := s.table.Query(ctx, partitionLog, revisionKey(from), logPage)
+	items, err := s.table.Query(ctx, partitionLog, revisionKey(from), logPageSize)
 	if err != nil {
 		return nil, err
 	}
@@ -143,8 +145,8 @@
 	return deltas, nil
 }
 
-// Accept stores a change as the revision after expected, all or nothing. The
-// returned revision is that of the operation, also when it was accepted before.
+// Accept stores a change, in one transaction, as the revision after the one it was made
+// against. If the operation was accepted before, Accept returns the revision that it got then.
 func (s *Store) Accept(ctx context.Context, delta Delta, snapshot uint64) (uint64, error) {
 	if len(delta.Change) > maxDeltaBytes {
 		return 0, result.New(result.InvalidRequest, "the change has %d bytes, the limit is %d; apply it in parts", len(delta.Change), maxDeltaBytes)
@@ -158,7 +160,7 @@
 		return delta.Revision, nil
 	}
 	if errors.Is(err, table.ErrConflict) || result.CodeOf(err) == result.ApplyUnknown {
-		return s.resolve(ctx, delta, err)
+		return s.resolveOutcome(ctx, delta, err)
 	}
 	return 0, err
 }
@@ -183,9 +185,10 @@
 	}, nil
 }
 
-// resolve finds out whether an operation was accepted after all. cause is what
-// the transaction answered.
-func (s *Store) resolve(ctx context.Context, delta Delta, cause error) (uint64, error) {
+// resolveOutcome finds out whether an operation was accepted although the transaction failed
+// with cause, for instance because its answer was lost or an earlier call had stored the
+// operation.
+func (s *Store) resolveOutcome(ctx context.Context, delta Delta, cause error) (uint64, error) {
 	accepted, err := s.Operation(ctx, delta.Operation, delta.Change)
 	if err == nil {
 		return accepted, nil
@@ -199,12 +202,12 @@
 	if errors.Is(cause, table.ErrConflict) {
 		return 0, result.New(result.RevisionConflict, "another change was accepted since revision %d; read the configuration again", delta.Revision-1)
 	}
-	// The write may still be on its way: its absence now proves nothing.
+	// The write may still take effect, so the missing record proves nothing.
 	return 0, cause
 }
 
-// Operation returns the revision that an operation was accepted as. It returns
-// table.ErrNotFound when it was not, so far.
+// Operation returns the revision with which an operation was accepted. It returns
+// table.ErrNotFound if no acceptance is stored.
 func (s *Store) Operation(ctx context.Context, id string, change []byte) (uint64, error) {
 	item, err := s.table.Get(ctx, operationKey(id))
 	if err != nil {
@@ -225,8 +228,8 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// transactionToken identifies one try to make an operation one revision: the
-// same operation against a later revision is another transaction.
+// transactionToken identifies the attempt to store an operation as one particular revision. The
+// same operation against a later revision is a different transaction.
 func transactionToken(delta Delta) string {
 	digest := sha256.Sum256(fmt.Appendf(nil, "%s/%d/%s", delta.Operation, delta.Revision, fingerprint(delta.Change)))
 	return hex.EncodeToString(digest[:16])
