--- a/internal/operator/auth.go
+++ b/internal/operator/auth.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' interface: Connect, gRPC and JSON on one
-// port, as api/tinarch/v1 declares it.
+// Package operator implements the API for operators, as api/tinarch/v1 declares it. One port
+// serves it over Connect, gRPC and JSON.
 package operator
 
 import (
@@ -21,45 +21,46 @@
 	"errors"
 )
 
-// writeProcedures are the calls that need the write role.
+// writeProcedures are the calls for which a token needs the write role.
 var writeProcedures = map[string]bool{
 	tinarchv1connect.CatalogServiceApplyProcedure: true,
 	tinarchv1connect.FleetServiceDrainProcedure:   true,
 }
 
-// authenticator checks operators' tokens.
+// authenticator is an interceptor that checks the tokens of operators.
 type authenticator struct {
-	tokens []storedToken
+	tokens []operatorToken
 	log    logrus.FieldLogger
 }
 
-type storedToken struct {
+type operatorToken struct {
 	name   string
 	digest [sha256.Size]byte
 	role   settings.Role
 }
 
-// NewInterceptor returns an interceptor that checks tokens, logs changes and
-// gives errors their code.
+// NewInterceptor returns an interceptor that checks operators' tokens, logs calls that change
+// something, and gives errors their Connect code.
 func NewInterceptor(tokens []settings.Token, log logrus.FieldLogger) connect.Interceptor {
 	a := &authenticator{log: log}
 	for _, token := range tokens {
-		stored := storedToken{name: token.Name, role: token.Role}
-		_, _ = hex.Decode(stored.digest[:], []byte(token.SHA256)) // checked with the settings
+		stored := operatorToken{name: token.Name, role: token.Role}
+		_, _ = hex.Decode(stored.digest[:], []byte(token.SHA256)) // validated with the settings
 		a.tokens = append(a.tokens, stored)
 	}
 	return a
 }
 
-// authorize returns the name of the operator that a token belongs to. Digests are
-// compared in constant time, all of them.
+// authorize returns the name of the operator whose token is in the Authorization header, or an
+// error if there is none or its role does not permit the procedure. It compares all digests,
+// each in constant time, so that the response time reveals nothing about them.
 func (a *authenticator) authorize(header, procedure string) (string, error) {
 	text, found := strings.CutPrefix(header, "Bearer ")
 	if !found {
 		return "", result.New(result.Unauthenticated, "the operator's token is missing; set TINARCH_TOKEN or send \"Authorization: Bearer TOKEN\"")
 	}
 	digest := sha256.Sum256([]byte(text))
-	var match *storedToken
+	var match *operatorToken
 	for i := range a.tokens {
 		if subtle.ConstantTimeCompare(a.tokens[i].digest[:], digest[:]) == 1 {
 			match = &a.tokens[i]
@@ -78,16 +79,16 @@
 func (a *authenticator) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
 		procedure := request.Spec().Procedure
-		name, err := a.authorize(request.Header().Get("Authorization"), procedure)
+		operator, err := a.authorize(request.Header().Get("Authorization"), procedure)
 		if err != nil {
-			return nil, toConnect(err)
+			return nil, toConnectError(err)
 		}
 		response, err := next(ctx, request)
 		if writeProcedures[procedure] {
-			a.log.WithFields(logrus.Fields{"operator": name, "procedure": procedure, "code": int(result.CodeOf(err))}).Info("operator's change")
+			a.log.WithFields(logrus.Fields{"operator": operator, "procedure": procedure, "code": int(result.CodeOf(err))}).Info("operator called a procedure that changes state")
 		}
 		if err != nil {
-			return nil, toConnect(err)
+			return nil, toConnectError(err)
 		}
 		return response, nil
 	}
@@ -102,10 +103,10 @@
 func (a *authenticator) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, conn connect.StreamingHandlerConn) error {
 		if _, err := a.authorize(conn.RequestHeader().Get("Authorization"), conn.Spec().Procedure); err != nil {
-			return toConnect(err)
+			return toConnectError(err)
 		}
 		if err := next(ctx, conn); err != nil {
-			return toConnect(err)
+			return toConnectError(err)
 		}
 		return nil
 	}
@@ -125,11 +126,12 @@
 	"internal":            connect.CodeInternal,
 }
 
-// toConnect gives an error its RPC code and detail.
-func toConnect(err error) error {
-	var done *connect.Error
-	if errors.As(err, &done) {
-		return done
+// toConnectError converts an error to a Connect error with the RPC code and the details of its
+// result code.
+func toConnectError(err error) error {
+	var connectErr *connect.Error
+	if errors.As(err, &connectErr) {
+		return connectErr
 	}
 	failure := result.From(err)
 	entry := failure.Code.Entry()
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -20,42 +20,42 @@
 	"github.com/tinarch/tinarch/internal/rollout"
 )
 
-// Methods of the peer protocol that operators' calls use.
+// Methods of the peer protocol by which the node that serves an operator asks other nodes.
 const (
 	MethodDrain    peer.Method = "cell.drain"
 	MethodEngines  peer.Method = "cell.engines"
 	MethodRevision peer.Method = "node.revision"
 )
 
-// DrainCall asks a cell's leader to drain an engine.
+// DrainCall asks the leader of a cell to drain an engine, or to undo that.
 type DrainCall struct {
 	Cell   string `json:"cell"`
 	Engine string `json:"engine"`
 	Undo   bool   `json:"undo,omitempty"`
 }
 
-// DrainAnswer tells how many attempts are in flight on the engine.
+// DrainAnswer says how many attempts are in flight on the engine.
 type DrainAnswer struct {
 	InFlight int `json:"in_flight"`
 }
 
-// EnginesCall asks a cell's leader for its engines.
+// EnginesCall asks the leader of a cell for its engines.
 type EnginesCall struct {
 	Cell string `json:"cell"`
 }
 
-// EnginesAnswer lists them.
+// EnginesAnswer lists the engines of a cell.
 type EnginesAnswer struct {
 	Engines []*tinarchv1.EngineStatus `json:"engines"`
 }
 
-// RevisionAnswer tells the revision in force at a node.
+// RevisionAnswer is the revision in force at a node.
 type RevisionAnswer struct {
 	Incarnation string `json:"incarnation"`
 	Revision    uint64 `json:"revision"`
 }
 
-// Members is what is known of the other nodes.
+// Members is this node's view of the cluster.
 type Members interface {
 	Nodes() []membership.NodeView
 	Groups() []membership.Group
@@ -66,7 +66,7 @@
 	Call(ctx context.Context, groupID string, method peer.Method, tryTimeout time.Duration, request, response any) error
 }
 
-// Service implements both services of the schema.
+// Service implements CatalogService and FleetService.
 type Service struct {
 	Name    string
 	Manager *rollout.Manager
@@ -74,7 +74,7 @@
 	Members Members
 	Router  Router
 	Client  *peer.Client
-	// PoolsByCell returns the names of the cells that exist, with their pools.
+	// PoolsByCell returns the pool of each cell that exists, by the name of the cell.
 	PoolsByCell func() map[string]string
 }
 
@@ -82,12 +82,12 @@
 	applyTimeout = 20 * time.Second
 	cellTimeout  = 2 * time.Second
 	nodeTimeout  = time.Second
-	// statusWorkers bounds the nodes asked at once.
-	statusWorkers = 32
-	maxReadBytes  = 8 << 20
+	// maxConcurrentCalls limits how many nodes are asked at once.
+	maxConcurrentCalls = 32
+	maxReadBytes       = 8 << 20
 )
 
-// Routes returns the handler of the operators' port.
+// Routes returns the HTTP handler for the operators' port.
 func (s *Service) Routes(interceptor connect.Interceptor) http.Handler {
 	router := chi.NewRouter()
 	options := []connect.HandlerOption{connect.WithInterceptors(interceptor), connect.WithReadMaxBytes(maxReadBytes)}
@@ -130,11 +130,11 @@
 	}
 }
 
-// Status implements FleetService. The revisions are asked of the nodes
-// themselves, so that the lowest one is true and not remembered.
+// Status implements FleetService. It asks each node for its revision, because what this node
+// has heard of the others may be outdated, and LowestRevision must be exact.
 func (s *Service) Status(ctx context.Context, _ *connect.Request[tinarchv1.StatusRequest]) (*connect.Response[tinarchv1.StatusResponse], error) {
 	views := s.Members.Nodes()
-	revisions := s.askRevisions(ctx, views)
+	revisions := s.queryRevisions(ctx, views)
 	response := &tinarchv1.StatusResponse{AnsweredBy: s.Name, LowestRevision: s.Manager.Revision()}
 	for i, view := range views {
 		if view.State != membership.Dead {
@@ -155,7 +155,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// stateLeaving is shown for nodes that are being stopped.
+// stateLeaving is the state shown for a node that is alive and about to stop.
 const stateLeaving = "leaving"
 
 func describeNode(view membership.NodeView, revision uint64) *tinarchv1.NodeStatus {
@@ -169,12 +169,12 @@
 	}
 }
 
-// askRevisions asks all nodes side by side; one that does not answer counts as
-// having revision zero.
-func (s *Service) askRevisions(ctx context.Context, views []membership.NodeView) []uint64 {
+// queryRevisions asks all nodes for their revisions, concurrently. A node that does not answer
+// counts as having revision zero.
+func (s *Service) queryRevisions(ctx context.Context, views []membership.NodeView) []uint64 {
 	revisions := make([]uint64, len(views))
-	slots := make(chan struct{}, statusWorkers)
-	var group sync.WaitGroup
+	semaphore := make(chan struct{}, maxConcurrentCalls)
+	var waitGroup sync.WaitGroup
 	for i, view := range views {
 		if view.Name == s.Name {
 			revisions[i] = s.Manager.Revision()
@@ -183,11 +183,11 @@
 		if view.State == membership.Dead {
 			continue
 		}
-		group.Add(1)
+		waitGroup.Add(1)
 		go func() {
-			defer group.Done()
-			slots <- struct{}{}
-			defer func() { <-slots }()
+			defer waitGroup.Done()
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			callCtx, cancel := context.WithTimeout(ctx, nodeTimeout)
 			defer cancel()
 			var answer RevisionAnswer
@@ -196,7 +196,7 @@
 			}
 		}()
 	}
-	group.Wait()
+	waitGroup.Wait()
 	return revisions
 }
 
@@ -204,7 +204,7 @@
 func (s *Service) Engines(ctx context.Context, request *connect.Request[tinarchv1.EnginesRequest]) (*connect.Response[tinarchv1.EnginesResponse], error) {
 	response := &tinarchv1.EnginesResponse{}
 	for _, cell := range s.cellsOfPool(request.Msg.GetPool()) {
-		answer, err := s.askEngines(ctx, cell.name)
+		answer, err := s.queryEngines(ctx, cell.name)
 		if err != nil {
 			response.UnansweredPools = append(response.UnansweredPools, cell.pool)
 			continue
@@ -221,16 +221,16 @@
 
 func (s *Service) cellsOfPool(pool string) []namedCell {
 	var cells []namedCell
-	for name, itsPool := range s.PoolsByCell() {
-		if pool == "" || pool == itsPool {
-			cells = append(cells, namedCell{name, itsPool})
+	for name, cellPool := range s.PoolsByCell() {
+		if pool == "" || pool == cellPool {
+			cells = append(cells, namedCell{name, cellPool})
 		}
 	}
 	slices.SortFunc(cells, func(left, right namedCell) int { return cmp.Compare(left.name, right.name) })
 	return cells
 }
 
-func (s *Service) askEngines(ctx context.Context, cell string) (EnginesAnswer, error) {
+func (s *Service) queryEngines(ctx context.Context, cell string) (EnginesAnswer, error) {
 	callCtx, cancel := context.WithTimeout(ctx, cellTimeout)
 	defer cancel()
 	var answer EnginesAnswer
@@ -242,7 +242,7 @@
 func (s *Service) Drain(ctx context.Context, request *connect.Request[tinarchv1.DrainRequest]) (*connect.Response[tinarchv1.DrainResponse], error) {
 	name := request.Msg.GetEngine()
 	for _, cell := range s.cellsOfPool("") {
-		engines, err := s.askEngines(ctx, cell.name)
+		engines, err := s.queryEngines(ctx, cell.name)
 		if err != nil || !slices.ContainsFunc(engines.Engines, func(e *tinarchv1.EngineStatus) bool { return e.GetName() == name }) {
 			continue
 		}
