--- a/internal/placement/backlog.go
+++ b/internal/placement/backlog.go
@@ -1,7 +1,7 @@
 package placement
 
-// Backlog counts, by rank of their class, the prompt tokens that were given to an engine and
-// that it has not reported as prefilled. Engines prefill higher ranks first, so tokens of a
+// Backlog counts, by rank of their class, the prompt tokens that were placed on an engine and
+// whose prefill is not known to be done. Engines prefill higher ranks first, so tokens of a
 // lower rank do not delay a request.
 type Backlog struct {
 	levels []backlogLevel
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -43,9 +43,9 @@
 // String returns the name that operators see.
 func (a Availability) String() string { return availabilityNames[a] }
 
-// Candidate is what placement knows of one engine. InFlight, Backlog and ReservedTokens are
-// counted from this cell's own placements and are exact, whereas the engine's load report is
-// always somewhat old.
+// Candidate is what placement knows of one engine. InFlight, Backlog and ReservedTokens count
+// this cell's own placements and are exact, whereas the engine's load report is always somewhat
+// old.
 type Candidate struct {
 	// Slot is the engine's bit in masks and its index in Matches, below MaxEngines.
 	Slot         int
@@ -57,7 +57,8 @@
 	InFlight int
 	// MaxRunning is the largest number of requests that the engine runs at once.
 	MaxRunning int
-	// Backlog counts the prompt tokens placed here whose prefill has not been reported.
+	// Backlog counts the prompt tokens placed on the engine whose prefill is not known to be
+	// done.
 	Backlog Backlog
 	// ReservedTokens is the KV cache, in tokens, that requests in flight need, and MemoryTokens
 	// the engine's KV cache capacity; zero means not reported yet.
@@ -134,7 +135,8 @@
 type Filter interface {
 	// Keep reports whether the engine may take the request.
 	Keep(request *Request, candidate *Candidate, matches *Matches) bool
-	// Refusal is the result code when no engine is left and the last one fell to this filter.
+	// Refusal is the result code when no engine passes all filters and this filter rejected the
+	// engine that had passed the most.
 	Refusal() result.Code
 }
 
@@ -194,8 +196,9 @@
 	return NewPipeline(DefaultFilters(), scorers, LowestCost{}, index)
 }
 
-// Place chooses an engine for a request. When no engine is left, the error's code tells which
-// filter ruled out the last ones; QueueFull means that every suitable engine is full for now.
+// Place chooses an engine for a request. If no engine passes all filters, the error has the
+// refusal of the filter that rejected the engine which had passed the most; QueueFull means
+// that there are suitable engines, and all are full for now.
 func (p *Pipeline) Place(request *Request, candidates []*Candidate) (Decision, error) {
 	p.matchPrefix(request, candidates)
 	if code := p.applyFilters(request, candidates); code != result.OK {
--- a/internal/placement/prefixindex.go
+++ b/internal/placement/prefixindex.go
@@ -10,7 +10,8 @@
 
 // PrefixIndex records which engines are expected to have which prefix blocks in their caches.
 // The events that engines publish come late and can be lost, so an entry is a hint only:
-// entries are also added for this cell's own placements, and they expire.
+// entries are also added for this cell's own placements, and old ones are evicted when the
+// index is full.
 type PrefixIndex struct {
 	capacity int
 	blocks   map[prefix.Hash]hint
@@ -33,7 +34,8 @@
 	next        uint64
 }
 
-// maxHintAge is how long eviction spares a block after its last event or placement.
+// maxHintAge is the age, since a block's last event or placement, up to which eviction spares
+// the block.
 const maxHintAge = 20 * time.Minute
 
 // NewPrefixIndex returns an index of at most capacity blocks.
@@ -84,8 +86,9 @@
 }
 
 // Apply records a page of an engine's cache events. After a gap in the sequence the remaining
-// events still count: a lost removal expires, and a lost addition is made up for by the cell's
-// own placements. A new incarnation of the engine starts with an empty cache.
+// events still count: an entry whose removal was lost ages until it is evicted, and a lost
+// addition is made up for by the cell's own placements. A new incarnation of the engine starts
+// with an empty cache.
 func (x *PrefixIndex) Apply(now time.Duration, slot int, page engine.CacheEvents) {
 	cursor := &x.cursors[slot]
 	if cursor.incarnation != page.Incarnation {
