--- a/internal/control/reconciler_test.go
+++ b/internal/control/reconciler_test.go
@@ -63,13 +63,13 @@
 	r := newReconciler(f)
 	desired := Desired{Deployment: version2, SizeBytes: 100}
 	if got := r.Availability(0, desired); got != placement.Unknown {
-		t.Errorf("unclaimed engine is %v", got)
+		t.Errorf("unclaimed engine is %v, want unknown", got)
 	}
 	claim := expectOrder(t, r, desired, 0, engine.OrderClaim)
 	r.HandleOrderResult(0, claim, f.execute(claim), nil)
 	expectNoOrder(t, r, desired, 1) // an attempt is in flight
 	if got := r.Availability(0, desired); got != placement.Draining {
-		t.Errorf("engine before its change is %v", got)
+		t.Errorf("engine before its change is %v, want draining", got)
 	}
 	drain := expectOrder(t, r, desired, 0, engine.OrderDrain)
 	r.HandleOrderResult(0, drain, f.execute(drain), nil)
@@ -80,14 +80,14 @@
 	r.Observe(0, f.status)
 	deploy := expectOrder(t, r, desired, 0, engine.OrderDeploy)
 	if deploy.SizeBytes != 100 || deploy.Fence != 7 || deploy.Incarnation != "i1" {
-		t.Errorf("deploy order %+v", deploy)
+		t.Errorf("deploy order %+v, want 100 bytes, fencing token 7 and incarnation i1", deploy)
 	}
 	r.HandleOrderResult(0, deploy, f.execute(deploy), nil)
 	undrain := expectOrder(t, r, desired, 0, engine.OrderUndrain)
 	r.HandleOrderResult(0, undrain, f.execute(undrain), nil)
 	expectNoOrder(t, r, desired, 0)
 	if got := r.Availability(0, desired); got != placement.Ready {
-		t.Errorf("engine after its change is %v", got)
+		t.Errorf("engine after its change is %v, want ready", got)
 	}
 }
 
@@ -98,7 +98,7 @@
 	r.HandleOrderResult(0, claim, engine.Status{}, result.New(result.EngineDown, "no answer"))
 	again := expectOrder(t, r, Desired{}, 0, engine.OrderClaim)
 	if again.ID != claim.ID || again.Sequence != claim.Sequence {
-		t.Fatalf("repeated as another order: %+v, first %+v", again, claim)
+		t.Fatalf("the order was repeated as %+v, want the first one, %+v", again, claim)
 	}
 	// The order took effect although its reply was lost; the next status report shows it.
 	r.Observe(0, f.execute(claim))
@@ -122,10 +122,10 @@
 	f.status = engine.Status{Incarnation: "i2"}
 	r.Observe(0, f.status)
 	if got := r.Availability(0, Desired{}); got != placement.Unknown {
-		t.Errorf("restarted engine is %v", got)
+		t.Errorf("restarted engine is %v, want unknown", got)
 	}
 	if order := expectOrder(t, r, Desired{}, 0, engine.OrderClaim); order.Incarnation != "i2" {
-		t.Errorf("claim names incarnation %s", order.Incarnation)
+		t.Errorf("claim is for incarnation %s, want i2", order.Incarnation)
 	}
 }
 
@@ -136,7 +136,7 @@
 	r.HandleOrderResult(0, claim, f.execute(claim), nil)
 	r.SetFence(8)
 	if order := expectOrder(t, r, Desired{}, 0, engine.OrderClaim); order.Fence != 8 {
-		t.Errorf("claim has fence %d", order.Fence)
+		t.Errorf("claim has fencing token %d, want 8", order.Fence)
 	}
 }
 
@@ -146,7 +146,7 @@
 		t.Error("a lost engine got an order")
 	}
 	if got := r.Availability(LostAfter+time.Millisecond, Desired{}); got != placement.Lost {
-		t.Errorf("silent engine is %v", got)
+		t.Errorf("silent engine is %v, want lost", got)
 	}
 }
 
