--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -74,7 +74,7 @@
 	} {
 		_, err := Parse("file.yaml", []byte(content))
 		if result.CodeOf(err) != result.InvalidCatalog || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", content, err)
+			t.Errorf("%q: got %v, want InvalidCatalog with %q", content, err, want)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	tenant, err := snapshot.TenantByKey("porto-key")
 	if err != nil || tenant.GetName() != "universidade-do-porto" {
-		t.Errorf("tenant %v, error %v", tenant, err)
+		t.Errorf("tenant %v and error %v, want universidade-do-porto", tenant, err)
 	}
 	if _, err := snapshot.TenantByKey("porto-keY"); result.CodeOf(err) != result.Unauthenticated {
 		t.Errorf("wrong key: got %v, want Unauthenticated", err)
@@ -160,7 +160,7 @@
 	}
 	route := table.Match("match.example:8080", "/sync/7")
 	if route == nil || route.Objective != route.Timeout || route.MaxAttempts != 2 || len(route.Targets) != 2 || table.Version != 3 {
-		t.Errorf("%+v", route)
+		t.Errorf("compiled route is %+v, in table version %d", route, table.Version)
 	}
 	if snapshot.SlotsOf("board") != defaultSlots || snapshot.SlotsOf("board-next") != 4 {
 		t.Errorf("SlotsOf: got %d and %d, want %d and 4", snapshot.SlotsOf("board"), snapshot.SlotsOf("board-next"), defaultSlots)
@@ -206,12 +206,12 @@
 	changed.Routes[0].TimeoutMs = 1
 	merged, err := Merge(routedCatalog(), Change{Put: &tinarchv1.Catalog{Routes: changed.Routes}})
 	if err != nil || len(merged.Routes) != 1 || merged.Routes[0].TimeoutMs != 1 || len(merged.Services) != 2 {
-		t.Fatalf("%v %v", merged, err)
+		t.Fatalf("after the change: %v, error %v", merged, err)
 	}
 	merged, err = Merge(merged, Change{Delete: []*tinarchv1.ObjectReference{
 		{Type: tinarchv1.ObjectType_OBJECT_TYPE_ROUTE, Name: "sync"}, {Type: tinarchv1.ObjectType_OBJECT_TYPE_SERVICE, Name: "board"},
 	}})
 	if err != nil || len(merged.Routes) != 0 || len(merged.Services) != 1 {
-		t.Errorf("%v %v", merged, err)
+		t.Errorf("after the deletion: %v, error %v", merged, err)
 	}
 }
