--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -52,6 +52,6 @@
 		t.Fatalf("disposition %d, want EventAccepted", got)
 	}
 	if got := string(EventData(event[:len(event)-2])); got != `{"a":1}` {
-		t.Errorf("EventData = %q", got)
+		t.Errorf("EventData returned %q, want {\"a\":1}", got)
 	}
 }
