--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -30,7 +30,8 @@
 type pullResponse struct {
 	Revision uint64  `json:"revision"`
 	Deltas   []Delta `json:"deltas,omitempty"`
-	// Snapshot is the whole encoded catalog, where the changes are not kept.
+	// Snapshot is the complete encoded catalog, set if some of the missing changes are no
+	// longer kept.
 	Snapshot []byte `json:"snapshot,omitempty"`
 }
 
