--- a/internal/dispatch/endings.go
+++ b/internal/dispatch/endings.go
@@ -135,7 +135,7 @@
 	}
 	e.mu.Unlock()
 	if mistaken {
-		e.quarantine.Lives(id, now)
+		e.quarantine.WorkerAlive(id, now)
 	}
 }
 
--- a/internal/dispatch/endings_test.go
+++ b/internal/dispatch/endings_test.go
@@ -97,7 +97,7 @@
 	alive []string
 }
 
-func (q *aliveRecorder) Lives(worker string, _ time.Time) { q.alive = append(q.alive, worker) }
+func (q *aliveRecorder) WorkerAlive(worker string, _ time.Time) { q.alive = append(q.alive, worker) }
 
 // TestAnswerOfLaterIncarnationDoesNotUndoCrash guards against taking the answers of a restarted
 // worker for a sign that it never ended: they arrive before the worker list tells of the new
--- a/internal/dispatch/suspicion.go
+++ b/internal/dispatch/suspicion.go
@@ -12,35 +12,35 @@
 // Quarantine knows the requests that crash workers, over all nodes. A worker crashes when it
 // ends without having been drained.
 type Quarantine interface {
-	// Standing tells how a request is to be treated.
-	Standing(request quarantine.Fingerprint, now time.Time) quarantine.Status
+	// Check tells how a request is to be treated.
+	Check(request quarantine.Fingerprint, now time.Time) quarantine.Status
 	// Crashed records that a worker has crashed while it ran these requests.
 	Crashed(crashes map[quarantine.Fingerprint]quarantine.Crash, now time.Time)
 	// Survived records that a worker completed a request and has not crashed.
 	Survived(request quarantine.Fingerprint, now time.Time)
-	// Lives records that a worker which was taken for crashed still answers.
-	Lives(worker string, now time.Time)
+	// WorkerAlive records that a worker which was taken for crashed still answers.
+	WorkerAlive(worker string, now time.Time)
 }
 
 // noQuarantine suspects no request.
 type noQuarantine struct{}
 
-func (noQuarantine) Standing(quarantine.Fingerprint, time.Time) quarantine.Status {
+func (noQuarantine) Check(quarantine.Fingerprint, time.Time) quarantine.Status {
 	return quarantine.Status{}
 }
 func (noQuarantine) Crashed(map[quarantine.Fingerprint]quarantine.Crash, time.Time) {}
 func (noQuarantine) Survived(quarantine.Fingerprint, time.Time)                     {}
-func (noQuarantine) Lives(string, time.Time)                                        {}
+func (noQuarantine) WorkerAlive(string, time.Time)                                  {}
 
 // checkQuarantine looks up how the call is to be treated before a worker gets it. It returns
 // false and the outcome if none may get it, because workers crashed whenever they ran it.
 func (s *session) checkQuarantine(ctx context.Context) (Outcome, bool) {
-	s.quarantineStatus = s.quarantine.Standing(s.call.Fingerprint, time.Now())
+	s.quarantineStatus = s.quarantine.Check(s.call.Fingerprint, time.Now())
 	for !s.quarantineStatus.Quarantined && s.quarantineStatus.Settling > 0 {
 		if err := s.pause(ctx, s.quarantineStatus.Settling); err != nil {
 			return s.givenUp(tryResult{verdict: notRun, err: err}), false
 		}
-		s.quarantineStatus = s.quarantine.Standing(s.call.Fingerprint, time.Now())
+		s.quarantineStatus = s.quarantine.Check(s.call.Fingerprint, time.Now())
 	}
 	if s.quarantineStatus.Quarantined {
 		return s.quarantined(), false
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -21,12 +21,12 @@
 // whenever they ran it. If its last crash is so recent that reports from other nodes may still
 // arrive, it waits for them first.
 func (r *runner) checkQuarantine(ctx context.Context, request quarantine.Fingerprint) error {
-	status := r.quarantine.Standing(request, time.Now())
+	status := r.quarantine.Check(request, time.Now())
 	for status.Settling > 0 {
 		if err := sleep(ctx, status.Settling); err != nil {
 			return err
 		}
-		status = r.quarantine.Standing(request, time.Now())
+		status = r.quarantine.Check(request, time.Now())
 	}
 	if !status.Quarantined {
 		return nil
--- a/internal/nodeexchange/suspects_test.go
+++ b/internal/nodeexchange/suspects_test.go
@@ -74,7 +74,7 @@
 func (n quarantineNode) awaitQuarantine(t *testing.T) {
 	t.Helper()
 	const patience = 20 * time.Second
-	for end := time.Now().Add(patience); !n.keeper.Standing(poison, time.Now()).Quarantined; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(patience); !n.keeper.Check(poison, time.Now()).Quarantined; time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("node %s doesn't know of the quarantine after %v", n.node, patience)
 		}
--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -85,9 +85,9 @@
 // UnsavedSignal returns a channel that receives a value when Unsaved may have records.
 func (m *Manager) UnsavedSignal() <-chan struct{} { return m.unsavedSignal }
 
-// Standing returns the status of a request. If a trial of a quarantined request is due and this
+// Check returns the status of a request. If a trial of a quarantined request is due and this
 // node runs its trials, the request is let through once.
-func (m *Manager) Standing(request Fingerprint, now time.Time) Status {
+func (m *Manager) Check(request Fingerprint, now time.Time) Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	status := m.detector.Status(request, now)
@@ -126,8 +126,8 @@
 	}
 }
 
-// Lives records that a worker that was taken for crashed is alive.
-func (m *Manager) Lives(worker string, now time.Time) {
+// WorkerAlive records that a worker that was taken for crashed is alive.
+func (m *Manager) WorkerAlive(worker string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if records := m.detector.ClearWorker(worker, now); len(records) > 0 {
--- a/internal/quarantine/manager_test.go
+++ b/internal/quarantine/manager_test.go
@@ -86,7 +86,7 @@
 		m.crash(start, "a", "w1", "w2", "w3")
 		m.Stored(m.Unsaved()[0], 5, start)
 		m.SyncStored(map[Fingerprint]bool{request("a"): true}, 6, start)
-		if !m.Standing(request("a"), start.Add(settlePeriod)).Quarantined {
+		if !m.Check(request("a"), start.Add(settlePeriod)).Quarantined {
 			t.Fatal("not quarantined")
 		}
 		if reread {
@@ -94,7 +94,7 @@
 		} else {
 			m.Removed(request("a"), 7, start)
 		}
-		if m.Standing(request("a"), start.Add(settlePeriod)).Quarantined {
+		if m.Check(request("a"), start.Add(settlePeriod)).Quarantined {
 			t.Errorf("still quarantined; table read again: %v", reread)
 		}
 	}
@@ -107,7 +107,7 @@
 	m.Stored(m.Unsaved()[0], 5, start)
 	m.SyncStored(nil, 4, start)
 	m.Removed(request("a"), 4, start)
-	if !m.Standing(request("a"), start.Add(settlePeriod)).Quarantined {
+	if !m.Check(request("a"), start.Add(settlePeriod)).Quarantined {
 		t.Error("a table version from before the row was written has released the request")
 	}
 }
@@ -118,7 +118,7 @@
 	m := newTestManager(true)
 	m.crash(start, "a", "w1", "w2", "w3")
 	m.SyncStored(nil, 9, start)
-	if !m.Standing(request("a"), start.Add(settlePeriod)).Quarantined || len(m.Unsaved()) != 1 {
+	if !m.Check(request("a"), start.Add(settlePeriod)).Quarantined || len(m.Unsaved()) != 1 {
 		t.Error("a request that has not been saved yet was taken for released")
 	}
 }
@@ -131,7 +131,7 @@
 		m.crash(start, "a", "w1", "w2", "w3")
 		passed := 0
 		for range 5 {
-			if !m.Standing(request("a"), due).Quarantined {
+			if !m.Check(request("a"), due).Quarantined {
 				passed++
 			}
 		}
@@ -150,7 +150,7 @@
 	records, _ := m.Due(start)
 	other.Receive("n", records)
 	for _, manager := range []*Manager{m, other} {
-		if got := manager.Standing(request("a"), time.Now().Add(time.Hour)); got != (Status{}) {
+		if got := manager.Check(request("a"), time.Now().Add(time.Hour)); got != (Status{}) {
 			t.Errorf("%+v", got)
 		}
 	}
