--- a/internal/dispatch/survey.go
+++ b/internal/dispatch/survey.go
@@ -13,15 +13,15 @@
 // LoadReports tells the load that all nodes have placed on workers. Each worker's load is
 // tracked by some of the nodes, to which the others report theirs.
 type LoadReports interface {
-	// Kept reports for each worker whether this node tracks its load.
-	Kept(workers []string) []bool
+	// Tracked reports for each worker whether this node tracks its load.
+	Tracked(workers []string) []bool
 	// Ask asks other nodes for the load of workers, as a request of a rank with a prompt of
 	// these parts finds it, and for the workers that have cached what the prompt shares. It
 	// returns the answers that arrived in time.
 	Ask(ctx context.Context, workers []string, parts []prefixcache.Part, rank int) scheduling.Answers
-	// Keeping returns the engines whose load this node tracks. It returns false if plans are to
-	// consider all workers.
-	Keeping() (engines map[string]bool, some bool)
+	// TrackedEngines returns the engines whose load this node tracks. It returns false if plans
+	// are to consider all workers.
+	TrackedEngines() (engines map[string]bool, some bool)
 	// RoundTrip is the round-trip time to a region, zero for the node's own.
 	RoundTrip(region string) time.Duration
 }
@@ -48,7 +48,7 @@
 func (s *session) describeCandidates() []scheduling.Candidate {
 	now, service := time.Now(), s.call.Service.Name
 	if s.loadReports != nil && s.call.PromptTokens > 0 {
-		if kept, some := s.loadReports.Keeping(); some {
+		if kept, some := s.loadReports.TrackedEngines(); some {
 			names := scheduling.Shortlist(s.request(), s.registry.Outlines(service, kept, now))
 			return s.describe(append(names, slices.Collect(maps.Keys(s.reports))...))
 		}
@@ -69,7 +69,7 @@
 	for _, candidate := range candidates {
 		ids = append(ids, candidate.ID)
 	}
-	for i, kept := range s.loadReports.Kept(ids) {
+	for i, kept := range s.loadReports.Tracked(ids) {
 		if !kept {
 			candidates[i].Report = scheduling.Unasked
 		}
--- a/internal/nodeexchange/ask.go
+++ b/internal/nodeexchange/ask.go
@@ -104,8 +104,8 @@
 	extraWait time.Duration
 }
 
-// Kept reports for each worker whether this node tracks its load.
-func (e *Exchange) Kept(workers []string) []bool {
+// Tracked reports for each worker whether this node tracks its load.
+func (e *Exchange) Tracked(workers []string) []bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	kept := make([]bool, 0, len(workers))
@@ -122,10 +122,10 @@
 	engines        map[string]bool
 }
 
-// Keeping returns the engines whose load this node tracks. It returns false where a node tracks
-// all workers, or where the homes of a worker depend on its region, so that the caller gains
-// nothing from the list. Callers must not modify the result.
-func (e *Exchange) Keeping() (engines map[string]bool, some bool) {
+// TrackedEngines returns the engines whose load this node tracks. It returns false where a node
+// tracks all workers, or where the homes of a worker depend on its region, so that the caller
+// gains nothing from the list. Callers must not modify the result.
+func (e *Exchange) TrackedEngines() (engines map[string]bool, some bool) {
 	workers := e.registry.Generation()
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/nodeexchange/ask_test.go
+++ b/internal/nodeexchange/ask_test.go
@@ -66,7 +66,7 @@
 	exchanges, registries := cluster(t, 30, "w")
 	placing, asking := -1, -1
 	for i, exchange := range exchanges {
-		if exchange.Kept([]string{"w"})[0] {
+		if exchange.Tracked([]string{"w"})[0] {
 			continue
 		}
 		placing, asking = asking, i
@@ -103,7 +103,7 @@
 	}
 	exchange.AddPeers(listed)
 	id := "w"
-	for i := 0; exchange.Kept([]string{id})[0]; i++ {
+	for i := 0; exchange.Tracked([]string{id})[0]; i++ {
 		id = fmt.Sprint("w", i)
 	}
 	for range homeCount(41) {
@@ -149,14 +149,14 @@
 	}
 }
 
-// TestKeepingAgreesWithKept checks that Keeping and Kept agree, also after nodes and workers
-// were added and removed.
+// TestKeepingAgreesWithKept checks that TrackedEngines and Tracked agree, also after nodes and
+// workers were added and removed.
 func TestKeepingAgreesWithKept(t *testing.T) {
 	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, some := exchange.Keeping(); some {
+	if _, some := exchange.TrackedEngines(); some {
 		t.Error("in a small fleet a node tracks only some workers")
 	}
 	var engines []worker.Worker
@@ -167,13 +167,13 @@
 	}
 	check := func() {
 		t.Helper()
-		keeping, some := exchange.Keeping()
+		keeping, some := exchange.TrackedEngines()
 		if !some {
 			t.Fatal("a node of a large fleet tracks all workers")
 		}
-		for i, kept := range exchange.Kept(ids) {
+		for i, kept := range exchange.Tracked(ids) {
 			if known := exchange.registry.CandidatesAmong("llm", ids[i:i+1], nil, 0, time.Now()); kept != keeping[ids[i]] && len(known) > 0 {
-				t.Errorf("%s: Keeping says %v, Kept %v", ids[i], keeping[ids[i]], kept)
+				t.Errorf("%s: TrackedEngines says %v, Tracked %v", ids[i], keeping[ids[i]], kept)
 			}
 		}
 	}
--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -66,7 +66,7 @@
 
 	mu    sync.Mutex
 	peers *peerSet
-	// tracked is the last result of Keeping.
+	// tracked is the last result of TrackedEngines.
 	tracked trackedEngines
 	// asideUntil is until when this node leaves orders to other nodes.
 	asideUntil time.Time
--- a/internal/serving/warmup.go
+++ b/internal/serving/warmup.go
@@ -76,11 +76,11 @@
 // contents it doesn't know.
 func (n *Node) unknownCaches() []string {
 	var homed []string
-	if keeping, some := n.exchange.Keeping(); some {
+	if keeping, some := n.exchange.TrackedEngines(); some {
 		homed = idsOf(n.registry.UnknownCachesAmong(keeping))
 	} else {
 		ids := idsOf(n.registry.UnknownCaches())
-		for i, kept := range n.exchange.Kept(ids) {
+		for i, kept := range n.exchange.Tracked(ids) {
 			if kept {
 				homed = append(homed, ids[i])
 			}
