--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -16,12 +16,12 @@
 // TableCoordinator processes what other nodes send about tables of the store, and provides what
 // this node sends them.
 type TableCoordinator interface {
-	// Words returns announcements of what this node itself has read from the store. Known
-	// returns those of all that it relies on.
-	Words(now time.Time) []tablerelay.Announcement
-	Known(now time.Time) []tablerelay.Announcement
-	Take(words []tablerelay.Announcement, now time.Time)
-	TakeNews(news tablefeed.News)
+	// OwnAnnouncements returns announcements of what this node itself has read from the store.
+	// Known returns those of all that it relies on.
+	OwnAnnouncements(now time.Time) []tablerelay.Announcement
+	KnownAnnouncements(now time.Time) []tablerelay.Announcement
+	Receive(words []tablerelay.Announcement, now time.Time)
+	ReceiveNews(news tablefeed.News)
 }
 
 // maxFanOut is the largest number of nodes to which one node sends a broadcast directly. In a
@@ -188,7 +188,7 @@
 	if e.coordinator == nil {
 		return
 	}
-	if announcements := e.coordinator.Known(time.Now()); len(announcements) > 0 {
+	if announcements := e.coordinator.KnownAnnouncements(time.Now()); len(announcements) > 0 {
 		e.sendTo(to, Message{Node: e.node, Words: announcements, CreatedMillis: clock.Boottime().UnixMilli(), Relayed: true})
 	}
 }
@@ -212,7 +212,7 @@
 			announcements[i].AgeMillis += delay.Milliseconds()
 		}
 	}
-	e.coordinator.Take(announcements, time.Now())
+	e.coordinator.Receive(announcements, time.Now())
 	e.relay(from, message)
 }
 
@@ -223,7 +223,7 @@
 		return
 	}
 	if e.coordinator != nil {
-		e.coordinator.TakeNews(news)
+		e.coordinator.ReceiveNews(news)
 	}
 	e.relay(from, message)
 }
--- a/internal/nodeexchange/tables_test.go
+++ b/internal/nodeexchange/tables_test.go
@@ -14,12 +14,12 @@
 	received chan []tablerelay.Announcement
 }
 
-func (b *coordinatorStub) Words(time.Time) []tablerelay.Announcement { return nil }
-func (b *coordinatorStub) Known(time.Time) []tablerelay.Announcement {
+func (b *coordinatorStub) OwnAnnouncements(time.Time) []tablerelay.Announcement { return nil }
+func (b *coordinatorStub) KnownAnnouncements(time.Time) []tablerelay.Announcement {
 	return []tablerelay.Announcement{{Table: "known"}}
 }
-func (b *coordinatorStub) Take(words []tablerelay.Announcement, _ time.Time) { b.received <- words }
-func (b *coordinatorStub) TakeNews(tablefeed.News)                           {}
+func (b *coordinatorStub) Receive(words []tablerelay.Announcement, _ time.Time) { b.received <- words }
+func (b *coordinatorStub) ReceiveNews(tablefeed.News)                           {}
 
 // TestWordsReachAllNodes checks that announcements reach every node of a large fleet through
 // two nodes of each zone, and that no node sends to all others.
--- a/internal/tablerelay/coordinator.go
+++ b/internal/tablerelay/coordinator.go
@@ -180,9 +180,9 @@
 	c.feeds[table] = feed
 }
 
-// Words returns this node's own announcements: those of tables that it reads at the store, and
-// whose last confirmation is fresh.
-func (c *Coordinator) Words(now time.Time) []Announcement {
+// OwnAnnouncements returns this node's own announcements: those of tables that it reads at the
+// store, and whose last confirmation is fresh.
+func (c *Coordinator) OwnAnnouncements(now time.Time) []Announcement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var announcements []Announcement
@@ -194,9 +194,9 @@
 	return announcements
 }
 
-// Known returns all fresh announcements that this node knows, its own included.
-func (c *Coordinator) Known(now time.Time) []Announcement {
-	known := c.Words(now)
+// KnownAnnouncements returns all fresh announcements that this node knows, its own included.
+func (c *Coordinator) KnownAnnouncements(now time.Time) []Announcement {
+	known := c.OwnAnnouncements(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for table, byReader := range c.announced {
@@ -216,8 +216,8 @@
 	}
 }
 
-// Take records announcements, which may have been relayed by other nodes.
-func (c *Coordinator) Take(announcements []Announcement, now time.Time) {
+// Receive records announcements, which may have been relayed by other nodes.
+func (c *Coordinator) Receive(announcements []Announcement, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, announced := range announcements {
@@ -254,8 +254,8 @@
 	return follows && now.Sub(held.At) >= Freshness && now.Sub(confirmation.At) < c.TakeoverDelay(announced.Table)
 }
 
-// TakeNews passes changes that another node read at the store to the feed of their table.
-func (c *Coordinator) TakeNews(news tablefeed.News) {
+// ReceiveNews passes changes that another node read at the store to the feed of their table.
+func (c *Coordinator) ReceiveNews(news tablefeed.News) {
 	c.mu.Lock()
 	feed, followed := c.feeds[news.Table]
 	c.mu.Unlock()
@@ -345,7 +345,7 @@
 
 // BroadcastConfirmations implements tablefeed.Peers.
 func (c *Coordinator) BroadcastConfirmations() {
-	announcements := slices.DeleteFunc(c.Words(time.Now()), func(a Announcement) bool { return !c.broadcasts(a.Table) })
+	announcements := slices.DeleteFunc(c.OwnAnnouncements(time.Now()), func(a Announcement) bool { return !c.broadcasts(a.Table) })
 	if len(announcements) > 0 {
 		c.fleet.SpreadWords(announcements)
 	}
--- a/internal/tablerelay/coordinator_test.go
+++ b/internal/tablerelay/coordinator_test.go
@@ -63,7 +63,7 @@
 		"reader, outranked, just fresh enough": {"a", true, Freshness - 501*time.Millisecond, true},
 	} {
 		coordinator := newTestCoordinator(&fleet{self: "m", rank: 9})
-		coordinator.Take([]Announcement{{Table: "table", Changed: 3, Confirmed: 9, AgeMillis: 500, Reader: test.from}}, origin)
+		coordinator.Receive([]Announcement{{Table: "table", Changed: 3, Confirmed: 9, AgeMillis: 500, Reader: test.from}}, origin)
 		got, found := coordinator.LatestConfirmation("table", origin.Add(test.after), test.reads)
 		if found != test.want {
 			t.Errorf("%s: found %v", name, found)
@@ -78,8 +78,8 @@
 // TestOlderVersionOfSameReaderIsIgnored, even if its confirmation seems more recent.
 func TestOlderVersionOfSameReaderIsIgnored(t *testing.T) {
 	coordinator := newTestCoordinator(&fleet{self: "m", rank: 9})
-	coordinator.Take([]Announcement{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "a"}}, origin)
-	coordinator.Take([]Announcement{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
+	coordinator.Receive([]Announcement{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "a"}}, origin)
+	coordinator.Receive([]Announcement{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
 	if got, found := coordinator.LatestConfirmation("table", origin, false); !found || got.Confirmed != 9 {
 		t.Errorf("%+v, %v", got, found)
 	}
@@ -89,8 +89,8 @@
 // have spent time in a buffer.
 func TestNewestVersionCounts(t *testing.T) {
 	coordinator := newTestCoordinator(&fleet{self: "m", rank: 9})
-	coordinator.Take([]Announcement{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
-	coordinator.Take([]Announcement{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "z"}}, origin)
+	coordinator.Receive([]Announcement{{Table: "table", Changed: 3, Confirmed: 8, Reader: "a"}}, origin)
+	coordinator.Receive([]Announcement{{Table: "table", Changed: 9, Confirmed: 9, AgeMillis: 600, Reader: "z"}}, origin)
 	if got, found := coordinator.LatestConfirmation("table", origin, false); !found || got.Confirmed != 9 {
 		t.Errorf("%+v, %v", got, found)
 	}
@@ -109,7 +109,7 @@
 // TestHoldersAreReadersThatAnnouncedTheChange, the one with the latest confirmation first.
 func TestHoldersAreReadersThatAnnouncedTheChange(t *testing.T) {
 	coordinator := newTestCoordinator(&fleet{self: "m", rank: 9})
-	coordinator.Take([]Announcement{
+	coordinator.Receive([]Announcement{
 		{Table: "table", Changed: 7, Confirmed: 8, AgeMillis: 200, Reader: "127.0.0.1:1"},
 		{Table: "table", Changed: 7, Confirmed: 8, AgeMillis: 100, Reader: "127.0.0.1:2"},
 		{Table: "table", Changed: 5, Confirmed: 8, Reader: "127.0.0.1:3"},
@@ -127,13 +127,13 @@
 // confirmation, and an older one doesn't replace a newer one.
 func TestRelayedAnnouncementsKeepTheirAge(t *testing.T) {
 	coordinator := newTestCoordinator(&fleet{self: "m", rank: 5})
-	coordinator.Take([]Announcement{{Table: "table", Changed: 4, Confirmed: 9, AgeMillis: 300, Reader: "a"}}, origin)
-	coordinator.Take([]Announcement{{Table: "table", Changed: 3, Confirmed: 8, AgeMillis: 700, Reader: "a"}}, origin)
+	coordinator.Receive([]Announcement{{Table: "table", Changed: 4, Confirmed: 9, AgeMillis: 300, Reader: "a"}}, origin)
+	coordinator.Receive([]Announcement{{Table: "table", Changed: 3, Confirmed: 8, AgeMillis: 700, Reader: "a"}}, origin)
 	want := []Announcement{{Table: "table", Changed: 4, Confirmed: 9, AgeMillis: 800, Reader: "a"}}
-	if diff := cmp.Diff(want, coordinator.Known(origin.Add(500*time.Millisecond))); diff != "" {
+	if diff := cmp.Diff(want, coordinator.KnownAnnouncements(origin.Add(500*time.Millisecond))); diff != "" {
 		t.Error(diff)
 	}
-	if got := coordinator.Known(origin.Add(Freshness)); len(got) != 0 {
+	if got := coordinator.KnownAnnouncements(origin.Add(Freshness)); len(got) != 0 {
 		t.Errorf("old announcements are returned: %v", got)
 	}
 }
@@ -143,7 +143,7 @@
 func TestNewerAnnouncementsAreRequested(t *testing.T) {
 	others := &fleet{self: "m", rank: 5}
 	coordinator := newTestCoordinator(others)
-	coordinator.Take([]Announcement{{Table: "table", Reader: "a"}}, origin)
+	coordinator.Receive([]Announcement{{Table: "table", Reader: "a"}}, origin)
 	coordinator.LatestConfirmation("table", origin.Add(requestAge-1), false)
 	if others.requested != 0 {
 		t.Error("a newer announcement was requested though the known one is fresh")
@@ -159,8 +159,8 @@
 
 func TestUnknownTablesAreIgnored(t *testing.T) {
 	coordinator := newTestCoordinator(&fleet{self: "m", rank: 1})
-	coordinator.Take([]Announcement{{Table: "other", Reader: "a"}}, origin)
-	coordinator.TakeNews(tablefeed.News{Table: "other"})
+	coordinator.Receive([]Announcement{{Table: "other", Reader: "a"}}, origin)
+	coordinator.ReceiveNews(tablefeed.News{Table: "other"})
 	if _, found := coordinator.LatestConfirmation("other", origin, false); found {
 		t.Error("a confirmation was found for a table without a feed")
 	}
@@ -243,7 +243,7 @@
 	hour := time.Duration(0)
 	announceVersion := func(changed, confirmed tablefeed.Version) {
 		hour += time.Hour
-		coordinator.Take([]Announcement{{Table: "table", Changed: changed, Confirmed: confirmed, Reader: "a"}}, time.Now().Add(hour))
+		coordinator.Receive([]Announcement{{Table: "table", Changed: changed, Confirmed: confirmed, Reader: "a"}}, time.Now().Add(hour))
 	}
 	announceVersion(5, 5)
 	go func() { feed.Run(ctx); close(ended) }()
@@ -281,7 +281,7 @@
 	coordinator := New(&fleet{self: "m", rank: 1})
 	feed := tablefeed.New(store, "table", got, coordinator, log)
 	coordinator.Add("table", feed)
-	coordinator.Take([]Announcement{{Table: "table", Changed: 5, Confirmed: 5, Reader: "a"}}, time.Now().Add(time.Hour))
+	coordinator.Receive([]Announcement{{Table: "table", Changed: 5, Confirmed: 5, Reader: "a"}}, time.Now().Add(time.Hour))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { feed.Run(ctx); close(ended) }()
@@ -384,7 +384,7 @@
 		announcement := Announcement{Table: "table", Changed: test.changed, Confirmed: 9, Reader: test.reader}
 		now := time.Now()
 		for changed := range 2 { // the second announcement has no new change
-			coordinator.Take([]Announcement{announcement}, now)
+			coordinator.Receive([]Announcement{announcement}, now)
 			woken := false
 			select {
 			case <-feed.Woken():
@@ -447,7 +447,7 @@
 			if got := len(others.broadcasts) > 0; got != test.broadcasts {
 				t.Errorf("broadcasts confirmations: %v", got)
 			}
-			if len(coordinator.Known(time.Now())) == 0 {
+			if len(coordinator.KnownAnnouncements(time.Now())) == 0 {
 				t.Error("it has no announcement for nodes that ask")
 			}
 		})
