--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -29,14 +29,14 @@
 // region, which relay it.
 const maxFanOut = 30
 
-// SpreadWords broadcasts announcements of what the store has confirmed.
-func (e *Exchange) SpreadWords(announcements []tablerelay.Announcement) {
+// BroadcastAnnouncements broadcasts announcements of what the store has confirmed.
+func (e *Exchange) BroadcastAnnouncements(announcements []tablerelay.Announcement) {
 	e.broadcast(Message{Node: e.node, Words: announcements, CreatedMillis: clock.Boottime().UnixMilli()})
 }
 
-// SpreadNews broadcasts changes of a table. Changes that are too large aren't sent: the other
-// nodes learn of them from the next announcement and fetch them.
-func (e *Exchange) SpreadNews(news tablefeed.News) {
+// BroadcastNews broadcasts changes of a table. Changes that are too large aren't sent: the
+// other nodes learn of them from the next announcement and fetch them.
+func (e *Exchange) BroadcastNews(news tablefeed.News) {
 	packed, err := packNews(news)
 	if err != nil {
 		e.log.WithError(err).Error("changes of a table can't be encoded for the other nodes")
@@ -146,10 +146,11 @@
 	return drawn
 }
 
-// AskWords asks two nodes for their announcements, when none has arrived: the node that should
-// read the table from the store, and another one. In a large fleet, where too many nodes would
-// ask the former, it asks the node from which this one gets tables and another one of its zone.
-func (e *Exchange) AskWords(table string) {
+// RequestAnnouncements asks two nodes for their announcements, when none has arrived: the node
+// that should read the table from the store, and another one. In a large fleet, where too many
+// nodes would ask the former, it asks the node from which this one gets tables and another one
+// of its zone.
+func (e *Exchange) RequestAnnouncements(table string) {
 	e.mu.Lock()
 	asked := e.peers.announcementSources(table)
 	e.mu.Unlock()
@@ -240,9 +241,9 @@
 	return e.peers.outranks(table, address)
 }
 
-// Place returns this node's rank among the nodes that may read a table from the store, 0 being
+// Rank returns this node's rank among the nodes that may read a table from the store, 0 being
 // the first.
-func (e *Exchange) Place(table string) int {
+func (e *Exchange) Rank(table string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.peers.readerRank(table)
--- a/internal/nodeexchange/tables_test.go
+++ b/internal/nodeexchange/tables_test.go
@@ -37,7 +37,7 @@
 	if targets > minHomes {
 		t.Errorf("one node sends to %d nodes of one zone", targets)
 	}
-	exchanges[0].SpreadWords([]tablerelay.Announcement{{Table: "spread"}})
+	exchanges[0].BroadcastAnnouncements([]tablerelay.Announcement{{Table: "spread"}})
 	for i, board := range boards[1:] {
 		select {
 		case words := <-board.(*coordinatorStub).received:
@@ -54,7 +54,7 @@
 func TestAnnouncementsCanBeRequested(t *testing.T) {
 	asking, asked := &coordinatorStub{received: make(chan []tablerelay.Announcement, 100)}, &coordinatorStub{received: make(chan []tablerelay.Announcement, 100)}
 	exchanges, _ := clusterWithCoordinators(t, []TableCoordinator{asking, asked}, "w")
-	exchanges[0].AskWords("table")
+	exchanges[0].RequestAnnouncements("table")
 	select {
 	case words := <-asking.received:
 		if words[0].Table != "known" {
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -100,7 +100,7 @@
 			return
 		case <-n.quarantine.UnsavedSignal():
 		}
-		wait := min(time.Duration(n.exchange.Place(quarantineTable))*saveDelayStep, maxSaveDelay)
+		wait := min(time.Duration(n.exchange.Rank(quarantineTable))*saveDelayStep, maxSaveDelay)
 		for len(n.quarantine.Unsaved()) > 0 && sleepFor(ctx, wait) {
 			wait = savePause
 			if !n.saveBatch(ctx) {
@@ -158,7 +158,7 @@
 func (n *Node) expireQuarantine(ctx context.Context) {
 	for sleepFor(ctx, expireEvery) {
 		old := n.quarantine.Expire(time.Now())
-		if len(old) == 0 || n.exchange.Place(quarantineTable) > 0 {
+		if len(old) == 0 || n.exchange.Rank(quarantineTable) > 0 {
 			continue
 		}
 		var transaction rowstore.Transaction
--- a/internal/tablerelay/coordinator.go
+++ b/internal/tablerelay/coordinator.go
@@ -73,17 +73,17 @@
 	Address() string
 	// Outranks reports whether another node ranks higher than this one as a reader of a table.
 	Outranks(table, reader string) bool
-	// Place is this node's rank as a reader of a table, starting at 0.
-	Place(table string) int
+	// Rank is this node's rank as a reader of a table, starting at 0.
+	Rank(table string) int
 	// Nodes is the number of nodes; Large reports whether they are too many for each to
 	// broadcast.
 	Nodes() int
 	Large() bool
-	// SpreadWords and SpreadNews send to all other nodes.
-	SpreadWords(announcements []Announcement)
-	SpreadNews(news tablefeed.News)
-	// AskWords asks some nodes for their announcements.
-	AskWords(table string)
+	// BroadcastAnnouncements and BroadcastNews send to all other nodes.
+	BroadcastAnnouncements(announcements []Announcement)
+	BroadcastNews(news tablefeed.News)
+	// RequestAnnouncements asks some nodes for their announcements.
+	RequestAnnouncements(table string)
 }
 
 // Fetcher fetches tables from other nodes.
@@ -266,7 +266,7 @@
 
 // TakeoverDelay implements tablefeed.Peers.
 func (c *Coordinator) TakeoverDelay(table string) time.Duration {
-	return takeoverDelay(c.fleet.Place(table))
+	return takeoverDelay(c.fleet.Rank(table))
 }
 
 func takeoverDelay(rank int) time.Duration {
@@ -288,7 +288,7 @@
 func (c *Coordinator) LatestConfirmation(table string, now time.Time, isReader bool) (tablefeed.Confirmation, bool) {
 	newest, found := c.newest(table, now, isReader)
 	if now.Sub(newest.At) >= requestAge && (!isReader || c.TakeoverDelay(table) > 0) && c.mayRequest(table, now) {
-		c.fleet.AskWords(table)
+		c.fleet.RequestAnnouncements(table)
 	}
 	return newest, found
 }
@@ -347,18 +347,18 @@
 func (c *Coordinator) BroadcastConfirmations() {
 	announcements := slices.DeleteFunc(c.OwnAnnouncements(time.Now()), func(a Announcement) bool { return !c.broadcasts(a.Table) })
 	if len(announcements) > 0 {
-		c.fleet.SpreadWords(announcements)
+		c.fleet.BroadcastAnnouncements(announcements)
 	}
 }
 
 // BroadcastNews implements tablefeed.Peers.
 func (c *Coordinator) BroadcastNews(news tablefeed.News) {
 	if c.broadcasts(news.Table) {
-		c.fleet.SpreadNews(news)
+		c.fleet.BroadcastNews(news)
 	}
 }
 
 // broadcasts reports whether this node broadcasts what it reads of a table.
 func (c *Coordinator) broadcasts(table string) bool {
-	return !c.fleet.Large() || c.fleet.Place(table) <= broadcastRanks
+	return !c.fleet.Large() || c.fleet.Rank(table) <= broadcastRanks
 }
--- a/internal/tablerelay/coordinator_test.go
+++ b/internal/tablerelay/coordinator_test.go
@@ -30,14 +30,14 @@
 
 func (f *fleet) Address() string                { return f.self }
 func (f *fleet) Outranks(_, reader string) bool { return reader < f.self }
-func (f *fleet) Place(string) int               { return f.rank }
+func (f *fleet) Rank(string) int                { return f.rank }
 func (f *fleet) Nodes() int                     { return f.nodes }
 func (f *fleet) Large() bool                    { return f.nodes > 30 }
-func (f *fleet) SpreadWords(announcements []Announcement) {
+func (f *fleet) BroadcastAnnouncements(announcements []Announcement) {
 	f.broadcasts = append(f.broadcasts, announcements)
 }
-func (f *fleet) SpreadNews(tablefeed.News) { f.newsBroadcasts++ }
-func (f *fleet) AskWords(string)           { f.requested++ }
+func (f *fleet) BroadcastNews(tablefeed.News) { f.newsBroadcasts++ }
+func (f *fleet) RequestAnnouncements(string)  { f.requested++ }
 
 func newTestCoordinator(others *fleet) *Coordinator {
 	coordinator := New(others)
