--- a/internal/nodeexchange/listing.go
+++ b/internal/nodeexchange/listing.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// Givers returns the nodes to be asked for a whole table, in this order, or none if this node
-// is to read it from the store. It waits until the nodes of its zone are known.
-func (e *Exchange) Givers(ctx context.Context) []netip.AddrPort {
+// TableProviders returns the nodes to be asked for a whole table, in this order, or none if
+// this node is to read it from the store. It waits until the nodes of its zone are known.
+func (e *Exchange) TableProviders(ctx context.Context) []netip.AddrPort {
 	e.mu.Lock()
 	zoneKnown := e.peers.listing.zoneKnown
 	e.mu.Unlock()
@@ -131,11 +131,11 @@
 	return e.peers.tableSources()
 }
 
-// ChangeGivers returns the nodes to be asked for changes of a table, in this order. holders are
-// nodes that have announced the changes. Only the nodes that were listed first in the zone ask
-// the holders first; the others ask nodes of their zone before them, so that not the whole
+// ChangeProviders returns the nodes to be asked for changes of a table, in this order. holders
+// are nodes that have announced the changes. Only the nodes that were listed first in the zone
+// ask the holders first; the others ask nodes of their zone before them, so that not the whole
 // fleet asks the holders.
-func (e *Exchange) ChangeGivers(table string, holders []netip.AddrPort) []netip.AddrPort {
+func (e *Exchange) ChangeProviders(table string, holders []netip.AddrPort) []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	holders = holders[:min(len(holders), maxAskedHolders)]
--- a/internal/nodeexchange/listing_test.go
+++ b/internal/nodeexchange/listing_test.go
@@ -70,15 +70,15 @@
 	}
 }
 
-// TestGiversWaitsForTheZoneList checks that Givers waits until the list of the zone has been
-// read.
+// TestGiversWaitsForTheZoneList checks that TableProviders waits until the list of the zone has
+// been read.
 func TestGiversWaitsForTheZoneList(t *testing.T) {
 	exchange, err := Listen("127.0.0.1:0", "me", "zone0", newRegistry("w"), quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	answered := make(chan []netip.AddrPort)
-	go func() { answered <- exchange.Givers(context.Background()) }()
+	go func() { answered <- exchange.TableProviders(context.Background()) }()
 	var listed []Peer
 	for i := range 6 {
 		listed = append(listed, Peer{Node: fmt.Sprint("n", i), Address: addressOf(i), Zone: "zone0", Listed: uint64(i + 1)})
--- a/internal/tableshare/client.go
+++ b/internal/tableshare/client.go
@@ -49,15 +49,15 @@
 
 // Fleet selects the other nodes to be asked for tables.
 type Fleet interface {
-	// Givers returns the nodes to be asked for a whole table, in order, and none if this node
-	// is to read it at the store. It may wait until the nodes are known.
-	Givers(ctx context.Context) []netip.AddrPort
+	// TableProviders returns the nodes to be asked for a whole table, in order, and none if
+	// this node is to read it at the store. It may wait until the nodes are known.
+	TableProviders(ctx context.Context) []netip.AddrPort
 	// Neighbours returns some nodes that may already hold the table. It is used if there are no
-	// Givers.
+	// TableProviders.
 	Neighbours() []netip.AddrPort
-	// ChangeGivers returns the nodes to be asked for changes, in order. holders are nodes that
-	// have announced the changes.
-	ChangeGivers(table string, holders []netip.AddrPort) []netip.AddrPort
+	// ChangeProviders returns the nodes to be asked for changes, in order. holders are nodes
+	// that have announced the changes.
+	ChangeProviders(table string, holders []netip.AddrPort) []netip.AddrPort
 }
 
 // Client fetches tables from other nodes.
@@ -82,7 +82,7 @@
 // Copy returns a whole table from another node, or ErrNoCopy.
 func (c *Client) Copy(ctx context.Context, table string) (tablefeed.Transfer, error) {
 	begun := time.Now()
-	if nodes := c.fleet.Givers(ctx); len(nodes) > 0 {
+	if nodes := c.fleet.TableProviders(ctx); len(nodes) > 0 {
 		return c.fetchHedged(ctx, nodes, query{table: table}, tableTimeout-time.Since(begun), tableHedgeDelay)
 	}
 	return c.fetchHedged(ctx, c.fleet.Neighbours(), query{table: table, atOnce: true}, atOnceTimeout, atOnceHedgeDelay)
@@ -91,7 +91,7 @@
 // Missed returns the changes of a table after a version, or ErrNoCopy. holders are nodes that
 // have announced the changes.
 func (c *Client) Missed(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Transfer, error) {
-	nodes := c.fleet.ChangeGivers(table, holders)
+	nodes := c.fleet.ChangeProviders(table, holders)
 	return c.fetchHedged(ctx, nodes, query{table: table, after: after}, changesTimeout, changesHedgeDelay)
 }
 
--- a/internal/tableshare/tableshare_test.go
+++ b/internal/tableshare/tableshare_test.go
@@ -98,11 +98,13 @@
 // fixedFleet are the nodes to be asked, in order.
 type fixedFleet []netip.AddrPort
 
-func (o fixedFleet) Givers(context.Context) []netip.AddrPort { return slices.Clone(o) }
+func (o fixedFleet) TableProviders(context.Context) []netip.AddrPort { return slices.Clone(o) }
 
 func (o fixedFleet) Neighbours() []netip.AddrPort { return nil }
 
-func (o fixedFleet) ChangeGivers(string, []netip.AddrPort) []netip.AddrPort { return slices.Clone(o) }
+func (o fixedFleet) ChangeProviders(string, []netip.AddrPort) []netip.AddrPort {
+	return slices.Clone(o)
+}
 
 func client(server *Server, givers ...netip.AddrPort) *Client {
 	log := logrus.New()
@@ -280,7 +282,7 @@
 // readerFleet is the fleet of a node that reads tables at the store.
 type readerFleet struct{ fixedFleet }
 
-func (readerFleet) Givers(context.Context) []netip.AddrPort { return nil }
+func (readerFleet) TableProviders(context.Context) []netip.AddrPort { return nil }
 
 func (r readerFleet) Neighbours() []netip.AddrPort { return slices.Clone(r.fixedFleet) }
 
