--- a/internal/tablerelay/coordinator.go
+++ b/internal/tablerelay/coordinator.go
@@ -88,10 +88,10 @@
 
 // Fetcher fetches tables from other nodes.
 type Fetcher interface {
-	// Copy is Peers.FetchTable, and Missed is Peers.FetchChanges, of package tablefeed.
-	Copy(ctx context.Context, table string) (tablefeed.Transfer, error)
+	// FetchTable and FetchChanges are as in tablefeed.Peers.
+	FetchTable(ctx context.Context, table string) (tablefeed.Transfer, error)
 	// holders are nodes that hold a change after that version.
-	Missed(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Transfer, error)
+	FetchChanges(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Transfer, error)
 }
 
 // Coordinator holds the announcements of all nodes and decides by them which node reads a table
@@ -134,7 +134,7 @@
 	if c.fetcher == nil {
 		return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 	}
-	return c.fetcher.Copy(ctx, table)
+	return c.fetcher.FetchTable(ctx, table)
 }
 
 // FetchChanges implements tablefeed.Peers.
@@ -142,7 +142,7 @@
 	if c.fetcher == nil {
 		return tablefeed.Transfer{}, tablefeed.ErrNoCopy
 	}
-	return c.fetcher.Missed(ctx, table, after, c.holders(table, after, time.Now()))
+	return c.fetcher.FetchChanges(ctx, table, after, c.holders(table, after, time.Now()))
 }
 
 // HasChangeAfter implements tablefeed.Peers.
--- a/internal/tableshare/client.go
+++ b/internal/tableshare/client.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Copy returns a whole table from another node, or ErrNoCopy.
-func (c *Client) Copy(ctx context.Context, table string) (tablefeed.Transfer, error) {
+// FetchTable returns a whole table from another node, or ErrNoCopy.
+func (c *Client) FetchTable(ctx context.Context, table string) (tablefeed.Transfer, error) {
 	begun := time.Now()
 	if nodes := c.fleet.TableProviders(ctx); len(nodes) > 0 {
 		return c.fetchHedged(ctx, nodes, query{table: table}, tableTimeout-time.Since(begun), tableHedgeDelay)
@@ -88,9 +88,9 @@
 	return c.fetchHedged(ctx, c.fleet.Neighbours(), query{table: table, atOnce: true}, atOnceTimeout, atOnceHedgeDelay)
 }
 
-// Missed returns the changes of a table after a version, or ErrNoCopy. holders are nodes that
-// have announced the changes.
-func (c *Client) Missed(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Transfer, error) {
+// FetchChanges returns the changes of a table after a version, or ErrNoCopy. holders are nodes
+// that have announced the changes.
+func (c *Client) FetchChanges(ctx context.Context, table string, after tablefeed.Version, holders []netip.AddrPort) (tablefeed.Transfer, error) {
 	nodes := c.fleet.ChangeProviders(table, holders)
 	return c.fetchHedged(ctx, nodes, query{table: table, after: after}, changesTimeout, changesHedgeDelay)
 }
--- a/internal/tableshare/tableshare_test.go
+++ b/internal/tableshare/tableshare_test.go
@@ -161,7 +161,7 @@
 func TestWholeTableIsSentOnUnchanged(t *testing.T) {
 	first, second := startNode(t), startNode(t)
 	first.table.set(testRows(200), 9, 0)
-	copied, err := client(second.server, first.address).Copy(context.Background(), "workers")
+	copied, err := client(second.server, first.address).FetchTable(context.Background(), "workers")
 	if err != nil || !copied.Whole || copied.Confirmation.Changed != 9 {
 		t.Fatalf("%v, version %d", err, copied.Confirmation.Changed)
 	}
@@ -169,7 +169,7 @@
 		t.Error(diff)
 	}
 	second.table.set(copied.Rows, 9, 0)
-	third, err := client(first.server, second.address).Copy(context.Background(), "workers")
+	third, err := client(first.server, second.address).FetchTable(context.Background(), "workers")
 	if err != nil || len(third.Rows) != 200 {
 		t.Fatalf("%v, %d rows", err, len(third.Rows))
 	}
@@ -187,11 +187,11 @@
 	time.AfterFunc(30*time.Millisecond, func() {
 		giving.table.change([]tablefeed.Row{{Key: "w1", Gone: true, Version: 11}}, 11)
 	})
-	copied, err := asking.Missed(context.Background(), "workers", 10, nil)
+	copied, err := asking.FetchChanges(context.Background(), "workers", 10, nil)
 	if err != nil || copied.Whole || len(copied.Rows) != 1 || !copied.Rows[0].Gone || copied.Confirmation.Changed != 11 {
 		t.Errorf("%+v, %v", copied, err)
 	}
-	copied, err = asking.Missed(context.Background(), "workers", 3, nil)
+	copied, err = asking.FetchChanges(context.Background(), "workers", 3, nil)
 	if err != nil || !copied.Whole || len(copied.Rows) != 2 {
 		t.Errorf("%d rows, whole %v, %v", len(copied.Rows), copied.Whole, err)
 	}
@@ -202,11 +202,11 @@
 	old, current := startNode(t), startNode(t)
 	old.table.set(testRows(1), 4, 2*freshness)
 	current.table.set(testRows(2), 8, 0)
-	copied, err := client(current.server, old.address, current.address).Copy(context.Background(), "workers")
+	copied, err := client(current.server, old.address, current.address).FetchTable(context.Background(), "workers")
 	if err != nil || copied.Confirmation.Changed != 8 {
 		t.Errorf("version %d, %v", copied.Confirmation.Changed, err)
 	}
-	if _, err := client(current.server, old.address).Missed(context.Background(), "workers", 3, nil); !errors.Is(err, tablefeed.ErrNoCopy) {
+	if _, err := client(current.server, old.address).FetchChanges(context.Background(), "workers", 3, nil); !errors.Is(err, tablefeed.ErrNoCopy) {
 		t.Errorf("an old copy was taken: %v", err)
 	}
 }
@@ -215,17 +215,17 @@
 func TestNodeThatIsStillFetchingIsWaitedFor(t *testing.T) {
 	starting := startNode(t)
 	time.AfterFunc(50*time.Millisecond, func() { starting.table.set(testRows(2), 6, 0) })
-	copied, err := client(starting.server, deadNode(t), starting.address).Copy(context.Background(), "workers")
+	copied, err := client(starting.server, deadNode(t), starting.address).FetchTable(context.Background(), "workers")
 	if err != nil || copied.Confirmation.Changed != 6 {
 		t.Errorf("version %d, %v", copied.Confirmation.Changed, err)
 	}
 	if asked := starting.asked.Load(); asked != 1 {
 		t.Errorf("the node was asked %d times", asked)
 	}
-	if _, err := client(starting.server, deadNode(t)).Copy(context.Background(), "workers"); !errors.Is(err, tablefeed.ErrNoCopy) {
+	if _, err := client(starting.server, deadNode(t)).FetchTable(context.Background(), "workers"); !errors.Is(err, tablefeed.ErrNoCopy) {
 		t.Errorf("a dead node returned a copy: %v", err)
 	}
-	if _, err := client(starting.server).Copy(context.Background(), "workers"); !errors.Is(err, tablefeed.ErrNoCopy) {
+	if _, err := client(starting.server).FetchTable(context.Background(), "workers"); !errors.Is(err, tablefeed.ErrNoCopy) {
 		t.Errorf("a copy was returned though there are no nodes: %v", err)
 	}
 }
@@ -236,7 +236,7 @@
 	giving := startNode(t)
 	giving.table.set(testRows(3), 10, 0)
 	giving.table.confirmation.Store(&tablefeed.Confirmation{Changed: 10, Confirmed: 17, At: time.Now()})
-	copied, err := client(giving.server, giving.address).Missed(context.Background(), "workers", 12, nil)
+	copied, err := client(giving.server, giving.address).FetchChanges(context.Background(), "workers", 12, nil)
 	if err != nil || copied.Whole || len(copied.Rows) != 0 || copied.Confirmation.Confirmed != 17 {
 		t.Errorf("%+v, %v", copied, err)
 	}
@@ -260,7 +260,7 @@
 	waiting.table.set(testRows(3), 4, 0)
 	giving.table.set(testRows(3), 8, 0)
 	asking := client(NewServer(freshness, func(string) {}), frozenNode(t), waiting.address, giving.address)
-	copied, err := asking.Missed(context.Background(), "workers", 4, nil)
+	copied, err := asking.FetchChanges(context.Background(), "workers", 4, nil)
 	if err != nil || copied.Confirmation.Changed != 8 {
 		t.Errorf("version %d, %v", copied.Confirmation.Changed, err)
 	}
@@ -272,7 +272,7 @@
 	giving := startNode(t)
 	for version := tablefeed.Version(5); version < 8; version++ {
 		giving.table.set(testRows(3), version, 0)
-		copied, err := client(giving.server, giving.address).Copy(context.Background(), "workers")
+		copied, err := client(giving.server, giving.address).FetchTable(context.Background(), "workers")
 		if err != nil || copied.Confirmation.Changed != version {
 			t.Errorf("version %d where the other node holds %d, %v", copied.Confirmation.Changed, version, err)
 		}
@@ -291,7 +291,7 @@
 	empty, giving := startNode(t), startNode(t)
 	asking := client(empty.server)
 	asking.fleet = readerFleet{fixedFleet{empty.address}}
-	if _, err := asking.Copy(context.Background(), "workers"); !errors.Is(err, tablefeed.ErrNoCopy) {
+	if _, err := asking.FetchTable(context.Background(), "workers"); !errors.Is(err, tablefeed.ErrNoCopy) {
 		t.Errorf("a node that holds nothing returned a copy: %v", err)
 	}
 	if asked := empty.asked.Load(); asked != 1 {
@@ -299,7 +299,7 @@
 	}
 	giving.table.set(testRows(3), 7, 0)
 	asking.fleet = readerFleet{fixedFleet{deadNode(t), empty.address, giving.address}}
-	if copied, err := asking.Copy(context.Background(), "workers"); err != nil || copied.Confirmation.Changed != 7 {
+	if copied, err := asking.FetchTable(context.Background(), "workers"); err != nil || copied.Confirmation.Changed != 7 {
 		t.Errorf("version %d, %v", copied.Confirmation.Changed, err)
 	}
 }
