--- a/internal/serving/metrics.go
+++ b/internal/serving/metrics.go
@@ -71,7 +71,7 @@
 
 // tableAge returns the age of a table in seconds, infinite before the first confirmation.
 func tableAge(feed *tablefeed.Feed, now time.Time) float64 {
-	word, _ := feed.Word()
+	word, _ := feed.Confirmation()
 	if word.At.IsZero() {
 		return math.Inf(1)
 	}
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -259,7 +259,7 @@
 
 // freshness returns the versions and ages of the data that requests are decided by.
 func (n *Node) freshness() dispatch.Freshness {
-	word, _ := n.workersFeed.Word()
+	word, _ := n.workersFeed.Confirmation()
 	return dispatch.Freshness{
 		Workers: uint64(word.Confirmed), WorkersAge: time.Since(word.At), DigestAge: n.exchange.OldestDigest(),
 	}
@@ -268,7 +268,7 @@
 // configurationAge returns the time since the store last confirmed, to this node or to one that
 // it relies on, that the configuration in force is the newest.
 func (n *Node) configurationAge() time.Duration {
-	word, _ := n.configurationFeed.Word()
+	word, _ := n.configurationFeed.Confirmation()
 	return time.Since(word.At)
 }
 
@@ -372,7 +372,7 @@
 // ConfigurationVersion returns the version up to which the store has confirmed this node's copy
 // of the configuration table.
 func (n *Node) ConfigurationVersion() tablefeed.Version {
-	word, _ := n.configurationFeed.Word()
+	word, _ := n.configurationFeed.Confirmation()
 	return word.Confirmed
 }
 
--- a/internal/tablefeed/tablefeed.go
+++ b/internal/tablefeed/tablefeed.go
@@ -215,9 +215,9 @@
 	}
 }
 
-// Word returns the latest confirmation of the table, and whether this node got it from the
-// store itself as a reader. It is safe for concurrent use with Run.
-func (f *Feed) Word() (confirmation Confirmation, own bool) {
+// Confirmation returns the latest confirmation of the table, and whether this node got it from
+// the store itself as a reader. It is safe for concurrent use with Run.
+func (f *Feed) Confirmation() (confirmation Confirmation, own bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmation, f.own
--- a/internal/tablefeed/transfer.go
+++ b/internal/tablefeed/transfer.go
@@ -111,7 +111,7 @@
 // them, or else the whole table. It returns false if it holds nothing. It is safe for
 // concurrent use with Run.
 func (f *Feed) Held(after Version) (Transfer, bool) {
-	confirmation, _ := f.Word()
+	confirmation, _ := f.Confirmation()
 	if rows, version, kept := f.copy.Since(after); kept && after > 0 {
 		return Transfer{Rows: rows, Confirmation: confirmation.asOf(version)}, true
 	}
--- a/internal/tablerelay/coordinator.go
+++ b/internal/tablerelay/coordinator.go
@@ -187,7 +187,7 @@
 	defer c.mu.Unlock()
 	var announcements []Announcement
 	for table, feed := range c.feeds {
-		if confirmation, own := feed.Word(); own && now.Sub(confirmation.At) < Freshness {
+		if confirmation, own := feed.Confirmation(); own && now.Sub(confirmation.At) < Freshness {
 			announcements = append(announcements, announce(table, confirmation, c.fleet.Address(), now))
 		}
 	}
@@ -237,7 +237,7 @@
 			continue
 		}
 		c.announced[announced.Table][announced.Reader] = confirmation
-		held, _ := feed.Word()
+		held, _ := feed.Confirmation()
 		c.lags.observe(announced, held.Confirmed, now)
 		if confirmation.Changed > before.Changed || c.endsBackoff(feed, announced, confirmation, now) {
 			feed.Wake()
@@ -249,7 +249,7 @@
 // follow another node again. A feed that can't rely on the announcement would only call the
 // store again.
 func (c *Coordinator) endsBackoff(feed *tablefeed.Feed, announced Announcement, confirmation tablefeed.Confirmation, now time.Time) bool {
-	held, _ := feed.Word()
+	held, _ := feed.Confirmation()
 	follows := confirmation.Changed <= held.Confirmed // otherwise the feed would have to fetch the changes first
 	return follows && now.Sub(held.At) >= Freshness && now.Sub(confirmation.At) < c.TakeoverDelay(announced.Table)
 }
--- a/internal/tablerelay/coordinator_test.go
+++ b/internal/tablerelay/coordinator_test.go
@@ -311,7 +311,7 @@
 	begun := time.Now()
 	go func() { feed.Run(ctx); close(ended) }()
 	receive(t, got)
-	if _, own := feed.Word(); own {
+	if _, own := feed.Confirmation(); own {
 		t.Error("a node that isn't the reader has a confirmation of its own")
 	}
 	store.version.Store(6)
--- a/internal/tablerelay/lag.go
+++ b/internal/tablerelay/lag.go
@@ -84,6 +84,6 @@
 	if !open {
 		return Lag{}, false
 	}
-	held, _ := c.feeds[table].Word()
+	held, _ := c.feeds[table].Confirmation()
 	return lag, lag.Version > held.Confirmed
 }
--- a/internal/tableshare/server.go
+++ b/internal/tableshare/server.go
@@ -37,9 +37,9 @@
 type Source interface {
 	// Held returns the changes after a version, or the whole table.
 	Held(after tablefeed.Version) (copied tablefeed.Transfer, known bool)
-	// Word returns the latest confirmation of the table. Changed returns a channel that is
-	// closed when it next changes.
-	Word() (confirmation tablefeed.Confirmation, own bool)
+	// Confirmation returns the latest confirmation of the table. Changed returns a channel that
+	// is closed when it next changes.
+	Confirmation() (confirmation tablefeed.Confirmation, own bool)
 	Changed() <-chan struct{}
 }
 
@@ -170,7 +170,7 @@
 }
 
 func (s *Server) answer(table string, source Source, after tablefeed.Version, now time.Time) (answer, int) {
-	if confirmation, _ := source.Word(); now.Sub(confirmation.At) > s.freshness {
+	if confirmation, _ := source.Confirmation(); now.Sub(confirmation.At) > s.freshness {
 		return answer{}, http.StatusServiceUnavailable
 	}
 	if after == 0 {
@@ -209,7 +209,7 @@
 func (s *Server) packTable(table string, source Source, after tablefeed.Version, now time.Time) (answer, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	confirmation, _ := source.Word()
+	confirmation, _ := source.Confirmation()
 	packed, cached := s.packed[table]
 	switch {
 	case cached && packed.confirmation.Changed == confirmation.Changed:
--- a/internal/tableshare/tableshare_test.go
+++ b/internal/tableshare/tableshare_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func (h *testSource) Word() (tablefeed.Confirmation, bool) {
+func (h *testSource) Confirmation() (tablefeed.Confirmation, bool) {
 	if confirmation := h.confirmation.Load(); confirmation != nil {
 		return *confirmation, false
 	}
@@ -56,7 +56,7 @@
 }
 
 func (h *testSource) Held(after tablefeed.Version) (tablefeed.Transfer, bool) {
-	confirmation, _ := h.Word()
+	confirmation, _ := h.Confirmation()
 	if rows, _, kept := h.copy.Since(after); kept && after > 0 {
 		return tablefeed.Transfer{Rows: rows, Confirmation: confirmation}, true
 	}
