--- a/internal/lab/site/duties_test.go
+++ b/internal/lab/site/duties_test.go
@@ -20,7 +20,7 @@
 	api := fleetapi.Start()
 	t.Cleanup(api.Close)
 	s := startWith(t, func(configured *settings.Routed) {
-		configured.API = settings.RoutedAPI{Address: api.Address(), Duties: []string{settings.DutyUsage, settings.DutyScale, "another"}}
+		configured.API = settings.RoutedAPI{Address: api.Address(), Duties: []string{settings.DutyUsageReport, settings.DutyAutoscale, "another"}}
 		configured.Usage.WindowSeconds = usageWindow.Seconds()
 	})
 	config := withTenants(2, portoKey)
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -268,7 +268,7 @@
 	configured.Node = settings.RoutedNode{Name: name, Zone: s.zoneOf(number)}
 	configured.Store.Address = proxy.Address()
 	configured.Bounds.StopMillis = stopMillis
-	configured.API = settings.RoutedAPI{Address: s.api.Address(), Duties: []string{settings.DutyUsage, settings.DutyScale}}
+	configured.API = settings.RoutedAPI{Address: s.api.Address(), Duties: []string{settings.DutyUsageReport, settings.DutyAutoscale}}
 	configured.Bounds.LeaseMillis = int(configuredLease.Milliseconds())
 	configured.Bounds.Fencing = !s.options.Unfenced
 	configured.Quota = settings.RoutedQuota{
--- a/internal/serving/fleet.go
+++ b/internal/serving/fleet.go
@@ -12,7 +12,7 @@
 // startFleetControl starts the controller of the number of workers if the platform accepts
 // orders for workers.
 func (n *Node) startFleetControl(ctx context.Context, metrics *prometheus.Registry) {
-	if !n.settings.API.Has(settings.DutyScale) {
+	if !n.settings.API.HasDuty(settings.DutyAutoscale) {
 		return
 	}
 	controller := fleetsize.New(fleetsize.Options{
--- a/internal/serving/usage.go
+++ b/internal/serving/usage.go
@@ -12,7 +12,7 @@
 
 // setUpUsage creates the tally of this node's requests if the platform wants usage reports.
 func (n *Node) setUpUsage() {
-	if !n.settings.API.Has(settings.DutyUsage) {
+	if !n.settings.API.HasDuty(settings.DutyUsageReport) {
 		return
 	}
 	n.tally = usage.NewTally(seconds(n.settings.Usage.WindowSeconds))
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -68,12 +68,14 @@
 
 // Duties of the platform's API.
 const (
-	DutyUsage = "usage_report"
-	DutyScale = "autoscale"
+	DutyUsageReport = "usage_report"
+	DutyAutoscale   = "autoscale"
 )
 
-// Has reports whether the platform expects a duty to be done.
-func (a RoutedAPI) Has(duty string) bool { return a.Address != "" && slices.Contains(a.Duties, duty) }
+// HasDuty reports whether the platform expects a duty to be done.
+func (a RoutedAPI) HasDuty(duty string) bool {
+	return a.Address != "" && slices.Contains(a.Duties, duty)
+}
 
 // RoutedUsage says how tenants' usage is reported.
 type RoutedUsage struct {
