--- a/internal/nodeexchange/ask.go
+++ b/internal/nodeexchange/ask.go
@@ -263,7 +263,7 @@
 		return
 	}
 	reports := make(map[string]wireLoadReport, len(asked.Workers))
-	for id, report := range e.registry.Accounts(asked.Workers, parts, asked.Rank, asking, time.Now()) {
+	for id, report := range e.registry.LoadReports(asked.Workers, parts, asked.Rank, asking, time.Now()) {
 		reports[id] = renderLoadReport(report)
 	}
 	answered := &reply{
--- a/internal/nodeexchange/delay_test.go
+++ b/internal/nodeexchange/delay_test.go
@@ -38,7 +38,7 @@
 	word := []tablerelay.Announcement{{Table: "table", Changed: tablefeed.Version(1), AgeMillis: 100}}
 	for _, late := range []time.Duration{0, 2 * time.Second} {
 		made := now.Add(-late - 5*time.Millisecond)
-		exchanges[0].receiveAnnouncementsAt(exchanges[0].peers.address, Message{Node: "maker", Words: word, CreatedMillis: made.UnixMilli()}, now)
+		exchanges[0].receiveAnnouncementsAt(exchanges[0].peers.address, Message{Node: "maker", Announcements: word, CreatedMillis: made.UnixMilli()}, now)
 	}
 	<-board.received
 	if got := <-board.received; got[0].AgeMillis != 2100 {
--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -439,9 +439,9 @@
 		e.receiveMemory(from, message)
 	case message.News != nil:
 		e.receiveNews(from, message)
-	case message.WantWords:
+	case message.WantAnnouncements:
 		e.sendAnnouncements(from)
-	case message.Words != nil:
+	case message.Announcements != nil:
 		e.receiveAnnouncements(from, message)
 	case message.Departed != nil:
 		e.receiveDeparted(message, time.Now())
--- a/internal/nodeexchange/memory.go
+++ b/internal/nodeexchange/memory.go
@@ -89,7 +89,7 @@
 	for _, reads := range splitUpdates(memory.CacheUpdates) {
 		e.sendTo(to, Message{Node: e.node, Memory: true, CacheUpdates: renderReads(reads)})
 	}
-	e.sendTo(to, Message{Node: e.node, Memory: true, Paces: memory.Paces, MemoryComplete: known})
+	e.sendTo(to, Message{Node: e.node, Memory: true, Paces: memory.PrefillModels, MemoryComplete: known})
 }
 
 // splitUpdates splits cache updates so that each message holds at most partsPerMessage parts.
@@ -111,7 +111,7 @@
 		e.logMalformed(from, err)
 		return
 	}
-	e.registry.MergeLearnedState(worker.LearnedState{CacheUpdates: snapshot.CacheUpdates, Paces: message.Paces}, time.Now())
+	e.registry.MergeLearnedState(worker.LearnedState{CacheUpdates: snapshot.CacheUpdates, PrefillModels: message.Paces}, time.Now())
 	if len(message.MemoryComplete) == 0 {
 		return
 	}
--- a/internal/nodeexchange/message.go
+++ b/internal/nodeexchange/message.go
@@ -64,16 +64,16 @@
 	Memory         bool     `json:"m,omitempty"`
 	MemoryComplete []string `json:"e,omitempty"`
 	// Paces are the prefill throughputs learned of workers.
-	Paces []worker.Pace `json:"p,omitempty"`
+	Paces []worker.PrefillModel `json:"p,omitempty"`
 	// Zone is the sender's zone. It is set in periodic messages only.
 	Zone string `json:"z,omitempty"`
-	// Words are announcements about tables of the store. Such a message holds nothing else.
-	Words []tablerelay.Announcement `json:"t,omitempty"`
+	// Announcements are about tables of the store. Such a message holds nothing else.
+	Announcements []tablerelay.Announcement `json:"t,omitempty"`
 	// CreatedMillis is when the originator created the announcements, in milliseconds of its
 	// CLOCK_BOOTTIME.
 	CreatedMillis int64 `json:"tm,omitempty"`
-	// WantWords asks the receiver for the announcements that it knows.
-	WantWords bool `json:"u,omitempty"`
+	// WantAnnouncements asks the receiver for the announcements that it knows.
+	WantAnnouncements bool `json:"u,omitempty"`
 	// News are changes of a table, compressed. Such a message holds nothing else.
 	News []byte `json:"w,omitempty"`
 	// Relayed marks a broadcast that doesn't come from its originator. RelayInRegion tells the
--- a/internal/nodeexchange/metrics.go
+++ b/internal/nodeexchange/metrics.go
@@ -78,7 +78,7 @@
 		return kindMemory
 	case m.News != nil:
 		return kindNews
-	case m.Words != nil, m.WantWords:
+	case m.Announcements != nil, m.WantAnnouncements:
 		return kindWords
 	case m.Departed != nil:
 		return kindDeparted
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -31,7 +31,7 @@
 
 // BroadcastAnnouncements broadcasts announcements of what the store has confirmed.
 func (e *Exchange) BroadcastAnnouncements(announcements []tablerelay.Announcement) {
-	e.broadcast(Message{Node: e.node, Words: announcements, CreatedMillis: clock.Boottime().UnixMilli()})
+	e.broadcast(Message{Node: e.node, Announcements: announcements, CreatedMillis: clock.Boottime().UnixMilli()})
 }
 
 // BroadcastNews broadcasts changes of a table. Changes that are too large aren't sent: the
@@ -155,7 +155,7 @@
 	asked := e.peers.announcementSources(table)
 	e.mu.Unlock()
 	for _, to := range asked {
-		e.sendTo(to, Message{Node: e.node, WantWords: true})
+		e.sendTo(to, Message{Node: e.node, WantAnnouncements: true})
 	}
 }
 
@@ -190,7 +190,7 @@
 		return
 	}
 	if announcements := e.coordinator.KnownAnnouncements(time.Now()); len(announcements) > 0 {
-		e.sendTo(to, Message{Node: e.node, Words: announcements, CreatedMillis: clock.Boottime().UnixMilli(), Relayed: true})
+		e.sendTo(to, Message{Node: e.node, Announcements: announcements, CreatedMillis: clock.Boottime().UnixMilli(), Relayed: true})
 	}
 }
 
@@ -205,7 +205,7 @@
 	if e.coordinator == nil {
 		return
 	}
-	announcements := message.Words
+	announcements := message.Announcements
 	if message.CreatedMillis != 0 {
 		delay := e.delays.excess(message.Node, time.UnixMilli(message.CreatedMillis), now)
 		announcements = slices.Clone(announcements)
--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -179,9 +179,9 @@
 	}
 }
 
-// Accounts returns what this node knows of workers, for another node that asks with a request
-// of this rank and these prompt parts. The load of the asking node itself is left out.
-func (r *Registry) Accounts(workers []string, parts []prefixcache.Part, rank int, asking string, now time.Time) map[string]scheduling.LoadReport {
+// LoadReports returns what this node knows of workers, for another node that asks with a
+// request of this rank and these prompt parts. The load of the asking node itself is left out.
+func (r *Registry) LoadReports(workers []string, parts []prefixcache.Part, rank int, asking string, now time.Time) map[string]scheduling.LoadReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	reports := make(map[string]scheduling.LoadReport, len(workers))
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Pace is the learned prefill time of the workers of a service and stage.
-type Pace struct {
+// PrefillModel is the learned prefill time of the workers of a service and stage.
+type PrefillModel struct {
 	Service string
 	Stage   Stage
 	Terms   latency.Coefficients
@@ -144,8 +144,8 @@
 
 // LearnedState is what a node has learned over time and sends to a node that has just started.
 type LearnedState struct {
-	CacheUpdates []CacheUpdate
-	Paces        []Pace
+	CacheUpdates  []CacheUpdate
+	PrefillModels []PrefillModel
 }
 
 // LearnedState returns what this node has learned of those of the given workers whose caches it
@@ -165,7 +165,7 @@
 	}
 	for key, group := range r.groups {
 		if group.Samples() > 0 {
-			learned.Paces = append(learned.Paces, Pace{key.service, key.stage, group.Coefficients(), group.Throughput()})
+			learned.PrefillModels = append(learned.PrefillModels, PrefillModel{key.service, key.stage, group.Coefficients(), group.Throughput()})
 		}
 	}
 	return learned, known
@@ -192,7 +192,7 @@
 			known.cache.Use(update.Parts, now)
 		}
 	}
-	for _, pace := range learned.Paces {
+	for _, pace := range learned.PrefillModels {
 		r.groupModel(Worker{Service: pace.Service, Stage: pace.Stage}).Assume(pace.Terms, pace.TokensPerMillisecond)
 	}
 }
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -299,7 +299,7 @@
 	r.Merge("asks", Snapshot{Loads: map[string]Load{"p": {Requests: 5, Unread: UnreadTokensOf(0, 500)}}}, origin)
 	r.Merge("other", Snapshot{Loads: map[string]Load{"p": {Requests: 2, Unread: UnreadTokensOf(2, 40), MemoryTokens: 7}}}, origin)
 	r.Failed("p", origin)
-	got := r.Accounts([]string{"p", "unknown"}, parts, 1, "asks", origin)
+	got := r.LoadReports([]string{"p", "unknown"}, parts, 1, "asks", origin)
 	want := map[string]scheduling.LoadReport{"p": {
 		Requests: 3, ReadTokens: 50, ReadAhead: 10, MemoryTokens: 7, CachedTokens: 100, Avoid: true, FailureRate: 1.0 / 3,
 	}}
