--- a/internal/cell/ordering.go
+++ b/internal/cell/ordering.go
@@ -33,7 +33,7 @@
 // order sends one order, after checking the lease once more.
 func (s *Service) order(ctx context.Context, instruction Instruction) {
 	var status engine.Status
-	err := s.checkAuthority(instruction.Order.Fence)
+	err := s.checkOrderLease(instruction.Order.Fence)
 	if err == nil {
 		orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
@@ -55,7 +55,7 @@
 	s.dispatch()
 }
 
-func (s *Service) checkAuthority(fence engine.Fence) error {
+func (s *Service) checkOrderLease(fence engine.Fence) error {
 	if r := s.localReplica(); r != nil {
 		if held, active := r.Fence(); active && held == fence {
 			return nil
