--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -69,7 +69,7 @@
 		Excluded:     excluded,
 		Retry:        attempt != x.attempt,
 	}
-	last := result.New(result.NoEngine, "no cell of pool %s answers; its group has no leader", x.kind.Pool).WithRetryAfter(time.Second)
+	unplaced := result.New(result.NoEngine, "no cell of pool %s answers; its group has no leader", x.kind.Pool).WithRetryAfter(time.Second)
 	withoutEngine := make(map[string]bool)
 	first := firstCell(x)
 	for try := 0; ; try++ {
@@ -91,7 +91,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return placement{}, last
+			return placement{}, unplaced
 		case <-time.After(placeRetryPause + rand.N(placeRetryPause)):
 		}
 	}
--- a/internal/gateway/runner.go
+++ b/internal/gateway/runner.go
@@ -94,9 +94,9 @@
 	// mayHaveRun means that another attempt may follow only if the request's kind is
 	// repeatable.
 	mayHaveRun
-	// finished means that no other attempt should follow: the answer is complete, the caller
+	// noRetry means that no other attempt should follow: the answer is complete, the caller
 	// has left, or the engine refused the request for a reason that holds on every engine.
-	finished
+	noRetry
 )
 
 // run makes attempts until the answer is complete or the request is given up. The sink gets
@@ -175,7 +175,7 @@
 func (r *runner) callerError(ctx context.Context, x *exchange, guard claims, attempt engine.Identifier, state attemptState, unseen bool, err error) error {
 	failure := result.From(err)
 	switch {
-	case state == finished:
+	case state == noRetry:
 		return failure
 	case state == notRun:
 		return result.New(result.RetriesExhausted, "no engine took the request; the last one said: %s", failure.Message).WithRetryAfter(time.Second)
@@ -221,14 +221,14 @@
 	})
 	err := copier.run(ctx, stream)
 	if err == nil {
-		return copier.reader.Usage(), finished, nil
+		return copier.reader.Usage(), noRetry, nil
 	}
 	if x.key == "" || runLimitReached(ctx) {
 		r.cancel(placed.ticket)
 	}
 	var left errSink
 	if errors.As(err, &left) || errors.Is(ctx.Err(), context.Canceled) {
-		return engine.Usage{}, finished, result.New(result.CallerGone, "the caller left before the answer was whole")
+		return engine.Usage{}, noRetry, result.New(result.CallerGone, "the caller left before the answer was whole")
 	}
 	if runLimitReached(ctx) {
 		err = result.New(result.DeadlineExceeded, "the answer was not whole after %v", 2*x.kind.Deadline)
@@ -249,11 +249,11 @@
 	case result.NoEngine, result.TicketRefused, result.IncarnationMismatch, result.EngineBusy, result.FenceStale:
 		return notRun, failure
 	case result.InvalidRequest, result.PromptTooLong, result.OutputTooLong:
-		return finished, failure
+		return noRetry, failure
 	}
 	if ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled) {
 		r.cancel(placed.ticket)
-		return finished, result.New(result.CallerGone, "the caller left before the answer began")
+		return noRetry, result.New(result.CallerGone, "the caller left before the answer began")
 	}
 	if x.kind.Repeatable {
 		r.cancel(placed.ticket)
@@ -279,11 +279,11 @@
 	}
 }
 
-func (r *runner) queryAttempt(ctx context.Context, ticket engine.Ticket, refuse bool) (state attemptState, known bool, err error) {
+func (r *runner) queryAttempt(ctx context.Context, ticket engine.Ticket, refuse bool) (state attemptState, settled bool, err error) {
 	stream, err := r.engines.Resume(ctx, ticket.Address, ticket.Incarnation, ticket.Attempt, 1)
 	if err == nil {
 		_ = stream.Close()
-		return finished, true, nil
+		return noRetry, true, nil
 	}
 	switch result.CodeOf(err) {
 	case result.IncarnationMismatch:
