--- a/internal/group/manager.go
+++ b/internal/group/manager.go
@@ -53,12 +53,12 @@
 	// reasonMissing means that no node knows of the group, or that its leader is lost and none
 	// has followed.
 	reasonMissing
-	// reasonLost means that a member has ended, is dead or is leaving, or that the epoch is
+	// reasonRepair means that a member has ended, is dead or is leaving, or that the epoch is
 	// below MinEpoch.
-	reasonLost
-	// reasonZones means that the members could be in more zones, or that there could be more
+	reasonRepair
+	// reasonImprove means that the members could be in more zones, or that there could be more
 	// members.
-	reasonZones
+	reasonImprove
 )
 
 // pendingChange is why a group's members should change, and since when this node has seen that.
@@ -78,8 +78,8 @@
 	delayMissing = 2 * time.Second
 	// delayOutsider applies at other nodes, when the last known leader is lost.
 	delayOutsider = 5 * time.Second
-	// delayLost applies when members are lost, or fewer than there could be.
-	delayLost = 2 * time.Second
+	// delayRepair applies when members are lost, or fewer than there could be.
+	delayRepair = 2 * time.Second
 	// delayZones applies when the members could be in more zones.
 	delayZones   = 20 * time.Second
 	delayPerRank = 1000 * time.Millisecond
@@ -210,15 +210,15 @@
 	}
 	switch {
 	case m.cluster.MinEpoch(id) > record.Epoch:
-		return reasonLost, delayLost
+		return reasonRepair, delayRepair
 	case kept < len(record.Members) && len(next) > kept:
 		// A lost member is replaced as soon as at least one new member is available, even if
 		// the group gets smaller. Without any, shrinking the group would gain nothing.
-		return reasonLost, delayLost
+		return reasonRepair, delayRepair
 	case len(next) > len(record.Members):
-		return reasonZones, delayLost
+		return reasonImprove, delayRepair
 	case ZoneCount(m.rebalanceZones(id, record, candidates)) > ZoneCount(record.Members):
-		return reasonZones, delayZones
+		return reasonImprove, delayZones
 	}
 	return reasonNone, 0
 }
@@ -278,7 +278,7 @@
 	}
 	candidates := m.cluster.Candidates()
 	current := record.Members
-	if found == reasonZones {
+	if found == reasonImprove {
 		current = m.rebalanceZones(id, record, candidates)
 	}
 	next := ChooseMembers(id, current, candidates)
