--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -79,9 +79,9 @@
 	CommandLost     CommandType = "lost"
 	// CommandTick only advances the group's time.
 	CommandTick CommandType = "tick"
-	// CommandForget records that the group lost its state with a majority of its members, so
+	// CommandStateLoss records that the group lost its state with a majority of its members, so
 	// that keys claimed before may be missing.
-	CommandForget CommandType = "forget"
+	CommandStateLoss CommandType = "forget"
 )
 
 // Command changes the ledger. It is sent over the peer protocol and replicated.
@@ -165,7 +165,7 @@
 		return l.finish(command, Done)
 	case CommandLost:
 		return l.finish(command, Lost)
-	case CommandForget:
+	case CommandStateLoss:
 		l.stateLostAt = command.WallTime
 		l.unknownUntil = l.time + max(command.WindowMillis, l.longestWindow)
 	}
@@ -286,16 +286,16 @@
 
 // snapshot is the encoded form of the ledger.
 type snapshot struct {
-	Time        int64    `json:"time"`
-	ForgotUntil int64    `json:"forgot_until,omitempty"`
-	ForgotAt    int64    `json:"forgot_at,omitempty"`
-	Longest     int64    `json:"longest,omitempty"`
-	Claims      []*Claim `json:"claims"`
+	Time         int64    `json:"time"`
+	UnknownUntil int64    `json:"forgot_until,omitempty"`
+	StateLostAt  int64    `json:"forgot_at,omitempty"`
+	Longest      int64    `json:"longest,omitempty"`
+	Claims       []*Claim `json:"claims"`
 }
 
 // Snapshot encodes the ledger.
 func (l *Ledger) Snapshot() []byte {
-	state := snapshot{Time: l.time, ForgotUntil: l.unknownUntil, ForgotAt: l.stateLostAt, Longest: l.longestWindow}
+	state := snapshot{Time: l.time, UnknownUntil: l.unknownUntil, StateLostAt: l.stateLostAt, Longest: l.longestWindow}
 	for _, claim := range l.claims {
 		state.Claims = append(state.Claims, claim)
 	}
@@ -316,7 +316,7 @@
 	if err := json.Unmarshal(data, &state); err != nil {
 		return result.Wrap(err, result.Internal, "a ledger snapshot can't be read")
 	}
-	l.time, l.unknownUntil, l.stateLostAt, l.longestWindow = state.Time, state.ForgotUntil, state.ForgotAt, state.Longest
+	l.time, l.unknownUntil, l.stateLostAt, l.longestWindow = state.Time, state.UnknownUntil, state.StateLostAt, state.Longest
 	for _, claim := range state.Claims {
 		l.claims[claim.Key] = claim
 		second := claim.ExpiresAt / 1000
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -88,7 +88,7 @@
 
 func TestKeysAreUnknownAfterStateLossUnlessProvedNew(t *testing.T) {
 	l := New()
-	apply(l, Command{Type: CommandForget, WindowMillis: 10_000, Time: 1000, WallTime: 5_000_000})
+	apply(l, Command{Type: CommandStateLoss, WindowMillis: 10_000, Time: 1000, WallTime: 5_000_000})
 	if old := apply(l, claimCommand("k", "a", 2000)); old.Error == nil || old.Error.Code != result.OutcomeUnknown {
 		t.Errorf("claim of a key that may be old: %+v", old)
 	}
--- a/internal/ledger/service.go
+++ b/internal/ledger/service.go
@@ -198,7 +198,7 @@
 // longest time for which any key may have to be remembered.
 func StateLossCommand(longestWindow time.Duration) ([]byte, error) {
 	return json.Marshal(Command{
-		Type:         CommandForget,
+		Type:         CommandStateLoss,
 		WindowMillis: longestWindow.Milliseconds(),
 		WallTime:     time.Now().UnixMilli(),
 	})
