--- a/internal/cell/ordering.go
+++ b/internal/cell/ordering.go
@@ -44,6 +44,7 @@
 		"fence": uint64(instruction.Order.Fence), "sequence": instruction.Order.Sequence,
 	})
 	if err != nil {
+		// The order was not sent, the engine refused it, or no valid answer came.
 		entry.WithError(err).Warn("order not confirmed")
 	} else {
 		entry.Info("order accepted")
@@ -55,6 +56,8 @@
 	s.dispatch()
 }
 
+// checkOrderLease checks that this node still holds the cell's lease with the order's fencing
+// token. Its error calls the lease the order's authority.
 func (s *Service) checkOrderLease(fence engine.Fence) error {
 	if r := s.localReplica(); r != nil {
 		if held, active := r.Fence(); active && held == fence {
