--- a/internal/gateway/key.go
+++ b/internal/gateway/key.go
@@ -24,8 +24,8 @@
 }
 
 // uuidTime returns the Unix time in milliseconds contained in a key that is a UUIDv7 (RFC 9562,
-// section 5.7), and zero for any other key. Such a key proves that it is new even to a ledger
-// group that has lost its state.
+// section 5.7), and zero for any other key. A ledger group that has lost its state compares it
+// with the time of the loss: a key created after the loss can't have been claimed before.
 func uuidTime(key string) int64 {
 	if len(key) != uuidLength || key[uuidVersionAt] != uuidVersion7 {
 		return 0
--- a/internal/gateway/keyed.go
+++ b/internal/gateway/keyed.go
@@ -49,9 +49,10 @@
 	// takeOverDelay is how long another gateway has to dispatch an attempt after claiming it,
 	// before this one makes the engine refuse the attempt.
 	takeOverDelay = 250 * time.Millisecond
-	// claimAgeLimit is the age of a claim above which an engine's answer that it never saw the
-	// attempt proves nothing, since engines remember attempts for engine.AttemptMemory only.
-	// Half of that leaves a margin for clocks that run at different rates.
+	// claimAgeLimit is the age up to which an engine is asked about a claim's attempt. Engines
+	// remember attempts for engine.AttemptRetention only: one that doesn't know an older attempt
+	// may have forgotten it, so its answer doesn't prove that the attempt did not run. Half of
+	// that time leaves a margin for clocks that run at different rates.
 	claimAgeLimit = engine.AttemptRetention / 2
 )
 
@@ -192,6 +193,7 @@
 	case ledger.Done:
 		return k.replay(ctx, x, claim, target)
 	case ledger.Lost:
+		// The outcome can no longer be found out.
 		return outcome{err: result.New(result.OutcomeUnknown, "the request was given to an engine before, and its outcome can't be had")}
 	}
 	return k.takeOver(ctx, x, claim, target)
@@ -247,6 +249,8 @@
 	if result.CodeOf(err) == result.IncarnationMismatch {
 		guard.lost(ctx, claim.Attempt)
 	}
+	// The outcome is unknown now; if the engine only could not be reached, a later request with
+	// the key may still find it out.
 	return outcome{engine: claim.Location.Engine, err: result.New(result.OutcomeUnknown,
 		"the request was given to engine %s before, and its outcome can't be had now: %s", claim.Location.Engine, result.From(err).Message).
 		WithRetryAfter(time.Second)}
@@ -258,6 +262,7 @@
 		if result.CodeOf(err) == result.IncarnationMismatch || result.CodeOf(err) == result.StreamUnknown {
 			(&claimGuard{keyed: k, x: x}).lost(context.WithoutCancel(ctx), claim.Attempt)
 		}
+		// The outcome is unknown now, and for good if the claim was recorded as lost.
 		return outcome{engine: claim.Location.Engine, err: result.New(result.OutcomeUnknown, "the running request's outcome can't be had: %s", result.From(err).Message)}
 	}
 	end := outcome{usage: copier.reader.Usage(), engine: claim.Location.Engine}
@@ -277,7 +282,9 @@
 }
 
 // claimGuard implements claims: it records each attempt of an execution in the ledger before
-// the engine gets it.
+// the engine gets it. It keeps track of the recorded attempt and has the next one
+// replace it. The replaced attempt is known not to have run: requests with a key are not
+// repeatable.
 type claimGuard struct {
 	keyed *keyedRunner
 	x     *exchange
--- a/internal/gateway/placer.go
+++ b/internal/gateway/placer.go
@@ -69,6 +69,10 @@
 		Excluded:     excluded,
 		Retry:        attempt != x.attempt,
 	}
+	// unplaced is the error if the deadline passes, or the caller leaves, before the attempt is
+	// placed or refused. Its message names the usual cause, that the groups of the pool's cells
+	// have no leaders; a cell may also have been stopping, or have lost its leader while the
+	// request waited. The error of the last try is dropped.
 	unplaced := result.New(result.NoEngine, "no cell of pool %s answers; its group has no leader", x.kind.Pool).WithRetryAfter(time.Second)
 	withoutEngine := make(map[string]bool)
 	first := firstCell(x)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -31,6 +31,7 @@
 	if !status.Quarantined {
 		return nil
 	}
+	// The message says that engines "ended": their processes crashed each time.
 	return result.New(result.RequestQuarantined, "engines ended whenever they ran this request (%s)", request).WithRetryAfter(status.Left)
 }
 
--- a/internal/gateway/runner.go
+++ b/internal/gateway/runner.go
@@ -42,7 +42,8 @@
 // noClaims is used, which does nothing.
 type claims interface {
 	// begin is called with a new attempt before the engine gets it. replaced is the attempt
-	// before it, which is known not to have run; it is empty for the first.
+	// that the same call of runner.run made before it, empty for the first. No implementation
+	// uses it: claimGuard remembers which attempt is recorded.
 	begin(ctx context.Context, p placement, replaced engine.Identifier) error
 	// lost is called when the outcome of an attempt can no longer be found out.
 	lost(ctx context.Context, attempt engine.Identifier)
@@ -85,7 +86,8 @@
 	return r.budget.Withdraw()
 }
 
-// attemptState is what is known about a failed attempt.
+// attemptState is whether another attempt may follow one that failed. Where it is returned with
+// a nil error it has no meaning.
 type attemptState int
 
 const (
@@ -94,8 +96,8 @@
 	// mayHaveRun means that another attempt may follow only if the request's kind is
 	// repeatable.
 	mayHaveRun
-	// noRetry means that no other attempt should follow: the answer is complete, the caller
-	// has left, or the engine refused the request for a reason that holds on every engine.
+	// noRetry means that no other attempt should follow: the caller has left, or the engine
+	// refused the request for a reason that holds on every engine.
 	noRetry
 )
 
@@ -156,7 +158,7 @@
 	return &changed
 }
 
-// shouldRetry decides whether another attempt follows a failed one. fresh means that no caller
+// shouldRetry decides whether another attempt follows a failed one. unseen means that no caller
 // has seen any of its events.
 func (r *runner) shouldRetry(ctx context.Context, x *exchange, state attemptState, unseen bool, try int) bool {
 	if ctx.Err() != nil || !unseen || try >= maxAttempts || time.Now().After(x.deadline) {
@@ -189,6 +191,7 @@
 	if streamIsGone(err) {
 		guard.lost(ctx, attempt)
 	}
+	// The outcome is unknown: the engine may have run the request, in part or to its end.
 	return result.New(result.OutcomeUnknown, "the request was given to an engine and its outcome can't be had: %s", failure.Message)
 }
 
@@ -264,7 +267,8 @@
 
 // resolveAttempt asks the engine about an attempt whose start was not answered. An engine that
 // still has not seen the attempt after delay is told to refuse it from then on, which proves
-// that it did not run and will not.
+// that it did not run and will not. A nil error means that the engine has accepted the attempt,
+// which may still be running, and that its stream can be read.
 func (r *runner) resolveAttempt(ctx context.Context, ticket engine.Ticket, delay time.Duration) (attemptState, error) {
 	begun := time.Now()
 	giveUp := begun.Add(resumeFor)
@@ -279,6 +283,9 @@
 	}
 }
 
+// queryAttempt asks the engine once about an attempt, and if refuse is set tells it to refuse the
+// attempt if it has not seen it. settled means that there is no need to ask again. The error is
+// nil if the engine has the attempt's stream.
 func (r *runner) queryAttempt(ctx context.Context, ticket engine.Ticket, refuse bool) (state attemptState, settled bool, err error) {
 	stream, err := r.engines.Resume(ctx, ticket.Address, ticket.Incarnation, ticket.Attempt, 1)
 	if err == nil {
