--- a/internal/group/manager.go
+++ b/internal/group/manager.go
@@ -53,11 +53,10 @@
 	// reasonMissing means that no node knows of the group, or that its leader is lost and none
 	// has followed.
 	reasonMissing
-	// reasonRepair means that a member has ended, is dead or is leaving, or that the epoch is
-	// below MinEpoch.
+	// reasonRepair means that members have to be replaced, since they have ended, are dead or
+	// are leaving, or that a higher epoch has to begin, since the current one is below MinEpoch.
 	reasonRepair
-	// reasonImprove means that the members could be in more zones, or that there could be more
-	// members.
+	// reasonImprove means that there could be more members, or that they could be in more zones.
 	reasonImprove
 )
 
@@ -78,7 +77,7 @@
 	delayMissing = 2 * time.Second
 	// delayOutsider applies at other nodes, when the last known leader is lost.
 	delayOutsider = 5 * time.Second
-	// delayRepair applies when members are lost, or fewer than there could be.
+	// delayRepair applies for reasonRepair, and when there could be more members.
 	delayRepair = 2 * time.Second
 	// delayZones applies when the members could be in more zones.
 	delayZones   = 20 * time.Second
--- a/internal/group/reconfigure.go
+++ b/internal/group/reconfigure.go
@@ -50,6 +50,8 @@
 	if err := m.records.put(ctx, record, former.Epoch); err != nil {
 		return err
 	}
+	// The log line means that a new epoch has begun. Its members are the same as before if only
+	// the epoch had to rise. memory_lost says whether the group's replicated state was lost.
 	m.log.WithFields(logrus.Fields{"group": record.Group, "epoch": record.Epoch, "members": nodeNames(next), "memory_lost": stateLost}).
 		Info("group has new members")
 	m.host.ApplyRecord(record)
