--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -80,7 +80,7 @@
 	// CommandTick only advances the group's time.
 	CommandTick CommandType = "tick"
 	// CommandStateLoss records that the group lost its state with a majority of its members, so
-	// that keys claimed before may be missing.
+	// that keys claimed before may be missing. It removes no claim.
 	CommandStateLoss CommandType = "forget"
 )
 
@@ -210,6 +210,8 @@
 		return l.existingClaim(existing, command)
 	}
 	if l.time < l.unknownUntil && command.KeyTime < l.stateLostAt+keyTimeMargin.Milliseconds() {
+		// The group's "memory" is its replicated state, with which it may have lost this key's
+		// claim. So it is unknown whether the request ran before.
 		return Outcome{Error: result.New(result.OutcomeUnknown,
 			"the group that keeps this key lost its memory; whether the request ran before can't be told")}
 	}
