--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -217,6 +217,9 @@
 	}
 	connection := newConn(network, l.client.counters)
 	if err := connection.greet(l.client.identity); err != nil {
+		// Despite the message, the peer need not have refused anything: the TLS handshake may
+		// have failed, the peer may have closed the connection or not answered in time, or this
+		// node may have refused the peer's greeting.
 		connection.close()
 		return nil, result.New(result.PeerUnavailable, "peer %s refused the greeting: %v", l.address, err)
 	}
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -78,6 +78,8 @@
 	}
 	_ = c.network.SetDeadline(time.Time{})
 	if greeting.Type != frameHello || greeting.Version != ProtocolVersion {
+		// A first frame that is not a greeting usually has no version, so that the message says
+		// version 0.
 		return result.New(result.PeerProtocol, "the peer speaks version %d, this node %d", greeting.Version, ProtocolVersion)
 	}
 	if greeting.Hello.Cluster != own.Cluster {
