--- a/internal/cell/ordering.go
+++ b/internal/cell/ordering.go
@@ -33,7 +33,7 @@
 // order sends one order, after checking the lease once more.
 func (s *Service) order(ctx context.Context, instruction Instruction) {
 	var status engine.Status
-	err := s.checkAuthority(instruction.Order.Fence)
+	err := s.checkOrderLease(instruction.Order.Fence)
 	if err == nil {
 		orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
@@ -44,6 +44,7 @@
 		"fence": uint64(instruction.Order.Fence), "sequence": instruction.Order.Sequence,
 	})
 	if err != nil {
+		// The order was not sent, the engine refused it, or no valid answer came.
 		entry.WithError(err).Warn("order not confirmed")
 	} else {
 		entry.Info("order accepted")
@@ -55,7 +56,9 @@
 	s.dispatch()
 }
 
-func (s *Service) checkAuthority(fence engine.Fence) error {
+// checkOrderLease checks that this node still holds the cell's lease with the order's fencing
+// token. Its error calls the lease the order's authority.
+func (s *Service) checkOrderLease(fence engine.Fence) error {
 	if r := s.localReplica(); r != nil {
 		if held, active := r.Fence(); active && held == fence {
 			return nil
--- a/internal/gateway/runner.go
+++ b/internal/gateway/runner.go
@@ -42,7 +42,8 @@
 // noClaims is used, which does nothing.
 type claims interface {
 	// begin is called with a new attempt before the engine gets it. replaced is the attempt
-	// before it, which is known not to have run; it is empty for the first.
+	// that the same call of runner.run made before it, empty for the first. No implementation
+	// uses it: claimGuard remembers which attempt is recorded.
 	begin(ctx context.Context, p placement, replaced engine.Identifier) error
 	// lost is called when the outcome of an attempt can no longer be found out.
 	lost(ctx context.Context, attempt engine.Identifier)
@@ -85,7 +86,8 @@
 	return r.budget.Withdraw()
 }
 
-// attemptState is what is known about a failed attempt.
+// attemptState is whether another attempt may follow one that failed. Where it is returned with
+// a nil error it has no meaning.
 type attemptState int
 
 const (
@@ -94,9 +96,9 @@
 	// mayHaveRun means that another attempt may follow only if the request's kind is
 	// repeatable.
 	mayHaveRun
-	// finished means that no other attempt should follow: the answer is complete, the caller
-	// has left, or the engine refused the request for a reason that holds on every engine.
-	finished
+	// noRetry means that no other attempt should follow: the caller has left, or the engine
+	// refused the request for a reason that holds on every engine.
+	noRetry
 )
 
 // run makes attempts until the answer is complete or the request is given up. The sink gets
@@ -156,7 +158,7 @@
 	return &changed
 }
 
-// shouldRetry decides whether another attempt follows a failed one. fresh means that no caller
+// shouldRetry decides whether another attempt follows a failed one. unseen means that no caller
 // has seen any of its events.
 func (r *runner) shouldRetry(ctx context.Context, x *exchange, state attemptState, unseen bool, try int) bool {
 	if ctx.Err() != nil || !unseen || try >= maxAttempts || time.Now().After(x.deadline) {
@@ -175,7 +177,7 @@
 func (r *runner) callerError(ctx context.Context, x *exchange, guard claims, attempt engine.Identifier, state attemptState, unseen bool, err error) error {
 	failure := result.From(err)
 	switch {
-	case state == finished:
+	case state == noRetry:
 		return failure
 	case state == notRun:
 		return result.New(result.RetriesExhausted, "no engine took the request; the last one said: %s", failure.Message).WithRetryAfter(time.Second)
@@ -189,6 +191,7 @@
 	if streamIsGone(err) {
 		guard.lost(ctx, attempt)
 	}
+	// The outcome is unknown: the engine may have run the request, in part or to its end.
 	return result.New(result.OutcomeUnknown, "the request was given to an engine and its outcome can't be had: %s", failure.Message)
 }
 
@@ -221,14 +224,14 @@
 	})
 	err := copier.run(ctx, stream)
 	if err == nil {
-		return copier.reader.Usage(), finished, nil
+		return copier.reader.Usage(), noRetry, nil
 	}
 	if x.key == "" || runLimitReached(ctx) {
 		r.cancel(placed.ticket)
 	}
 	var left errSink
 	if errors.As(err, &left) || errors.Is(ctx.Err(), context.Canceled) {
-		return engine.Usage{}, finished, result.New(result.CallerGone, "the caller left before the answer was whole")
+		return engine.Usage{}, noRetry, result.New(result.CallerGone, "the caller left before the answer was whole")
 	}
 	if runLimitReached(ctx) {
 		err = result.New(result.DeadlineExceeded, "the answer was not whole after %v", 2*x.kind.Deadline)
@@ -249,11 +252,11 @@
 	case result.NoEngine, result.TicketRefused, result.IncarnationMismatch, result.EngineBusy, result.FenceStale:
 		return notRun, failure
 	case result.InvalidRequest, result.PromptTooLong, result.OutputTooLong:
-		return finished, failure
+		return noRetry, failure
 	}
 	if ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled) {
 		r.cancel(placed.ticket)
-		return finished, result.New(result.CallerGone, "the caller left before the answer began")
+		return noRetry, result.New(result.CallerGone, "the caller left before the answer began")
 	}
 	if x.kind.Repeatable {
 		r.cancel(placed.ticket)
@@ -264,7 +267,8 @@
 
 // resolveAttempt asks the engine about an attempt whose start was not answered. An engine that
 // still has not seen the attempt after delay is told to refuse it from then on, which proves
-// that it did not run and will not.
+// that it did not run and will not. A nil error means that the engine has accepted the attempt,
+// which may still be running, and that its stream can be read.
 func (r *runner) resolveAttempt(ctx context.Context, ticket engine.Ticket, delay time.Duration) (attemptState, error) {
 	begun := time.Now()
 	giveUp := begun.Add(resumeFor)
@@ -279,11 +283,14 @@
 	}
 }
 
-func (r *runner) queryAttempt(ctx context.Context, ticket engine.Ticket, refuse bool) (state attemptState, known bool, err error) {
+// queryAttempt asks the engine once about an attempt, and if refuse is set tells it to refuse the
+// attempt if it has not seen it. settled means that there is no need to ask again. The error is
+// nil if the engine has the attempt's stream.
+func (r *runner) queryAttempt(ctx context.Context, ticket engine.Ticket, refuse bool) (state attemptState, settled bool, err error) {
 	stream, err := r.engines.Resume(ctx, ticket.Address, ticket.Incarnation, ticket.Attempt, 1)
 	if err == nil {
 		_ = stream.Close()
-		return finished, true, nil
+		return noRetry, true, nil
 	}
 	switch result.CodeOf(err) {
 	case result.IncarnationMismatch:
