--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -62,7 +62,7 @@
 	return scheduling.Outline{
 		ID: known.worker.ID, Prefill: known.worker.Stage == Prefill,
 		SameZone: r.places.DistanceTo(known.worker.Zone) == topology.SameZone,
-		Rank:     known.rank, Hash: known.hash, Tracked: tracked,
+		Rank:     known.sortKey, Hash: known.hash, Tracked: tracked,
 		Sound: r.isStaying(known, now) && !known.breaker.Open(now) && !known.handleBreaker.Open(now) && known.turnWait(now) == 0,
 	}
 }
@@ -147,7 +147,7 @@
 
 func (r *Registry) candidate(known *workerState, parts []prefixcache.Part, rank int, now time.Time) scheduling.Candidate {
 	load := known.totalLoad(now, "")
-	terms, throughput := r.prefillModel(known)
+	coefficients, throughput := r.prefillModel(known)
 	distance := r.places.DistanceTo(known.worker.Zone)
 	return scheduling.Candidate{
 		ID:            known.worker.ID,
@@ -165,9 +165,9 @@
 		MemoryTokens:  load.MemoryTokens,
 		Capacity:      r.cacheCapacity[known.worker.Service],
 		CachedTokens:  known.cache.Match(parts),
-		Reading:       terms,
+		Reading:       coefficients,
 		Throughput:    throughput,
-		Rank:          known.rank,
+		Rank:          known.sortKey,
 		Hash:          known.hash,
 		Avoid:         known.breaker.Open(now),
 		FailureRate:   known.breaker.FailureRate(now),
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -186,11 +186,11 @@
 	r.forget(worker.ID)
 	r.newestByName[name] = worker.ID
 	r.workers[worker.ID] = &workerState{
-		worker: worker,
-		rank:   maphash.String(r.seed, worker.ID),
-		hash:   rendezvous.Hash(worker.ID),
-		remote: make(map[string]remoteLoad),
-		cache:  prefixcache.New(capacity),
+		worker:  worker,
+		sortKey: maphash.String(r.seed, worker.ID),
+		hash:    rendezvous.Hash(worker.ID),
+		remote:  make(map[string]remoteLoad),
+		cache:   prefixcache.New(capacity),
 		// A worker that is added after the first list has just started with an empty cache.
 		cacheKnown: r.listRead,
 	}
--- a/internal/worker/observe.go
+++ b/internal/worker/observe.go
@@ -146,11 +146,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	from, to := r.handleBreakerOf(reader), r.handleBreakerOf(runner)
-	fromRow, toRow := from.ConsecutiveFailures(), to.ConsecutiveFailures()
-	if fromRow >= toRow {
+	fromFailures, toFailures := from.ConsecutiveFailures(), to.ConsecutiveFailures()
+	if fromFailures >= toFailures {
 		from.Failed(now)
 	}
-	if toRow >= fromRow {
+	if toFailures >= fromFailures {
 		to.Failed(now)
 	}
 }
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -32,9 +32,9 @@
 	cacheKnown bool
 	// slowdown is the factor by which the engine reads prompts more slowly than its group.
 	slowdown latency.Slowdown
-	// rank orders the workers differently at each node, hash alike at all nodes.
-	rank, hash uint64
-	breaker    breaker.Breaker
+	// sortKey orders the workers differently at each node, hash alike at all nodes.
+	sortKey, hash uint64
+	breaker       breaker.Breaker
 	// handleBreaker counts failed transfers of KV caches of prompts that were read apart
 	// (disaggregated prefill): from this worker if it read the prompt, to this worker if it
 	// generates the output.
