--- a/internal/scheduling/late_test.go
+++ b/internal/scheduling/late_test.go
@@ -20,7 +20,7 @@
 
 // fastest returns an engine that has the lowest cost although others wait there.
 func fastest(change ...func(*Candidate)) Candidate {
-	change = append(change, queued(20_000), func(c *Candidate) { c.Throughput, c.Reading = 144, readingAt(144) })
+	change = append(change, queued(20_000), func(c *Candidate) { c.Throughput, c.PrefillCoefficients = 144, readingAt(144) })
 	return reader("fastest", change...)
 }
 
--- a/internal/scheduling/reading.go
+++ b/internal/scheduling/reading.go
@@ -1,14 +1,14 @@
 package scheduling
 
-// reading is what it takes a worker to get a prompt into its KV cache. Times and prices are in
+// prefillEstimate is what it takes a worker to get a prompt into its KV cache. Times and prices are in
 // milliseconds.
-type reading struct {
+type prefillEstimate struct {
 	// time is the wait for the tokens queued ahead plus the request's own prefill, and own the
 	// part of it for which the request delays others.
 	time, own float64
-	// held is time with the queued tokens of all ranks in place of those ahead. Plans are
+	// timeBehindAll is time with the queued tokens of all ranks in place of those ahead. Plans are
 	// compared by it, since a request that overtakes others delays them.
-	held float64
+	timeBehindAll float64
 	// price is that of prefilling shared tokens again and of transfers between engines.
 	price float64
 	// fetch is the address of the worker from which part of the prompt is fetched, empty if
@@ -18,47 +18,47 @@
 	unread int
 }
 
-// cheapestReading compares prefilling everything that the worker lacks with fetching what
+// cheapestPrefill compares prefilling everything that the worker lacks with fetching what
 // another worker has cached.
-func (s *Scheduler) cheapestReading(request Request, candidate Candidate, sources []Candidate) reading {
-	kept := min(candidate.CachedTokens, request.PromptTokens)
-	best := s.readingWith(request, candidate, kept)
+func (s *Scheduler) cheapestPrefill(request Request, candidate Candidate, sources []Candidate) prefillEstimate {
+	cached := min(candidate.CachedTokens, request.PromptTokens)
+	best := s.prefillWith(request, candidate, cached)
 	source := bestSource(sources, candidate)
 	if source == nil {
 		return best
 	}
-	moved := min(source.CachedTokens, request.PromptTokens) - kept
+	moved := min(source.CachedTokens, request.PromptTokens) - cached
 	if float64(moved) < s.costs.MinFetchShare*float64(request.PromptTokens) {
 		return best
 	}
-	fetched := s.readingWith(request, candidate, kept+moved)
+	fetched := s.prefillWith(request, candidate, cached+moved)
 	wait := request.Engine.Fetch + request.Engine.MovePerToken*float64(moved)
 	fetched.time += wait
-	fetched.held += wait
+	fetched.timeBehindAll += wait
 	fetched.price += s.movePrice(request, moved)
 	fetched.fetch = source.Address
-	if fetched.held+fetched.price < best.held+best.price {
+	if fetched.timeBehindAll+fetched.price < best.timeBehindAll+best.price {
 		return fetched
 	}
 	return best
 }
 
-// readingWith returns the reading in which all tokens are prefilled except the atHand leading
+// prefillWith returns the reading in which all tokens are prefilled except the atHand leading
 // ones, which are cached or fetched.
-func (s *Scheduler) readingWith(request Request, candidate Candidate, atHand int) reading {
+func (s *Scheduler) prefillWith(request Request, candidate Candidate, atHand int) prefillEstimate {
 	unread := request.PromptTokens - atHand
-	pace := max(candidate.Throughput, minThroughput)
-	alone := candidate.Reading.Milliseconds(unread, atHand)
+	throughput := max(candidate.Throughput, minThroughput)
+	alone := candidate.PrefillCoefficients.Milliseconds(unread, atHand)
 	again := float64(max(request.SharedTokens-atHand, 0)) / float64(request.PromptTokens)
 	if candidate.NotHome {
 		again *= s.costs.NotHomeFactor
 	}
-	return reading{
-		time:   request.Engine.Queue*float64(candidate.ReadAhead)/pace + alone,
-		own:    candidate.Reading.VariableMilliseconds(unread, atHand),
-		held:   float64(candidate.ReadTokens)/pace + alone,
-		price:  s.costs.Reread * again * request.objectiveMilliseconds(),
-		unread: unread,
+	return prefillEstimate{
+		time:          request.Engine.Queue*float64(candidate.ReadAhead)/throughput + alone,
+		own:           candidate.PrefillCoefficients.VariableMilliseconds(unread, atHand),
+		timeBehindAll: float64(candidate.ReadTokens)/throughput + alone,
+		price:         s.costs.Reread * again * request.objectiveMilliseconds(),
+		unread:        unread,
 	}
 }
 
--- a/internal/scheduling/regions.go
+++ b/internal/scheduling/regions.go
@@ -135,7 +135,7 @@
 		return HomeRegion(request.Content, candidates), true
 	}
 	lowest := slices.MinFunc(candidates, func(left, right Candidate) int {
-		if left.Rank < right.Rank {
+		if left.SortKey < right.SortKey {
 			return -1
 		}
 		return 1
--- a/internal/scheduling/regions_test.go
+++ b/internal/scheduling/regions_test.go
@@ -18,11 +18,11 @@
 			id := fmt.Sprint(region, i)
 			candidate := Candidate{
 				ID: id, Address: id, Region: region, OtherRegion: r > 0, Prefill: i%3 == 0, Decode: i%3 > 0,
-				Slots: 48, Capacity: 400_000, Throughput: 40, Reading: readingAt(40),
-				Rank: random.Uint64(), Hash: rendezvous.Hash(id),
+				Slots: 48, Capacity: 400_000, Throughput: 40, PrefillCoefficients: readingAt(40),
+				SortKey: random.Uint64(), Hash: rendezvous.Hash(id),
 			}
 			if candidate.Decode {
-				candidate.Throughput, candidate.Reading = 10, readingAt(10)
+				candidate.Throughput, candidate.PrefillCoefficients = 10, readingAt(10)
 			}
 			if candidate.OtherRegion {
 				candidate.Report, candidate.RoundTrip = Unasked, 24
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -137,14 +137,14 @@
 		if candidate.Prefill || candidate.SourceOnly || request.Excluded[candidate.ID] {
 			continue
 		}
-		reading := s.cheapestReading(request, candidate, candidates)
+		prefill := s.cheapestPrefill(request, candidate, candidates)
 		running := float64(candidate.Requests)
 		slot := max(slotWait(request, candidate), candidate.TurnWait)
-		cost := slot + reading.held + reading.price + s.commonCost(request, candidate) + s.pressureCost(request, candidate) +
-			s.runningCost(request, candidate) + s.interferencePrice(request, reading)*running
+		cost := slot + prefill.timeBehindAll + prefill.price + s.commonCost(request, candidate) + s.pressureCost(request, candidate) +
+			s.runningCost(request, candidate) + s.interferencePrice(request, prefill)*running
 		plan := Plan{
-			Mode: Whole, Runner: candidate, Fetch: reading.fetch, Unread: reading.unread,
-			First: milliseconds(slot + reading.time + candidate.RoundTrip), Cost: cost,
+			Mode: Whole, Runner: candidate, Fetch: prefill.fetch, Unread: prefill.unread,
+			First: milliseconds(slot + prefill.time + candidate.RoundTrip), Cost: cost,
 		}
 		if better(plan, best) {
 			best = plan
@@ -156,13 +156,13 @@
 // interferencePrice is the price of a prefill for each request that runs at the decode engine,
 // in milliseconds. Prefill stalls their streams for at most its own duration, which does no
 // harm while it is a small part of the pause allowed between two events.
-func (s *Scheduler) interferencePrice(request Request, reading reading) float64 {
-	price := s.costs.Interference * reading.own
+func (s *Scheduler) interferencePrice(request Request, prefill prefillEstimate) float64 {
+	price := s.costs.Interference * prefill.own
 	if request.GapObjective <= 0 {
 		return price
 	}
 	gap := float64(request.GapObjective) / float64(time.Millisecond)
-	filled := s.costs.GapFactor * reading.held / gap
+	filled := s.costs.GapFactor * prefill.timeBehindAll / gap
 	return price * (1 + filled*filled)
 }
 
@@ -182,15 +182,15 @@
 		if runner.Mode == Refused {
 			return runner
 		}
-		reading := s.cheapestReading(request, candidate, candidates)
+		prefill := s.cheapestPrefill(request, candidate, candidates)
 		move, _ := s.crossRegionExtra(request, candidate.Region, runner.Runner)
-		read := candidate.TurnWait + reading.time
+		read := candidate.TurnWait + prefill.time
 		first := max(read, runner.Runner.TurnWait) + request.Engine.Handover + slotWait(request, runner.Runner) +
 			candidate.RoundTrip + runner.Runner.RoundTrip + move
-		cost := candidate.TurnWait + reading.held + request.Engine.Handover + reading.price + s.movePrice(request, request.PromptTokens) +
+		cost := candidate.TurnWait + prefill.timeBehindAll + request.Engine.Handover + prefill.price + s.movePrice(request, request.PromptTokens) +
 			s.commonCost(request, candidate) + runner.Cost
 		plan := Plan{
-			Mode: Apart, Reader: candidate, Runner: runner.Runner, Fetch: reading.fetch, Unread: reading.unread,
+			Mode: Apart, Reader: candidate, Runner: runner.Runner, Fetch: prefill.fetch, Unread: prefill.unread,
 			First: milliseconds(first), Cost: cost,
 		}
 		if better(plan, best) {
--- a/internal/scheduling/scheduling_test.go
+++ b/internal/scheduling/scheduling_test.go
@@ -8,11 +8,11 @@
 )
 
 func reader(id string, change ...func(*Candidate)) Candidate {
-	return candidate(Candidate{ID: id, Prefill: true, Throughput: 36, Reading: readingAt(36), Capacity: 400_000, Slots: 64}, change)
+	return candidate(Candidate{ID: id, Prefill: true, Throughput: 36, PrefillCoefficients: readingAt(36), Capacity: 400_000, Slots: 64}, change)
 }
 
 func decoder(id string, change ...func(*Candidate)) Candidate {
-	return candidate(Candidate{ID: id, Decode: true, Throughput: 18, Reading: readingAt(18), Capacity: 400_000, Slots: 64}, change)
+	return candidate(Candidate{ID: id, Decode: true, Throughput: 18, PrefillCoefficients: readingAt(18), Capacity: 400_000, Slots: 64}, change)
 }
 
 // readingAt returns the coefficients of an engine that prefills so many tokens a millisecond.
--- a/internal/scheduling/shortlist.go
+++ b/internal/scheduling/shortlist.go
@@ -14,8 +14,8 @@
 	ID      string
 	Prefill bool
 	// SameZone, Rank and Hash are as in Candidate.
-	SameZone   bool
-	Rank, Hash uint64
+	SameZone      bool
+	SortKey, Hash uint64
 	// Sound tells that nothing counts against the worker, as Candidate.sound does.
 	Sound bool
 	// Tracked tells that this node tracks the worker's load.
@@ -82,17 +82,17 @@
 type selection struct {
 	content  uint64
 	contents int
-	kept     []Outline
+	tracked  []Outline
 	// near are the first workers by nearness, and atContent those at which all nodes look for
 	// the content.
 	near, atContent []Outline
 }
 
-func (s *selection) empty() bool { return len(s.kept)+len(s.near) == 0 }
+func (s *selection) empty() bool { return len(s.tracked)+len(s.near) == 0 }
 
 func (s *selection) add(worker Outline) {
 	if worker.Tracked {
-		s.kept = append(s.kept, worker)
+		s.tracked = append(s.tracked, worker)
 	} else {
 		s.near = insert(s.near, worker, nearChoices, byNearness)
 	}
@@ -104,7 +104,7 @@
 
 func (s *selection) names() []string {
 	var names []string
-	for _, worker := range slices.Concat(s.kept, s.near, s.atContent) {
+	for _, worker := range slices.Concat(s.tracked, s.near, s.atContent) {
 		if !slices.Contains(names, worker.ID) {
 			names = append(names, worker.ID)
 		}
@@ -121,7 +121,7 @@
 		}
 		return 1
 	}
-	return cmp.Compare(left.Rank, right.Rank)
+	return cmp.Compare(left.SortKey, right.SortKey)
 }
 
 func byScore(left, right Outline) int { return cmp.Compare(right.score, left.score) }
--- a/internal/scheduling/shortlist_test.go
+++ b/internal/scheduling/shortlist_test.go
@@ -19,7 +19,7 @@
 		id := fmt.Sprint("worker ", i)
 		drawn := Candidate{
 			ID: id, Prefill: random.IntN(5) < 2, SameZone: random.IntN(5) == 0,
-			Rank: random.Uint64(), Hash: rendezvous.Hash(id), Avoid: random.IntN(10) == 0, Report: Unasked,
+			SortKey: random.Uint64(), Hash: rendezvous.Hash(id), Avoid: random.IntN(10) == 0, Report: Unasked,
 		}
 		drawn.Decode = !drawn.Prefill
 		if random.IntN(30) == 0 {
--- a/internal/scheduling/survey_test.go
+++ b/internal/scheduling/survey_test.go
@@ -19,7 +19,7 @@
 		id := fmt.Sprint(i)
 		candidates = append(candidates, Candidate{
 			ID: id, Address: id, Prefill: i < readers, Decode: i >= readers, SameZone: i%5 == zone,
-			Throughput: 40, Reading: readingAt(40), Capacity: 400_000, Rank: random.Uint64(), Hash: rendezvous.Hash(id),
+			Throughput: 40, PrefillCoefficients: readingAt(40), Capacity: 400_000, SortKey: random.Uint64(), Hash: rendezvous.Hash(id),
 			Report: Unasked,
 		})
 	}
@@ -201,9 +201,9 @@
 func TestHoldersAreOnlyFetchedFrom(t *testing.T) {
 	engine := EngineTimes{MovePerToken: 0.0004, Fetch: 5, Queue: 1}
 	reading, slower := latency.Coefficients{Fixed: 10, PerThousand: 27}, latency.Coefficients{Fixed: 10, PerThousand: 54}
-	reader := Candidate{ID: "reader", Address: "1.1.1.1:1", Prefill: true, Slots: 8, Capacity: 400_000, Throughput: 36, Reading: reading, SameZone: true}
-	holder := Candidate{ID: "holder", Address: "1.1.1.2:1", Prefill: true, Slots: 8, Capacity: 400_000, Throughput: 36, Reading: reading, SameZone: true}
-	runner := Candidate{ID: "runner", Address: "1.1.1.3:1", Decode: true, Slots: 8, Capacity: 400_000, Throughput: 18, Reading: slower, Requests: 5, SameZone: true}
+	reader := Candidate{ID: "reader", Address: "1.1.1.1:1", Prefill: true, Slots: 8, Capacity: 400_000, Throughput: 36, PrefillCoefficients: reading, SameZone: true}
+	holder := Candidate{ID: "holder", Address: "1.1.1.2:1", Prefill: true, Slots: 8, Capacity: 400_000, Throughput: 36, PrefillCoefficients: reading, SameZone: true}
+	runner := Candidate{ID: "runner", Address: "1.1.1.3:1", Decode: true, Slots: 8, Capacity: 400_000, Throughput: 18, PrefillCoefficients: slower, Requests: 5, SameZone: true}
 	request := Request{
 		Engine: engine, RouteObjective: time.Second, ObjectiveLeft: time.Second, Remaining: 5 * time.Second,
 		PromptTokens: 17_000, SharedTokens: 13_000, OutputTokens: 50,
--- a/internal/scheduling/types.go
+++ b/internal/scheduling/types.go
@@ -34,10 +34,10 @@
 	Capacity int
 	// CachedTokens is the part of the request's prompt that the worker has cached.
 	CachedTokens int
-	// Reading holds the learned coefficients of prefill time, and Throughput is the rate at
+	// PrefillCoefficients holds the learned coefficients of prefill time, and Throughput is the rate at
 	// which the queue ahead is prefilled, in tokens per millisecond.
-	Reading    latency.Coefficients
-	Throughput float64
+	PrefillCoefficients latency.Coefficients
+	Throughput          float64
 	// Avoid tells that the worker's circuit breaker is open, since it has just failed or
 	// rejected requests.
 	Avoid bool
@@ -52,9 +52,9 @@
 	TurnWait  float64
 	// FailureRate is the share of recent requests that the worker failed.
 	FailureRate float64
-	// Rank orders the workers for this node only and differs from node to node. Hash is the
+	// SortKey orders the workers for this node only and differs from node to node. Hash is the
 	// hash of the worker's name and the same at all nodes.
-	Rank, Hash uint64
+	SortKey, Hash uint64
 	// Report tells how much of the load of other nodes is included.
 	Report ReportState
 	// NotHome tells that other nodes do not look here for the content that is prefilled.
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -198,7 +198,7 @@
 		r.ObserveReading("p", latency.Reading{Tokens: 10_000, Elapsed: 125 * time.Millisecond})
 	}
 	r.Apply(Change{Name: "p2", Worker: &Worker{ID: "p2", Service: "llm", Stage: Prefill}})
-	takes := func() float64 { return find(t, r, "p2", nil, origin).Reading.Milliseconds(10_000, 0) }
+	takes := func() float64 { return find(t, r, "p2", nil, origin).PrefillCoefficients.Milliseconds(10_000, 0) }
 	if got := takes(); got < 119 || got > 131 {
 		t.Errorf("a new worker is assumed to read the prompt in %v ms, want 125", got)
 	}
@@ -316,10 +316,10 @@
 	for range 20 {
 		r.ObserveReading("p", slow)
 	}
-	reading, handover := find(t, r, "p", nil, origin).Reading, r.LearnedTimings("llm").Handover
+	reading, handover := find(t, r, "p", nil, origin).PrefillCoefficients, r.LearnedTimings("llm").Handover
 	r.ObserveReading("p", latency.Reading{Tokens: 1000, Elapsed: -5 * time.Millisecond})
 	r.ObserveHandover("d", -5*time.Millisecond)
-	if got := find(t, r, "p", nil, origin).Reading; got != reading {
+	if got := find(t, r, "p", nil, origin).PrefillCoefficients; got != reading {
 		t.Errorf("coefficients of the prefill time are %+v, want %+v", got, reading)
 	}
 	if got := r.LearnedTimings("llm").Handover; got != handover {
