--- a/internal/dispatch/endings.go
+++ b/internal/dispatch/endings.go
@@ -89,32 +89,32 @@
 }
 
 // begin records that a worker is given a request, and end that it no longer has it.
-func (e *crashDetector) begin(worker string, request quarantine.Fingerprint, suspected bool) *runningRequest {
+func (d *crashDetector) begin(worker string, request quarantine.Fingerprint, suspected bool) *runningRequest {
 	begun := &runningRequest{request: request, suspected: suspected}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.running[worker] == nil {
-		e.running[worker] = make(map[*runningRequest]struct{})
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.running[worker] == nil {
+		d.running[worker] = make(map[*runningRequest]struct{})
 	}
-	e.running[worker][begun] = struct{}{}
+	d.running[worker][begun] = struct{}{}
 	return begun
 }
 
-func (e *crashDetector) end(worker string, ended *runningRequest) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	delete(e.running[worker], ended)
-	if len(e.running[worker]) == 0 {
-		delete(e.running, worker)
+func (d *crashDetector) end(worker string, ended *runningRequest) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.running[worker], ended)
+	if len(d.running[worker]) == 0 {
+		delete(d.running, worker)
 	}
 }
 
 // suspects counts the suspected requests that a worker is running for this node.
-func (e *crashDetector) suspects(worker string) int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (d *crashDetector) suspects(worker string) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	count := 0
-	for running := range e.running[worker] {
+	for running := range d.running[worker] {
 		if running.suspected {
 			count++
 		}
@@ -126,23 +126,23 @@
 // look has found the worker ended, that was a mistake, since an address may refuse a connection
 // for other reasons, and the quarantine is told. A worker whose ID names an incarnation may
 // have started again under its name: then only a request given before the look shows a mistake.
-func (e *crashDetector) recordCompletion(id string, given, now time.Time) {
-	e.mu.Lock()
-	known, exists := e.looks[id]
+func (d *crashDetector) recordCompletion(id string, given, now time.Time) {
+	d.mu.Lock()
+	known, exists := d.looks[id]
 	mistaken := exists && known.isDead() && (worker.BornOf(id) == 0 || given.Before(known.begun))
 	if mistaken {
-		delete(e.looks, id)
+		delete(d.looks, id)
 	}
-	e.mu.Unlock()
+	d.mu.Unlock()
 	if mistaken {
-		e.quarantine.Lives(id, now)
+		d.quarantine.Lives(id, now)
 	}
 }
 
 // inspect reports whether a worker whose answer broke off has ended, as far as that is known
 // within lookPatience. All requests that the worker ran share one look.
-func (e *crashDetector) inspect(worker scheduling.Candidate) workerconn.Liveness {
-	seen := e.look(worker)
+func (d *crashDetector) inspect(worker scheduling.Candidate) workerconn.Liveness {
+	seen := d.look(worker)
 	timer := time.NewTimer(lookPatience)
 	defer timer.Stop()
 	select {
@@ -154,46 +154,46 @@
 }
 
 // look returns a look that is still valid, or begins one.
-func (e *crashDetector) look(worker scheduling.Candidate) *look {
+func (d *crashDetector) look(worker scheduling.Candidate) *look {
 	now := time.Now()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if known, exists := e.looks[worker.ID]; exists && known.isValid(now) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if known, exists := d.looks[worker.ID]; exists && known.isValid(now) {
 		return known
 	}
-	e.evictOldestLook()
+	d.evictOldestLook()
 	begun := &look{begun: now, done: make(chan struct{})}
-	e.looks[worker.ID] = begun
-	ran := slices.Collect(maps.Keys(e.running[worker.ID]))
-	go e.runLook(begun, worker, ran)
+	d.looks[worker.ID] = begun
+	ran := slices.Collect(maps.Keys(d.running[worker.ID]))
+	go d.runLook(begun, worker, ran)
 	return begun
 }
 
 // evictOldestLook drops the oldest look if there is no room for another.
-func (e *crashDetector) evictOldestLook() {
-	if len(e.looks) < maxLooks {
+func (d *crashDetector) evictOldestLook() {
+	if len(d.looks) < maxLooks {
 		return
 	}
 	oldest := ""
-	for worker, known := range e.looks {
-		if oldest == "" || known.begun.Before(e.looks[oldest].begun) {
+	for worker, known := range d.looks {
+		if oldest == "" || known.begun.Before(d.looks[oldest].begun) {
 			oldest = worker
 		}
 	}
-	delete(e.looks, oldest)
+	delete(d.looks, oldest)
 }
 
 // runLook probes a worker. If the worker has crashed it reports the requests that it ran.
-func (e *crashDetector) runLook(begun *look, worker scheduling.Candidate, ran []*runningRequest) {
-	drains := e.drains(worker.ID)
-	begun.liveness = e.probe(context.Background(), worker.Address)
+func (d *crashDetector) runLook(begun *look, worker scheduling.Candidate, ran []*runningRequest) {
+	drains := d.drains(worker.ID)
+	begun.liveness = d.probe(context.Background(), worker.Address)
 	crashes := crashesOf(worker, ran)
 	if begun.liveness == workerconn.Dead && !drains {
-		e.quarantine.Crashed(crashes, time.Now())
+		d.quarantine.Crashed(crashes, time.Now())
 	}
 	close(begun.done)
-	e.metrics.Breaks.WithLabelValues(string(begun.liveness)).Inc()
-	e.log.WithFields(logrus.Fields{
+	d.metrics.Breaks.WithLabelValues(string(begun.liveness)).Inc()
+	d.log.WithFields(logrus.Fields{
 		"worker": worker.ID, "address": worker.Address, "worker_state": begun.liveness, "drains": drains,
 		"look_us": time.Since(begun.begun).Microseconds(), "running": len(ran), "fingerprints": fingerprintTexts(crashes),
 	}).Warn("worker looked at: answers broke off")
--- a/internal/dispatch/pass.go
+++ b/internal/dispatch/pass.go
@@ -72,17 +72,17 @@
 // passWhole reads a short answer completely before passing it on. It passes a long one on as it
 // arrives.
 func (s *session) passWhole(answer *workerconn.Answer, load *work) error {
-	held, err := io.ReadAll(io.LimitReader(answer.Body, bufferedBytes))
+	buffered, err := io.ReadAll(io.LimitReader(answer.Body, bufferedBytes))
 	if err != nil {
 		return err
 	}
 	load.firstByte()
-	if len(held) < bufferedBytes {
-		s.giveHead(answer, int64(len(held)))
-		return s.give(held)
+	if len(buffered) < bufferedBytes {
+		s.giveHead(answer, int64(len(buffered)))
+		return s.give(buffered)
 	}
 	s.giveHead(answer, answer.Length)
-	if err := s.give(held); err != nil {
+	if err := s.give(buffered); err != nil {
 		return err
 	}
 	return s.copyPieces(answer, load, s.give)
--- a/internal/dispatch/survey.go
+++ b/internal/dispatch/survey.go
@@ -124,15 +124,15 @@
 func (s *session) withReports(chosen []scheduling.Candidate) []scheduling.Candidate {
 	withReports := make([]scheduling.Candidate, 0, len(chosen))
 	for _, candidate := range chosen {
-		account, answered := s.reports[candidate.ID]
+		report, answered := s.reports[candidate.ID]
 		switch {
 		case candidate.Report != scheduling.Unasked:
 		case !answered:
 			candidate.Report = scheduling.Unanswered
-		case account.Changing:
+		case report.Changing:
 			continue
 		default:
-			candidate = candidate.WithReport(account)
+			candidate = candidate.WithReport(report)
 		}
 		withReports = append(withReports, candidate)
 	}
