--- a/internal/latency/model.go
+++ b/internal/latency/model.go
@@ -20,8 +20,8 @@
 	// refitEvery is the number of new readings after which a model is fitted again. The first
 	// refitEvery readings are each followed by a fit.
 	refitEvery = 4
-	// guessWeight is the number of readings that the previous coefficients count for in a fit.
-	guessWeight = 2
+	// priorWeight is the number of readings that the previous coefficients count for in a fit.
+	priorWeight = 2
 	// overrunWeight is the weight of a reading that took longer than predicted, relative to one
 	// that took less: prefills for other nodes that are not known here make readings longer.
 	overrunWeight = 0.15
@@ -138,7 +138,7 @@
 // scale returns how much longer the readings take than terms predict, judged by the fastest
 // of them. It is 1 once there are enough readings to tell the coefficients apart.
 func (m *Model) scale(coefficients Coefficients) float64 {
-	if m.samples > guessWeight*refitEvery {
+	if m.samples > priorWeight*refitEvery {
 		return 1
 	}
 	scale, throughput := math.Inf(1), m.throughputOf(coefficients)
@@ -176,7 +176,7 @@
 		normal.add(regressors(reading.Tokens, reading.Context), target, weight)
 		scale += weight
 	}
-	scale *= guessWeight / float64(len(m.readings))
+	scale *= priorWeight / float64(len(m.readings))
 	for i, term := range []float64{base.Fixed, base.PerThousand, base.PerMillion} {
 		normal.addPrior(i, term, scale)
 	}
