--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -51,7 +51,7 @@
 type API interface {
 	// ReportUsage reports the counts of a window. If the verdict is duty.Unknown, the error
 	// tells why.
-	ReportUsage(ctx context.Context, act duty.LeaseToken, window Window, counts Counts) (duty.Verdict, error)
+	ReportUsage(ctx context.Context, token duty.LeaseToken, window Window, counts Counts) (duty.Verdict, error)
 }
 
 // Member is another node.
@@ -111,10 +111,10 @@
 
 // NewReporter returns a reporter.
 func NewReporter(options Options) *Reporter {
-	span := options.Tally.WindowLength()
+	length := options.Tally.WindowLength()
 	return &Reporter{
-		options: options, windowLength: span, sent: make(map[Window]bool),
-		first: span.WindowAt(options.Tally.Now(time.Now())),
+		options: options, windowLength: length, sent: make(map[Window]bool),
+		first: length.WindowAt(options.Tally.Now(time.Now())),
 	}
 }
 
@@ -175,8 +175,8 @@
 		time.Sleep(gatherTimeout)
 		r.gathered = true
 	}
-	if hold := r.options.Authority.Acquire(ctx); hold != authority.Held {
-		return eris.Errorf("no authority: %s", hold)
+	if status := r.options.Authority.Acquire(ctx); status != authority.Held {
+		return eris.Errorf("no authority: %s", status)
 	}
 	recorded, err := r.recorded(ctx)
 	if err != nil {
@@ -232,14 +232,14 @@
 // send reports one window. It checks the authority just before. If the platform doesn't compare
 // fencing tokens, the call ends at the latest when the authority does.
 func (r *Reporter) send(ctx context.Context, window Window, counts Counts) error {
-	act, held := r.options.Authority.Begin(ctx, callTimeout)
+	operation, held := r.options.Authority.Begin(ctx, callTimeout)
 	if !held {
 		return eris.New("the authority lapsed before the report was sent")
 	}
-	defer act.End()
-	verdict, err := r.options.API.ReportUsage(act.Context, duty.LeaseToken{Holder: r.options.Node, Fence: act.Fence}, window, counts)
+	defer operation.End()
+	verdict, err := r.options.API.ReportUsage(operation.Context, duty.LeaseToken{Holder: r.options.Node, Fence: operation.Fence}, window, counts)
 	r.options.Log.WithFields(logrus.Fields{
-		"window": window, "requests": counts.total(), "fence": act.Fence, "verdict": verdict, "cause": fmt.Sprint(err),
+		"window": window, "requests": counts.total(), "fence": operation.Fence, "verdict": verdict, "cause": fmt.Sprint(err),
 	}).Info("usage reported")
 	r.options.Metrics.observe(verdict)
 	switch verdict {
