--- a/internal/scheduling/costs.go
+++ b/internal/scheduling/costs.go
@@ -2,7 +2,7 @@
 
 // Costs are the parameters of the cost model that are not learned. Prices are fractions of a
 // request's objective, so that they stay in proportion to its duration on engines of any speed.
-// Durations come from measurements (EngineTimes, Candidate.Reading).
+// Durations come from measurements (EngineTimes, Candidate.PrefillCoefficients).
 type Costs struct {
 	// Move is the price of transferring the KV cache of a whole prompt between engines.
 	Move float64
@@ -30,8 +30,8 @@
 	// LateShare bounds the predicted time to the first byte of a late request, as a fraction of
 	// the time until its caller leaves. LateFill is the fraction of a worker's slots and memory
 	// up to which late requests may fill it. LateQueue is the prefill queue of an engine, as a
-	// fraction of the objective, up to which the engine still counts as free: about the rest of
-	// a short prompt.
+	// fraction of the objective, up to which the engine still counts as free: about the time
+	// that a short prompt needs when most of it has been prefilled.
 	LateShare, LateFill, LateQueue float64
 	// Hold makes late requests wait at their node for a free engine. It pays off where the
 	// share of requests that are served at all is what counts; docs/design/late-work.md has the
--- a/internal/scheduling/late.go
+++ b/internal/scheduling/late.go
@@ -11,8 +11,8 @@
 // their node.
 
 // Bounds of the pause after which a held request is planned again. The lower one is a few times
-// the age of what nodes know of each other's load, the upper one about the prefill time of a
-// long prompt.
+// the age of the load information that nodes have of each other, the upper one about the
+// prefill time of a long prompt.
 const (
 	minHold = 50 * time.Millisecond
 	maxHold = 200 * time.Millisecond
--- a/internal/scheduling/reading.go
+++ b/internal/scheduling/reading.go
@@ -1,13 +1,15 @@
 package scheduling
 
-// prefillEstimate is what it takes a worker to get a prompt into its KV cache. Times and prices are in
-// milliseconds.
+// prefillEstimate is what it takes a worker to get a prompt into its KV cache. Times and prices
+// are in milliseconds.
 type prefillEstimate struct {
 	// time is the wait for the tokens queued ahead plus the request's own prefill, and own the
 	// part of it for which the request delays others.
 	time, own float64
-	// timeBehindAll is time with the queued tokens of all ranks in place of those ahead. Plans are
-	// compared by it, since a request that overtakes others delays them.
+	// timeBehindAll is time if the request waited for the whole queue (Candidate.ReadTokens),
+	// also for prompts that are less urgent. That leaves out late prompts, except in the view
+	// of a late request. Costs are computed with it, since a request that overtakes others
+	// delays them.
 	timeBehindAll float64
 	// price is that of prefilling shared tokens again and of transfers between engines.
 	price float64
@@ -43,7 +45,7 @@
 	return best
 }
 
-// prefillWith returns the reading in which all tokens are prefilled except the atHand leading
+// prefillWith returns the estimate in which all tokens are prefilled except the atHand leading
 // ones, which are cached or fetched.
 func (s *Scheduler) prefillWith(request Request, candidate Candidate, atHand int) prefillEstimate {
 	unread := request.PromptTokens - atHand
--- a/internal/scheduling/regions.go
+++ b/internal/scheduling/regions.go
@@ -126,7 +126,7 @@
 
 // nextRegion chooses the region that is considered if the first choice cannot serve a request.
 // A content has the same second region at all nodes. Other requests go to the region of the
-// worker with the lowest rank, which differs from node to node.
+// worker with the smallest sort key, which differs from node to node.
 func nextRegion(request Request, candidates []Candidate) (string, bool) {
 	if len(candidates) == 0 {
 		return "", false
--- a/internal/scheduling/shortlist.go
+++ b/internal/scheduling/shortlist.go
@@ -13,7 +13,7 @@
 type Outline struct {
 	ID      string
 	Prefill bool
-	// SameZone, Rank and Hash are as in Candidate.
+	// SameZone, SortKey and Hash are as in Candidate.
 	SameZone      bool
 	SortKey, Hash uint64
 	// Sound tells that nothing counts against the worker, as Candidate.sound does.
@@ -83,8 +83,8 @@
 	content  uint64
 	contents int
 	tracked  []Outline
-	// near are the first workers by nearness, and atContent those at which all nodes look for
-	// the content.
+	// near are the first of the workers that this node does not track, by nearness, and
+	// atContent those workers at which all nodes look for the content.
 	near, atContent []Outline
 }
 
@@ -113,7 +113,7 @@
 }
 
 // byNearness orders workers as Preselect does: those in the node's zone first, then by their
-// rank at this node.
+// sort key, which differs from node to node.
 func byNearness(left, right Outline) int {
 	if left.SameZone != right.SameZone {
 		if left.SameZone {
--- a/internal/scheduling/survey.go
+++ b/internal/scheduling/survey.go
@@ -117,7 +117,7 @@
 }
 
 // nearest returns the candidates whose load this node tracks and count others: those in its
-// zone first, then by their rank at this node.
+// zone first, then by their sort key.
 func nearest(candidates []Candidate, count int) []Candidate {
 	var near, unasked []Candidate
 	for _, candidate := range candidates {
--- a/internal/scheduling/types.go
+++ b/internal/scheduling/types.go
@@ -34,8 +34,8 @@
 	Capacity int
 	// CachedTokens is the part of the request's prompt that the worker has cached.
 	CachedTokens int
-	// PrefillCoefficients holds the learned coefficients of prefill time, and Throughput is the rate at
-	// which the queue ahead is prefilled, in tokens per millisecond.
+	// PrefillCoefficients are the learned coefficients of prefill time, and Throughput is the
+	// rate at which the queue ahead is prefilled, in tokens per millisecond.
 	PrefillCoefficients latency.Coefficients
 	Throughput          float64
 	// Avoid tells that the worker's circuit breaker is open, since it has just failed or
@@ -52,8 +52,8 @@
 	TurnWait  float64
 	// FailureRate is the share of recent requests that the worker failed.
 	FailureRate float64
-	// SortKey orders the workers for this node only and differs from node to node. Hash is the
-	// hash of the worker's name and the same at all nodes.
+	// SortKey orders the workers at this node: it is random and differs from node to node. Hash
+	// is the hash of the worker's name and the same at all nodes.
 	SortKey, Hash uint64
 	// Report tells how much of the load of other nodes is included.
 	Report ReportState
@@ -190,7 +190,10 @@
 // Reason tells why a request was refused or held.
 type Reason string
 
-// Values of Reason.
+// Values of Reason. They are logged, and reach callers in the detail of a refusal.
+//
+// NoWorkerLeft means that no worker remains that may get the request again: each was tried and
+// failed or rejected it, or cannot be used. The workers need not be full, despite the text.
 const (
 	NoWorker     Reason = "no worker"
 	TooLate      Reason = "too late"
