--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -17,6 +17,10 @@
 )
 
 var (
+	// These errors are logged as the cause of a failed try and reach callers in Outcome.Detail.
+	// The prompt that was read is one that another engine has prefilled for the call:
+	// errNoRunner means that no decode engine can run it, and errNoHandle that the decode
+	// engine could not fetch it.
 	errNoRunner    = eris.New("no worker can run the prompt that was read")
 	errNotExecuted = eris.New("the worker did not run the request")
 	errMisdirected = eris.New("another worker has the address")
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -62,7 +62,8 @@
 	Deadline time.Time
 }
 
-// Priority is the rank of the request. Zero is the most urgent.
+// Priority is the priority of the request, which depends on its tenant and route. Zero is the
+// most urgent.
 func (c *Call) Priority() int { return c.Tenant.Priority(c.Route.Priority) }
 
 // patience is the time left until the caller leaves unless it gets more of the answer.
@@ -75,7 +76,8 @@
 	return left
 }
 
-// rank is the rank by which engines order the prompt as long as it can be in time.
+// rank is the rank of the call's prompt (worker.UnreadTokens) as long as it can be in time: the
+// priority, limited to the ranks below worker.LateRank.
 func (c *Call) rank() int { return min(c.Priority(), worker.LateRank-1) }
 
 // fingerprint returns the fingerprint of what the request asks for.
--- a/internal/dispatch/endings.go
+++ b/internal/dispatch/endings.go
@@ -16,7 +16,9 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// A look is a probe of a worker whose answer broke off, to learn whether the worker has ended.
+// A look is a connection probe of a worker whose answer broke off, to learn whether the worker
+// has ended. Its result is alive, dead or unheard (workerconn.Liveness). Log lines and metrics
+// use the word too.
 const (
 	// lookPatience is how long a request waits to learn whether its worker has ended before it
 	// is sent elsewhere. The round trip to another region is 24 ms, and the shortest objective
--- a/internal/dispatch/limits.go
+++ b/internal/dispatch/limits.go
@@ -38,9 +38,9 @@
 // Parameters of turns.
 const (
 	// waitShare is the fraction of the time left until an answer is late for which a call of
-	// the highest rank waits for its turn. Each lower rank waits half as long, so that the
-	// queue at a worker never keeps more urgent calls out. With a longer queue, all calls that
-	// are served would be late.
+	// the most urgent priority, 0, waits for its turn. Each following priority waits half as
+	// long, so that the queue at a worker never keeps more urgent calls out. With a longer
+	// queue, all calls that are served would be late.
 	waitShare = 0.6
 	// turnMargin is added to the expected wait, since others may have taken turns meanwhile.
 	turnMargin = 50 * time.Millisecond
@@ -229,6 +229,11 @@
 	}
 }
 
+// logTurn counts and logs the outcome of asking for a turn. In the log, keeper is the address
+// of the node that decided; private means that none answered, so that this node decided by its
+// own allowance; left is the level of the bucket, or of the allowance, before the request; and
+// reserved is the fraction of the limit that the keeper holds back for silent nodes
+// (quota.Outcome).
 func (s *session) logTurn(at scheduling.Candidate, patience time.Duration, verdict quota.Outcome) {
 	s.metrics.turn(verdict)
 	s.log.WithFields(logrus.Fields{
@@ -249,6 +254,8 @@
 	if reply.Misdirected || !limit.Named && limit.Malformed == "" && !ran {
 		return
 	}
+	// A limit that cannot be parsed is ignored: what the worker has stated before stays in
+	// effect.
 	if limit.Malformed != "" {
 		s.metrics.MalformedLimits.Inc()
 		s.log.WithFields(logrus.Fields{"id": s.call.ID, "worker": id, "limit": limit.Malformed}).
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -13,8 +13,11 @@
 	// Reaches counts the plans by region and by why that region was chosen.
 	Reaches  *prometheus.CounterVec
 	Failures *prometheus.CounterVec
-	Late     prometheus.Counter
-	// Breaks counts the looks at workers whose answers broke off, by the state found.
+	// Late counts the plans for late requests. A request that is held is counted each time that
+	// it is planned again.
+	Late prometheus.Counter
+	// Breaks counts the looks at workers whose answers broke off, by the state found. All
+	// requests that run at a worker share one look, so it counts neither answers nor crashes.
 	Breaks *prometheus.CounterVec
 	// Turns counts the turns asked for at workers with a limit, by their outcome.
 	Turns *prometheus.CounterVec
--- a/internal/dispatch/pass.go
+++ b/internal/dispatch/pass.go
@@ -88,8 +88,8 @@
 	return s.copyPieces(answer, load, s.give)
 }
 
-// passStream passes events on as they arrive. The head is sent together with the first event,
-// so that a stream that breaks off before it can be started anew elsewhere.
+// passStream passes events on as they arrive. The head is delayed until the first event, so
+// that a stream that breaks off before that event can be restarted at another worker.
 func (s *session) passStream(answer *workerconn.Answer, load *work) error {
 	give := func(piece []byte) error {
 		s.giveHead(answer, answer.Length)
--- a/internal/dispatch/pauses.go
+++ b/internal/dispatch/pauses.go
@@ -18,8 +18,8 @@
 	maxLateWaiters = 8
 )
 
-// maxWait is how long the call may wait for a worker: until it would be late, half as long
-// for each rank below the first, and no longer than its caller stays.
+// maxWait is how long the call may wait for a worker: until it would be late, half as long for
+// each priority after the most urgent one, and no longer than its caller stays.
 func (s *session) maxWait() time.Duration {
 	inTime := time.Duration(waitShare * float64(s.call.Route.Objective-time.Since(s.call.Arrived)))
 	return min(max(inTime, 0)>>min(max(s.call.Priority(), 0), worker.RankCount), s.maxStay())
--- a/internal/dispatch/session.go
+++ b/internal/dispatch/session.go
@@ -102,7 +102,8 @@
 	s.began(name, at)
 }
 
-// rank is the rank by which engines order the call's prompt.
+// rank is the rank under which the call's prompt counts in the load of an engine. Engines
+// prefill prompts of lower ranks first (worker.UnreadTokens).
 func (s *session) rank() int {
 	if s.late {
 		return worker.LateRank
--- a/internal/dispatch/suspicion.go
+++ b/internal/dispatch/suspicion.go
@@ -32,8 +32,11 @@
 func (noQuarantine) Survived(quarantine.Fingerprint, time.Time)                     {}
 func (noQuarantine) Lives(string, time.Time)                                        {}
 
-// checkQuarantine looks up how the call is to be treated before a worker gets it. It returns
-// false and the outcome if none may get it, because workers crashed whenever they ran it.
+// checkQuarantine looks up whether workers may get the call, before one of them does. While the
+// last crash that counts against the call is recent it waits (Status.Settling): reports from
+// other nodes may still be on their way, and only they tell which further requests ran on the
+// crashed worker. It returns false and the outcome if the call is quarantined, because workers
+// crashed whenever they ran it, or if it ended during the wait.
 func (s *session) checkQuarantine(ctx context.Context) (Outcome, bool) {
 	s.quarantineStatus = s.quarantine.Standing(s.call.Fingerprint, time.Now())
 	for !s.quarantineStatus.Quarantined && s.quarantineStatus.Settling > 0 {
