--- a/internal/latency/model.go
+++ b/internal/latency/model.go
@@ -20,7 +20,8 @@
 	// refitEvery is the number of new readings after which a model is fitted again. The first
 	// refitEvery readings are each followed by a fit.
 	refitEvery = 4
-	// priorWeight is the number of readings that the previous coefficients count for in a fit.
+	// priorWeight is the weight in a fit of the previous coefficients, which are the guess at
+	// first: they count like this number of readings.
 	priorWeight = 2
 	// overrunWeight is the weight of a reading that took longer than predicted, relative to one
 	// that took less: prefills for other nodes that are not known here make readings longer.
@@ -135,8 +136,9 @@
 	m.throughput = m.throughputOf(current)
 }
 
-// scale returns how much longer the readings take than terms predict, judged by the fastest
-// of them. It is 1 once there are enough readings to tell the coefficients apart.
+// scale returns how much longer the readings take than the coefficients predict, judged by the
+// fastest of them. It is 1 once there were more than priorWeight*refitEvery readings, which
+// count as enough to tell the coefficients apart.
 func (m *Model) scale(coefficients Coefficients) float64 {
 	if m.samples > priorWeight*refitEvery {
 		return 1
