--- a/internal/retry/outage.go
+++ b/internal/retry/outage.go
@@ -14,7 +14,7 @@
 }
 
 const (
-	// newestWeight is the weight of the newest outage in usual.
+	// newestWeight is the weight of the newest outage in usualDuration.
 	newestWeight = 0.5
 	// overdueShare is the expected rest of an outage that has lasted longer than usual, as a
 	// fraction of the time since it began.
