--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -17,7 +17,8 @@
 	OtherRegion
 )
 
-// String names the distance in logs and metrics.
+// String names the distance in logs and metrics: zone and region mean the same zone and the
+// same region, and far means another region.
 func (d Distance) String() string {
 	switch d {
 	case SameZone:
