--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -123,7 +123,7 @@
 }
 
 // usable reports whether a worker may get requests. One whose entry disappeared or that
-// announced its end may still get them for lastResortFor.
+// announced its draining may still get them for lastResortFor.
 func (r *Registry) usable(known *workerState, now time.Time) bool {
 	if known.worker.Draining || known.isDoubted(now) || known.isChanging(now) || r.admit(known.worker.ID, now) != nil || !known.recovery.admits(known.load.Requests) {
 		return false
@@ -131,8 +131,8 @@
 	return known.listed() || now.Sub(known.goneAt) < lastResortFor
 }
 
-// isDraining reports whether a worker is about to end, by its entry or its own announcement.
-// The entry lags behind while the store is unavailable.
+// isDraining reports whether a worker is draining, by its entry or its own announcement. The
+// entry lags behind while the store is unavailable.
 func (r *Registry) isDraining(known *workerState, now time.Time) bool {
 	return known.worker.Draining || r.noticeStates[known.worker.ID].Draining(now)
 }
--- a/internal/worker/demand.go
+++ b/internal/worker/demand.go
@@ -109,7 +109,7 @@
 	return demands
 }
 
-// remoteTotal returns the sum of the demand that other nodes told lately.
+// remoteTotal returns the sum of the demand that other nodes have sent lately.
 func (d *demand) remoteTotal(now time.Time) Demand {
 	var sum Demand
 	for node, remote := range d.remote {
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -12,8 +12,8 @@
 // worker has cached, rather than one prompt.
 const minListedParts = 8
 
-// Snapshot is what one node tells the others: its own load by worker, and what happened since
-// its last snapshot.
+// Snapshot is what one node sends to the others: its own load by worker, and what happened
+// since its last snapshot.
 type Snapshot struct {
 	Loads        map[string]Load
 	CacheUpdates []CacheUpdate
@@ -24,8 +24,8 @@
 	// RegionDemand holds it by region of the engines and service.
 	Demand       map[string]Demand
 	RegionDemand map[string]map[string]Demand
-	// DemandLife is how long the demand of another node counts. It is told less often in a
-	// large fleet.
+	// DemandLife is how long the demand of another node counts. In a large fleet demand is sent
+	// less often.
 	DemandLife time.Duration
 	// Limits holds the request rates that workers stated to this node lately.
 	Limits map[string]LimitStatement
@@ -36,7 +36,7 @@
 }
 
 // Concerns reports whether the snapshot contains a change of a worker's state, including one
-// that was told before and is repeated.
+// that was sent before and is repeated.
 func (s Snapshot) Concerns(id string) bool {
 	return slices.Contains(s.Touched, id) || slices.Contains(s.Failures, id) ||
 		slices.ContainsFunc(s.CacheUpdates, func(update CacheUpdate) bool { return update.Worker == id })
@@ -87,7 +87,7 @@
 	Left time.Duration
 }
 
-// Snapshot returns what is to be told to other nodes, and starts the next snapshot.
+// Snapshot returns what is to be sent to other nodes, and starts the next snapshot.
 func (r *Registry) Snapshot() Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,7 +138,9 @@
 	Service string
 	Stage   Stage
 	Terms   latency.Coefficients
-	// TokensPerMillisecond is the throughput of a queue of prompts.
+	// TokensPerMillisecond is the throughput of a queue of prompts. The names of these fields
+	// are part of the messages between nodes, so Terms, the coefficients of the prefill time,
+	// keeps its name.
 	TokensPerMillisecond float64
 }
 
--- a/internal/worker/list.go
+++ b/internal/worker/list.go
@@ -104,7 +104,8 @@
 	return ended
 }
 
-// endIncarnation forgets an incarnation at once. What other nodes still tell of it is ignored.
+// endIncarnation forgets an incarnation at once. What other nodes still send about it is
+// ignored.
 func (r *Registry) endIncarnation(id string) bool {
 	if _, exists := r.workers[id]; !exists {
 		return false
--- a/internal/worker/load.go
+++ b/internal/worker/load.go
@@ -3,8 +3,9 @@
 // RankCount is the number of request ranks by which load is counted.
 const RankCount = 4
 
-// LateRank is the rank of requests that can't meet their deadline: engines read all other
-// prompts first.
+// LateRank is the rank of requests that are expected to miss their route's objective for the
+// first byte but are still served, if they can be answered before their caller leaves. Engines
+// read all other prompts first.
 const LateRank = RankCount - 1
 
 // UnreadTokens counts the prompt tokens that are still to be read, by the rank of their
--- a/internal/worker/notice.go
+++ b/internal/worker/notice.go
@@ -9,7 +9,7 @@
 // Notice is what the header of an answer announces about whether the worker accepts further
 // requests.
 type Notice struct {
-	// Draining is set if the worker is about to end.
+	// Draining is set if the worker announces that it is draining, that is about to end.
 	Draining bool
 	// Backoff is for how long the worker wants no requests from the node that it answered, zero
 	// if it doesn't ask for that.
@@ -20,7 +20,7 @@
 
 // NoticeState is what holds for one incarnation of a worker by its notices.
 type NoticeState struct {
-	// DrainingSince is when this node first heard that the worker is about to end, zero if it
+	// DrainingSince is when this node first heard that the worker is draining, zero if it
 	// hasn't.
 	DrainingSince time.Time
 	// BackoffSince and BackoffUntil are the start and end of the pause for which the worker
@@ -28,7 +28,7 @@
 	BackoffSince, BackoffUntil time.Time
 }
 
-// Draining reports whether the worker is about to end.
+// Draining reports whether the worker is draining by its own notices.
 func (s NoticeState) Draining(now time.Time) bool {
 	return !s.DrainingSince.IsZero() && now.Sub(s.DrainingSince) < drainingTTL
 }
@@ -41,8 +41,8 @@
 	return max(s.BackoffUntil.Sub(now), 0)
 }
 
-// drainingTTL is how long an announcement to end counts. A worker that is listed for longer
-// hasn't ended after all, or announces it again.
+// drainingTTL is how long an announcement of draining counts. A worker that is listed for
+// longer hasn't ended after all, or announces it again.
 const drainingTTL = 10 * time.Minute
 
 // with returns the state after a further notice. Answers can overtake each other, so one
@@ -101,11 +101,12 @@
 	return change, true
 }
 
-// drainingBroadcastTime is how long a worker's announcement to end is included in snapshots:
-// long enough for two of the periodic messages that a small fleet sends each half a second.
+// drainingBroadcastTime is how long a worker's announcement of draining is included in
+// snapshots: long enough for two of the periodic messages that a small fleet sends each half a
+// second.
 const drainingBroadcastTime = 1200 * time.Millisecond
 
-// addDraining adds the workers that announced their end to this node lately to a snapshot.
+// addDraining adds the workers that announced their draining to this node lately to a snapshot.
 func (r *Registry) addDraining(snapshot *Snapshot, now time.Time) {
 	for id, until := range r.drainingUpdates {
 		if now.After(until) {
@@ -116,9 +117,9 @@
 	}
 }
 
-// MergeDraining records which workers announced their end to another node, and returns those
-// that this node didn't know to be draining. They need not be listed here: this node may not
-// have read the worker list yet.
+// MergeDraining records which workers announced their draining to another node, and returns
+// those that this node didn't know to be draining. They need not be listed here: this node may
+// not have read the worker list yet.
 func (r *Registry) MergeDraining(ids []string, now time.Time) (unknown []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,7 +134,7 @@
 	return unknown
 }
 
-// AnnouncedDraining returns the ids of the workers that have announced their end.
+// AnnouncedDraining returns the ids of the workers that have announced that they are draining.
 func (r *Registry) AnnouncedDraining() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,7 +158,9 @@
 	}
 }
 
-// These are the reasons why a worker gets no requests from this node.
+// These are the reasons why a worker gets no requests from this node. They reach callers in the
+// detail of an outcome: a worker that has announced its end is draining, and one that has asked
+// to be left alone is in the backoff that it asked for (Retry-After).
 var (
 	ErrDraining = eris.New("the worker has announced its end")
 	ErrBackoff  = eris.New("the worker has asked to be left alone for a time")
@@ -234,8 +237,8 @@
 	return r.noticeStates[id]
 }
 
-// CountNoticeStates returns how many workers have announced their end, and how many want no
-// requests from this node now.
+// CountNoticeStates returns how many workers have announced that they are draining, and how
+// many are backing off: they want no requests from this node now.
 func (r *Registry) CountNoticeStates(now time.Time) (draining, backingOff int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -32,7 +32,8 @@
 	cacheKnown bool
 	// slowdown is the factor by which the engine reads prompts more slowly than its group.
 	slowdown latency.Slowdown
-	// sortKey orders the workers differently at each node, hash alike at all nodes.
+	// sortKey orders the workers and is different at each node; hash is the hash of the
+	// worker's id and the same at all nodes.
 	sortKey, hash uint64
 	breaker       breaker.Breaker
 	// handleBreaker counts failed transfers of KV caches of prompts that were read apart
@@ -83,7 +84,7 @@
 	places topology.Map
 	// regional is set if the deployment spans several regions.
 	regional bool
-	// seed makes the ranks of workers differ between processes.
+	// seed makes the sort keys of workers differ between processes.
 	seed    maphash.Seed
 	workers map[string]*workerState
 	// newestByName holds the id of each worker's newest incarnation, by the worker's name.
@@ -104,9 +105,9 @@
 	limitChanged func(LimitChange)
 	// noticeStates holds what workers have announced in answers, by incarnation id.
 	noticeStates map[string]NoticeState
-	// drainingUpdates holds the workers whose draining is told to other nodes, and until when.
+	// drainingUpdates holds the workers whose draining is sent to other nodes, and until when.
 	drainingUpdates map[string]time.Time
-	// limitUpdates holds the workers whose limit is told to other nodes, and until when.
+	// limitUpdates holds the workers whose limit is sent to other nodes, and until when.
 	limitUpdates map[string]time.Time
 	// generation increases whenever a worker is added or forgotten.
 	generation uint64
@@ -124,16 +125,17 @@
 	failures []string
 	// touched holds the workers whose state changed since the last snapshot.
 	touched map[string]bool
-	// changed holds a token while there are changes to tell other nodes.
+	// changed holds a token while there are changes to send to other nodes.
 	changed chan struct{}
 	// listRead is set once a list of workers that isn't empty has been read.
 	listRead bool
 }
 
-// Changed returns a channel that receives a token when there are changes to tell other nodes.
+// Changed returns a channel that receives a token when there are changes to send to other
+// nodes.
 func (r *Registry) Changed() <-chan struct{} { return r.changed }
 
-// touch records that there is a change of a worker to tell other nodes.
+// touch records that there is a change of a worker to send to other nodes.
 func (r *Registry) touch(id string) {
 	r.touched[id] = true
 	select {
--- a/internal/worker/standing.go
+++ b/internal/worker/standing.go
@@ -21,7 +21,11 @@
 	return standing
 }
 
-// Idle reports whether no node has received requests for a service lately.
+// Idle reports whether there is no demand for a service at any node. The demand of this node
+// decays with the time constant demandWindow and isn't rounded, so it becomes zero only about
+// 745 time constants after the last request, when math.Exp underflows. Only model engines have
+// demand: prompt tokens, refused prompts and requests at decode engines. A service without
+// engines counts as idle also while it serves.
 func (r *Registry) Idle(service string, now time.Time) bool {
 	for _, wanted := range r.Demands(service, now) {
 		if !wanted.Zero() {
