--- a/internal/notices/notices.go
+++ b/internal/notices/notices.go
@@ -37,11 +37,15 @@
 
 // Monitor implements workerconn.Monitor. It is safe for concurrent use.
 type Monitor struct {
-	options           Options
-	changes           *prometheus.CounterVec
+	options Options
+	changes *prometheus.CounterVec
+	// malformed counts the notices that cannot be parsed, and sentDespiteNotice the requests
+	// that were sent to a worker that was draining or backing off.
 	malformed         prometheus.Counter
 	sentDespiteNotice *prometheus.CounterVec
-	withheld          prometheus.Counter
+	// withheld counts the requests that were assigned to a worker and not sent, because the
+	// worker is draining, backing off or no longer listed.
+	withheld prometheus.Counter
 
 	mu sync.Mutex
 	// logged is when the last line about a worker was logged.
@@ -81,7 +85,8 @@
 	return m
 }
 
-// Admit implements workerconn.Monitor.
+// Admit implements workerconn.Monitor. A request that is kept from a worker was assigned to it
+// before the worker's notice came or its entry disappeared.
 func (m *Monitor) Admit(key string, request *workerconn.Request) error {
 	now := time.Now()
 	admit := m.options.Registry.Admit
@@ -131,7 +136,8 @@
 	return now.Sub(moment).Milliseconds()
 }
 
-// Answered implements workerconn.Monitor.
+// Answered implements workerconn.Monitor. A notice that cannot be parsed is ignored: what the
+// worker has announced before stays in effect.
 func (m *Monitor) Answered(key string, request *workerconn.Request, status int, header http.Header) {
 	notice := m.options.Read(status, header)
 	now := time.Now()
