--- a/internal/workerconn/conn.go
+++ b/internal/workerconn/conn.go
@@ -155,6 +155,9 @@
 		if request.IDHeader == "" || echoed == "" || echoed == request.ID {
 			return response, written, nil
 		}
+		// The answer has the id of another request. It is dropped, and the next one is read
+		// unless the connection can't be used further: the answer broke off or closes the
+		// connection.
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil || response.Close {
 			return nil, nil, &SendError{Cause: eris.New("the answer of another request came and broke off")}
 		}
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -65,7 +65,7 @@
 // SetMonitor sets the monitor. It must be called before any request is sent.
 func (p *Pool) SetMonitor(monitor Monitor) { p.monitor = monitor }
 
-// Opened returns the number of connections that have been opened.
+// Opened returns the number of connections that were opened or attempted.
 func (p *Pool) Opened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
