--- a/internal/plainhttp/plainhttp.go
+++ b/internal/plainhttp/plainhttp.go
@@ -20,6 +20,7 @@
 // These are tinarch's own headers, and Last-Event-Id of server-sent events.
 const (
 	// HeaderAttempt carries the request's id to the worker, which may repeat it in its answer.
+	// All tries of a request carry the same id.
 	HeaderAttempt = "Tinarch-Attempt"
 	// HeaderDeadline is how long the caller waits, in milliseconds. The worker gets the time
 	// that is left.
