--- a/internal/ingress/admit.go
+++ b/internal/ingress/admit.go
@@ -9,17 +9,19 @@
 	"github.com/tinarch/tinarch/internal/tenant"
 )
 
-// staleAfter is the age of the last confirmation of the configuration from which a missing
-// route or key may belong to a newer version. It is a quarter more than the maximum age while
-// the node reaches the store or another node: tablerelay.Freshness plus the time of one call.
+// staleAfter is the age from which the configuration may be stale, so that a missing route or
+// key may belong to a newer version. The age is the time since the configuration was last
+// confirmed to be current. As long as the node reaches the store or another node it is at most
+// tablerelay.Freshness plus the time of one call; staleAfter is a quarter more.
 const staleAfter = 2 * time.Second
 
-// outdatedAfter is how long a node serves with a configuration that it knows to be superseded.
-// A node that reaches another one gets the newer configuration in less time.
+// outdatedAfter is how long a node serves with a configuration that is outdated: the node knows
+// that there is a newer one. A node that reaches another one gets the newer configuration in
+// less time.
 const outdatedAfter = time.Second
 
 // staleRetryAfter is the Retry-After of requests that are refused because the configuration may
-// be old. The next try is likely to go to another node.
+// be stale or is outdated. The next try is likely to go to another node.
 const staleRetryAfter = 300 * time.Millisecond
 
 // admission is the route and tenant of a request by one version of the configuration.
@@ -77,7 +79,8 @@
 func (h *Handler) Outdated() bool { return h.configurationBehind() > outdatedAfter }
 
 // refuseUnknown returns the error for a route or key that the configuration doesn't have. If a
-// newer version may have it, the error asks the caller to retry.
+// newer version may have it, the error asks the caller to retry. The version in the texts is
+// that of the configuration, and "it was confirmed" is about the configuration too.
 func (h *Handler) refuseUnknown(failure *result.Error) *result.Error {
 	age, behind := h.configurationAge(), h.configurationBehind()
 	switch {
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -283,6 +283,10 @@
 	_ = answer.Write(body)
 }
 
+// logOutcome logs the end of a call: answered if a worker's answer was passed on completely,
+// and not answered in all other cases, also if the caller got an error answer (writeError). The
+// field status is that of the worker's answer, zero if none was passed on; code tells what the
+// caller got.
 func (h *Handler) logOutcome(call *dispatch.Call, outcome dispatch.Outcome) {
 	took := time.Since(call.Arrived)
 	route := ""
--- a/internal/ingress/quota.go
+++ b/internal/ingress/quota.go
@@ -42,6 +42,11 @@
 		claim.Tenant, limit.Rate, limit.Unit, limit.Burst).WithRetryAfter(verdict.RetryAfter)
 }
 
+// logOverQuota logs a request that was refused. The field keeper is the address of the node
+// that decided; private means that no keeper answered, so that this node decided by its own
+// allowance; left is the level of the bucket, or of the allowance, before the request; and
+// reserved is the fraction of the limit that the keeper holds back for silent nodes
+// (quota.Outcome).
 func (h *Handler) logOverQuota(call *dispatch.Call, claim quota.ChargeRequest, verdict quota.Outcome) {
 	h.log.WithFields(logrus.Fields{
 		"id": call.ID, "tenant": claim.Tenant, "cost": claim.Cost, "unit": claim.Limit.Unit,
