--- a/internal/usage/records.go
+++ b/internal/usage/records.go
@@ -91,7 +91,7 @@
 }
 
 // record records the counts of a window in the store, on the condition that no node has
-// recorded it and that this node still has the authority.
+// recorded it and that this node still holds the lease (the authority).
 func (r *Reporter) record(ctx context.Context, window Window, counts Counts) error {
 	content, err := json.Marshal(counts)
 	if err != nil {
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -20,7 +20,7 @@
 	// stepInterval is the interval at which the reporter looks for windows to report.
 	stepInterval = 200 * time.Millisecond
 	// settleTime is the time after the end of a window in which nodes send their last counts.
-	// They do so every half second (nodeexchange.restEvery).
+	// They do so every half second (nodeexchange.periodicInterval).
 	settleTime = 600 * time.Millisecond
 	// maxNodeWait is how long after the end of a window the reporter waits for nodes that are
 	// alive and haven't sent all of it.
@@ -49,8 +49,8 @@
 
 // API is the platform's API for usage reports.
 type API interface {
-	// ReportUsage reports the counts of a window. If the verdict is duty.Unknown, the error
-	// tells why.
+	// ReportUsage reports the counts of a window with the token of the lease. If the verdict is
+	// duty.Unknown, the error tells why.
 	ReportUsage(ctx context.Context, token duty.LeaseToken, window Window, counts Counts) (duty.Verdict, error)
 }
 
@@ -75,7 +75,9 @@
 type Options struct {
 	// Node is this node's name for the platform, and Incarnation its id for other nodes.
 	Node, Incarnation string
-	// Late is how long after the end of a window the platform accepts its report.
+	// Late is how long after the end of a window the platform is expected to accept its report
+	// (the setting late_s). The reporter sends a window for up to twice that time, and the
+	// platform decides.
 	Late      time.Duration
 	Tally     *Tally
 	Collector *Collector
@@ -84,7 +86,8 @@
 	API       API
 	Fleet     Fleet
 	// Designated reports whether this node is the supervisor that should report. Two nodes may
-	// both believe so; then the authority (the lease) and the store decide.
+	// both believe so; then the lease and the store decide. The holder of the lease has the
+	// authority to report.
 	Designated func() bool
 	Log        *logrus.Logger
 	Metrics    *Metrics
@@ -176,6 +179,7 @@
 		r.gathered = true
 	}
 	if status := r.options.Authority.Acquire(ctx); status != authority.Held {
+		// This node may not report: it doesn't hold the lease.
 		return eris.Errorf("no authority: %s", status)
 	}
 	recorded, err := r.recorded(ctx)
@@ -229,8 +233,10 @@
 	return nil
 }
 
-// send reports one window. It checks the authority just before. If the platform doesn't compare
-// fencing tokens, the call ends at the latest when the authority does.
+// send reports one window. It checks just before that this node holds the lease: the authority
+// has lapsed if the lease has expired or was given up. If the platform doesn't compare fencing
+// tokens, the call ends at the latest when the lease expires. The log line is written after
+// each call; its verdict tells whether the platform has accepted the report.
 func (r *Reporter) send(ctx context.Context, window Window, counts Counts) error {
 	operation, held := r.options.Authority.Begin(ctx, callTimeout)
 	if !held {
