--- a/internal/scheduling/survey.go
+++ b/internal/scheduling/survey.go
@@ -117,7 +117,7 @@
 }
 
 // nearest returns the candidates whose load this node tracks and count others: those in its
-// zone first, then by their rank at this node.
+// zone first, then by their sort key.
 func nearest(candidates []Candidate, count int) []Candidate {
 	var near, unasked []Candidate
 	for _, candidate := range candidates {
@@ -186,7 +186,7 @@
 // outline returns the part of a candidate that a shortlist is made from.
 func (c Candidate) outline() Outline {
 	return Outline{
-		ID: c.ID, Prefill: c.Prefill, SameZone: c.SameZone, Rank: c.Rank, Hash: c.Hash,
+		ID: c.ID, Prefill: c.Prefill, SameZone: c.SameZone, SortKey: c.SortKey, Hash: c.Hash,
 		Sound: c.sound(), Tracked: c.Report != Unasked,
 	}
 }
--- a/internal/worker/candidates.go
+++ b/internal/worker/candidates.go
@@ -62,7 +62,7 @@
 	return scheduling.Outline{
 		ID: known.worker.ID, Prefill: known.worker.Stage == Prefill,
 		SameZone: r.places.DistanceTo(known.worker.Zone) == topology.SameZone,
-		Rank:     known.rank, Hash: known.hash, Tracked: tracked,
+		SortKey:  known.sortKey, Hash: known.hash, Tracked: tracked,
 		Sound: r.isStaying(known, now) && !known.breaker.Open(now) && !known.handleBreaker.Open(now) && known.turnWait(now) == 0,
 	}
 }
@@ -123,7 +123,7 @@
 }
 
 // usable reports whether a worker may get requests. One whose entry disappeared or that
-// announced its end may still get them for lastResortFor.
+// announced its draining may still get them for lastResortFor.
 func (r *Registry) usable(known *workerState, now time.Time) bool {
 	if known.worker.Draining || known.isDoubted(now) || known.isChanging(now) || r.admit(known.worker.ID, now) != nil || !known.recovery.admits(known.load.Requests) {
 		return false
@@ -131,8 +131,8 @@
 	return known.listed() || now.Sub(known.goneAt) < lastResortFor
 }
 
-// isDraining reports whether a worker is about to end, by its entry or its own announcement.
-// The entry lags behind while the store is unavailable.
+// isDraining reports whether a worker is draining, by its entry or its own announcement. The
+// entry lags behind while the store is unavailable.
 func (r *Registry) isDraining(known *workerState, now time.Time) bool {
 	return known.worker.Draining || r.noticeStates[known.worker.ID].Draining(now)
 }
@@ -147,35 +147,35 @@
 
 func (r *Registry) candidate(known *workerState, parts []prefixcache.Part, rank int, now time.Time) scheduling.Candidate {
 	load := known.totalLoad(now, "")
-	terms, throughput := r.prefillModel(known)
+	coefficients, throughput := r.prefillModel(known)
 	distance := r.places.DistanceTo(known.worker.Zone)
 	return scheduling.Candidate{
-		ID:            known.worker.ID,
-		Address:       known.worker.Address,
-		Region:        r.places.Region(known.worker.Zone),
-		SameZone:      distance == topology.SameZone,
-		OtherRegion:   distance == topology.OtherRegion,
-		Slots:         known.worker.Slots,
-		Prefill:       known.worker.Stage == Prefill,
-		Decode:        known.worker.Stage == Decode,
-		Requests:      load.Requests,
-		ReadTokens:    load.Unread.InTime(),
-		LateTokens:    load.Unread.Late(),
-		ReadAhead:     load.Unread.Ahead(rank),
-		MemoryTokens:  load.MemoryTokens,
-		Capacity:      r.cacheCapacity[known.worker.Service],
-		CachedTokens:  known.cache.Match(parts),
-		Reading:       terms,
-		Throughput:    throughput,
-		Rank:          known.rank,
-		Hash:          known.hash,
-		Avoid:         known.breaker.Open(now),
-		FailureRate:   known.breaker.FailureRate(now),
-		HandleFailure: known.handleBreaker.Open(now),
-		Leaving:       !r.isStaying(known, now),
-		Limited:       known.limit.Named,
-		PerSecond:     known.limit.Rate,
-		TurnWait:      float64(known.turnWait(now)) / float64(time.Millisecond),
+		ID:                  known.worker.ID,
+		Address:             known.worker.Address,
+		Region:              r.places.Region(known.worker.Zone),
+		SameZone:            distance == topology.SameZone,
+		OtherRegion:         distance == topology.OtherRegion,
+		Slots:               known.worker.Slots,
+		Prefill:             known.worker.Stage == Prefill,
+		Decode:              known.worker.Stage == Decode,
+		Requests:            load.Requests,
+		ReadTokens:          load.Unread.InTime(),
+		LateTokens:          load.Unread.Late(),
+		ReadAhead:           load.Unread.Ahead(rank),
+		MemoryTokens:        load.MemoryTokens,
+		Capacity:            r.cacheCapacity[known.worker.Service],
+		CachedTokens:        known.cache.Match(parts),
+		PrefillCoefficients: coefficients,
+		Throughput:          throughput,
+		SortKey:             known.sortKey,
+		Hash:                known.hash,
+		Avoid:               known.breaker.Open(now),
+		FailureRate:         known.breaker.FailureRate(now),
+		HandleFailure:       known.handleBreaker.Open(now),
+		Leaving:             !r.isStaying(known, now),
+		Limited:             known.limit.Named,
+		PerSecond:           known.limit.Rate,
+		TurnWait:            float64(known.turnWait(now)) / float64(time.Millisecond),
 	}
 }
 
