--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -256,19 +256,19 @@
 	if lowest == nil {
 		return nil
 	}
-	var youngest *Item
-	var youngestFlow *flow
+	var latest *Item
+	var latestFlow *flow
 	for _, f := range lowest.flows {
 		if len(f.items) == 0 {
 			continue
 		}
 		last := f.items[len(f.items)-1]
-		if youngest == nil || last.startTag > youngest.startTag || (last.startTag == youngest.startTag && f.tenant < youngestFlow.tenant) {
-			youngest, youngestFlow = last, f
+		if latest == nil || last.startTag > latest.startTag || (last.startTag == latest.startTag && f.tenant < latestFlow.tenant) {
+			latest, latestFlow = last, f
 		}
 	}
-	q.removeAt(lowest, youngestFlow, len(youngestFlow.items)-1)
-	return youngest
+	q.removeAt(lowest, latestFlow, len(latestFlow.items)-1)
+	return latest
 }
 
 // EstimateWait estimates how long a new request of item's class would wait if the engines
