--- a/internal/placement/prefixindex.go
+++ b/internal/placement/prefixindex.go
@@ -34,9 +34,9 @@
 	next        uint64
 }
 
-// maxHintAge is the age, since a block's last event or placement, up to which eviction spares
+// secondChanceAge is the age, since a block's last event or placement, up to which eviction spares
 // the block.
-const maxHintAge = 20 * time.Minute
+const secondChanceAge = 20 * time.Minute
 
 // NewPrefixIndex returns an index of at most capacity blocks.
 func NewPrefixIndex(capacity int) *PrefixIndex {
@@ -146,7 +146,7 @@
 		known, exists := x.blocks[block]
 		switch {
 		case !exists:
-		case known.added < known.touched && now-known.touched <= maxHintAge:
+		case known.added < known.touched && now-known.touched <= secondChanceAge:
 			known.added = known.touched
 			x.blocks[block] = known
 			x.order = append(x.order, block)
