--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -70,8 +70,10 @@
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.length }
 
-// Push adds a request. If the queue is full, it removes the newest request of the lowest class
-// below the new request's and returns it as shed; if there is none, it returns QueueFull.
+// Push adds a request. It returns QueueFull if the request's class already has MaxQueued
+// waiting requests. If the queue as a whole is full, Push makes room: of the lowest class below
+// the new request's, it removes the waiting request that would be dispatched last, and returns
+// it as shed. If no waiting request is of a lower class, it returns QueueFull.
 func (q *Queue) Push(item *Item) (shed *Item, err error) {
 	class := q.class(item)
 	if class.length >= class.maxQueued {
@@ -241,8 +243,11 @@
 	return f.tenant < other.tenant
 }
 
-// shedBelow removes and returns the newest request of the lowest class whose rank is below the
-// given one, nil if there is none.
+// shedBelow removes and returns a request of the lowest class whose rank is below the given
+// one, nil if there is none. It takes the request with the highest start tag, which would be
+// dispatched last of its class; among tenants with equal tags, the first by name. That need not
+// be the last request to arrive: a tenant with many waiting requests usually has higher start
+// tags than one with few.
 func (q *Queue) shedBelow(rank int32) *Item {
 	var lowest *classQueue
 	for _, class := range q.classes {
@@ -271,9 +276,10 @@
 	return latest
 }
 
-// EstimateWait estimates how long a new request of item's class would wait if the engines
-// together do rate seconds of work per second. The class gets the share of that rate which its
-// weight has among the classes with waiting requests.
+// EstimateWait estimates how long a new request of item's class would wait. rate is the work
+// that all engines together do per second, in units of Item.Cost (seconds of one engine), that
+// is, the number of engines. The class gets the share of that rate which its weight has among
+// the classes with waiting requests.
 func (q *Queue) EstimateWait(item *Item, rate float64) time.Duration {
 	if rate <= 0 {
 		return time.Duration(1<<63 - 1)
