--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -11,7 +11,8 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// MaxEngines is the largest number of engines in one cell: sets of engines are 64-bit masks.
+// MaxEngines is the largest number of engines in one cell, the part of a pool that one
+// scheduler (package cell) serves. Sets of engines are 64-bit masks.
 const MaxEngines = 64
 
 // Availability says whether an engine may be given requests.
@@ -19,8 +20,11 @@
 
 // The availabilities.
 const (
-	// Unknown: no leader has claimed the engine and seen a status report since. (Claiming
-	// raises the engine's fencing token, see engine.OrderClaim.)
+	// Unknown: it is not certain that the engine follows this cell's leader. At the leader, the
+	// engine's current incarnation has not been claimed with this leader's fencing token, or no
+	// status report has confirmed that yet. Another node tests less: there, the engine's last
+	// report shows no fencing token at all. (Claiming raises the engine's fencing token, see
+	// engine.OrderClaim.)
 	Unknown Availability = iota
 	// Empty: the engine serves no model yet.
 	Empty
@@ -135,8 +139,8 @@
 type Filter interface {
 	// Keep reports whether the engine may take the request.
 	Keep(request *Request, candidate *Candidate, matches *Matches) bool
-	// Refusal is the result code when no engine passes all filters and this filter rejected the
-	// engine that had passed the most.
+	// Refusal is the result code when no engine passes all filters and, of the rejected
+	// engines, the one that passed the most filters was rejected by this filter.
 	Refusal() result.Code
 }
 
--- a/internal/placement/prefixindex.go
+++ b/internal/placement/prefixindex.go
@@ -34,8 +34,10 @@
 	next        uint64
 }
 
-// secondChanceAge is the age, since a block's last event or placement, up to which eviction spares
-// the block.
+// secondChanceAge is how recently a block must have been recorded again, by a stored event or a
+// placement, for eviction to spare it. A block that was not recorded again since it got its
+// position in the eviction order is not spared, however recent it is. Age alone removes
+// nothing: old blocks stay until eviction reaches them.
 const secondChanceAge = 20 * time.Minute
 
 // NewPrefixIndex returns an index of at most capacity blocks.
--- a/internal/placement/scorers.go
+++ b/internal/placement/scorers.go
@@ -17,14 +17,18 @@
 	return float64(tokens) / candidate.Rates.PrefillTokensPerSecond
 }
 
-// DecodeSlowdown predicts the time to generate the output. Each token takes one iteration of
-// the engine's batch, and iterations take longer when they also prefill prompts of other
-// requests and when more sequences are decoded in them.
+// DecodeSlowdown predicts the whole time to generate the output, not only the part by which it
+// is slowed down. Each token takes one iteration of the engine's batch, and iterations take
+// longer when they also prefill prompts of other requests and when more sequences are decoded
+// in them.
 type DecodeSlowdown struct{}
 
 // slowdownPerSequence is the share by which one more decoding sequence lengthens an iteration.
-// A sequence with 2,000 cached tokens of 17 ns each adds 0.5 % to an iteration of 7.5 ms;
-// doubled to allow for sampling and output handling.
+// It comes from a roofline estimate for a dense model of 70 billion parameters in 8 bits on
+// four accelerators (see Model in internal/lab/engine): an iteration takes 7.5 ms to read the
+// weights, and 17 ns more for each cached token, whose KV cache it reads too. A sequence with
+// 2,000 cached tokens thus adds 0.5 % to an iteration; doubled to allow for sampling and output
+// handling.
 const slowdownPerSequence = 0.01
 
 // Cost implements Scorer.
