--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -189,12 +189,13 @@
 }
 
 // AttemptRetention is how long an engine remembers that it has accepted an attempt, even after
-// the attempt's stream is gone. An attempt that it was told to refuse it remembers until it
-// restarts.
+// the attempt's stream is gone. It remembers until it restarts which attempts it was told to
+// refuse.
 const AttemptRetention = time.Hour
 
-// CancelReply answers the cancellation of an attempt. The engine has recorded the attempt and
-// refuses it from now on; RefuseUnseen makes an exception for attempts that were accepted.
+// CancelReply answers Client.Cancel and Client.RefuseUnseen. After Cancel, the engine refuses
+// the attempt from now on. After RefuseUnseen it does so only if Seen is false; an attempt that
+// it had accepted is left as it is.
 type CancelReply struct {
 	Incarnation Identifier `json:"incarnation"`
 	// Seen says whether the engine had accepted the attempt before.
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -77,7 +77,8 @@
 	usage    Usage
 }
 
-// NewStreamReader returns a reader that expects the event with the number first.
+// NewStreamReader returns a reader of an attempt's events. The next event that it expects has
+// the number given by first.
 func NewStreamReader(attempt Identifier, first int) *StreamReader {
 	return &StreamReader{attempt: string(attempt), next: first}
 }
