--- a/internal/catalog/file.go
+++ b/internal/catalog/file.go
@@ -45,9 +45,10 @@
 	upperLetter     = regexp.MustCompile(`[A-Z]`)
 )
 
-// describeDecodeError returns a message that names the field and its line in the file. The
-// decoder's own line numbers are useless to the reader, as they refer to the JSON to which the
-// file was converted.
+// describeDecodeError returns a message that names the field and its line in the file; if the
+// value has the wrong type, also the expected type and the value that was found. The decoder's
+// own line numbers are useless to the reader, as they refer to the JSON to which the file was
+// converted.
 func describeDecodeError(err error, content []byte) string {
 	message := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	message = jsonPosition.ReplaceAllString(strings.TrimPrefix(message, "proto: "), "")
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -31,7 +31,8 @@
 	adapters map[string]*tinarchv1.Adapter
 	pools    map[string]*tinarchv1.Pool
 	tenants  map[string]*tinarchv1.Tenant
-	keys     *tenant.Keyring[*tinarchv1.Tenant]
+	// keys finds the tenant that an API key belongs to.
+	keys *tenant.Keyring[*tinarchv1.Tenant]
 }
 
 // Kind is a request kind with its references resolved and defaults filled in. FirstToken is the
@@ -116,7 +117,8 @@
 		resolved.MaxPromptTokens = int(model.GetContextTokens()) - resolved.MaxOutputTokens
 	}
 	if resolved.KeyWindow == 0 {
-		// A key must be remembered for longer than any request with that key can take.
+		// An idempotency key must be remembered for longer than any request with that key can
+		// take.
 		resolved.KeyWindow = max(defaultKeyWindow, 2*resolved.Deadline)
 	}
 	return resolved
@@ -232,7 +234,8 @@
 	return orDefault(int(pool.GetMaxRunningPerEngine()), defaultRunningPerEngine)
 }
 
-// Cells returns the number of cells into which a pool is divided.
+// Cells returns the number of cells into which a pool is divided. Each cell has a part of the
+// pool's engines and a scheduler of its own, see package cell.
 func Cells(pool *tinarchv1.Pool) int { return orDefault(int(pool.GetCells()), 1) }
 
 func orDefault(value, fallback int) int {
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -79,7 +79,8 @@
 	v.violations = append(v.violations, &tinarchv1.Violation{Object: object, Field: field, Message: fmt.Sprintf(format, arguments...)})
 }
 
-// checkName checks the form of an object's name, and adds a violation if it is a duplicate.
+// checkName checks the form of an object's name, and adds a violation if it is a duplicate: if
+// an earlier object of the same type in the catalog has the name.
 func (v *validator) checkName(object, name string, duplicate bool) {
 	if !namePattern.MatchString(name) {
 		v.addViolation(object, "name", "%q is not a name; use 1 to 63 of a-z, 0-9, '.', '_' and '-', starting with a letter or digit", name)
@@ -158,6 +159,9 @@
 	}
 }
 
+// checkVersions checks the versions of models. Weights is the name of an object in the weight
+// store, from which engines load weights. No node accesses that store, so the name is only
+// required to be set; the same holds for adapters.
 func (v *validator) checkVersions() {
 	for _, version := range v.catalog.GetVersions() {
 		object := "version " + versionKey(version)
@@ -200,6 +204,7 @@
 		if kind.GetKeyWindowSeconds() > maxKeyWindow {
 			v.addViolation(object, "key_window_seconds", "%d is out of range; use 0 to %d", kind.GetKeyWindowSeconds(), maxKeyWindow)
 		}
+		// The key is the idempotency key of a request of this kind, not a tenant's API key.
 		if window := uint64(kind.GetKeyWindowSeconds()) * 1000; window > 0 && window < 2*uint64(kind.GetDeadlineMs()) {
 			v.addViolation(object, "key_window_seconds", "a key must be remembered for at least twice the deadline, %d seconds", 2*uint64(kind.GetDeadlineMs())/1000)
 		}
