--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -201,6 +201,8 @@
 			return err
 		}
 		if s.manager.Revision() == before {
+			// The table service has the head (the newest accepted revision), but its log of
+			// changes lacks the change that follows this node's revision.
 			return result.New(result.TableUnavailable, "the table has head %d but no revision %d", revision, before+1)
 		}
 	}
@@ -228,13 +230,18 @@
 		}
 	}
 	if answered*2 <= len(peers) {
+		// The table is the table service, and a peer told its revision if the pull from it
+		// succeeded.
 		return result.New(result.NotConfigured, "the table is down (%v) and only %d of %d peers told their revision", tableErr, answered, len(peers))
 	}
 	return nil
 }
 
-// Apply validates, stores and installs a change. When it returns without an error, the change
-// is in force at this node and is being sent to the others.
+// Apply validates and stores a change, puts it in force at this node and sends it to the
+// others. It returns the revision that the change got. A repetition of an accepted operation
+// only returns its revision, which need not be in force at this node yet. If the change can't
+// be installed directly, Apply loads the newest revision from the store and sends nothing; the
+// other nodes learn of the revision from membership probes, and pull it.
 func (s *Service) Apply(ctx context.Context, request *tinarchv1.ApplyRequest) (uint64, error) {
 	if request.GetOperationId() == "" {
 		return 0, result.New(result.InvalidRequest, "operation_id is empty; choose a random one for each change")
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -117,8 +117,8 @@
 	return decodeCatalog(content)
 }
 
-// SaveSnapshot writes a snapshot. A name is derived from the revision, so it never gets other
-// content.
+// SaveSnapshot writes a snapshot. The object's name contains the revision, so an object is
+// never overwritten with different content.
 func (s *Store) SaveSnapshot(ctx context.Context, revision uint64, catalog *tinarchv1.Catalog) error {
 	content, err := proto.Marshal(catalog)
 	if err != nil {
