--- a/internal/fleet/assign.go
+++ b/internal/fleet/assign.go
@@ -1,5 +1,6 @@
-// Package fleet decides which model version each engine of a cell should serve. It has no state
-// and does no I/O.
+// Package fleet decides which model version each engine of a cell should serve. A cell is the
+// part of a pool that one scheduler (package cell) serves. Package fleet has no state and does
+// no I/O.
 package fleet
 
 import (
