--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -61,7 +61,8 @@
 	Groups() []membership.Group
 }
 
-// Router sends calls to the leader of a group.
+// Router sends calls to the leader of a replica group. A cell is called by its name, which is
+// also the ID of its group.
 type Router interface {
 	Call(ctx context.Context, groupID string, method peer.Method, tryTimeout time.Duration, request, response any) error
 }
@@ -74,7 +75,9 @@
 	Members Members
 	Router  Router
 	Client  *peer.Client
-	// PoolsByCell returns the pool of each cell that exists, by the name of the cell.
+	// PoolsByCell returns the pool of each cell that exists, by the name of the cell. A cell is
+	// the part of a pool that one scheduler (package cell) serves; the nodes that can run the
+	// scheduler are a replica group, and the group's leader runs it.
 	PoolsByCell func() map[string]string
 }
 
