--- a/internal/openai/answer.go
+++ b/internal/openai/answer.go
@@ -63,7 +63,8 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Object types of answers and their chunks.
+// Object types of answers and their chunks, and the finish reason of the answers that are built
+// here. In the API it means that the limit of output tokens was reached.
 const (
 	objectText      = "text_completion"
 	objectChat      = "chat.completion"
