--- a/internal/lab/fleetstore/store.go
+++ b/internal/lab/fleetstore/store.go
@@ -124,8 +124,8 @@
 	return s.feeds[table]
 }
 
-// Forget drops the history, as after a compaction.
-func (s *Store) Forget() {
+// Compact drops the history, as after a compaction.
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
@@ -133,8 +133,8 @@
 	s.wake()
 }
 
-// SetAway has the store break off all calls, those under way too, or answer again.
-func (s *Store) SetAway(away bool) {
+// SetUnreachable has the store break off all calls, those under way too, or answer again.
+func (s *Store) SetUnreachable(away bool) {
 	s.mu.Lock()
 	s.away = away
 	s.mu.Unlock()
@@ -174,9 +174,9 @@
 	return slices.Collect(maps.Values(byName))
 }
 
-// WriteAgain writes a row that was lost, unless it was written since the store came back with a
+// RewriteLost writes a row that was lost, unless it was written since the store came back with a
 // version.
-func (s *Store) WriteAgain(lost Row, restored uint64) {
+func (s *Store) RewriteLost(lost Row, restored uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, row := range s.written {
--- a/internal/lab/site/store_test.go
+++ b/internal/lab/site/store_test.go
@@ -43,13 +43,13 @@
 	s := start(t)
 	for _, faults := range []fleetstore.Faults{{Down: true}, {Throttled: true}, {StaleReads: 1}} {
 		s.store.SetFaults(faults)
-		s.store.Forget()
+		s.store.Compact()
 		if got := s.ask(http.MethodGet, "/board/1", nil, ""); got.status != http.StatusOK {
 			t.Errorf("%+v: %d %s", faults, got.status, got.body)
 		}
 	}
 	s.store.Put("servers", "portal-1", nil)
-	s.store.Forget()
+	s.store.Compact()
 	s.store.SetFaults(fleetstore.Faults{})
 	s.await("the removed worker is known", func() bool { return s.node.Workers() == len(s.workers)-1 })
 }
--- a/internal/lab/soak/harm.go
+++ b/internal/lab/soak/harm.go
@@ -184,7 +184,7 @@
 	faults := []fleetstore.Faults{{Down: true}, {Throttled: true}, {LoseWrites: true}, {StaleReads: 1}}[s.random.IntN(4)]
 	s.store.SetFaults(faults)
 	sleep(ctx, length)
-	s.store.Forget()
+	s.store.Compact()
 	s.store.SetFaults(fleetstore.Faults{})
 	return fmt.Sprintf("the store was %+v for %v and forgot its history", faults, length.Round(time.Millisecond))
 }
--- a/internal/lab/soak/restore.go
+++ b/internal/lab/soak/restore.go
@@ -38,10 +38,10 @@
 	away := time.Duration(random.Int64N(int64(longestAway)))
 	// What was accepted just before may have reached nobody.
 	unsure := earlier(at, time.Now().Add(-applyBound))
-	s.store.SetAway(true)
+	s.store.SetUnreachable(true)
 	time.Sleep(away)
 	lost := s.store.Restore(copied)
-	s.store.SetAway(false)
+	s.store.SetUnreachable(false)
 	s.storm.restored(unsure, time.Now())
 	random.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
 	for _, row := range lost {
@@ -60,7 +60,7 @@
 func (s *site) writeAgain(row fleetstore.Row, restored uint64) {
 	s.configuring.Lock()
 	defer s.configuring.Unlock()
-	s.store.WriteAgain(row, restored)
+	s.store.RewriteLost(row, restored)
 }
 
 // restored has the versions that were accepted since a time count as accepted now.
--- a/internal/lab/soak/storm.go
+++ b/internal/lab/soak/storm.go
@@ -191,7 +191,7 @@
 		}
 		sleep(ctx, length)
 		if random.IntN(2) == 0 {
-			s.store.Forget()
+			s.store.Compact()
 		}
 		for _, number := range denied {
 			s.toStore[number].SetMode(Pass)
