--- a/internal/lab/fleetworker/notices.go
+++ b/internal/lab/fleetworker/notices.go
@@ -39,9 +39,9 @@
 	w.leaving = leaving
 }
 
-// SetPause has the worker reject all requests and ask to be left alone for so many seconds, and
+// SetBackoff has the worker reject all requests and ask to be left alone for so many seconds, and
 // take them where that is empty.
-func (w *Worker) SetPause(seconds string) {
+func (w *Worker) SetBackoff(seconds string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pause = seconds
@@ -75,8 +75,8 @@
 	return slices.Clone(w.arrivals)
 }
 
-// Busiest returns the most of some times, in rising order, that lie in one window.
-func Busiest(times []time.Time, window time.Duration) int {
+// MaxInWindow returns the most of some times, in rising order, that lie in one window.
+func MaxInWindow(times []time.Time, window time.Duration) int {
 	busiest, first := 0, 0
 	for last, at := range times {
 		for at.Sub(times[first]) >= window {
--- a/internal/lab/fleetworker/worker.go
+++ b/internal/lab/fleetworker/worker.go
@@ -25,7 +25,7 @@
 
 // The faults.
 const (
-	Sound Fault = ""
+	NoFault Fault = ""
 	// Full rejects requests without running them.
 	Full Fault = "full"
 	// Failing answers 500 after it ran.
@@ -36,8 +36,8 @@
 	CutMidway Fault = "cut midway"
 	// Hanging runs and says nothing.
 	Hanging Fault = "hanging"
-	// Lapsing forgets prompts that it read apart at once.
-	Lapsing Fault = "lapsing"
+	// LosesHandles forgets prompts that it read apart at once.
+	LosesHandles Fault = "lapsing"
 )
 
 // Options describe a worker.
@@ -167,15 +167,15 @@
 	return append([]Run(nil), w.runs...)
 }
 
-// Left counts requests whose caller had gone before their end.
-func (w *Worker) Left() int {
+// CallersGone counts requests whose caller had gone before their end.
+func (w *Worker) CallersGone() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.left
 }
 
-// Freed counts the handles that were freed without being taken.
-func (w *Worker) Freed() int {
+// FreedHandles counts the handles that were freed without being taken.
+func (w *Worker) FreedHandles() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.freed
@@ -217,7 +217,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.faulty == 0 {
-		return Sound
+		return NoFault
 	}
 	w.faulty--
 	return w.fault
@@ -291,8 +291,8 @@
 	_ = json.NewEncoder(writer).Encode(map[string]any{"epoch": 1, "NextPageToken": 1, "held": held})
 }
 
-// Lists counts how often the worker was asked what it keeps.
-func (w *Worker) Lists() int {
+// ListCalls counts how often the worker was asked what it keeps.
+func (w *Worker) ListCalls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lists
@@ -311,7 +311,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.mu.Lock()
-	if fault != Lapsing {
+	if fault != LosesHandles {
 		w.handles["h"+id] = true
 	}
 	w.mu.Unlock()
--- a/internal/lab/site/crash_test.go
+++ b/internal/lab/site/crash_test.go
@@ -445,7 +445,7 @@
 			s.ask(http.MethodPost, path, nil, "x")
 		}
 	}
-	s.setFaults("", fleetworker.Sound, 0)
+	s.setFaults("", fleetworker.NoFault, 0)
 	for _, path := range []string{"/board/1", "/check/1"} {
 		if got := s.ask(http.MethodPost, path, nil, "x"); got.status != http.StatusOK {
 			t.Errorf("%s: status %d %s", path, got.status, got.body)
--- a/internal/lab/site/limit_test.go
+++ b/internal/lab/site/limit_test.go
@@ -42,7 +42,7 @@
 			times = append(times, arrival.At)
 		}
 	}
-	return fleetworker.Busiest(times, limitWindow)
+	return fleetworker.MaxInWindow(times, limitWindow)
 }
 
 // pressed is what callers saw who ask again and again.
--- a/internal/lab/site/pause_test.go
+++ b/internal/lab/site/pause_test.go
@@ -123,6 +123,6 @@
 // setPauses has workers ask for a pause.
 func (s *site) setPauses(seconds string, ids ...string) {
 	for _, id := range ids {
-		s.workers[id].SetPause(seconds)
+		s.workers[id].SetBackoff(seconds)
 	}
 }
--- a/internal/lab/site/quota_test.go
+++ b/internal/lab/site/quota_test.go
@@ -132,7 +132,7 @@
 			t.Fatalf("a body that is too large: status %d", got.status)
 		}
 	}
-	s.setFaults("portal", fleetworker.Sound, 0)
+	s.setFaults("portal", fleetworker.NoFault, 0)
 	if count, _ := s.served(portoKey, "/submit/1"); count < burst {
 		t.Errorf("%d of %d were left", count, burst)
 	}
@@ -149,7 +149,7 @@
 		runs += ran
 		repeats += max(ran-1, 0)
 	}
-	s.setFaults("portal", fleetworker.Sound, 0)
+	s.setFaults("portal", fleetworker.NoFault, 0)
 	count, _ := s.served(portoKey, "/submit/1")
 	if repeats < 4 {
 		t.Errorf("only %d of %d runs were repeats", repeats, runs)
--- a/internal/lab/site/requests_test.go
+++ b/internal/lab/site/requests_test.go
@@ -122,7 +122,7 @@
 // try, not the request.
 func TestLapsedHandleIsPlannedAgain(t *testing.T) {
 	s := start(t)
-	s.workers["read-1"].SetFault(fleetworker.Lapsing, -1)
+	s.workers["read-1"].SetFault(fleetworker.LosesHandles, -1)
 	for i := range 4 {
 		got := s.ask(http.MethodPost, "/check/"+strconv.Itoa(i), nil, "x")
 		if got.status != http.StatusOK || got.body != fleetworker.Body(got.id, 4, 0) {
@@ -178,7 +178,7 @@
 	leave()
 	<-ended
 	s.await("the worker sees it leave", func() bool {
-		return s.workers["portal-1"].Left()+s.workers["portal-2"].Left() == 1
+		return s.workers["portal-1"].CallersGone()+s.workers["portal-2"].CallersGone() == 1
 	})
 }
 
--- a/internal/lab/site/start_test.go
+++ b/internal/lab/site/start_test.go
@@ -92,14 +92,14 @@
 	for _, first := range []bool{true, false} {
 		s := startWith(t, func(configured *settings.Routed) { configured.Node.FirstStart = first })
 		if !first {
-			s.await("the engines are asked", func() bool { return s.workers["read-1"].Lists() > 0 })
+			s.await("the engines are asked", func() bool { return s.workers["read-1"].ListCalls() > 0 })
 			continue
 		}
 		s.await("what the engines keep counts as known", func() bool {
 			return s.ask(http.MethodPost, "/check/1", nil, "").status == http.StatusOK
 		})
 		for id, worker := range s.workers {
-			if worker.Lists() > 0 {
+			if worker.ListCalls() > 0 {
 				t.Errorf("%s was asked what it keeps", id)
 			}
 		}
--- a/internal/lab/site/store_test.go
+++ b/internal/lab/site/store_test.go
@@ -87,9 +87,9 @@
 	s.store.Put("op", "config", configuration(1))
 	s.node, s.address = s.startNode("node-1", func(*settings.Routed) {})
 	s.await("each engine was asked", func() bool {
-		return s.workers["read-1"].Lists() == 1 && s.workers["write-1"].Lists() == 1 && s.workers["write-2"].Lists() == 1
+		return s.workers["read-1"].ListCalls() == 1 && s.workers["write-1"].ListCalls() == 1 && s.workers["write-2"].ListCalls() == 1
 	})
-	if lists := s.workers["portal-1"].Lists(); lists != 0 {
+	if lists := s.workers["portal-1"].ListCalls(); lists != 0 {
 		t.Errorf("a worker that is no engine was asked %d times", lists)
 	}
 	s.await("what it keeps is known", func() bool { return s.node.CachedTokens("read-1") == 1210 })
--- a/internal/lab/soak/harm.go
+++ b/internal/lab/soak/harm.go
@@ -74,8 +74,8 @@
 	for _, worker := range s.standing() {
 		worker.SetLateOrders(0)
 		worker.proxy.SetMode(Pass)
-		worker.SetFault(fleetworker.Sound, 0)
-		worker.SetPause("")
+		worker.SetFault(fleetworker.NoFault, 0)
+		worker.SetBackoff("")
 		s.list(worker, "ready")
 	}
 	for _, node := range s.nodes {
@@ -238,7 +238,7 @@
 func (s *site) failWorker(_ context.Context, _ time.Duration) string {
 	worker := s.anyWorker()
 	fault := []fleetworker.Fault{
-		fleetworker.Full, fleetworker.Failing, fleetworker.CutEarly, fleetworker.CutMidway, fleetworker.Hanging, fleetworker.Lapsing,
+		fleetworker.Full, fleetworker.Failing, fleetworker.CutEarly, fleetworker.CutMidway, fleetworker.Hanging, fleetworker.LosesHandles,
 	}[s.random.IntN(6)]
 	count := 1 + s.random.IntN(6)
 	worker.SetFault(fault, count)
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -136,7 +136,7 @@
 			}
 			times := l.counted(limit, worker.Arrivals(), requests)
 			most := limitOver*limit.perSecond*limitWindow.Seconds() + limitSlack
-			if count := fleetworker.Busiest(times, limitWindow); float64(count) > most {
+			if count := fleetworker.MaxInWindow(times, limitWindow); float64(count) > most {
 				broken = append(broken, fmt.Sprintf("%s takes %.1f requests a second and got %d in %v, %.1f are allowed", limit.worker, limit.perSecond, count, limitWindow, most))
 			}
 		}
--- a/internal/lab/soak/notices.go
+++ b/internal/lab/soak/notices.go
@@ -77,12 +77,12 @@
 	}
 	pause := pauses[s.random.IntN(len(pauses))]
 	for _, worker := range workers {
-		worker.SetPause(pause)
+		worker.SetBackoff(pause)
 	}
 	s.notices.count(0, len(workers))
 	sleep(ctx, length)
 	for _, worker := range workers {
-		worker.SetPause("")
+		worker.SetBackoff("")
 	}
 	return fmt.Sprintf("%d workers, first %s, ask for pauses of %s s for %v", len(workers), workers[0].ID(), pause, length.Round(time.Millisecond))
 }
