--- a/internal/lab/fences/fences.go
+++ b/internal/lab/fences/fences.go
@@ -34,8 +34,8 @@
 	return &Log{highest: make(map[string]uint64), excused: make(map[string]time.Time)}
 }
 
-// Excuse has calls of a holder not count until a moment: it was paused, and is going on.
-func (l *Log) Excuse(holder string, until time.Time) {
+// IgnoreUntil has calls of a holder not count until a moment: it was paused, and is going on.
+func (l *Log) IgnoreUntil(holder string, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if until.After(l.excused[holder]) {
@@ -43,9 +43,9 @@
 	}
 }
 
-// ExcuseAll has no call count until a moment: a link is mended, or any holder may have been
+// IgnoreAllUntil has no call count until a moment: a link is mended, or any holder may have been
 // paused.
-func (l *Log) ExcuseAll(until time.Time) {
+func (l *Log) IgnoreAllUntil(until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if until.After(l.all) {
@@ -53,9 +53,9 @@
 	}
 }
 
-// TakeUnlessLower takes a call in as a stand-in does that compares fences: it reports false
+// RecordUnlessStale takes a call in as a stand-in does that compares fences: it reports false
 // for a lower fence than one before on its subject, which is refused.
-func (l *Log) TakeUnlessLower(call Call) bool {
+func (l *Log) RecordUnlessStale(call Call) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if call.Fence < l.highest[call.Subject] {
@@ -65,9 +65,9 @@
 	return true
 }
 
-// Take takes a call in that is carried out whatever its fence. A lower one than before
+// Record takes a call in that is carried out whatever its fence. A lower one than before
 // breaks a promise.
-func (l *Log) Take(call Call) {
+func (l *Log) Record(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if call.At.Before(l.all) || call.At.Before(l.excused[call.Holder]) {
@@ -84,16 +84,16 @@
 	l.calls = append(l.calls, call)
 }
 
-// Break adds a promise that was seen broken otherwise.
-func (l *Log) Break(problem string) {
+// AddViolation adds a promise that was seen broken otherwise.
+func (l *Log) AddViolation(problem string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.broken = append(l.broken, problem)
 }
 
-// Problems returns the promises that were broken: a lower fence after a higher one, one
+// Violations returns the promises that were broken: a lower fence after a higher one, one
 // fence of two holders, and holders that took turns within the life of a lease.
-func (l *Log) Problems(lease time.Duration) []string {
+func (l *Log) Violations(lease time.Duration) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	problems := append([]string(nil), l.broken...)
--- a/internal/lab/fences/fences_test.go
+++ b/internal/lab/fences/fences_test.go
@@ -30,19 +30,19 @@
 		{"slow turns", []Call{call("a", 1, 0), call("b", 2, 2), call("a", 3, 4)}, nil, 0},
 		{"one fence of two holders", []Call{call("a", 1, 0), call("b", 1, 4)}, nil, 1},
 		{"two subjects", []Call{call("a", 2, 0), other}, nil, 0},
-		{"late after a pause", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.Excuse("a", origin.Add(9*time.Second)) }, 0},
-		{"late after another's pause", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.Excuse("b", origin.Add(3*time.Second)) }, 1},
-		{"late long after a pause", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.Excuse("a", origin.Add(7*time.Second)) }, 1},
-		{"late over a mended link", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.ExcuseAll(origin.Add(9 * time.Second)) }, 0},
+		{"late after a pause", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.IgnoreUntil("a", origin.Add(9*time.Second)) }, 0},
+		{"late after another's pause", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.IgnoreUntil("b", origin.Add(3*time.Second)) }, 1},
+		{"late long after a pause", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.IgnoreUntil("a", origin.Add(7*time.Second)) }, 1},
+		{"late over a mended link", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.IgnoreAllUntil(origin.Add(9 * time.Second)) }, 0},
 	} {
 		l := New()
 		if example.excuse != nil {
 			example.excuse(l)
 		}
 		for _, c := range example.calls {
-			l.Take(c)
+			l.Record(c)
 		}
-		if problems := l.Problems(lease); len(problems) != example.broken {
+		if problems := l.Violations(lease); len(problems) != example.broken {
 			t.Errorf("%s: %v", example.name, problems)
 		}
 	}
--- a/internal/lab/fleetapi/api.go
+++ b/internal/lab/fleetapi/api.go
@@ -109,7 +109,7 @@
 func (a *API) Problems(lease time.Duration) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	problems := a.fences.Problems(lease)
+	problems := a.fences.Violations(lease)
 	for window, reports := range a.reports {
 		for _, other := range reports[1:] {
 			if !maps.Equal(reports[0], other) {
@@ -134,14 +134,14 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return false, true
 	case err != nil || call.Holder == "":
-		a.fences.Break("a call without a holder or fence")
+		a.fences.AddViolation("a call without a holder or fence")
 		writer.WriteHeader(http.StatusBadRequest)
 		return false, true
-	case !a.unfenced && !a.fences.TakeUnlessLower(call):
+	case !a.unfenced && !a.fences.RecordUnlessStale(call):
 		writer.WriteHeader(http.StatusConflict)
 		return false, true
 	case a.unfenced && !faults.disrupted():
-		a.fences.Take(call)
+		a.fences.Record(call)
 	}
 	return true, !faults.LoseAnswers && faults.Late == 0
 }
--- a/internal/lab/fleetworker/order.go
+++ b/internal/lab/fleetworker/order.go
@@ -23,7 +23,7 @@
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	w.fences.Take(fences.Call{Subject: "orders to " + w.options.ID, Holder: order.Holder, Fence: order.Fence, At: time.Now()})
+	w.fences.Record(fences.Call{Subject: "orders to " + w.options.ID, Holder: order.Holder, Fence: order.Fence, At: time.Now()})
 	w.mu.Lock()
 	late := w.lateOrders
 	w.mu.Unlock()
@@ -46,7 +46,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if order.Fence < w.carried {
-		w.fences.Break(fmt.Sprintf("%s carried out an order under fence %d behind one under %d", w.options.ID, order.Fence, w.carried))
+		w.fences.AddViolation(fmt.Sprintf("%s carried out an order under fence %d behind one under %d", w.options.ID, order.Fence, w.carried))
 	}
 	w.carried = max(w.carried, order.Fence)
 	if order.Stage == w.stage {
--- a/internal/lab/fleetworker/order_test.go
+++ b/internal/lab/fleetworker/order_test.go
@@ -66,7 +66,7 @@
 		broken int
 	}{{3, 0}, {3, 0}, {2, 1}} {
 		w.carryOut(stageOrder{Stage: "decode", Fence: example.fence})
-		if problems := w.Fences().Problems(time.Minute); len(problems) != example.broken {
+		if problems := w.Fences().Violations(time.Minute); len(problems) != example.broken {
 			t.Errorf("fence %d: %v", example.fence, problems)
 		}
 	}
--- a/internal/lab/soak/harm.go
+++ b/internal/lab/soak/harm.go
@@ -124,9 +124,9 @@
 // names that aren't known here.
 func (s *site) thaw(node *process.Node) {
 	until := time.Now().Add(thawSlack)
-	s.api.Fences().Excuse(node.Name, until)
+	s.api.Fences().IgnoreUntil(node.Name, until)
 	for _, worker := range s.standing() {
-		worker.Fences().ExcuseAll(until)
+		worker.Fences().IgnoreAllUntil(until)
 	}
 	node.Signal(syscall.SIGCONT)
 }
@@ -165,7 +165,7 @@
 	worker.proxy.SetMode(mode)
 	sleep(ctx, length)
 	s.limits.harm(worker.ID(), begun, time.Now())
-	worker.Fences().ExcuseAll(time.Now().Add(thawSlack)) // the proxy sends on what it holds
+	worker.Fences().IgnoreAllUntil(time.Now().Add(thawSlack)) // the proxy sends on what it holds
 	worker.proxy.SetMode(Pass)
 	return fmt.Sprintf("the way to %s was %s for %v", worker.ID(), mode, length.Round(time.Millisecond))
 }
@@ -230,7 +230,7 @@
 	}
 	var problems []string
 	for _, worker := range s.everyWorker() {
-		problems = append(problems, worker.Fences().Problems(configuredLease)...)
+		problems = append(problems, worker.Fences().Violations(configuredLease)...)
 	}
 	return problems
 }
