--- a/internal/lab/fleetapi/api.go
+++ b/internal/lab/fleetapi/api.go
@@ -104,9 +104,9 @@
 	return append([]Order(nil), a.orders...)
 }
 
-// Problems returns the promises that the calls broke: two truths of a window, and those of
+// Violations returns the promises that the calls broke: two truths of a window, and those of
 // fences.
-func (a *API) Problems(lease time.Duration) []string {
+func (a *API) Violations(lease time.Duration) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	problems := a.fences.Violations(lease)
--- a/internal/lab/fleetapi/api_test.go
+++ b/internal/lab/fleetapi/api_test.go
@@ -39,7 +39,7 @@
 		for _, call := range example.calls {
 			report(a, call[0].(string), call[1].(int), call[2].(int), call[3].(int))
 		}
-		if problems := a.Problems(time.Minute); (len(problems) > 0) != example.broken {
+		if problems := a.Violations(time.Minute); (len(problems) > 0) != example.broken {
 			t.Errorf("%s: %v", example.name, problems)
 		}
 		if status := report(a, "old", 0, 9, 1); status != http.StatusConflict {
@@ -76,7 +76,7 @@
 				t.Errorf("fence %s: %d", fence, response.StatusCode)
 			}
 		}
-		if problems := a.Problems(time.Minute); len(problems) != example.broken || len(a.Reports()[1]) != 2 {
+		if problems := a.Violations(time.Minute); len(problems) != example.broken || len(a.Reports()[1]) != 2 {
 			t.Errorf("%+v: %v; %d reports", example.faults, problems, len(a.Reports()[1]))
 		}
 		a.Close()
--- a/internal/lab/site/duties_test.go
+++ b/internal/lab/site/duties_test.go
@@ -62,7 +62,7 @@
 		return sum
 	}
 	s.await("all requests are reported", func() bool { return maps.Equal(total(), truth) })
-	if problems := api.Problems(time.Minute); len(problems) > 0 {
+	if problems := api.Violations(time.Minute); len(problems) > 0 {
 		t.Error(problems)
 	}
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -149,7 +149,7 @@
 	report := load.report()
 	report.Seed = options.Seed
 	report.Unfenced = options.Unfenced
-	report.Broken = append(report.Broken, s.api.Problems(configuredLease)...)
+	report.Broken = append(report.Broken, s.api.Violations(configuredLease)...)
 	report.Broken = append(report.Broken, s.orderProblems()...)
 	if options.Quotas {
 		report.Broken = append(report.Broken, overQuota(s.allRuns(), tenantOf(limitedTenant), tenantLimit, quotaTolerance)...)
