--- a/internal/lab/memorystore/store.go
+++ b/internal/lab/memorystore/store.go
@@ -12,8 +12,8 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// ErrAway is what calls get that have no answer.
-var ErrAway = errors.New("the store is away")
+// ErrUnavailable is what calls get that have no answer.
+var ErrUnavailable = errors.New("the store is away")
 
 // Faults are what the store can be told to do.
 type Faults struct {
@@ -70,7 +70,7 @@
 func (s *Store) begin() error {
 	s.calls++
 	if s.faults.Down {
-		return ErrAway
+		return ErrUnavailable
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 		return 0, false, rowstore.ErrRestored
 	}
 	if s.faults.LoseWrites {
-		return 0, false, ErrAway
+		return 0, false, ErrUnavailable
 	}
 	return uint64(s.newest()), true, nil
 }
