--- a/internal/lab/fleetworker/crash.go
+++ b/internal/lab/fleetworker/crash.go
@@ -10,8 +10,8 @@
 func (w *Worker) crash() {
 	w.crashed.Do(func() {
 		_ = w.server.Listener.Close()
-		if w.options.Crashed != nil {
-			w.options.Crashed(w)
+		if w.options.OnCrash != nil {
+			w.options.OnCrash(w)
 		}
 		go w.server.CloseClientConnections()
 	})
--- a/internal/lab/fleetworker/notices.go
+++ b/internal/lab/fleetworker/notices.go
@@ -21,7 +21,7 @@
 	arrival := Arrival{ID: id, At: time.Now(), Leaving: w.leaving}
 	if w.pause != "" {
 		seconds, _ := strconv.ParseFloat(w.pause, 64)
-		arrival.Pause = time.Duration(seconds * float64(time.Second))
+		arrival.Backoff = time.Duration(seconds * float64(time.Second))
 	}
 	w.arrivals = append(w.arrivals, arrival)
 	if w.limit != "" {
@@ -65,7 +65,7 @@
 	// Leaving tells that the answer said the worker is about to end, and Pause for how long the
 	// worker asked to be left alone then.
 	Leaving bool
-	Pause   time.Duration
+	Backoff time.Duration
 }
 
 // Arrivals returns the requests of any kind that came.
--- a/internal/lab/fleetworker/order.go
+++ b/internal/lab/fleetworker/order.go
@@ -29,8 +29,8 @@
 	w.mu.Unlock()
 	time.Sleep(late)
 	changed := w.carryOut(order)
-	if changed && w.options.Staged != nil {
-		w.options.Staged(w)
+	if changed && w.options.OnStageChange != nil {
+		w.options.OnStageChange(w)
 	}
 	switch {
 	case late > 0:
--- a/internal/lab/fleetworker/order_test.go
+++ b/internal/lab/fleetworker/order_test.go
@@ -11,7 +11,7 @@
 // counted as a request that ran.
 func TestOrdersAreNoRequests(t *testing.T) {
 	staged := 0
-	w := Start(Options{ID: "w", Stage: "decode", Staged: func(*Worker) { staged++ }})
+	w := Start(Options{ID: "w", Stage: "decode", OnStageChange: func(*Worker) { staged++ }})
 	defer w.Close()
 	for _, order := range []struct {
 		body string
--- a/internal/lab/fleetworker/worker.go
+++ b/internal/lab/fleetworker/worker.go
@@ -52,11 +52,11 @@
 	Events int
 	// Pause is the time between events.
 	Pause time.Duration
-	// Staged is told of each stage to which the worker was ordered, for its entry in the
+	// OnStageChange is told of each stage to which the worker was ordered, for its entry in the
 	// platform's list. It may be nil.
-	Staged func(w *Worker)
-	// Kept are parts of prompts that the worker says it keeps, with their tokens.
-	Kept map[string]int
+	OnStageChange func(w *Worker)
+	// CachedParts are parts of prompts that the worker says it keeps, with their tokens.
+	CachedParts map[string]int
 	// Born is when the worker started in Unix milliseconds; it doesn't tell where it is zero.
 	Born int64
 	// Address is where the worker listens; any port where it is empty.
@@ -65,9 +65,9 @@
 	// with all that it runs beside; Crashed is told of it before the first connection breaks
 	// off, and must return. Both may be empty.
 	CrashOn string
-	Crashed func(w *Worker)
-	// Read is told of each prompt that is read apart, before that is answered; it may be nil.
-	Read func(id string)
+	OnCrash func(w *Worker)
+	// OnPrefill is told of each prompt that is read apart, before that is answered; it may be nil.
+	OnPrefill func(id string)
 }
 
 // Run is a request that a worker worked on.
@@ -284,7 +284,7 @@
 	w.lists++
 	w.mu.Unlock()
 	held := [][]any{}
-	for id, tokens := range w.options.Kept {
+	for id, tokens := range w.options.CachedParts {
 		held = append(held, []any{"", id, tokens, "m"})
 	}
 	writer.Header().Set("Content-Type", "application/json")
@@ -315,8 +315,8 @@
 		w.handles["h"+id] = true
 	}
 	w.mu.Unlock()
-	if w.options.Read != nil {
-		w.options.Read(id)
+	if w.options.OnPrefill != nil {
+		w.options.OnPrefill(id)
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(map[string]any{"KvHandle": "h" + id, "Tokens": 1, "Version": 1})
--- a/internal/lab/site/crash_test.go
+++ b/internal/lab/site/crash_test.go
@@ -85,7 +85,7 @@
 	if f.named && options.Born == 0 {
 		options.Born = firstBirth
 	}
-	options.Zone, options.CrashOn, options.Crashed = "a", poison, func(w *fleetworker.Worker) { f.crash(options, w) }
+	options.Zone, options.CrashOn, options.OnCrash = "a", poison, func(w *fleetworker.Worker) { f.crash(options, w) }
 	if f.mended {
 		options.CrashOn = ""
 	}
--- a/internal/lab/site/pause_test.go
+++ b/internal/lab/site/pause_test.go
@@ -34,7 +34,7 @@
 			count := 0
 			for _, arrival := range arrivals {
 				since := arrival.At.Sub(asking.At)
-				if asking.Pause > 0 && since > pauseTold && since < asking.Pause {
+				if asking.Backoff > 0 && since > pauseTold && since < asking.Backoff {
 					count++
 				}
 			}
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -151,7 +151,7 @@
 // addWorkers adds engines in both stages and two other workers.
 func (s *site) addWorkers() {
 	for _, options := range []fleetworker.Options{
-		{ID: "read-1", Service: llm, Stage: "prefill", Kept: map[string]int{"5c1e07a2": 800, "91bd3f06": 410}},
+		{ID: "read-1", Service: llm, Stage: "prefill", CachedParts: map[string]int{"5c1e07a2": 800, "91bd3f06": 410}},
 		{ID: "write-1", Service: llm, Stage: "decode"},
 		{ID: "write-2", Service: llm, Stage: "decode"},
 		{ID: "portal-1", Service: portal, Events: 1},
--- a/internal/lab/site/workers_test.go
+++ b/internal/lab/site/workers_test.go
@@ -112,7 +112,7 @@
 	s := startUnconfigured(t)
 	planned := regexp.MustCompile(`msg=planned.* runner=(\S+)`)
 	var leaving string
-	s.addWorker(fleetworker.Options{ID: "read-1", Service: llm, Stage: "prefill", Read: func(string) {
+	s.addWorker(fleetworker.Options{ID: "read-1", Service: llm, Stage: "prefill", OnPrefill: func(string) {
 		leaving = planned.FindStringSubmatch(s.logText())[1]
 		s.store.Put("servers", leaving, s.workers[leaving].Entry("draining"))
 		s.await("the engine is known to drain", func() bool { return s.node.Draining() == 1 })
--- a/internal/lab/soak/notices.go
+++ b/internal/lab/soak/notices.go
@@ -142,7 +142,7 @@
 			count := 0
 			for _, arrival := range arrivals {
 				since := arrival.At.Sub(asking.At)
-				if since <= pauseTold || since >= asking.Pause {
+				if since <= pauseTold || since >= asking.Backoff {
 					continue
 				}
 				if !l.harmedWithin(node, asking.At, arrival.At) && !l.harmedWithin(worker, asking.At, arrival.At) {
--- a/internal/lab/soak/notices_test.go
+++ b/internal/lab/soak/notices_test.go
@@ -15,7 +15,7 @@
 		"soon":  {node: "n1", sent: at(2)}, "late": {node: "n1", sent: at(2.2)}, "other": {node: "n2", sent: at(2.2)},
 	}
 	arrivals := []fleetworker.Arrival{
-		{ID: "first", At: at(0.05), Pause: 3 * time.Second}, {ID: "soon", At: at(2.3)}, {ID: "late", At: at(2.4)}, {ID: "other", At: at(2.4)},
+		{ID: "first", At: at(0.05), Backoff: 3 * time.Second}, {ID: "soon", At: at(2.3)}, {ID: "late", At: at(2.4)}, {ID: "other", At: at(2.4)},
 	}
 	l := &limits{}
 	if got := l.sentTooLate("w", arrivals, requests); got != 1 {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -224,9 +224,9 @@
 	worker := &soakWorker{}
 	if s.options.Poison {
 		options.CrashOn = poisonBody
-		options.Crashed = func(*fleetworker.Worker) { s.fall(worker, options) }
+		options.OnCrash = func(*fleetworker.Worker) { s.fall(worker, options) }
 	}
-	options.Staged = func(*fleetworker.Worker) { s.relist(worker) }
+	options.OnStageChange = func(*fleetworker.Worker) { s.relist(worker) }
 	worker.Worker, worker.options = fleetworker.Start(options), options
 	proxy, err := StartProxy(worker.Address())
 	if err != nil {
