--- a/internal/nodeexchange/departed.go
+++ b/internal/nodeexchange/departed.go
@@ -8,7 +8,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Times and bounds of the removal of nodes that are gone for good.
+// Times and bounds of the removal of nodes that are gone for good. Nodes cease in these ways:
+//   - A silent node wasn't heard within presenceTimeout. It stays a peer but isn't present; the
+//     log of supervisors calls it lost.
+//   - A leaving node has told that it shuts down, and is removed at once.
+//   - A withdrawn node is one whose row in the store's list was deleted.
+//   - A departed node, also called gone for good, was silent for departedAfter, so that the
+//     designated supervisor had its row deleted. It is then dropped: removed from the peers
+//     unless it was heard in the meantime.
+//   - A node is unlisted if another node tells it that it was dropped itself.
 const (
 	// departedAfter is how long a node must have been silent to count as gone for good. It is
 	// longer than machines are powered off, frozen or cut off in the users' scenarios (up to
@@ -120,10 +128,10 @@
 	return e.peers.departed(&e.silenceMonitor, now)
 }
 
-// DropPeers removes nodes whose rows were deleted from the store's list, and tells the other
-// nodes to do the same, also for nodes removed before of which they have not been told often
-// enough. It tells the removed nodes too: one that is alive, but can't reach this node or was
-// heard again in the meantime, must write its row again.
+// DropPeers removes departed nodes, whose rows were deleted from the store's list, and tells
+// the other nodes to do the same, also for nodes removed before of which they have not been
+// told often enough. It tells the removed nodes too: one that is alive, but can't reach this
+// node or was heard again in the meantime, must write its row again.
 func (e *Exchange) DropPeers(gone []netip.AddrPort, now time.Time) {
 	var told, heardAgain []netip.AddrPort
 	e.mu.Lock()
--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -68,7 +68,7 @@
 	peers *peerSet
 	// tracked is the last result of TrackedEngines.
 	tracked trackedEngines
-	// asideUntil is until when this node leaves orders to other nodes.
+	// asideUntil is until when this node has stepped back.
 	asideUntil time.Time
 	// pendingQuestions are the questions that wait for answers, by ID.
 	pendingQuestions map[uint64]*pendingQuestion
@@ -154,7 +154,8 @@
 	return e.peers.designated(time.Now().Before(e.asideUntil))
 }
 
-// StepBack leaves orders to other nodes for the given time, and tells them so.
+// StepBack makes this node step back for the given time: it is designated only if all other
+// supervisors have stepped back too. The next load messages tell the other nodes.
 func (e *Exchange) StepBack(span time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/nodeexchange/listing.go
+++ b/internal/nodeexchange/listing.go
@@ -158,7 +158,8 @@
 	return e.peers.neighbours()
 }
 
-// neighbours returns the nodes of the zone that were listed first, and a random peer.
+// neighbours returns the nodes of the zone that were listed first, and a random peer of any
+// zone.
 func (s *peerSet) neighbours() []netip.AddrPort {
 	order := s.listedInZone()
 	near := order[:min(len(order), sourcesPerZone):min(len(order), sourcesPerZone)]
@@ -182,9 +183,10 @@
 	return kept
 }
 
-// tableSources returns the nodes to be asked for a whole table: the parent in the tree that the
-// zone's nodes form by the order of their rows, then the nodes at its root, and a random one.
-// Nodes at the root ask nobody: if they waited for other nodes, those might wait for them.
+// tableSources returns the nodes of the zone to be asked for a whole table: the parent in the
+// tree that the zone's nodes form by the order of their rows, then the nodes at its root, and a
+// random one. Nodes at the root ask nobody: if they waited for other nodes, those might wait
+// for them.
 func (s *peerSet) tableSources() []netip.AddrPort {
 	order := s.listedInZone()
 	before := len(order)
--- a/internal/nodeexchange/message.go
+++ b/internal/nodeexchange/message.go
@@ -29,10 +29,12 @@
 // Message is one datagram. The JSON names are short because traffic between zones is billed by
 // the byte.
 type Message struct {
-	// Node is the sender's incarnation.
+	// Node is the sender's incarnation: the ID of one run of the node's process. A node that
+	// restarts at the same address has a new one.
 	Node string `json:"n"`
-	// Sequence increases with each message of an incarnation. Broadcasts (announcements, news
-	// and others) are numbered separately.
+	// Sequence increases with each load message of an incarnation, the one with Leaving
+	// included. Broadcasts (announcements, news and others) are numbered separately. It is zero
+	// in all other messages, so that a receiver can tell that such a message isn't a broadcast.
 	Sequence uint64 `json:"s"`
 	// Loads holds for each worker the number of requests, memory tokens, and tokens still to be
 	// prefilled by rank, without trailing zeros.
@@ -65,7 +67,8 @@
 	MemoryComplete []string `json:"e,omitempty"`
 	// Paces are the prefill throughputs learned of workers.
 	Paces []worker.PrefillModel `json:"p,omitempty"`
-	// Zone is the sender's zone. It is set in periodic messages only.
+	// Zone is the sender's zone. It is set in reports only: the periodic messages that
+	// supervisors get too (see reportInterval).
 	Zone string `json:"z,omitempty"`
 	// Announcements are about tables of the store. Such a message holds nothing else.
 	Announcements []tablerelay.Announcement `json:"t,omitempty"`
@@ -74,7 +77,8 @@
 	CreatedMillis int64 `json:"tm,omitempty"`
 	// WantAnnouncements asks the receiver for the announcements that it knows.
 	WantAnnouncements bool `json:"u,omitempty"`
-	// News are changes of a table, compressed. Such a message holds nothing else.
+	// News are changes of a table, compressed: the rows themselves, where an announcement only
+	// tells their version. Such a message holds nothing else.
 	News []byte `json:"w,omitempty"`
 	// Relayed marks a broadcast that doesn't come from its originator. RelayInRegion tells the
 	// receiver to relay the broadcast in its region, and RelayInZone to relay it in its zone,
@@ -88,7 +92,9 @@
 	// Contents hold "content worker tokens": shared prefixes that workers have in their KV
 	// caches.
 	Contents []string `json:"c,omitempty"`
-	// Question asks for load reports on workers, and Reply answers it.
+	// Question asks for load reports on workers, and Reply answers it. A Reply whose ID is zero
+	// answers no question: it tells a node that has just been heard of workers' limits and of
+	// workers that are about to end.
 	Question *question `json:"q,omitempty"`
 	Reply    *reply    `json:"v,omitempty"`
 	// Usage reports what the sender has counted, and UsageReply acknowledges it. WantUsage asks
@@ -98,7 +104,8 @@
 	UsageReply *usageReply   `json:"h,omitempty"`
 	WantUsage  usage.Window  `json:"j,omitempty"`
 	Gathered   *wireGathered `json:"k,omitempty"`
-	// Departed are nodes that are gone for good. Such a message holds nothing else.
+	// Departed are nodes that a supervisor has removed because they were silent for
+	// departedAfter. Such a message holds nothing else.
 	Departed []netip.AddrPort `json:"dp,omitempty"`
 	// Quota requests, answers or reports charges to tenants' quotas. Such a message holds
 	// nothing else.
@@ -106,7 +113,7 @@
 	// Suspects are requests during which workers ended. Such a message holds nothing else.
 	Suspects []quarantine.Record `json:"sp,omitempty"`
 	// SteppedBack tells that the sender can't give orders, so that it isn't designated even if
-	// it has the lowest incarnation.
+	// it has the lowest incarnation. Incarnations are compared as strings.
 	SteppedBack bool `json:"a,omitempty"`
 	// Leaving tells that the sender shuts down.
 	Leaving bool `json:"x,omitempty"`
--- a/internal/nodeexchange/metrics.go
+++ b/internal/nodeexchange/metrics.go
@@ -47,7 +47,8 @@
 	m.bytes.WithLabelValues(kind, to).Add(float64(bytes))
 }
 
-// The kinds of messages in metrics.
+// The kinds of messages in metrics. Those of kind "words" hold announcements about tables, or
+// ask for them.
 const (
 	kindLoad     = "load"
 	kindQuestion = "question"
--- a/internal/nodeexchange/peers.go
+++ b/internal/nodeexchange/peers.go
@@ -24,8 +24,8 @@
 	// all callers and may give orders to workers (changes of their stage). It is chosen so that
 	// the loss of all of them at once is too rare for the resulting stop of orders to matter.
 	minSupervisors = 4
-	// suspicionTime is for how long a node that didn't answer isn't asked. It doubles with each
-	// further unanswered question up to maxSuspicionTime.
+	// suspicionTime is for how long a node that didn't answer counts as unresponsive and isn't
+	// asked. It doubles with each further unanswered question up to maxSuspicionTime.
 	suspicionTime    = time.Second
 	maxSuspicionTime = 16 * time.Second
 	// lowestRank is the rank of a node that doesn't know the other nodes yet.
@@ -37,7 +37,7 @@
 
 // Peer is another node as the store lists it.
 type Peer struct {
-	// Node is the incarnation of the node.
+	// Node is the incarnation of the node, the ID of one run of its process.
 	Node    string
 	Address netip.AddrPort
 	Zone    string
@@ -60,7 +60,7 @@
 	heard time.Time
 	// present tells that it had been heard recently at the last check.
 	present bool
-	// aside tells that it has stepped back and can't give orders.
+	// aside tells that it has stepped back because it can't give orders.
 	aside bool
 	// greetings is the number of announcements of this node that it is still to get.
 	greetings int
@@ -173,7 +173,7 @@
 	return known
 }
 
-// answered records that a peer has answered, which ends a suspicion.
+// answered records that a peer has answered, so that it no longer counts as unresponsive.
 func (s *peerSet) answered(from netip.AddrPort) {
 	if known, exists := s.peers[from]; exists {
 		known.suspectedUntil, known.silences = time.Time{}, 0
--- a/internal/nodeexchange/quota_keep.go
+++ b/internal/nodeexchange/quota_keep.go
@@ -30,7 +30,9 @@
 }
 
 // heardFrom records a message from a node. After a silence of all nodes during which reports
-// were due, it marks the keeper's counts as incomplete.
+// were due, it marks the keeper's counts as incomplete ("not known" in the log): its accounts
+// fall at least to the cold-start level, and until it knows the usage again its refusals aren't
+// final.
 func (q *quotaExchange) heardFrom(from netip.AddrPort, now time.Time) {
 	q.exchange.mu.Lock()
 	q.exchange.peers.answered(from)
@@ -54,9 +56,9 @@
 	return missed
 }
 
-// checkForPause records that this process runs. A keeper whose process was paused has missed
-// what other nodes used in the meantime, and must not decide by its old counts before it hears
-// from them.
+// checkForPause records that this process runs. A keeper whose process was paused ("stood
+// still" in the log) has missed what other nodes used in the meantime, and must not decide by
+// its old counts, as after a silence of all nodes.
 func (q *quotaExchange) checkForPause(now time.Time) {
 	running := clock.Boottime()
 	q.mu.Lock()
@@ -72,8 +74,11 @@
 	}
 }
 
-// decide decides a request as a keeper, by the limit that this node knows where workers state
-// limits. Without a limit, every request is granted.
+// decide decides a request as a keeper. For a worker's turns it applies the limit that this
+// node knows; if the worker is known to have none, every request is granted. It logs when a
+// part of an account begins or ceases to be reserved for silent nodes ("out of hearing" in the
+// log), not when the size of that part changes; the field reserved is zero when it has ceased.
+// In these log lines "quota" also stands for a worker's turns.
 func (q *quotaExchange) decide(ask quota.DecisionRequest, now time.Time) quota.Decision {
 	q.checkForPause(now)
 	q.dropMovedAccounts(now)
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -14,10 +14,11 @@
 )
 
 // TableCoordinator processes what other nodes send about tables of the store, and provides what
-// this node sends them.
+// this node sends them: announcements tell up to which version the store has confirmed a table,
+// news hold the changed rows.
 type TableCoordinator interface {
 	// OwnAnnouncements returns announcements of what this node itself has read from the store.
-	// Known returns those of all that it relies on.
+	// KnownAnnouncements returns those of all that it relies on.
 	OwnAnnouncements(now time.Time) []tablerelay.Announcement
 	KnownAnnouncements(now time.Time) []tablerelay.Announcement
 	Receive(words []tablerelay.Announcement, now time.Time)
--- a/internal/nodeexchange/turns.go
+++ b/internal/nodeexchange/turns.go
@@ -22,11 +22,11 @@
 	// turnKeepers is the largest number of keepers of a worker's turns, which count its
 	// requests; the same as for a tenant's quota.
 	turnKeepers = quotaKeeperCount
-	// turnBurst is how many requests at once a worker takes that got none for a while.
+	// turnBurst is the burst of a worker's limit: an idle worker is sent one request at once.
 	turnBurst = 1
-	// limitTimeSlack is by how much earlier than reported the request may have been sent to
-	// which a worker answered with its limit: the age in a message doesn't include the
-	// message's own way, which usually takes at most this long between two nodes.
+	// limitTimeSlack is subtracted from the time at which the request was sent whose response
+	// stated the limit. That time is computed from the age in a message, which doesn't include
+	// the message's transit time; between two nodes this is usually no longer than the slack.
 	limitTimeSlack = 50 * time.Millisecond
 	// maxLimitsPerMessage bounds the limits in one message: at some 80 bytes each, they stay
 	// below maxDatagram.
@@ -171,7 +171,9 @@
 }
 
 // apply replaces the limit in a report by the one that this node knows, since versions of
-// different nodes can't be compared. It reports whether the account has a limit.
+// different nodes can't be compared. It returns false only if the worker is known to have no
+// limit. Without a turnLimits, or if nothing is known of the worker, the limit in the report
+// applies.
 func (l *turnLimits) apply(account string, report *quota.Report) (limited bool) {
 	if l == nil {
 		return true
--- a/internal/nodeexchange/usage_store.go
+++ b/internal/nodeexchange/usage_store.go
@@ -29,6 +29,8 @@
 
 // StoreUnacknowledgedUsage writes closed windows that no supervisor has acknowledged to the
 // store, until ctx ends: this node may be cut off from the other nodes but not from the store.
+// name is the node's name in the settings, which a new incarnation keeps; the row has it as its
+// key.
 func (e *Exchange) StoreUnacknowledgedUsage(ctx context.Context, name string, store UsageStore) {
 	ticker := time.NewTicker(storeUsageInterval)
 	defer ticker.Stop()
