--- a/internal/nodeexchange/ask.go
+++ b/internal/nodeexchange/ask.go
@@ -108,11 +108,11 @@
 func (e *Exchange) Tracked(workers []string) []bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := make([]bool, 0, len(workers))
+	tracked := make([]bool, 0, len(workers))
 	for _, id := range workers {
-		kept = append(kept, e.peers.isHome(id))
+		tracked = append(tracked, e.peers.isHome(id))
 	}
-	return kept
+	return tracked
 }
 
 // trackedEngines are the engines whose load this node tracks. The result is valid for one
@@ -242,14 +242,14 @@
 }
 
 // collectAnswers ends a question. If it timed out, the nodes that haven't answered are
-// suspected, so that later questions don't wait for them for a while.
+// unresponsive, so that later questions don't wait for them for a while.
 func (e *Exchange) collectAnswers(id uint64, pending *pendingQuestion, timedOut bool) scheduling.Answers {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.pendingQuestions, id)
 	for address := range pending.asked {
 		if timedOut {
-			e.peers.suspect(address, time.Now())
+			e.peers.markUnresponsive(address, time.Now())
 		}
 	}
 	return scheduling.Answers{Reports: maps.Clone(pending.reports), Holders: slices.Clone(pending.holders)}
--- a/internal/nodeexchange/contents.go
+++ b/internal/nodeexchange/contents.go
@@ -41,12 +41,12 @@
 
 // contentRecordOf returns the content that a cache update adds, or false if the update is a
 // full list or shares too few tokens to be worth looking up.
-func contentRecordOf(read worker.CacheUpdate) (contentRecord, bool) {
-	if len(read.Parts) < 2 || len(read.Parts) >= minListParts {
+func contentRecordOf(update worker.CacheUpdate) (contentRecord, bool) {
+	if len(update.Parts) < 2 || len(update.Parts) >= minListParts {
 		return contentRecord{}, false
 	}
-	content, tokens := scheduling.Content(read.Parts)
-	return contentRecord{content: content, holder: scheduling.Holder{Worker: read.Worker, Tokens: tokens}}, content != 0
+	content, tokens := scheduling.Content(update.Parts)
+	return contentRecord{content: content, holder: scheduling.Holder{Worker: update.Worker, Tokens: tokens}}, content != 0
 }
 
 func renderContent(record contentRecord) string {
@@ -126,7 +126,7 @@
 		if address == s.address {
 			return address, true
 		}
-		if known, exists := s.peers[address]; exists && !home.IsValid() && !now.Before(known.suspectedUntil) {
+		if known, exists := s.peers[address]; exists && !home.IsValid() && !now.Before(known.unresponsiveUntil) {
 			home = address
 		}
 	}
--- a/internal/nodeexchange/delay.go
+++ b/internal/nodeexchange/delay.go
@@ -29,18 +29,18 @@
 // first message.
 func (t *delayEstimator) excess(originator string, created, now time.Time) time.Duration {
 	t.advance(now)
-	way := t.byOriginator[originator]
-	if way == nil {
-		way = &minDelay{}
-		t.byOriginator[originator] = way
+	shortest := t.byOriginator[originator]
+	if shortest == nil {
+		shortest = &minDelay{}
+		t.byOriginator[originator] = shortest
 	}
 	took := now.Sub(created)
-	if !way.known || took < way.current {
-		way.current, way.known = took, true
+	if !shortest.known || took < shortest.current {
+		shortest.current, shortest.known = took, true
 	}
-	least := way.current
-	if way.knownBefore {
-		least = min(least, way.before)
+	least := shortest.current
+	if shortest.knownBefore {
+		least = min(least, shortest.before)
 	}
 	return took - least
 }
--- a/internal/nodeexchange/departed.go
+++ b/internal/nodeexchange/departed.go
@@ -122,7 +122,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.silenceMonitor.check(e.peers.supervises(), now)
-	if !e.peers.designated(now.Before(e.asideUntil)) {
+	if !e.peers.designated(now.Before(e.steppedBackUntil)) {
 		return nil
 	}
 	return e.peers.departed(&e.silenceMonitor, now)
--- a/internal/nodeexchange/exchange.go
+++ b/internal/nodeexchange/exchange.go
@@ -68,8 +68,8 @@
 	peers *peerSet
 	// tracked is the last result of TrackedEngines.
 	tracked trackedEngines
-	// asideUntil is until when this node has stepped back.
-	asideUntil time.Time
+	// steppedBackUntil is until when this node has stepped back.
+	steppedBackUntil time.Time
 	// pendingQuestions are the questions that wait for answers, by ID.
 	pendingQuestions map[uint64]*pendingQuestion
 	lastQuestion     uint64
@@ -151,7 +151,7 @@
 func (e *Exchange) Designated() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.peers.designated(time.Now().Before(e.asideUntil))
+	return e.peers.designated(time.Now().Before(e.steppedBackUntil))
 }
 
 // StepBack makes this node step back for the given time: it is designated only if all other
@@ -159,7 +159,7 @@
 func (e *Exchange) StepBack(span time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asideUntil = time.Now().Add(span)
+	e.steppedBackUntil = time.Now().Add(span)
 }
 
 // OldestDigest returns the time since the last load message of the node that has been silent
@@ -242,7 +242,7 @@
 	} else {
 		snapshot.Demand, snapshot.RegionDemand = nil, nil // it changes slowly, so that reports suffice
 	}
-	base.SteppedBack = now.Before(e.asideUntil)
+	base.SteppedBack = now.Before(e.steppedBackUntil)
 	workersByRecipient, supervisors := e.workersByRecipient(snapshot, periodic, reports), e.peers.supervisors()
 	e.mu.Unlock()
 	e.sendSnapshot(workersByRecipient, supervisors, snapshot, base)
--- a/internal/nodeexchange/homes.go
+++ b/internal/nodeexchange/homes.go
@@ -73,10 +73,10 @@
 func homeSubject(worker string) string { return "worker " + worker }
 
 // reachableHome returns the home to be asked about a worker, or false if all of them are
-// suspected.
+// unresponsive.
 func (s *peerSet) reachableHome(worker string, now time.Time) (netip.AddrPort, bool) {
 	for _, address := range s.homes(worker) {
-		if known, exists := s.peers[address]; exists && !now.Before(known.suspectedUntil) {
+		if known, exists := s.peers[address]; exists && !now.Before(known.unresponsiveUntil) {
 			return address, true
 		}
 	}
--- a/internal/nodeexchange/memory.go
+++ b/internal/nodeexchange/memory.go
@@ -86,19 +86,19 @@
 // then for which workers the answer is complete.
 func (e *Exchange) sendMemory(to netip.AddrPort, workers []string) {
 	memory, known := e.registry.LearnedState(workers)
-	for _, reads := range splitUpdates(memory.CacheUpdates) {
-		e.sendTo(to, Message{Node: e.node, Memory: true, CacheUpdates: renderReads(reads)})
+	for _, updates := range splitUpdates(memory.CacheUpdates) {
+		e.sendTo(to, Message{Node: e.node, Memory: true, CacheUpdates: renderCacheUpdates(updates)})
 	}
 	e.sendTo(to, Message{Node: e.node, Memory: true, Paces: memory.PrefillModels, MemoryComplete: known})
 }
 
 // splitUpdates splits cache updates so that each message holds at most partsPerMessage parts.
-func splitUpdates(reads []worker.CacheUpdate) [][]worker.CacheUpdate {
+func splitUpdates(updates []worker.CacheUpdate) [][]worker.CacheUpdate {
 	var messages [][]worker.CacheUpdate
-	for _, read := range reads {
-		for parts := read.Parts; len(parts) > 0; {
+	for _, update := range updates {
+		for parts := update.Parts; len(parts) > 0; {
 			count := min(len(parts), partsPerMessage)
-			messages = append(messages, []worker.CacheUpdate{{Worker: read.Worker, Parts: parts[:count]}})
+			messages = append(messages, []worker.CacheUpdate{{Worker: update.Worker, Parts: parts[:count]}})
 			parts = parts[count:]
 		}
 	}
--- a/internal/nodeexchange/message.go
+++ b/internal/nodeexchange/message.go
@@ -194,16 +194,16 @@
 		}
 		message.StageChanges[changing.Worker] = left
 	}
-	message.CacheUpdates = renderReads(snapshot.CacheUpdates)
+	message.CacheUpdates = renderCacheUpdates(snapshot.CacheUpdates)
 	message.Limits = renderLimits(snapshot.Limits, time.Now())
 	message.Draining = snapshot.Draining
 	return message
 }
 
-func renderReads(reads []worker.CacheUpdate) []string {
+func renderCacheUpdates(updates []worker.CacheUpdate) []string {
 	var rendered []string
-	for _, read := range reads {
-		rendered = append(rendered, renderRead(read))
+	for _, update := range updates {
+		rendered = append(rendered, renderCacheUpdate(update))
 	}
 	return rendered
 }
@@ -233,8 +233,8 @@
 	return load
 }
 
-func renderRead(read worker.CacheUpdate) string {
-	return strings.Join(append([]string{read.Worker}, renderParts(read.Parts)...), " ")
+func renderCacheUpdate(update worker.CacheUpdate) string {
+	return strings.Join(append([]string{update.Worker}, renderParts(update.Parts)...), " ")
 }
 
 func renderParts(parts []prefixcache.Part) []string {
@@ -259,16 +259,16 @@
 		snapshot.Changing = append(snapshot.Changing, changing)
 	}
 	for _, text := range m.CacheUpdates {
-		read, err := parseRead(text)
+		update, err := parseCacheUpdate(text)
 		if err != nil {
 			return worker.Snapshot{}, err
 		}
-		snapshot.CacheUpdates = append(snapshot.CacheUpdates, read)
+		snapshot.CacheUpdates = append(snapshot.CacheUpdates, update)
 	}
 	return snapshot, nil
 }
 
-func parseRead(text string) (worker.CacheUpdate, error) {
+func parseCacheUpdate(text string) (worker.CacheUpdate, error) {
 	fields := strings.Fields(text)
 	if len(fields) == 0 {
 		return worker.CacheUpdate{}, eris.New("a cache update names no worker")
--- a/internal/nodeexchange/metrics.go
+++ b/internal/nodeexchange/metrics.go
@@ -50,18 +50,18 @@
 // The kinds of messages in metrics. Those of kind "words" hold announcements about tables, or
 // ask for them.
 const (
-	kindLoad     = "load"
-	kindQuestion = "question"
-	kindReply    = "reply"
-	kindContents = "contents"
-	kindUsage    = "usage"
-	kindMemory   = "memory"
-	kindNews     = "news"
-	kindWords    = "words"
-	kindDeparted = "departed"
-	kindSuspects = "suspects"
-	kindQuota    = "quota"
-	kindTurns    = "turns"
+	kindLoad          = "load"
+	kindQuestion      = "question"
+	kindReply         = "reply"
+	kindContents      = "contents"
+	kindUsage         = "usage"
+	kindMemory        = "memory"
+	kindNews          = "news"
+	kindAnnouncements = "words"
+	kindDeparted      = "departed"
+	kindSuspects      = "suspects"
+	kindQuota         = "quota"
+	kindTurns         = "turns"
 )
 
 // kind returns the kind of a message, as a label of the metrics.
@@ -80,7 +80,7 @@
 	case m.News != nil:
 		return kindNews
 	case m.Announcements != nil, m.WantAnnouncements:
-		return kindWords
+		return kindAnnouncements
 	case m.Departed != nil:
 		return kindDeparted
 	case m.Suspects != nil:
--- a/internal/nodeexchange/outbox.go
+++ b/internal/nodeexchange/outbox.go
@@ -51,17 +51,17 @@
 }
 
 // next returns the cache updates and failures for the message that is sent now.
-func (o *outbox) next(now time.Time, periodic bool) (reads []worker.CacheUpdate, failures []string) {
+func (o *outbox) next(now time.Time, periodic bool) (updates []worker.CacheUpdate, failures []string) {
 	fresh := o.takePending()
-	reads = fresh
+	updates = fresh
 	if periodic {
-		reads = append(o.takeRepeated(), fresh...)
+		updates = append(o.takeRepeated(), fresh...)
 		o.lastPeriodic = now
 	}
 	o.toRepeat = append(o.toRepeat, fresh...)
 	failures, o.failures = o.failures, nil
 	o.changed, o.lastSent = false, now
-	return reads, failures
+	return updates, failures
 }
 
 // takePending removes cache updates from the pending ones until a message is full. takeRepeated
@@ -77,14 +77,14 @@
 }
 
 // splitBatch splits cache updates into those that fit in one message and the rest.
-func splitBatch(reads []worker.CacheUpdate) (taken, left []worker.CacheUpdate) {
+func splitBatch(updates []worker.CacheUpdate) (taken, left []worker.CacheUpdate) {
 	parts, count := 0, 0
-	for count < len(reads) {
-		parts += len(reads[count].Parts)
+	for count < len(updates) {
+		parts += len(updates[count].Parts)
 		if parts > maxParts && count > 0 {
 			break
 		}
 		count++
 	}
-	return reads[:count:count], reads[count:]
+	return updates[:count:count], updates[count:]
 }
--- a/internal/nodeexchange/peers.go
+++ b/internal/nodeexchange/peers.go
@@ -24,10 +24,10 @@
 	// all callers and may give orders to workers (changes of their stage). It is chosen so that
 	// the loss of all of them at once is too rare for the resulting stop of orders to matter.
 	minSupervisors = 4
-	// suspicionTime is for how long a node that didn't answer counts as unresponsive and isn't
-	// asked. It doubles with each further unanswered question up to maxSuspicionTime.
-	suspicionTime    = time.Second
-	maxSuspicionTime = 16 * time.Second
+	// unresponsiveTime is for how long a node that didn't answer counts as unresponsive and
+	// isn't asked. It doubles with each further unanswered question up to maxUnresponsiveTime.
+	unresponsiveTime    = time.Second
+	maxUnresponsiveTime = 16 * time.Second
 	// lowestRank is the rank of a node that doesn't know the other nodes yet.
 	lowestRank = 1 << 20
 	// greetings is how many messages announce this node to a new peer, since datagrams may be
@@ -60,14 +60,14 @@
 	heard time.Time
 	// present tells that it had been heard recently at the last check.
 	present bool
-	// aside tells that it has stepped back because it can't give orders.
-	aside bool
+	// steppedBack tells that it has stepped back because it can't give orders.
+	steppedBack bool
 	// greetings is the number of announcements of this node that it is still to get.
 	greetings int
-	// suspectedUntil is until when it isn't asked. silences counts its consecutive unanswered
+	// unresponsiveUntil is until when it isn't asked. silences counts its consecutive unanswered
 	// questions.
-	suspectedUntil time.Time
-	silences       int
+	unresponsiveUntil time.Time
+	silences          int
 }
 
 // peerSet holds the other nodes by address: a process that restarts on its machine has the
@@ -176,7 +176,7 @@
 // answered records that a peer has answered, so that it no longer counts as unresponsive.
 func (s *peerSet) answered(from netip.AddrPort) {
 	if known, exists := s.peers[from]; exists {
-		known.suspectedUntil, known.silences = time.Time{}, 0
+		known.unresponsiveUntil, known.silences = time.Time{}, 0
 	}
 }
 
@@ -201,18 +201,18 @@
 	first = !known.present
 	s.setZone(known, message.Zone)
 	known.sequence, known.heard, known.present = message.Sequence, now, true
-	known.aside = message.SteppedBack
-	known.suspectedUntil, known.silences = time.Time{}, 0
+	known.steppedBack = message.SteppedBack
+	known.unresponsiveUntil, known.silences = time.Time{}, 0
 	return first, false
 }
 
-// suspect records that a peer didn't answer.
-func (s *peerSet) suspect(address netip.AddrPort, now time.Time) {
+// markUnresponsive records that a peer didn't answer.
+func (s *peerSet) markUnresponsive(address netip.AddrPort, now time.Time) {
 	known, exists := s.peers[address]
-	if !exists || now.Before(known.suspectedUntil) {
+	if !exists || now.Before(known.unresponsiveUntil) {
 		return
 	}
-	known.suspectedUntil = now.Add(min(suspicionTime<<min(known.silences, 4), maxSuspicionTime))
+	known.unresponsiveUntil = now.Add(min(unresponsiveTime<<min(known.silences, 4), maxUnresponsiveTime))
 	known.silences++
 }
 
@@ -246,10 +246,10 @@
 	return s.firstRanked("quota "+account, quotaKeeperCount, "")
 }
 
-// suspected reports whether a peer isn't to be asked, since it didn't answer recently.
-func (s *peerSet) suspected(address netip.AddrPort, now time.Time) bool {
+// isUnresponsive reports whether a peer isn't to be asked, since it didn't answer recently.
+func (s *peerSet) isUnresponsive(address netip.AddrPort, now time.Time) bool {
 	known, exists := s.peers[address]
-	return exists && now.Before(known.suspectedUntil)
+	return exists && now.Before(known.unresponsiveUntil)
 }
 
 // supervisors returns the nodes that know the demand of all callers and may give orders to
@@ -356,18 +356,18 @@
 // designated reports whether this node is the supervisor that is to give orders: the one with
 // the lowest incarnation among those that are present and have not stepped back. A node that
 // has stepped back itself is designated only if all others have too.
-func (s *peerSet) designated(aside bool) bool {
+func (s *peerSet) designated(steppedBack bool) bool {
 	if !s.supervises() {
 		return false
 	}
 	lowest, all := true, true
 	for _, address := range s.supervisors() {
-		if known, exists := s.peers[address]; exists && known.present && !known.aside {
+		if known, exists := s.peers[address]; exists && known.present && !known.steppedBack {
 			all = false
 			lowest = lowest && s.self < known.node
 		}
 	}
-	if aside {
+	if steppedBack {
 		return all
 	}
 	return lowest
--- a/internal/nodeexchange/peers_test.go
+++ b/internal/nodeexchange/peers_test.go
@@ -131,20 +131,20 @@
 		if got, found := set.reachableHome(id, now); !found || got != want {
 			t.Errorf("after %d silences %v is asked, want %v", i, got, want)
 		}
-		set.suspect(want, now)
+		set.markUnresponsive(want, now)
 	}
 	if _, found := set.reachableHome(id, now); found {
 		t.Error("a node that didn't answer is asked")
 	}
-	if got, _ := set.reachableHome(id, now.Add(suspicionTime)); got != homes[0] {
+	if got, _ := set.reachableHome(id, now.Add(unresponsiveTime)); got != homes[0] {
 		t.Error("a silent node is never asked again")
 	}
-	set.suspect(homes[0], now.Add(suspicionTime))
-	if got, _ := set.reachableHome(id, now.Add(2*suspicionTime)); got != homes[1] {
+	set.markUnresponsive(homes[0], now.Add(unresponsiveTime))
+	if got, _ := set.reachableHome(id, now.Add(2*unresponsiveTime)); got != homes[1] {
 		t.Error("a node that stays silent is asked as often as before")
 	}
 	set.answered(homes[0])
-	if got, _ := set.reachableHome(id, now.Add(2*suspicionTime)); got != homes[0] {
+	if got, _ := set.reachableHome(id, now.Add(2*unresponsiveTime)); got != homes[0] {
 		t.Error("a node that has answered isn't asked")
 	}
 }
--- a/internal/nodeexchange/quota.go
+++ b/internal/nodeexchange/quota.go
@@ -113,10 +113,10 @@
 	request quota.ChargeRequest
 	account string
 	report  quota.Report
-	// keepers are in the order in which they are asked. suspected tells that all of them are
-	// suspected.
-	keepers   []netip.AddrPort
-	suspected bool
+	// keepers are in the order in which they are asked. allUnresponsive tells that none of them
+	// answered when it was last asked.
+	keepers         []netip.AddrPort
+	allUnresponsive bool
 	// asked holds when each keeper was asked, for those that haven't answered.
 	asked map[netip.AddrPort]time.Time
 	// extraWait is how much longer than within the region to wait for each keeper's answer.
@@ -152,11 +152,11 @@
 	for i, keeper := range pending.keepers {
 		q.askKeeper(pending, keeper)
 		last := i == len(pending.keepers)-1
-		if pending.suspected && !last {
+		if pending.allUnresponsive && !last {
 			continue
 		}
 		timeout := pending.timeout(keeper)
-		if last && !pending.suspected {
+		if last && !pending.allUnresponsive {
 			timeout = max(quotaTotalTimeout+pending.extraWait[keeper]-time.Since(begun), timeout)
 		}
 		if pending.await(ctx, timeout) {
@@ -173,7 +173,8 @@
 	return quotaKeeperTimeout + a.extraWait[keeper]
 }
 
-// beginCharge registers a charge and selects the keepers to be asked, the suspected ones last.
+// beginCharge registers a charge and selects the keepers to be asked, the unresponsive ones
+// last.
 func (q *quotaExchange) beginCharge(request quota.ChargeRequest, now time.Time) *pendingCharge {
 	account := request.Charge().Account
 	pending := &pendingCharge{
@@ -181,18 +182,18 @@
 		answers: make(chan quotaAnswer, quotaKeeperCount), extraWait: make(map[netip.AddrPort]time.Duration),
 	}
 	q.exchange.mu.Lock()
-	var suspected []netip.AddrPort
+	var unresponsive []netip.AddrPort
 	for _, keeper := range q.keepers(q.exchange.peers, account) {
 		pending.extraWait[keeper] = q.exchange.extraWait(q.exchange.peers.regionOf(keeper))
-		if q.exchange.peers.suspected(keeper, now) {
-			suspected = append(suspected, keeper)
+		if q.exchange.peers.isUnresponsive(keeper, now) {
+			unresponsive = append(unresponsive, keeper)
 		} else {
 			pending.keepers = append(pending.keepers, keeper)
 		}
 	}
 	q.exchange.mu.Unlock()
-	pending.suspected = len(pending.keepers) == 0
-	pending.keepers = append(pending.keepers, suspected...)
+	pending.allUnresponsive = len(pending.keepers) == 0
+	pending.keepers = append(pending.keepers, unresponsive...)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	pending.report = q.meter.Begin(account, request.Limit, request.Version, now)
@@ -294,7 +295,7 @@
 func (q *quotaExchange) finishCharge(ctx context.Context, pending *pendingCharge, now time.Time) quota.Outcome {
 	verdict, result := q.finish(pending, q.exchange.Nodes(), ctx.Err() != nil, now)
 	q.wakeReporter()
-	q.exchange.suspect(result.silent, now)
+	q.exchange.markUnresponsive(result.silent, now)
 	q.logResult(pending, verdict, result)
 	if !verdict.Granted {
 		verdict.RetryAfter = quota.AddJitter(verdict.RetryAfter, rand.Float64())
@@ -346,12 +347,12 @@
 	}
 }
 
-// suspect records that nodes didn't answer.
-func (e *Exchange) suspect(silent []netip.AddrPort, now time.Time) {
+// markUnresponsive records that nodes didn't answer.
+func (e *Exchange) markUnresponsive(silent []netip.AddrPort, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, address := range silent {
-		e.peers.suspect(address, now)
+		e.peers.markUnresponsive(address, now)
 	}
 }
 
--- a/internal/nodeexchange/suspects.go
+++ b/internal/nodeexchange/suspects.go
@@ -15,7 +15,7 @@
 // SetQuarantine connects the exchange with a quarantine manager: the exchange sends other nodes
 // what the manager learns of requests during which workers end (suspects), and gives it what
 // other nodes send. It must be called before Run.
-func (e *Exchange) SetQuarantine(keeper *quarantine.Manager) { e.quarantine = keeper }
+func (e *Exchange) SetQuarantine(manager *quarantine.Manager) { e.quarantine = manager }
 
 // ChosenForTrial reports whether this node is the one of all nodes that runs the trials of a
 // quarantined request.
--- a/internal/nodeexchange/tables.go
+++ b/internal/nodeexchange/tables.go
@@ -21,7 +21,7 @@
 	// KnownAnnouncements returns those of all that it relies on.
 	OwnAnnouncements(now time.Time) []tablerelay.Announcement
 	KnownAnnouncements(now time.Time) []tablerelay.Announcement
-	Receive(words []tablerelay.Announcement, now time.Time)
+	Receive(announcements []tablerelay.Announcement, now time.Time)
 	ReceiveNews(news tablefeed.News)
 }
 
--- a/internal/nodeexchange/tables_test.go
+++ b/internal/nodeexchange/tables_test.go
@@ -18,8 +18,10 @@
 func (b *coordinatorStub) KnownAnnouncements(time.Time) []tablerelay.Announcement {
 	return []tablerelay.Announcement{{Table: "known"}}
 }
-func (b *coordinatorStub) Receive(words []tablerelay.Announcement, _ time.Time) { b.received <- words }
-func (b *coordinatorStub) ReceiveNews(tablefeed.News)                           {}
+func (b *coordinatorStub) Receive(announcements []tablerelay.Announcement, _ time.Time) {
+	b.received <- announcements
+}
+func (b *coordinatorStub) ReceiveNews(tablefeed.News) {}
 
 // TestWordsReachAllNodes checks that announcements reach every node of a large fleet through
 // two nodes of each zone, and that no node sends to all others.
@@ -40,9 +42,9 @@
 	exchanges[0].BroadcastAnnouncements([]tablerelay.Announcement{{Table: "spread"}})
 	for i, board := range boards[1:] {
 		select {
-		case words := <-board.(*coordinatorStub).received:
-			if words[0].Table != "spread" {
-				t.Errorf("node %d received %v", i+1, words)
+		case announcements := <-board.(*coordinatorStub).received:
+			if announcements[0].Table != "spread" {
+				t.Errorf("node %d received %v", i+1, announcements)
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatalf("node %d received nothing", i+1)
@@ -56,9 +58,9 @@
 	exchanges, _ := clusterWithCoordinators(t, []TableCoordinator{asking, asked}, "w")
 	exchanges[0].RequestAnnouncements("table")
 	select {
-	case words := <-asking.received:
-		if words[0].Table != "known" {
-			t.Errorf("%v", words)
+	case announcements := <-asking.received:
+		if announcements[0].Table != "known" {
+			t.Errorf("%v", announcements)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("no announcements arrived")
--- a/internal/nodeexchange/turns.go
+++ b/internal/nodeexchange/turns.go
@@ -132,7 +132,7 @@
 		if keeper == e.peers.address {
 			return true
 		}
-		if known, exists := e.peers.peers[keeper]; exists && known.present && !e.peers.suspected(keeper, now) {
+		if known, exists := e.peers.peers[keeper]; exists && known.present && !e.peers.isUnresponsive(keeper, now) {
 			return false
 		}
 	}
