--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -27,10 +27,10 @@
 	// buckets has one token bucket for each of burstFractions.
 	buckets [len(burstFractions)]Bucket
 	// usageKnownSince is the time from which on all usage has been reported to this keeper;
-	// created is when this keeper made the account.
+	// created is when this keeper made the account, which may be earlier or later.
 	usageKnownSince, created time.Time
 	// promised is the total cost of refused requests that were told a time to retry and may
-	// still return.
+	// still come again.
 	promised Bucket
 	spenders map[string]*spender
 	// total is the recent usage of all nodes.
@@ -40,7 +40,8 @@
 	// reserved is the fraction of the limit that is held back for silent nodes.
 	reserved float64
 	// noOtherKeeper means that this keeper is cold and has heard of no other keeper of the
-	// account since it started. Others may have started in the same way and grant as well.
+	// account since it started (DecisionRequest.Alone). Others may have started in the
+	// same way and grant as well.
 	noOtherKeeper bool
 }
 
@@ -111,8 +112,9 @@
 	if increase != 0 {
 		before := a.buckets
 		k.charge(a, s, increase, now)
-		// Turns that another keeper has granted ahead of time are owed in full, so they lower
-		// the floor.
+		// Turns that another keeper has granted lie up to Tolerance.Ahead in the future, but
+		// are charged at once. They are owed in full, so the floor is lower by what is refilled
+		// in that time.
 		floor := -k.tolerance.MaxExcess(a.limit)/debtFloorDivisor - a.limit.Rate*k.tolerance.Ahead.Seconds()
 		for i := range a.buckets {
 			a.buckets[i].level = max(a.buckets[i].level, min(before[i].level, floor))
--- a/internal/quota/decide.go
+++ b/internal/quota/decide.go
@@ -121,7 +121,7 @@
 }
 
 // promiseRetry returns the time after which a refused request can be served, given the earlier
-// refused requests that will return first.
+// refused requests that will be retried first.
 func (k *Keeper) promiseRetry(a *account, shortfall, rate, cost float64, now time.Time) time.Duration {
 	if rate <= 0 {
 		return maxWait
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -31,12 +31,13 @@
 	// Report holds the asking node's counters without this request.
 	Report Report
 	Cost   float64
-	// Patience is how long the request may wait for its turn.
+	// Patience is how long the request may wait for its turn; see Tolerance.Ahead.
 	Patience time.Duration
 	// Split means that another keeper of the account is silent and may be granting too, as in a
 	// network partition.
 	Split bool
-	// Alone means that no other keeper of the account has been heard since this one started.
+	// Alone means that no other keeper of the account has been heard since this one started,
+	// although there are others.
 	Alone bool
 }
 
@@ -130,8 +131,8 @@
 	}
 }
 
-// ReportsMissed records that reports may have been missed until now, because this process stood
-// still or heard no other node. It lowers all accounts to the cold-start level, and uses the
+// ReportsMissed records that reports may have been missed until now, because this process was
+// paused or heard no other node. It lowers all accounts to the cold-start level, and uses the
 // next report of each node only as the baseline for later ones.
 func (k *Keeper) ReportsMissed(now time.Time) {
 	k.reportsSince = now
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -49,7 +49,8 @@
 	Overshoot float64
 	Slack     float64
 	// Ahead is how far in the future turns are granted to requests that can wait. If zero, none
-	// are.
+	// are. A turn is a reserved rate-limit slot: a grant that is charged at once, for a request
+	// that is sent after Decision.Delay.
 	Ahead time.Duration
 }
 
--- a/internal/quota/request.go
+++ b/internal/quota/request.go
@@ -9,8 +9,8 @@
 	Limit   Limit
 	Version uint64
 	Cost    float64
-	// Patience is how long the request may wait for its turn. If zero, it is granted at once or
-	// refused.
+	// Patience is how long the request may wait for its turn; see Tolerance.Ahead. If zero, it
+	// is granted at once or refused.
 	Patience time.Duration
 }
 
@@ -31,7 +31,8 @@
 // Outcome is the result of a ChargeRequest, whether a keeper or this node decided.
 type Outcome struct {
 	Granted bool
-	// Private means that no keeper answered, so this node decided by its own allowance.
+	// Private means that no keeper answered, so this node decided by its own allowance: its
+	// share of what nodes that reach no keeper may use.
 	Private bool
 	// Keeper is the address of the keeper that decided, empty if none did.
 	Keeper string
