--- a/internal/nodeexchange/quota_keep.go
+++ b/internal/nodeexchange/quota_keep.go
@@ -88,7 +88,7 @@
 	keeps := slices.Contains(keepers, q.exchange.peers.address)
 	q.mu.Lock()
 	split := q.hasSilentKeeper(account, keepers, q.exchange.peers.address, quota.SilentAfter, now)
-	ask.Split, ask.Alone = split, q.hasHeardNoKeeper(keepers, q.exchange.peers.address)
+	ask.Split, ask.NoKeeperHeard = split, q.hasHeardNoKeeper(keepers, q.exchange.peers.address)
 	decision := q.keeper.Decide(ask, keeps, now)
 	changed := q.setReserved(account, decision.Reserved > 0)
 	q.mu.Unlock()
@@ -105,11 +105,11 @@
 // hasSilentKeeper reports whether another keeper of the account has been silent for longer than
 // silence.
 func (q *quotaExchange) hasSilentKeeper(account string, keepers []netip.AddrPort, self netip.AddrPort, silence time.Duration, now time.Time) bool {
-	known := q.keeper.KnownSince(account, now)
+	created := q.keeper.CreatedAt(account, now)
 	for _, keeper := range keepers {
 		heard := q.heard[keeper]
-		if heard.Before(known) {
-			heard = known
+		if heard.Before(created) {
+			heard = created
 		}
 		if keeper != self && now.Sub(heard) > silence {
 			return true
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -40,7 +40,7 @@
 	// reserved is the fraction of the limit that is held back for silent nodes.
 	reserved float64
 	// noOtherKeeper means that this keeper is cold and has heard of no other keeper of the
-	// account since it started (DecisionRequest.Alone). Others may have started in the
+	// account since it started (DecisionRequest.NoKeeperHeard). Others may have started in the
 	// same way and grant as well.
 	noOtherKeeper bool
 }
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -36,9 +36,9 @@
 	// Split means that another keeper of the account is silent and may be granting too, as in a
 	// network partition.
 	Split bool
-	// Alone means that no other keeper of the account has been heard since this one started,
-	// although there are others.
-	Alone bool
+	// NoKeeperHeard means that no other keeper of the account has been heard since this one
+	// started, although there are others.
+	NoKeeperHeard bool
 }
 
 // Decision is a keeper's answer to a DecisionRequest.
@@ -92,7 +92,7 @@
 func (k *Keeper) Decide(request DecisionRequest, isKeeper bool, now time.Time) Decision {
 	a := k.account(request.Account, request.Report, isKeeper, now)
 	s := k.mergeReport(a, request.From, request.Report, now)
-	a.reserved, a.noOtherKeeper = 0, request.Alone && k.isCold(a, now)
+	a.reserved, a.noOtherKeeper = 0, request.NoKeeperHeard && k.isCold(a, now)
 	if request.Split {
 		a.reserved = k.silentShare(a, request.From.Node, now)
 	}
@@ -163,8 +163,8 @@
 // Accounts returns the names of all known accounts.
 func (k *Keeper) Accounts() []string { return slices.Collect(maps.Keys(k.accounts)) }
 
-// KnownSince returns the time at which this keeper created an account, or now if it has none.
-func (k *Keeper) KnownSince(name string, now time.Time) time.Time {
+// CreatedAt returns the time at which this keeper created an account, or now if it has none.
+func (k *Keeper) CreatedAt(name string, now time.Time) time.Time {
 	if a, known := k.accounts[name]; known {
 		return a.created
 	}
--- a/internal/quota/keeper_test.go
+++ b/internal/quota/keeper_test.go
@@ -699,7 +699,7 @@
 				}
 			}
 			ask := n.request(limit, 1, at(now))
-			ask.Alone = now < met
+			ask.NoKeeperHeard = now < met
 			for keeper.Decide(ask, true, at(now)).Granted {
 				n.meter.Take(accountA, 1, at(now))
 				ask.Report = n.meter.Report(accountA, at(now))
