--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -18,7 +18,9 @@
 	// conclusiveCrashes is the number of crashes from which a request is quarantined even if
 	// another request was present at each of them, all were at one address, or the answers had
 	// begun. With it, a request reaches at most three more workers after its third crash,
-	// trials included.
+	// trials included: trials are due after three, four and five crashes (trialDelays), and a
+	// request that isn't quarantined before its fifth crash gets only the last of them. Either
+	// way it has crashed six workers at most when no trial is left.
 	conclusiveCrashes = 5
 	// maxQuarantined bounds the requests in quarantine at a time. If more than that seem to
 	// crash their workers, the workers are at fault, and refusing all the requests would end
@@ -359,7 +361,9 @@
 	return stored
 }
 
-// Counts returns the numbers of suspected and of quarantined requests.
+// Counts returns the numbers of suspected and of quarantined requests. Suspected are those with
+// at least one uncleared crash that aren't quarantined, even if a quarantined request was
+// present at that crash.
 func (d *Detector) Counts() (suspected, quarantined int) {
 	for _, known := range d.entries {
 		switch {
--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -18,7 +18,8 @@
 	broadcastInterval = 150 * time.Millisecond
 	// sharedCrashes is the number of crashes from which a request is shared with all nodes and
 	// saved in the store. A single crash says next to nothing, and every crash of a worker adds
-	// one to each of the requests that it was running.
+	// one to each of the requests that it was running. Shared and IsShared say which crashes
+	// are counted.
 	sharedCrashes = 2
 )
 
@@ -43,7 +44,8 @@
 	log logrus.FieldLogger
 	// local means that this node sends nothing to other nodes.
 	local bool
-	// refused counts the tries of quarantined requests that were refused.
+	// refused counts the attempts to run quarantined requests that were refused. Trials aren't
+	// counted.
 	refused prometheus.Counter
 	// runsTrials reports whether this node is the one that runs the trials of a request.
 	runsTrials func(request Fingerprint) bool
@@ -85,8 +87,9 @@
 // UnsavedSignal returns a channel that receives a value when Unsaved may have records.
 func (m *Manager) UnsavedSignal() <-chan struct{} { return m.unsavedSignal }
 
-// Check returns the status of a request. If a trial of a quarantined request is due and this
-// node runs its trials, the request is let through once.
+// Check decides whether a request may be sent to a worker now. If a trial of a quarantined
+// request is due and this node runs its trials, the call uses up the trial: the request is let
+// through once. Otherwise it counts the refusal of a quarantined request.
 func (m *Manager) Check(request Fingerprint, now time.Time) Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,7 +155,9 @@
 }
 
 // recordChanges evaluates the requests anew after a change, logs the result, and schedules the
-// records that this node itself has changed to be sent to the others.
+// records that this node itself has changed to be sent to the others. It logs each changed
+// record with sharedCrashes or more uncleared crashes as suspected, also if the change cleared
+// a crash or the request is quarantined; the field crashes tells how many are left.
 func (m *Manager) recordChanges(records []Record, source string, now time.Time) {
 	if len(records) == 0 {
 		return
@@ -221,7 +226,8 @@
 	return records, wait
 }
 
-// Shared returns the records that are shared with all nodes.
+// Shared returns the records for a node that is heard for the first time or again after a
+// silence: those with at least sharedCrashes crashes that aren't cleared.
 func (m *Manager) Shared() []Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -234,8 +240,9 @@
 	return shared
 }
 
-// IsShared reports whether a record is shared with all nodes: it has at least sharedCrashes
-// crashes, cleared ones included.
+// IsShared reports whether a change of a record is to be broadcast to all nodes: the record has
+// at least sharedCrashes crashes, cleared ones included, so that nodes also learn that crashes
+// were cleared.
 func IsShared(record Record) bool { return len(record.Crashes) >= sharedCrashes }
 
 // Unsaved returns the records that are to be saved in the store and aren't yet.
