--- a/internal/tablefeed/tablefeed.go
+++ b/internal/tablefeed/tablefeed.go
@@ -81,7 +81,7 @@
 	At time.Time
 }
 
-// Source is where rows came from.
+// Source is where the last rows of a Feed came from.
 type Source string
 
 // Sources of rows: the store, a News broadcast, or a transfer from another node.
@@ -133,7 +133,8 @@
 	// one.
 	firstBackoffDivisor = 4
 	maxSoloBackoff      = 800 * time.Millisecond // of a node that follows the table without peers
-	// callGrace is how long after longPollTime a call is abandoned.
+	// callGrace is how long after longPollTime a call for changes is abandoned. A call for the
+	// whole table, which isn't held open, is abandoned after callGrace alone.
 	callGrace = 1200 * time.Millisecond
 	// maxAnswerDelay is how long after longPollTime an answer still counts as confirmed on
 	// arrival. A later one was delayed on its way, so its confirmation is dated back to this
@@ -271,6 +272,8 @@
 		case err == nil:
 			known = true
 		case errors.Is(err, ErrHistoryGone):
+			// The store has discarded the changes since the held version. The table is read
+			// again unless another node has the changes.
 			f.historyGoneAfter = f.confirmation.Confirmed
 			f.log.WithFields(logrus.Fields{"table": f.table, "version": f.confirmation.Confirmed}).Warn("store forgot its history; reading the table again")
 		default:
@@ -386,6 +389,8 @@
 	return right
 }
 
+// storeRegained records that a call to the store succeeded. It logs "store regained" after failed
+// calls and after the first successful call since the start, once for each table.
 func (f *Feed) storeRegained() {
 	f.backoff = 0
 	f.behindSince = time.Time{}
@@ -396,6 +401,7 @@
 }
 
 // callFailed logs the first of consecutive failures, and increases the backoff with each.
+// "store lost" means that calls fail; the held version is used on.
 func (f *Feed) callFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
--- a/internal/tablefeed/transfer.go
+++ b/internal/tablefeed/transfer.go
@@ -58,6 +58,7 @@
 		f.set(Confirmation{Changed: f.confirmation.Changed, Confirmed: transfer.Confirmation.Confirmed, At: transfer.Confirmation.At}, false)
 		return true
 	}
+	// This line is logged for changed rows too; the field whole tells which.
 	f.log.WithFields(logrus.Fields{
 		"table": f.table, "version": transfer.Confirmation.Changed, "rows": len(transfer.Rows), "whole": transfer.Whole,
 		"age_ms": time.Since(transfer.Confirmation.At).Milliseconds(),
