--- a/internal/tablerelay/coordinator.go
+++ b/internal/tablerelay/coordinator.go
@@ -37,19 +37,21 @@
 	requestAge         = 800 * time.Millisecond
 	requestInterval    = 100 * time.Millisecond
 	maxRequestInterval = 400 * time.Millisecond
-	// firstMaxBackoff is the longest pause of the first nodes in rank between calls to a
-	// failing store. laterMaxBackoff is that of the others in a fleet of up to
-	// laterBackoffNodes nodes; they hear from the first ones when the store is back. Each call
-	// costs money, even while the store is down, so in a larger fleet the backoff grows with
-	// the number of nodes: the others together call no more often.
+	// firstMaxBackoff is the longest pause between calls to a failing store of the first nodes
+	// in rank, those whose takeover delay is shorter than Freshness (ranks 0 to 4).
+	// laterMaxBackoff is that of the others in a fleet of up to laterBackoffNodes nodes; they
+	// hear from the first ones when the store is back. Each call costs money, even while the
+	// store is down, so in a larger fleet the backoff grows with the number of nodes: the
+	// others together call no more often.
 	firstMaxBackoff   = 800 * time.Millisecond
 	laterMaxBackoff   = 4 * time.Second
 	laterBackoffNodes = 60
-	// broadcastRanks is how many nodes of each zone of a large fleet broadcast what they read;
-	// they take over from each other one at a time. Any other node that has to read because no
-	// announcement reaches it only answers the nodes that ask it. If it broadcast as well, a
-	// thousand nodes that miss an announcement would send each other a million messages, and
-	// miss the next one too.
+	// broadcastRanks is the highest rank at which a node of a large fleet broadcasts what it
+	// reads. These are the first three nodes of each zone, since the first one's rank is 1 at
+	// most (Fleet.Rank), and the first four of the fleet; they take over from each other one at
+	// a time. Any other node that has to read because no announcement reaches it only answers
+	// the nodes that ask it. If it broadcast as well, a thousand nodes that miss an
+	// announcement would send each other a million messages, and miss the next one too.
 	broadcastRanks = 3
 )
 
@@ -73,7 +75,8 @@
 	Address() string
 	// Outranks reports whether another node ranks higher than this one as a reader of a table.
 	Outranks(table, reader string) bool
-	// Rank is this node's rank as a reader of a table, starting at 0.
+	// Rank is this node's rank as a reader of a table, starting at 0. The first node of each
+	// zone has rank 1 at most, the second one 2 at most, and so on.
 	Rank(table string) int
 	// Nodes is the number of nodes; Large reports whether they are too many for each to
 	// broadcast.
