--- a/internal/tableshare/server.go
+++ b/internal/tableshare/server.go
@@ -4,8 +4,10 @@
 // seconds, and call it ten thousand times. Therefore only few nodes read there, and each of the
 // others asks one that has the table. A node sends the compressed rows on as it received them.
 //
-// Guarantee: what a node sends was confirmed by the store no longer ago than Freshness (package
-// tablerelay). A node that was cut off from the store sends nothing.
+// Guarantee: a node sends only while the store has confirmed what it holds, to itself or to the
+// node that it follows, no longer ago than Freshness (package tablerelay). A packed whole table
+// of largeTableRows or more may have been confirmed up to repackInterval ago; the headers tell
+// the age of its confirmation.
 package tableshare
 
 import (
@@ -33,7 +35,8 @@
 	decimal         = 10
 )
 
-// Source is a table that this node holds, as implemented by tablefeed.Feed.
+// Source is the state of a table that this node holds and can send, as implemented by
+// tablefeed.Feed.
 type Source interface {
 	// Held returns the changes after a version, or the whole table.
 	Held(after tablefeed.Version) (copied tablefeed.Transfer, known bool)
