--- a/internal/tablerelay/coordinator.go
+++ b/internal/tablerelay/coordinator.go
@@ -46,13 +46,13 @@
 	firstMaxBackoff   = 800 * time.Millisecond
 	laterMaxBackoff   = 4 * time.Second
 	laterBackoffNodes = 60
-	// broadcastRanks is the highest rank at which a node of a large fleet broadcasts what it
+	// maxBroadcastRank is the highest rank at which a node of a large fleet broadcasts what it
 	// reads. These are the first three nodes of each zone, since the first one's rank is 1 at
 	// most (Fleet.Rank), and the first four of the fleet; they take over from each other one at
 	// a time. Any other node that has to read because no announcement reaches it only answers
 	// the nodes that ask it. If it broadcast as well, a thousand nodes that miss an
 	// announcement would send each other a million messages, and miss the next one too.
-	broadcastRanks = 3
+	maxBroadcastRank = 3
 )
 
 // Announcement is a confirmation of a table that a reader, a node that reads the table at the
@@ -363,5 +363,5 @@
 
 // broadcasts reports whether this node broadcasts what it reads of a table.
 func (c *Coordinator) broadcasts(table string) bool {
-	return !c.fleet.Large() || c.fleet.Rank(table) <= broadcastRanks
+	return !c.fleet.Large() || c.fleet.Rank(table) <= maxBroadcastRank
 }
--- a/internal/tablerelay/coordinator_test.go
+++ b/internal/tablerelay/coordinator_test.go
@@ -425,8 +425,8 @@
 		broadcasts  bool
 	}{
 		"first rank in a large fleet":   {985, 0, true},
-		"last broadcasting rank":        {985, broadcastRanks, true},
-		"next rank":                     {985, broadcastRanks + 1, false},
+		"last broadcasting rank":        {985, maxBroadcastRank, true},
+		"next rank":                     {985, maxBroadcastRank + 1, false},
 		"unknown rank":                  {985, 1 << 20, false},
 		"last rank in a small fleet":    {30, 29, true},
 		"low rank in a fleet of dozens": {75, 12, false},
