--- a/internal/tableshare/server.go
+++ b/internal/tableshare/server.go
@@ -35,9 +35,9 @@
 	decimal         = 10
 )
 
-// Source is the state of a table that this node holds and can send, as implemented by
+// HeldTable is the state of a table that this node holds and can send, as implemented by
 // tablefeed.Feed.
-type Source interface {
+type HeldTable interface {
 	// Held returns the changes after a version, or the whole table.
 	Held(after tablefeed.Version) (copied tablefeed.Transfer, known bool)
 	// Confirmation returns the latest confirmation of the table. Changed returns a channel that
@@ -52,8 +52,8 @@
 	// onQuery is called with each table that another node asks for.
 	onQuery func(table string)
 
-	mu      sync.Mutex
-	sources map[string]Source
+	mu     sync.Mutex
+	tables map[string]HeldTable
 	// packed holds the last packed whole table by table name, and changes the last packed
 	// changes: nodes that wait for the same changes get the same bytes.
 	packed  map[string]packedTable
@@ -89,14 +89,14 @@
 // NewServer returns a server that sends tables whose last confirmation is no older than
 // freshness, and calls onQuery with each table that another node asks for.
 func NewServer(freshness time.Duration, onQuery func(table string)) *Server {
-	return &Server{freshness: freshness, onQuery: onQuery, sources: make(map[string]Source), packed: make(map[string]packedTable), changes: make(map[string]packedChanges)}
+	return &Server{freshness: freshness, onQuery: onQuery, tables: make(map[string]HeldTable), packed: make(map[string]packedTable), changes: make(map[string]packedChanges)}
 }
 
 // Add offers a table to other nodes.
-func (s *Server) Add(table string, source Source) {
+func (s *Server) Add(table string, held HeldTable) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sources[table] = source
+	s.tables[table] = held
 }
 
 // Handler returns the HTTP handler for other nodes.
@@ -140,12 +140,12 @@
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	for {
-		source, known := s.source(table)
+		held, known := s.heldTable(table)
 		if !known {
 			return answer{}, http.StatusNotFound
 		}
-		changed := source.Changed()
-		answer, status := s.answer(table, source, after, time.Now())
+		changed := held.Changed()
+		answer, status := s.answer(table, held, after, time.Now())
 		if status != http.StatusServiceUnavailable && status != http.StatusNoContent {
 			return answer, status
 		}
@@ -159,11 +159,11 @@
 	}
 }
 
-func (s *Server) source(table string) (Source, bool) {
+func (s *Server) heldTable(table string) (HeldTable, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	source, known := s.sources[table]
-	return source, known
+	held, known := s.tables[table]
+	return held, known
 }
 
 // answer is a packed table, or changes of it.
@@ -172,19 +172,19 @@
 	whole bool
 }
 
-func (s *Server) answer(table string, source Source, after tablefeed.Version, now time.Time) (answer, int) {
-	if confirmation, _ := source.Confirmation(); now.Sub(confirmation.At) > s.freshness {
+func (s *Server) answer(table string, held HeldTable, after tablefeed.Version, now time.Time) (answer, int) {
+	if confirmation, _ := held.Confirmation(); now.Sub(confirmation.At) > s.freshness {
 		return answer{}, http.StatusServiceUnavailable
 	}
 	if after == 0 {
-		return s.packTable(table, source, after, now)
+		return s.packTable(table, held, after, now)
 	}
-	transfer, known := source.Held(after)
+	transfer, known := held.Held(after)
 	switch {
 	case !known:
 		return answer{}, http.StatusServiceUnavailable
 	case transfer.Whole:
-		return s.packTable(table, source, after, now)
+		return s.packTable(table, held, after, now)
 	case transfer.Confirmation.Confirmed <= after:
 		return answer{}, http.StatusNoContent
 	}
@@ -209,10 +209,10 @@
 
 // packTable returns the packed whole table. A large cached one that has changed since is only
 // returned if it is newer than after. The lock ensures that only one table is packed at a time.
-func (s *Server) packTable(table string, source Source, after tablefeed.Version, now time.Time) (answer, int) {
+func (s *Server) packTable(table string, held HeldTable, after tablefeed.Version, now time.Time) (answer, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	confirmation, _ := source.Confirmation()
+	confirmation, _ := held.Confirmation()
 	packed, cached := s.packed[table]
 	switch {
 	case cached && packed.confirmation.Changed == confirmation.Changed:
@@ -221,7 +221,7 @@
 	case cached && packed.rows >= largeTableRows && packed.confirmation.Confirmed > after && now.Sub(packed.confirmation.At) < repackInterval:
 		return answer{packedTable: packed, whole: true}, http.StatusOK
 	}
-	transfer, known := source.Held(0)
+	transfer, known := held.Held(0)
 	if !known {
 		return answer{}, http.StatusServiceUnavailable
 	}
--- a/internal/tableshare/tableshare_test.go
+++ b/internal/tableshare/tableshare_test.go
@@ -22,15 +22,15 @@
 
 const freshness = time.Minute
 
-// testSource is a Source whose contents the test sets.
-type testSource struct {
+// testTable is a HeldTable whose contents the test sets.
+type testTable struct {
 	copy         tablefeed.Copy
 	confirmation atomic.Pointer[tablefeed.Confirmation]
 	changed      atomic.Pointer[chan struct{}]
 }
 
 // Changed creates the channel on the first call; wake closes it.
-func (h *testSource) Changed() <-chan struct{} {
+func (h *testTable) Changed() <-chan struct{} {
 	made := make(chan struct{})
 	if h.changed.CompareAndSwap(nil, &made) {
 		return made
@@ -42,20 +42,20 @@
 }
 
 // wake has a held call answered.
-func (h *testSource) wake() {
+func (h *testTable) wake() {
 	if changed := h.changed.Swap(nil); changed != nil {
 		close(*changed)
 	}
 }
 
-func (h *testSource) Confirmation() (tablefeed.Confirmation, bool) {
+func (h *testTable) Confirmation() (tablefeed.Confirmation, bool) {
 	if confirmation := h.confirmation.Load(); confirmation != nil {
 		return *confirmation, false
 	}
 	return tablefeed.Confirmation{}, false
 }
 
-func (h *testSource) Held(after tablefeed.Version) (tablefeed.Transfer, bool) {
+func (h *testTable) Held(after tablefeed.Version) (tablefeed.Transfer, bool) {
 	confirmation, _ := h.Confirmation()
 	if rows, _, kept := h.copy.Since(after); kept && after > 0 {
 		return tablefeed.Transfer{Rows: rows, Confirmation: confirmation}, true
@@ -64,13 +64,13 @@
 	return tablefeed.Transfer{Whole: true, Rows: rows, Confirmation: confirmation}, known
 }
 
-func (h *testSource) set(rows []tablefeed.Row, version tablefeed.Version, age time.Duration) {
+func (h *testTable) set(rows []tablefeed.Row, version tablefeed.Version, age time.Duration) {
 	h.copy.Reset(rows, version)
 	h.confirmation.Store(&tablefeed.Confirmation{Changed: version, Confirmed: version, At: time.Now().Add(-age)})
 	h.wake()
 }
 
-func (h *testSource) change(rows []tablefeed.Row, version tablefeed.Version) {
+func (h *testTable) change(rows []tablefeed.Row, version tablefeed.Version) {
 	h.copy.Apply(rows, version)
 	h.confirmation.Store(&tablefeed.Confirmation{Changed: version, Confirmed: version, At: time.Now()})
 	h.wake()
@@ -78,7 +78,7 @@
 
 // testNode is a node that sends tables; it counts the queries that it gets.
 type testNode struct {
-	table   testSource
+	table   testTable
 	server  *Server
 	address netip.AddrPort
 	asked   atomic.Int64
