--- a/internal/nodeexchange/listing.go
+++ b/internal/nodeexchange/listing.go
@@ -14,6 +14,10 @@
 // large fleet no node greets all others, which would take a million datagrams when a thousand
 // nodes start. The order of the rows also determines from which nodes a starting node gets the
 // tables: always from nodes that were listed before it.
+//
+// Which nodes are asked depends on what is wanted: tableSources for a whole table, all of this
+// node's zone; storeReaders for the first in rank to read a table from the store; neighbours
+// for any nodes that may have a table; announcementSources for announcements.
 
 // Bounds and times of a node's start.
 const (
