--- a/internal/nodeexchange/listing.go
+++ b/internal/nodeexchange/listing.go
@@ -14,6 +14,10 @@
 // large fleet no node greets all others, which would take a million datagrams when a thousand
 // nodes start. The order of the rows also determines from which nodes a starting node gets the
 // tables: always from nodes that were listed before it.
+//
+// Which nodes are asked depends on what is wanted: tableSources for a whole table, all of this
+// node's zone; storeReaders for the first in rank to read a table from the store; neighbours
+// for any nodes that may have a table; announcementSources for announcements.
 
 // Bounds and times of a node's start.
 const (
@@ -158,7 +162,8 @@
 	return e.peers.neighbours()
 }
 
-// neighbours returns the nodes of the zone that were listed first, and a random peer.
+// neighbours returns the nodes of the zone that were listed first, and a random peer of any
+// zone.
 func (s *peerSet) neighbours() []netip.AddrPort {
 	order := s.listedInZone()
 	near := order[:min(len(order), sourcesPerZone):min(len(order), sourcesPerZone)]
@@ -182,9 +187,10 @@
 	return kept
 }
 
-// tableSources returns the nodes to be asked for a whole table: the parent in the tree that the
-// zone's nodes form by the order of their rows, then the nodes at its root, and a random one.
-// Nodes at the root ask nobody: if they waited for other nodes, those might wait for them.
+// tableSources returns the nodes of the zone to be asked for a whole table: the parent in the
+// tree that the zone's nodes form by the order of their rows, then the nodes at its root, and a
+// random one. Nodes at the root ask nobody: if they waited for other nodes, those might wait
+// for them.
 func (s *peerSet) tableSources() []netip.AddrPort {
 	order := s.listedInZone()
 	before := len(order)
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -31,13 +31,14 @@
 	// Report holds the asking node's counters without this request.
 	Report Report
 	Cost   float64
-	// Patience is how long the request may wait for its turn.
+	// Patience is how long the request may wait for its turn; see Tolerance.Ahead.
 	Patience time.Duration
 	// Split means that another keeper of the account is silent and may be granting too, as in a
 	// network partition.
 	Split bool
-	// Alone means that no other keeper of the account has been heard since this one started.
-	Alone bool
+	// NoKeeperHeard means that no other keeper of the account has been heard since this one
+	// started, although there are others.
+	NoKeeperHeard bool
 }
 
 // Decision is a keeper's answer to a DecisionRequest.
@@ -91,7 +92,7 @@
 func (k *Keeper) Decide(request DecisionRequest, isKeeper bool, now time.Time) Decision {
 	a := k.account(request.Account, request.Report, isKeeper, now)
 	s := k.mergeReport(a, request.From, request.Report, now)
-	a.reserved, a.noOtherKeeper = 0, request.Alone && k.isCold(a, now)
+	a.reserved, a.noOtherKeeper = 0, request.NoKeeperHeard && k.isCold(a, now)
 	if request.Split {
 		a.reserved = k.silentShare(a, request.From.Node, now)
 	}
@@ -130,8 +131,8 @@
 	}
 }
 
-// ReportsMissed records that reports may have been missed until now, because this process stood
-// still or heard no other node. It lowers all accounts to the cold-start level, and uses the
+// ReportsMissed records that reports may have been missed until now, because this process was
+// paused or heard no other node. It lowers all accounts to the cold-start level, and uses the
 // next report of each node only as the baseline for later ones.
 func (k *Keeper) ReportsMissed(now time.Time) {
 	k.reportsSince = now
@@ -162,8 +163,8 @@
 // Accounts returns the names of all known accounts.
 func (k *Keeper) Accounts() []string { return slices.Collect(maps.Keys(k.accounts)) }
 
-// KnownSince returns the time at which this keeper created an account, or now if it has none.
-func (k *Keeper) KnownSince(name string, now time.Time) time.Time {
+// CreatedAt returns the time at which this keeper created an account, or now if it has none.
+func (k *Keeper) CreatedAt(name string, now time.Time) time.Time {
 	if a, known := k.accounts[name]; known {
 		return a.created
 	}
