--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -41,20 +41,20 @@
 	if err != nil {
 		return Settings{}, err
 	}
-	replace(&settings.Node.Name, f.NodeName)
-	replace(&settings.Node.Zone, f.Zone)
-	replace(&settings.Listen.Callers, f.ListenCallers)
-	replace(&settings.Listen.Operators, f.ListenOperators)
-	replace(&settings.Listen.Peers, f.ListenPeers)
-	replace(&settings.Log.Level, f.LogLevel)
-	replace(&settings.Log.Format, f.LogFormat)
+	override(&settings.Node.Name, f.NodeName)
+	override(&settings.Node.Zone, f.Zone)
+	override(&settings.Listen.Callers, f.ListenCallers)
+	override(&settings.Listen.Operators, f.ListenOperators)
+	override(&settings.Listen.Peers, f.ListenPeers)
+	override(&settings.Log.Level, f.LogLevel)
+	override(&settings.Log.Format, f.LogFormat)
 	if len(f.Seeds) > 0 {
 		settings.Cluster.Seeds = f.Seeds
 	}
 	return settings, settings.Check(source)
 }
 
-func replace(target *string, value string) {
+func override(target *string, value string) {
 	if value != "" {
 		*target = value
 	}
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -172,12 +172,12 @@
 		c.match("zones."+zone, region, namePattern, "use 1 to 63 of a-z, 0-9, '.' and '-'")
 	}
 	c.seconds("quota.window_s", s.Quota.WindowSeconds)
-	c.share("quota.overshoot", s.Quota.Overshoot, 10)
-	c.share("quota.slack", s.Quota.Slack, 1e12)
+	c.nonNegative("quota.overshoot", s.Quota.Overshoot, 10)
+	c.nonNegative("quota.slack", s.Quota.Slack, 1e12)
 	c.between("limits.memory_mb", s.Limits.MemoryMegabytes, 32, 1<<20)
 	c.between("bounds.stop_ms", s.Bounds.StopMillis, 1000, 24*3_600_000)
-	c.share("bounds.retry_ratio", s.Bounds.RetryRatio, 10)
-	c.share("bounds.retry_slack", s.Bounds.RetrySlack, 1e6)
+	c.nonNegative("bounds.retry_ratio", s.Bounds.RetryRatio, 10)
+	c.nonNegative("bounds.retry_slack", s.Bounds.RetrySlack, 1e6)
 	c.between("bounds.retry_window_ms", s.Bounds.RetryWindowMillis, 100, 3_600_000)
 	c.between("bounds.lease_ms", s.Bounds.LeaseMillis, 100, 3_600_000)
 	c.between("bounds.heartbeat_ms", s.Bounds.HeartbeatMillis, 10, 3_600_000)
@@ -186,16 +186,16 @@
 	return c.err()
 }
 
-// longest is the longest span that a setting may give, in seconds: a day.
-const longest = 24 * 3600
+// maxSeconds is the maxSeconds span that a setting may give, in seconds: a day.
+const maxSeconds = 24 * 3600
 
 func (c *checker) seconds(key string, value float64) {
-	if value <= 0 || value > longest {
-		c.add(key, "%v is out of range; use more than 0 and at most %v seconds", value, longest)
+	if value <= 0 || value > maxSeconds {
+		c.add(key, "%v is out of range; use more than 0 and at most %v seconds", value, maxSeconds)
 	}
 }
 
-func (c *checker) share(key string, value, highest float64) {
+func (c *checker) nonNegative(key string, value, highest float64) {
 	if value < 0 || value > highest {
 		c.add(key, "%v is out of range; use 0 to %v", value, highest)
 	}
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-const routedExample = `
+const validRouted = `
 node: {name: front-1, zone: a}
 listen: {callers: "10.0.0.1:80", readiness: "10.0.0.1:81", exchange: "10.0.0.1:82", metrics: "10.0.0.1:83"}
 store: {address: "10.0.0.9:90"}
 `
 
 func TestRoutedSettings(t *testing.T) {
-	got, err := ParseRouted("file", []byte(routedExample))
+	got, err := ParseRouted("file", []byte(validRouted))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestRoutedSettingsNameEveryMistake(t *testing.T) {
+func TestRoutedSettingsReportEveryError(t *testing.T) {
 	_, err := ParseRouted("file", []byte(`node: {name: "Front 1"}
 listen: {callers: "localhost:80"}
 store: {address: nowhere}
@@ -42,8 +42,8 @@
 	}
 }
 
-func TestRoutedSettingsRefuseUnknownKeys(t *testing.T) {
-	for _, text := range []string{routedExample + "odd: 1\n", "node: {nmae: x}\n", "node: [", "\x00"} {
+func TestRoutedSettingsRejectUnknownKeys(t *testing.T) {
+	for _, text := range []string{validRouted + "odd: 1\n", "node: {nmae: x}\n", "node: [", "\x00"} {
 		if _, err := ParseRouted("file", []byte(text)); err == nil || !strings.Contains(err.Error(), "file") {
 			t.Errorf("%q: %v", text, err)
 		}
@@ -51,7 +51,7 @@
 }
 
 func TestRoutedSettingsOfRegionsAndQuotas(t *testing.T) {
-	got, err := ParseRouted("file", []byte(routedExample+`
+	got, err := ParseRouted("file", []byte(validRouted+`
 zones: {a: north, b: south}
 quota: {window_s: 4, overshoot: 0.2, slack: 100}
 bounds: {fencing: false}
@@ -62,10 +62,10 @@
 	if got.Zones["b"] != "south" || got.Quota != (RoutedQuota{WindowSeconds: 4, Overshoot: 0.2, Slack: 100}) || got.Bounds.Fencing {
 		t.Errorf("%+v", got)
 	}
-	if got, err := ParseRouted("file", []byte(routedExample+"zones:\n")); err != nil || len(got.Zones) != 0 || !got.Bounds.Fencing {
+	if got, err := ParseRouted("file", []byte(validRouted+"zones:\n")); err != nil || len(got.Zones) != 0 || !got.Bounds.Fencing {
 		t.Errorf("without zones: %+v, %v", got, err)
 	}
-	_, err = ParseRouted("file", []byte(routedExample+"zones: {a: North}\nquota: {window_s: 0, overshoot: -1}\n"))
+	_, err = ParseRouted("file", []byte(validRouted+"zones: {a: North}\nquota: {window_s: 0, overshoot: -1}\n"))
 	for _, part := range []string{"zones.a", "quota.window_s", "quota.overshoot"} {
 		if err == nil || !strings.Contains(err.Error(), part) {
 			t.Errorf("%q is not told in: %v", part, err)
@@ -74,13 +74,13 @@
 }
 
 func FuzzParseRouted(f *testing.F) {
-	f.Add([]byte(routedExample))
+	f.Add([]byte(validRouted))
 	f.Fuzz(func(_ *testing.T, content []byte) { _, _ = ParseRouted("file", content) })
 }
 
-// TestLateRequestsAreHeldWhereTheSettingsSaySo.
-func TestLateRequestsAreHeldWhereTheSettingsSaySo(t *testing.T) {
-	for text, want := range map[string]bool{routedExample: false, routedExample + "late: {hold: true}\n": true} {
+// TestLateHoldSetting.
+func TestLateHoldSetting(t *testing.T) {
+	for text, want := range map[string]bool{validRouted: false, validRouted + "late: {hold: true}\n": true} {
 		got, err := ParseRouted("file", []byte(text))
 		if err != nil || got.Late.Hold != want {
 			t.Errorf("hold %v, %v", got.Late.Hold, err)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-const good = `node:
+const validExample = `node:
   name: node-1
   zone: lisbon-a
 listen:
@@ -27,8 +27,8 @@
     url: http://127.0.0.1:3
 `
 
-func TestGoodFilePasses(t *testing.T) {
-	settings, source, err := Parse("node.yaml", []byte(good))
+func TestValidFilePasses(t *testing.T) {
+	settings, source, err := Parse("node.yaml", []byte(validExample))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestMistakesNameLineAndKey(t *testing.T) {
+func TestErrorsNameLineAndKey(t *testing.T) {
 	cases := []struct {
 		name, from, to string
 		want           []string
@@ -52,7 +52,7 @@
 		{"missing", "    bucket: tinarch\n", "", []string{"platform.objects.bucket", "missing"}},
 	}
 	for _, test := range cases {
-		settings, source, err := Parse("node.yaml", []byte(strings.Replace(good, test.from, test.to, 1)))
+		settings, source, err := Parse("node.yaml", []byte(strings.Replace(validExample, test.from, test.to, 1)))
 		if err == nil {
 			err = settings.Check(source)
 		}
@@ -68,9 +68,9 @@
 	}
 }
 
-func TestFlagsReplaceTheFile(t *testing.T) {
+func TestFlagsOverrideTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validExample), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	settings, err := Flags{Config: path, NodeName: "node-2", LogLevel: "debug"}.Resolve()
@@ -83,7 +83,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validExample))
 	f.Add([]byte("node: [1]\n"))
 	f.Add([]byte("node:\n  name: *x\n"))
 	f.Add([]byte("limits: {max_body_bytes: 99999999999999999999}\n"))
