--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -111,7 +111,7 @@
 func (n *Node) Candidates() []group.Member {
 	var candidates []group.Member
 	for _, view := range n.members.Nodes() {
-		if view.State != membership.Alive || view.Leaving || n.machines.leavingNode(view.Address) {
+		if view.State != membership.Alive || view.Leaving || n.machines.nodeIsLeaving(view.Address) {
 			continue
 		}
 		candidates = append(candidates, group.Member{
@@ -131,9 +131,9 @@
 	return known.Epoch, known.Leader, found && node.State == membership.Alive
 }
 
-// goneAfter is how long the machine list must have shown a machine as dropped
+// endedAfter is how long the machine list must have shown a machine as dropped
 // before that counts as the platform's word that it is gone.
-const goneAfter = 15 * time.Second
+const endedAfter = 15 * time.Second
 
 // HasEnded implements group.View. It is asked only where a majority of a group can't
 // be reached, and errs on the side of no.
@@ -141,7 +141,7 @@
 	if node, found := n.members.Node(member.Node); found && node.Incarnation != string(member.ID) && node.State == membership.Alive {
 		return true // its node runs a later process
 	}
-	return n.machines.droppedFor(member.Address) > goneAfter
+	return n.machines.droppedFor(member.Address) > endedAfter
 }
 
 // MinEpoch implements group.View.
@@ -167,15 +167,15 @@
 	for number := range n.settings.Cluster.LedgerGroups {
 		wanted = append(wanted, ledger.GroupName(number))
 	}
-	for name := range n.cellsOf() {
+	for name := range n.configuredCells() {
 		wanted = append(wanted, name)
 	}
 	slices.Sort(wanted)
 	return wanted
 }
 
-// cellsOf returns the cells of the configuration, with their pools.
-func (n *Node) cellsOf() map[string]string {
+// configuredCells returns the cells of the configuration, with their pools.
+func (n *Node) configuredCells() map[string]string {
 	cells := map[string]string{}
 	for _, pool := range n.manager.Current().Catalog.GetPools() {
 		for number := range catalog.Cells(pool) {
@@ -192,8 +192,8 @@
 	return pool
 }
 
-// newMachine implements group.Factory.
-func (n *Node) newMachine(groupID string, handle func() *group.Replica) (group.StateMachine, group.LeadershipListener) {
+// newStateMachine implements group.Factory.
+func (n *Node) newStateMachine(groupID string, handle func() *group.Replica) (group.StateMachine, group.LeadershipListener) {
 	if strings.HasPrefix(groupID, ledger.GroupPrefix) {
 		m := ledger.NewReplicatedLedger(handle, n.log)
 		n.mu.Lock()
@@ -249,7 +249,7 @@
 	return services
 }
 
-func (n *Node) ledgerMachines() []*ledger.ReplicatedLedger {
+func (n *Node) localLedgers() []*ledger.ReplicatedLedger {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	list := make([]*ledger.ReplicatedLedger, 0, len(n.ledgers))
@@ -261,7 +261,7 @@
 
 // machinesChanged passes a new machine list on.
 func (n *Node) machinesChanged(list []machines.Machine) {
-	n.routes.observe(list, n.manager.Current())
+	n.routes.setMachines(list, n.manager.Current())
 	for name, service := range n.cellServices() {
 		service.ObserveMachines(n.enginesOf(name))
 	}
@@ -278,9 +278,9 @@
 	}
 }
 
-// longestWindow is the longest time that the configuration lets a key be
+// longestKeyWindow is the longest time that the configuration lets a key be
 // remembered.
-func (n *Node) longestWindow() time.Duration {
+func (n *Node) longestKeyWindow() time.Duration {
 	longest := time.Duration(0)
 	current := n.manager.Current()
 	for _, kind := range current.Catalog.GetKinds() {
@@ -289,9 +289,9 @@
 	return longest
 }
 
-func (n *Node) forgetCommand(groupID string) ([]byte, error) {
+func (n *Node) stateLossCommand(groupID string) ([]byte, error) {
 	if strings.HasPrefix(groupID, ledger.GroupPrefix) {
-		return ledger.StateLossCommand(n.longestWindow())
+		return ledger.StateLossCommand(n.longestKeyWindow())
 	}
 	return cell.NoOpCommand(), nil
 }
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -13,10 +13,10 @@
 // machineWatcher reads the machine list again and again. While the list can't be
 // read, the last one holds.
 type machineWatcher struct {
-	client  *machines.Client
-	period  time.Duration
-	log     logrus.FieldLogger
-	changed func([]machines.Machine)
+	client   *machines.Client
+	period   time.Duration
+	log      logrus.FieldLogger
+	onChange func([]machines.Machine)
 
 	mu   sync.Mutex
 	list []machines.Machine
@@ -25,8 +25,8 @@
 	readAt  time.Time
 }
 
-func newMachineWatcher(client *machines.Client, period time.Duration, log logrus.FieldLogger, changed func([]machines.Machine)) *machineWatcher {
-	return &machineWatcher{client: client, period: period, log: log, changed: changed, dropped: map[string]time.Time{}}
+func newMachineWatcher(client *machines.Client, period time.Duration, log logrus.FieldLogger, onChange func([]machines.Machine)) *machineWatcher {
+	return &machineWatcher{client: client, period: period, log: log, onChange: onChange, dropped: map[string]time.Time{}}
 }
 
 func (w *machineWatcher) run(ctx context.Context) {
@@ -37,8 +37,8 @@
 		list, err := w.client.List(ctx)
 		switch {
 		case err == nil:
-			w.take(list)
-			w.changed(list)
+			w.update(list)
+			w.onChange(list)
 			failing = false
 		case ctx.Err() == nil && !failing:
 			w.log.WithError(err).Warn("the machine list can't be read; the last one holds")
@@ -52,7 +52,7 @@
 	}
 }
 
-func (w *machineWatcher) take(list []machines.Machine) {
+func (w *machineWatcher) update(list []machines.Machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -90,7 +90,7 @@
 
 func (w *machineWatcher) nodes() []machines.Machine { return w.ofKind(machines.KindNode) }
 
-func (w *machineWatcher) leavingNode(address string) bool {
+func (w *machineWatcher) nodeIsLeaving(address string) bool {
 	for _, machine := range w.nodes() {
 		if machine.Address == address {
 			return machine.Leaving
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -41,7 +41,7 @@
 
 func (n *Node) claims() float64 {
 	total := 0
-	for _, m := range n.ledgerMachines() {
+	for _, m := range n.localLedgers() {
 		total += m.Len()
 	}
 	return float64(total)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -61,19 +61,19 @@
 	table    *table.Client
 	objects  *objects.Client
 
-	members  *membership.Driver
-	manager  *rollout.Manager
-	rollout  *rollout.Service
-	host     *group.Host
-	keeper   *group.Manager
-	router   *group.Router
-	machines *machineWatcher
-	ledger   *ledger.Client
-	gateway  *gateway.Server
-	routes   *routedServices
-	operator *http.Server
-
-	callers, operators, peering net.Listener
+	members        *membership.Driver
+	manager        *rollout.Manager
+	rollout        *rollout.Service
+	host           *group.Host
+	groupManager   *group.Manager
+	router         *group.Router
+	machines       *machineWatcher
+	ledger         *ledger.Client
+	gateway        *gateway.Server
+	routes         *routedServices
+	operatorServer *http.Server
+
+	callerListener, operatorListener, peerListener net.Listener
 
 	mu      sync.Mutex
 	cells   map[string]*cell.Service
@@ -81,7 +81,7 @@
 
 	caughtUp atomic.Bool
 	stopping atomic.Bool
-	stop     context.CancelFunc
+	cancel   context.CancelFunc
 	running  sync.WaitGroup
 }
 
@@ -104,7 +104,7 @@
 	incarnation := engine.NewIdentifier()
 	n.self = group.Member{
 		ID: replica.MemberID(incarnation), Node: configured.Node.Name, Zone: configured.Node.Zone,
-		Address: n.peering.Addr().String(),
+		Address: n.peerListener.Addr().String(),
 	}
 	n.log = options.Log.WithFields(logrus.Fields{"node": n.self.Node, "zone": n.self.Zone})
 	peerTLS, err := peerSecurity(configured.TLS.Peers)
@@ -118,10 +118,10 @@
 		n.client.Dial = options.Dial
 	}
 	n.peers = peer.NewServer(identity, n.counters, n.log)
-	n.connectPlatform()
+	n.newPlatformClients()
 	n.buildCluster()
 	n.buildRoutes()
-	if err := n.buildEdges(); err != nil {
+	if err := n.buildServers(); err != nil {
 		n.closeListeners()
 		return nil, err
 	}
@@ -139,9 +139,9 @@
 		key, address string
 		listener     *net.Listener
 	}{
-		{"listen.callers", n.settings.Listen.Callers, &n.callers},
-		{"listen.operators", n.settings.Listen.Operators, &n.operators},
-		{"listen.peers", n.settings.Listen.Peers, &n.peering},
+		{"listen.callers", n.settings.Listen.Callers, &n.callerListener},
+		{"listen.operators", n.settings.Listen.Operators, &n.operatorListener},
+		{"listen.peers", n.settings.Listen.Peers, &n.peerListener},
 	} {
 		listener, err := net.Listen("tcp", port.address)
 		if err != nil {
@@ -154,14 +154,14 @@
 }
 
 func (n *Node) closeListeners() {
-	for _, listener := range []net.Listener{n.callers, n.operators, n.peering} {
+	for _, listener := range []net.Listener{n.callerListener, n.operatorListener, n.peerListener} {
 		if listener != nil {
 			_ = listener.Close()
 		}
 	}
 }
 
-func (n *Node) connectPlatform() {
+func (n *Node) newPlatformClients() {
 	p := n.settings.Platform
 	n.table = table.New(table.Settings{
 		Endpoint: p.Table.Endpoint, Region: p.Table.Region, Table: p.Table.Name,
@@ -184,15 +184,15 @@
 	view := membership.New(memberSettings, own, random)
 	n.rollout = rollout.NewService(n.manager, rollout.NewStore(n.table, n.objects), n.client, n.log, n.self.Address, n.peerAddresses)
 	n.members = membership.NewDriver(memberSettings, view, n.client, n.log, n.seeds, n.manager.Revision, n.rollout.ObserveRevision)
-	n.host = group.NewHost(n.self.ID, replica.DefaultSettings(), n.newMachine, n.client, n.log, n.addressOf, n.publishLeadership)
+	n.host = group.NewHost(n.self.ID, replica.DefaultSettings(), n.newStateMachine, n.client, n.log, n.addressOf, n.publishLeadership)
 	n.router = group.NewRouter(n.client, n)
 	n.ledger = ledger.NewClient(n.router, n.settings.Cluster.LedgerGroups)
-	n.keeper = group.NewManager(n.self, n.host, n.table, n.client, n, n.log, n.forgetCommand)
+	n.groupManager = group.NewManager(n.self, n.host, n.table, n.client, n, n.log, n.stateLossCommand)
 	n.manager.OnChange(n.catalogChanged)
 }
 
-// buildEdges makes what callers and operators talk to.
-func (n *Node) buildEdges() error {
+// buildServers makes what callers and operators talk to.
+func (n *Node) buildServers() error {
 	limits := gateway.DefaultSettings()
 	limits.MaxBodyBytes = n.settings.Limits.MaxBodyBytes
 	limits.ReadTimeout = settings.Milliseconds(n.settings.Limits.ReadTimeoutMillis)
@@ -211,38 +211,38 @@
 		MetricsPage: promhttp.HandlerFor(n.registry, promhttp.HandlerOpts{
 			MaxRequestsInFlight: 2,
 		}),
-		WrapHandler: n.routes.over,
+		WrapHandler: n.routes.withRoutes,
 		Ready:       n.ready,
 		Log:         n.log,
 	})
 	service := &operator.Service{
-		Name: n.self.Node, Manager: n.manager, Rollout: n.rollout, Members: n.members, Router: n.router, Client: n.client, PoolsByCell: n.cellsOf,
+		Name: n.self.Node, Manager: n.manager, Rollout: n.rollout, Members: n.members, Router: n.router, Client: n.client, PoolsByCell: n.configuredCells,
 	}
-	n.operator = &http.Server{
+	n.operatorServer = &http.Server{
 		Handler:           service.Routes(operator.NewInterceptor(n.settings.Operators.Tokens, n.log)),
 		ReadHeaderTimeout: 5 * time.Second,
 		Protocols:         &http.Protocols{},
 	}
 	// gRPC needs HTTP/2, also without TLS.
-	n.operator.Protocols.SetHTTP1(true)
-	n.operator.Protocols.SetHTTP2(true)
-	n.operator.Protocols.SetUnencryptedHTTP2(true)
+	n.operatorServer.Protocols.SetHTTP1(true)
+	n.operatorServer.Protocols.SetHTTP2(true)
+	n.operatorServer.Protocols.SetUnencryptedHTTP2(true)
 	var err error
-	if n.callers, err = serverSecurity(n.callers, n.settings.TLS.Callers, "tls.callers"); err != nil {
+	if n.callerListener, err = serverSecurity(n.callerListener, n.settings.TLS.Callers, "tls.callers"); err != nil {
 		return err
 	}
-	n.operators, err = serverSecurity(n.operators, n.settings.TLS.Operators, "tls.operators")
+	n.operatorListener, err = serverSecurity(n.operatorListener, n.settings.TLS.Operators, "tls.operators")
 	return err
 }
 
 // run starts everything.
 func (n *Node) run(security *tlsConfig) {
 	ctx, cancel := context.WithCancel(context.Background())
-	n.stop = cancel
-	n.peers.Serve(n.peering, security)
+	n.cancel = cancel
+	n.peers.Serve(n.peerListener, security)
 	for _, work := range []func(context.Context){
-		n.machines.run, n.members.Run, n.rollout.Run, n.keeper.Run, n.catchUp,
-		func(ctx context.Context) { ledger.RunTicks(ctx, n.ledgerMachines) },
+		n.machines.run, n.members.Run, n.rollout.Run, n.groupManager.Run, n.catchUp,
+		func(ctx context.Context) { ledger.RunTicks(ctx, n.localLedgers) },
 	} {
 		n.running.Add(1)
 		go func() {
@@ -250,15 +250,15 @@
 			work(ctx)
 		}()
 	}
-	n.gateway.Serve(n.callers)
+	n.gateway.Serve(n.callerListener)
 	go func() {
-		if err := n.operator.Serve(n.operators); !errors.Is(err, http.ErrServerClosed) {
+		if err := n.operatorServer.Serve(n.operatorListener); !errors.Is(err, http.ErrServerClosed) {
 			n.log.WithError(err).Error("the operators' port failed")
 		}
 	}()
 }
 
-const catchUpPause = 300 * time.Millisecond
+const catchUpInterval = 300 * time.Millisecond
 
 // catchUp brings the configuration up to date before the node takes requests.
 func (n *Node) catchUp(ctx context.Context) {
@@ -272,7 +272,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(catchUpPause):
+		case <-time.After(catchUpInterval):
 		}
 	}
 }
@@ -302,10 +302,10 @@
 func (n *Node) Name() string { return n.self.Node }
 
 // CallersAddress returns the address of the callers' port.
-func (n *Node) CallersAddress() string { return n.callers.Addr().String() }
+func (n *Node) CallersAddress() string { return n.callerListener.Addr().String() }
 
 // OperatorsAddress returns the address of the operators' port.
-func (n *Node) OperatorsAddress() string { return n.operators.Addr().String() }
+func (n *Node) OperatorsAddress() string { return n.operatorListener.Addr().String() }
 
 // PeersAddress returns the address of the peers' port.
 func (n *Node) PeersAddress() string { return n.self.Address }
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -20,14 +20,14 @@
 
 // routedServices serves the catalog's routes before workers of the machine list.
 type routedServices struct {
-	front    *ingress.Handler
+	ingress  *ingress.Handler
 	registry *worker.Registry
 	pool     *workerconn.Pool
 	limits   routing.Limits
 }
 
-// retryTerms bound the requests of routes that are sent to a second worker.
-var retryTerms = retry.Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
+// retryLimits bound the requests of routes that are sent to a second worker.
+var retryLimits = retry.Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 
 func (n *Node) buildRoutes() {
 	registry := worker.NewRegistry(topology.New(n.self.Zone, nil))
@@ -39,10 +39,10 @@
 	dispatcher := dispatch.New(dispatch.Options{
 		Registry: registry, Scheduler: scheduling.New(scheduling.DefaultCosts()), Pool: pool,
 		Wire: plainhttp.Protocol{}, Log: n.options.Log, Metrics: dispatch.NewMetrics(n.registry),
-		Nodes: func() int { return max(len(n.Candidates()), 1) }, Retries: retryTerms,
+		Nodes: func() int { return max(len(n.Candidates()), 1) }, Retries: retryLimits,
 	})
 	n.routes = &routedServices{
-		front: ingress.New(ingress.Options{
+		ingress: ingress.New(ingress.Options{
 			Parser: plainhttp.Protocol{}, Runner: dispatcher, Log: n.options.Log, Metrics: ingress.NewMetrics(n.registry),
 		}),
 		registry: registry,
@@ -51,11 +51,11 @@
 	}
 }
 
-// over lets routes go before the handler of all other requests.
-func (s *routedServices) over(next http.Handler) http.Handler {
+// withRoutes lets routes go before the handler of all other requests.
+func (s *routedServices) withRoutes(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if s.front.HasRoute(request) {
-			s.front.ServeHTTP(writer, request)
+		if s.ingress.HasRoute(request) {
+			s.ingress.ServeHTTP(writer, request)
 			return
 		}
 		next.ServeHTTP(writer, request)
@@ -68,12 +68,12 @@
 	if err != nil {
 		return err
 	}
-	s.front.SetTable(table)
+	s.ingress.SetTable(table)
 	return nil
 }
 
-// observe takes the workers of the machine list.
-func (s *routedServices) observe(list []machines.Machine, snapshot *catalog.Snapshot) {
+// setMachines takes the workers of the machine list.
+func (s *routedServices) setMachines(list []machines.Machine, snapshot *catalog.Snapshot) {
 	var workers []worker.Worker
 	for _, machine := range list {
 		if machine.Kind != machines.KindWorker {
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// handOverFor bounds the wait for other nodes to take this node's groups over.
-	handOverFor   = 6 * time.Second
-	handOverEvery = 200 * time.Millisecond
+	// handOverTimeout bounds the wait for other nodes to take this node's groups over.
+	handOverTimeout  = 6 * time.Second
+	handOverInterval = 200 * time.Millisecond
 )
 
 // Stop ends the node as planned: it gives up its leases, leaves its groups,
@@ -22,7 +22,7 @@
 	n.stopping.Store(true)
 	n.announce(ctx)
 	n.leaveGroups(ctx)
-	n.routes.front.Stop()
+	n.routes.ingress.Stop()
 	err := n.gateway.Stop(ctx)
 	n.close()
 	if err != nil {
@@ -37,9 +37,9 @@
 // node or the time is up. While there is no node to replace it, or the table
 // service is down, the groups go on with their other members.
 func (n *Node) leaveGroups(ctx context.Context) {
-	waitCtx, cancel := context.WithTimeout(ctx, handOverFor)
+	waitCtx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	ticker := time.NewTicker(handOverEvery)
+	ticker := time.NewTicker(handOverInterval)
 	defer ticker.Stop()
 	for !n.hasLeft() {
 		n.HandOver()
@@ -67,12 +67,12 @@
 	if others >= group.Size {
 		return len(n.host.Replicas()) == 0
 	}
-	return n.groupsCanSpareIt()
+	return n.groupsKeepMajority()
 }
 
-// groupsCanSpareIt reports whether each group of this node has a live majority
+// groupsKeepMajority reports whether each group of this node has a live majority
 // without it.
-func (n *Node) groupsCanSpareIt() bool {
+func (n *Node) groupsKeepMajority() bool {
 	alive := map[replica.MemberID]bool{}
 	for _, candidate := range n.Candidates() {
 		alive[candidate.ID] = true
@@ -92,7 +92,7 @@
 }
 
 func (n *Node) close() {
-	_ = n.operator.Close()
+	_ = n.operatorServer.Close()
 	n.host.Close()
 	n.mu.Lock()
 	cells := n.cells
@@ -100,7 +100,7 @@
 	for _, service := range cells {
 		service.Close()
 	}
-	n.stop()
+	n.cancel()
 	n.routes.pool.Close()
 	n.client.Close()
 	n.peers.Close()
