--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -41,9 +41,9 @@
 func (l *Log) Dropped() uint64 { return l.writer.dropped.Load() }
 
 // Close writes what is buffered, waiting no longer than patience.
-func (l *Log) Close(patience time.Duration) {
+func (l *Log) Close(timeout time.Duration) {
 	l.writer.close()
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-l.writer.done:
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -11,14 +11,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-const patient = 20 * time.Second
+const closeTimeout = 20 * time.Second
 
 func TestLinesAreWritten(t *testing.T) {
 	var out bytes.Buffer
 	log := New(&out, logrus.InfoLevel)
 	log.WithField("id", "x").Info("planned")
 	log.Debug("hidden")
-	log.Close(patient)
+	log.Close(closeTimeout)
 	var line map[string]any
 	if err := json.Unmarshal(out.Bytes(), &line); err != nil {
 		t.Fatal(err)
@@ -29,29 +29,29 @@
 	log.Info("after the end")
 }
 
-// blocked says when the first write has begun, and blocks each write until it is
+// blockingWriter says when the first write has begun, and blocks each write until it is
 // released.
-type blocked struct {
-	begun   chan struct{}
+type blockingWriter struct {
+	started chan struct{}
 	once    sync.Once
 	release chan struct{}
 	out     bytes.Buffer
 }
 
-func (b *blocked) Write(text []byte) (int, error) {
-	b.once.Do(func() { close(b.begun) })
+func (b *blockingWriter) Write(text []byte) (int, error) {
+	b.once.Do(func() { close(b.started) })
 	<-b.release
 	return b.out.Write(text)
 }
 
-// TestNeverBlocks: an output that takes nothing holds nobody up; what is lost is
+// TestFullBufferDropsLinesWithoutBlocking: an output that takes nothing holds nobody up; what is lost is
 // counted and said. The first line is in the output's hands when the others come, so
 // that how many are lost is known.
-func TestNeverBlocks(t *testing.T) {
-	out := &blocked{begun: make(chan struct{}), release: make(chan struct{})}
+func TestFullBufferDropsLinesWithoutBlocking(t *testing.T) {
+	out := &blockingWriter{started: make(chan struct{}), release: make(chan struct{})}
 	log := New(out, logrus.InfoLevel)
 	log.Info("first line")
-	<-out.begun
+	<-out.started
 	const lost = 100
 	for range bufferedLines + lost {
 		log.Info("line")
@@ -60,7 +60,7 @@
 		t.Errorf("%d lines dropped, want %d", dropped, lost)
 	}
 	close(out.release)
-	log.Close(patient)
+	log.Close(closeTimeout)
 	if !strings.Contains(out.out.String(), `"msg":"log lines dropped"`) {
 		t.Error("the loss isn't said")
 	}
