--- a/cmd/tinarchd/routed.go
+++ b/cmd/tinarchd/routed.go
@@ -20,7 +20,7 @@
 	"github.com/tinarch/tinarch/platform"
 )
 
-const logPatience = 200 * time.Millisecond
+const logCloseTimeout = 200 * time.Millisecond
 
 // runRouted serves routes before a platform's workers.
 func runRouted(flags settings.Flags) int {
@@ -41,7 +41,7 @@
 	}
 	limitProcess(configured)
 	log := decisionlog.New(os.Stdout, level)
-	defer log.Close(logPatience)
+	defer log.Close(logCloseTimeout)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	adapter := platform.New(platform.Options{Store: configured.Store.Address, API: configured.API.Address, Dial: workerconn.DialStore})
@@ -53,16 +53,16 @@
 	return 0
 }
 
-// changeEvery is the time between two looks at the settings file, which may change
+// settingsCheckInterval is the time between two looks at the settings file, which may change
 // without a signal.
-const changeEvery = 2 * time.Second
+const settingsCheckInterval = 2 * time.Second
 
 // awaitStop waits for a signal that ends the process, and reloads the settings when
 // they change or SIGHUP comes.
 func awaitStop(signals <-chan os.Signal, path string, log *decisionlog.Log) os.Signal {
-	ticker := time.NewTicker(changeEvery)
+	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
-	changed := changeTime(path)
+	changed := modificationTime(path)
 	for {
 		select {
 		case received := <-signals:
@@ -71,7 +71,7 @@
 			}
 			reload(path, log)
 		case <-ticker.C:
-			if now := changeTime(path); !now.Equal(changed) {
+			if now := modificationTime(path); !now.Equal(changed) {
 				changed = now
 				reload(path, log)
 			}
@@ -79,9 +79,9 @@
 	}
 }
 
-// changeTime is when the settings file was last written, the zero time where that
+// modificationTime is when the settings file was last written, the zero time where that
 // can't be told.
-func changeTime(path string) time.Time {
+func modificationTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -92,9 +92,9 @@
 // limitProcess keeps the process within its one core and its memory.
 func limitProcess(configured settings.Routed) {
 	const megabyte = 1 << 20
-	const softShare = 0.6
+	const memoryShare = 0.6
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(softShare * float64(configured.Limits.MemoryMegabytes) * megabyte))
+	debug.SetMemoryLimit(int64(memoryShare * float64(configured.Limits.MemoryMegabytes) * megabyte))
 }
 
 // reload reads the settings again. What can change while the process runs is the
