--- a/cmd/tinarch-lab/bench.go
+++ b/cmd/tinarch-lab/bench.go
@@ -41,15 +41,15 @@
 	failovers     = 20
 )
 
-// part is one benchmark of the command.
-type part struct {
-	chosen  bool
-	measure func(ctx context.Context, stored *storedBench) error
+// benchmark is one benchmark of the command.
+type benchmark struct {
+	selected bool
+	measure  func(ctx context.Context, stored *storedBench) error
 }
 
 func (c *benchCommand) run(ctx context.Context) error {
 	stored := storedBench{Provenance: provenance.Collect()}
-	parts := []part{
+	parts := []benchmark{
 		{c.FirstToken, measureFirstToken},
 		{c.Relay, measureRelay},
 		{c.Memory, c.measureMemory},
@@ -57,9 +57,9 @@
 		{c.Failover, measureFailover},
 		{c.Slopes, c.measureSlopes},
 	}
-	all := !slices.ContainsFunc(parts, func(p part) bool { return p.chosen })
+	all := !slices.ContainsFunc(parts, func(p benchmark) bool { return p.selected })
 	for _, p := range parts {
-		if !p.chosen && !all {
+		if !p.selected && !all {
 			continue
 		}
 		if err := p.measure(ctx, &stored); err != nil {
--- a/cmd/tinarch-lab/soak.go
+++ b/cmd/tinarch-lab/soak.go
@@ -40,7 +40,7 @@
 	var reports []*soak.Report
 	broken := 0
 	for number := range c.Count {
-		report, err := c.one(ctx, first+uint64(number))
+		report, err := c.runSeed(ctx, first+uint64(number))
 		if err != nil {
 			return err
 		}
@@ -56,8 +56,8 @@
 	return nil
 }
 
-func (c *soakCommand) one(ctx context.Context, seed uint64) (*soak.Report, error) {
-	directory, err := c.directory(seed)
+func (c *soakCommand) runSeed(ctx context.Context, seed uint64) (*soak.Report, error) {
+	directory, err := c.logDirectory(seed)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	return report, nil
 }
 
-func (c *soakCommand) directory(seed uint64) (string, error) {
+func (c *soakCommand) logDirectory(seed uint64) (string, error) {
 	if c.Logs == "" {
 		return os.MkdirTemp("", "tinarch-soak-")
 	}
