--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -4,8 +4,8 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Flags are the command line of a node. Each flag also has an environment
-// variable. They replace the file's values.
+// Flags are the command-line flags of a node. Most of them also have an environment variable. A
+// flag overrides the value in the settings file.
 type Flags struct {
 	Config          string   `arg:"--config,env:TINARCH_CONFIG" help:"settings file (YAML)" placeholder:"FILE"`
 	NodeName        string   `arg:"--node-name,env:TINARCH_NODE_NAME" help:"replaces node.name"`
@@ -20,19 +20,19 @@
 	CheckOnly       bool     `arg:"--check" help:"check the settings and exit"`
 }
 
-// Description is shown by --help.
+// Description is printed by --help.
 func (Flags) Description() string {
 	return "tinarchd is a node of tinarch: it serves callers, operators and the other nodes."
 }
 
-// Version is shown by --version.
+// Version is printed by --version.
 func (Flags) Version() string { return "tinarchd " + Version }
 
 // Version is the version of all programs.
 const Version = "0.1.0"
 
-// Resolve reads the file that the flags name, applies the flags, and checks the
-// whole.
+// Resolve reads the settings file that the flags name, applies the other flags, and checks the
+// resulting settings.
 func (f Flags) Resolve() (Settings, error) {
 	if f.Config == "" {
 		return Settings{}, result.New(result.SettingsInvalid, "no settings file is named; use --config FILE or TINARCH_CONFIG")
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -11,11 +11,11 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Routed are the settings of a node that serves routes before workers which a
-// platform's store lists.
+// Routed are the settings of a routed node (tinarchd --routed), which serves routes in front of
+// the workers that a platform's store lists.
 type Routed struct {
 	Node RoutedNode `yaml:"node"`
-	// Zones holds the region of each zone; zones without one lie together.
+	// Zones maps each zone to its region; all zones without an entry share one region.
 	Zones  map[string]string `yaml:"zones"`
 	Listen RoutedListen      `yaml:"listen"`
 	Store  RoutedStore       `yaml:"store"`
@@ -28,14 +28,14 @@
 	Log    Log               `yaml:"log"`
 }
 
-// RoutedLate says how requests are served that can't be in time.
+// RoutedLate tells what happens to requests that can't meet their objective.
 type RoutedLate struct {
-	// Hold lets them wait at their node for a free engine; otherwise they are refused where
-	// none is.
+	// Hold lets them wait at their node for a free engine; if it is false, they are rejected
+	// when no engine is free.
 	Hold bool `yaml:"hold"`
 }
 
-// RoutedNode says which node this is.
+// RoutedNode identifies the node.
 type RoutedNode struct {
 	Name string `yaml:"name"`
 	Zone string `yaml:"zone"`
@@ -47,44 +47,45 @@
 type RoutedListen struct {
 	Callers   string `yaml:"callers"`
 	Readiness string `yaml:"readiness"`
-	// Exchange is the UDP address where other nodes' digests arrive.
+	// Exchange is the UDP address that receives the other nodes' load messages.
 	Exchange string `yaml:"exchange"`
 	Metrics  string `yaml:"metrics"`
 }
 
-// RoutedStore says where the platform's store is.
+// RoutedStore holds the address of the platform's store.
 type RoutedStore struct {
 	Address string `yaml:"address"`
 }
 
-// RoutedAPI says where the platform's API is, to which one node at a time speaks for all.
+// RoutedAPI describes the platform's API, which one node at a time calls on behalf of all.
 type RoutedAPI struct {
-	// Address is empty where there is none.
+	// Address is empty where the platform has no API.
 	Address string `yaml:"address"`
-	// Duties are what the platform expects to be done there: usage_report, autoscale. Others
-	// are passed over.
+	// Duties are the calls that the platform expects there: usage_report, autoscale. Unknown
+	// ones are ignored.
 	Duties []string `yaml:"duties"`
 }
 
-// Duties of the platform's API.
+// Duties at the platform's API.
 const (
 	DutyUsage = "usage_report"
 	DutyScale = "autoscale"
 )
 
-// Has reports whether the platform expects a duty to be done.
+// Has reports whether the platform expects a duty.
 func (a RoutedAPI) Has(duty string) bool { return a.Address != "" && slices.Contains(a.Duties, duty) }
 
-// RoutedUsage says how tenants' usage is reported.
+// RoutedUsage holds how the tenants' usage is reported.
 type RoutedUsage struct {
-	// WindowSeconds is the length of a window of wall-clock time, and LateSeconds how long
-	// after its end a window may be reported.
+	// WindowSeconds is the length of a window of wall-clock time. LateSeconds is how long after
+	// its end a window may still be reported.
 	WindowSeconds float64 `yaml:"window_s"`
 	LateSeconds   float64 `yaml:"late_s"`
 }
 
-// RoutedQuota says by how much all nodes together may exceed what a tenant may use: in any
-// window, by a share of what its limit allows there and by a count.
+// RoutedQuota bounds by how much the usage of a tenant, over all nodes together, may exceed its
+// quota in any window: by the share Overshoot of what the quota allows in the window, plus
+// Slack.
 type RoutedQuota struct {
 	WindowSeconds float64 `yaml:"window_s"`
 	Overshoot     float64 `yaml:"overshoot"`
@@ -92,31 +93,32 @@
 	Slack float64 `yaml:"slack"`
 }
 
-// RoutedLimits bound what the process uses.
+// RoutedLimits bounds the resources of the process.
 type RoutedLimits struct {
 	MemoryMegabytes int `yaml:"memory_mb"`
 }
 
-// RoutedBounds are the promises that hold over all nodes.
+// RoutedBounds are guarantees that hold over all nodes together.
 type RoutedBounds struct {
-	// StopMillis is how long a planned stop may take.
+	// StopMillis is the longest duration of a planned stop.
 	StopMillis int `yaml:"stop_ms"`
-	// RetryRatio, RetrySlack and RetryWindowMillis bound the requests that are sent
-	// again: in any window, the ratio of the requests plus the slack.
+	// RetryRatio, RetrySlack and RetryWindowMillis bound the retries: in any window there are
+	// at most RetryRatio times the requests, plus RetrySlack.
 	RetryRatio        float64 `yaml:"retry_ratio"`
 	RetrySlack        float64 `yaml:"retry_slack"`
 	RetryWindowMillis int     `yaml:"retry_window_ms"`
-	// LeaseMillis is how long the authority to give orders lasts unrenewed.
+	// LeaseMillis is how long a lease lasts without renewal. Only its holder may give orders to
+	// engines and call the platform's API.
 	LeaseMillis int `yaml:"lease_ms"`
-	// Fencing says whether engines and the platform's API refuse calls under a fence lower
-	// than one that they have seen. Where they don't, a late call of an earlier holder may
-	// be carried out behind a newer one.
+	// Fencing tells whether engines and the platform's API reject calls with a lower fence than
+	// one that they have seen. Where they don't, a late call of an earlier lease holder may be
+	// carried out after a call of the current one.
 	Fencing bool `yaml:"fencing"`
-	// HeartbeatMillis is the time in which each worker writes its entry in the store.
+	// HeartbeatMillis is the interval at which each worker writes its row in the store.
 	HeartbeatMillis int `yaml:"heartbeat_ms"`
 }
 
-// DefaultRouted returns the settings that hold where none are given.
+// DefaultRouted returns the default settings of a routed node.
 func DefaultRouted() Routed {
 	return Routed{
 		Usage:  RoutedUsage{WindowSeconds: 5, LateSeconds: 10},
@@ -130,7 +132,7 @@
 	}
 }
 
-// LoadRouted reads and checks a file over the defaults.
+// LoadRouted reads and checks a settings file; values that it leaves out keep their defaults.
 func LoadRouted(path string) (Routed, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -139,7 +141,8 @@
 	return ParseRouted(path, content)
 }
 
-// ParseRouted reads and checks the content of a file.
+// ParseRouted parses and checks the content of a settings file; path is used in error messages
+// only.
 func ParseRouted(path string, content []byte) (Routed, error) {
 	settings := DefaultRouted()
 	decoder := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict())
@@ -186,7 +189,7 @@
 	return c.err()
 }
 
-// maxSeconds is the maxSeconds span that a setting may give, in seconds: a day.
+// maxSeconds is the longest duration that a setting in seconds accepts: one day.
 const maxSeconds = 24 * 3600
 
 func (c *checker) seconds(key string, value float64) {
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -78,7 +78,7 @@
 	f.Fuzz(func(_ *testing.T, content []byte) { _, _ = ParseRouted("file", content) })
 }
 
-// TestLateHoldSetting.
+// TestLateHoldSetting: late.hold is false by default and can be set.
 func TestLateHoldSetting(t *testing.T) {
 	for text, want := range map[string]bool{validRouted: false, validRouted + "late: {hold: true}\n": true} {
 		got, err := ParseRouted("file", []byte(text))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a node's settings from a strict YAML file, from the
-// environment and from flags, in rising order of precedence. Every mistake is
-// named by line and key.
+// Package settings reads a node's settings from a strict YAML file, from environment variables
+// and from flags; later sources override earlier ones. An error names the line and key at
+// fault; Check reports all errors that it finds, not only the first.
 package settings
 
 import (
@@ -33,7 +33,7 @@
 	Log       Log       `yaml:"log"`
 }
 
-// Node says which node this is.
+// Node identifies the node.
 type Node struct {
 	Name string `yaml:"name"`
 	Zone string `yaml:"zone"`
@@ -46,23 +46,24 @@
 	Peers     string `yaml:"peers"`
 }
 
-// Cluster says which other nodes this one belongs to.
+// Cluster tells which cluster the node belongs to.
 type Cluster struct {
 	ID string `yaml:"id"`
-	// Seeds are peer addresses of some nodes. Nodes of the machine list need not
-	// be named.
+	// Seeds are peer addresses of some nodes through which this one joins. Nodes in the machine
+	// list need not be named.
 	Seeds []string `yaml:"seeds"`
-	// LedgerGroups is the number of groups that keep idempotency keys. It must be
-	// the same on all nodes, and never changes in the life of a cluster.
+	// LedgerGroups is the number of replica groups that store idempotency keys. It must be the
+	// same on all nodes and must never change during the life of a cluster, since keys are
+	// assigned to groups by it.
 	LedgerGroups int `yaml:"ledger_groups"`
 }
 
-// Platform says where the users' services are.
+// Platform describes the services that the platform provides.
 type Platform struct {
 	Table    Table    `yaml:"table"`
 	Objects  Objects  `yaml:"objects"`
 	Machines Machines `yaml:"machines"`
-	// WeightBytesPerSecond is the weight store's rate limit for one cell.
+	// WeightBytesPerSecond limits the rate at which one cell reads from the weight store.
 	WeightBytesPerSecond float64 `yaml:"weight_bytes_per_second"`
 }
 
@@ -89,11 +90,11 @@
 // Machines is the machine list.
 type Machines struct {
 	URL string `yaml:"url"`
-	// RefreshMillis is the time between two readings.
+	// RefreshMillis is the interval between two reads of the list.
 	RefreshMillis int `yaml:"refresh_ms"`
 }
 
-// Operators are those who may use the operators' interface.
+// Operators lists who may use the operators' API.
 type Operators struct {
 	Tokens []Token `yaml:"tokens"`
 }
@@ -105,7 +106,7 @@
 	Role   Role   `yaml:"role"`
 }
 
-// Role is what a token allows.
+// Role tells what a token allows.
 type Role string
 
 // The roles.
@@ -114,11 +115,11 @@
 	RoleWrite Role = "write"
 )
 
-// TLS holds the certificates of the ports; without them a port is plain.
+// TLS holds the certificates of the ports; a port without one uses plain TCP.
 type TLS struct {
 	Callers   Certificate `yaml:"callers"`
 	Operators Certificate `yaml:"operators"`
-	// Peers is mutual: its CA signs the certificates of all nodes.
+	// Peers is for mutual TLS: its CA signs the certificates of all nodes.
 	Peers Certificate `yaml:"peers"`
 }
 
@@ -132,24 +133,24 @@
 // IsSet reports whether a certificate is given.
 func (c Certificate) IsSet() bool { return c.Certificate != "" || c.Key != "" || c.CA != "" }
 
-// Limits bound what callers may do.
+// Limits bounds what callers may use, and how long a planned stop may take.
 type Limits struct {
 	MaxBodyBytes      int64 `yaml:"max_body_bytes"`
 	ReadTimeoutMillis int   `yaml:"read_timeout_ms"`
-	// WriteTimeoutMillis is how long a caller may take to read.
+	// WriteTimeoutMillis is how long a caller may take to read what is written to it.
 	WriteTimeoutMillis int   `yaml:"write_timeout_ms"`
 	MaxActive          int64 `yaml:"max_active"`
 	// StopTimeoutMillis bounds a planned stop.
 	StopTimeoutMillis int `yaml:"stop_timeout_ms"`
 }
 
-// Log says what is logged.
+// Log tells from which level and in which format the log is written.
 type Log struct {
 	Level  string `yaml:"level"`
 	Format string `yaml:"format"`
 }
 
-// Default returns the settings that hold where none are given.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		Listen:   Listen{Callers: "127.0.0.1:8080", Operators: "127.0.0.1:8081", Peers: "127.0.0.1:8082"},
@@ -163,8 +164,8 @@
 	}
 }
 
-// Load reads a file over the defaults. It does not check the whole: flags may
-// still change it.
+// Load reads a settings file; values that it leaves out keep their defaults. It does not check
+// the settings, since flags may still override them.
 func Load(path string) (Settings, *Source, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -174,7 +175,7 @@
 	return settings, source, err
 }
 
-// Parse reads the content of a file.
+// Parse parses the content of a settings file; path is used in error messages only.
 func Parse(path string, content []byte) (Settings, *Source, error) {
 	settings := Default()
 	source := &Source{path: path}
@@ -188,7 +189,7 @@
 	return settings, source, nil
 }
 
-// describe renders a decoder's error, which names line and column, on one line.
+// describe formats a decoder's error on one line; the decoder's own text spans several.
 func describe(err error) string {
 	var detailed yaml.Error
 	if errors.As(err, &detailed) {
@@ -199,7 +200,7 @@
 	return first
 }
 
-// keyAndValue renders the text around an error, for instance "port: many".
+// keyAndValue returns the text around an error, for instance "port: many".
 func keyAndValue(at *token.Token) string {
 	if at.Prev != nil && at.Prev.Type == token.MappingValueType && at.Prev.Prev != nil {
 		return at.Prev.Prev.Value + ": " + at.Value
@@ -207,13 +208,13 @@
 	return at.Value
 }
 
-// Source remembers where values came from, for messages.
+// Source is the parsed settings file, from which error messages take line numbers.
 type Source struct {
 	path string
 	file *ast.File
 }
 
-// line returns the line of a key, zero when it is not in the file.
+// line returns the line of a key, or zero if it is not in the file.
 func (s *Source) line(key string) int {
 	if s == nil || s.file == nil {
 		return 0
@@ -229,7 +230,7 @@
 	return node.GetToken().Position.Line
 }
 
-// mistake names a key and, where it stands in the file, its line.
+// mistake formats an error with its key and, if the key is in the file, its line.
 func (s *Source) mistake(key, format string, arguments ...any) string {
 	message := fmt.Sprintf(format, arguments...)
 	if line := s.line(key); line > 0 {
@@ -245,7 +246,7 @@
 
 const maxLedgerGroups = 4096
 
-// Check finds every mistake.
+// Check returns all errors in the settings as one error, or nil.
 func (s Settings) Check(source *Source) error {
 	c := checker{source: source}
 	c.match("node.name", s.Node.Name, namePattern, "use 1 to 63 of a-z, 0-9, '.' and '-'")
@@ -353,5 +354,5 @@
 	}
 }
 
-// Milliseconds converts a setting.
+// Milliseconds converts a setting in milliseconds.
 func Milliseconds(count int) time.Duration { return time.Duration(count) * time.Millisecond }
