--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -8,15 +8,15 @@
 // flag overrides the value in the settings file.
 type Flags struct {
 	Config          string   `arg:"--config,env:TINARCH_CONFIG" help:"settings file (YAML)" placeholder:"FILE"`
-	NodeName        string   `arg:"--node-name,env:TINARCH_NODE_NAME" help:"replaces node.name"`
-	Zone            string   `arg:"--zone,env:TINARCH_ZONE" help:"replaces node.zone"`
-	ListenCallers   string   `arg:"--listen-callers,env:TINARCH_LISTEN_CALLERS" help:"replaces listen.callers" placeholder:"ADDRESS"`
-	ListenOperators string   `arg:"--listen-operators,env:TINARCH_LISTEN_OPERATORS" help:"replaces listen.operators" placeholder:"ADDRESS"`
-	ListenPeers     string   `arg:"--listen-peers,env:TINARCH_LISTEN_PEERS" help:"replaces listen.peers" placeholder:"ADDRESS"`
-	Seeds           []string `arg:"--seed,separate" help:"replaces cluster.seeds; may be repeated" placeholder:"ADDRESS"`
-	LogLevel        string   `arg:"--log-level,env:TINARCH_LOG_LEVEL" help:"replaces log.level: debug, info, warn or error"`
-	LogFormat       string   `arg:"--log-format,env:TINARCH_LOG_FORMAT" help:"replaces log.format: json or text"`
-	Routed          bool     `arg:"--routed" help:"serve routes before the workers of a platform; the settings file is of that form"`
+	NodeName        string   `arg:"--node-name,env:TINARCH_NODE_NAME" help:"overrides node.name"`
+	Zone            string   `arg:"--zone,env:TINARCH_ZONE" help:"overrides node.zone"`
+	ListenCallers   string   `arg:"--listen-callers,env:TINARCH_LISTEN_CALLERS" help:"overrides listen.callers" placeholder:"ADDRESS"`
+	ListenOperators string   `arg:"--listen-operators,env:TINARCH_LISTEN_OPERATORS" help:"overrides listen.operators" placeholder:"ADDRESS"`
+	ListenPeers     string   `arg:"--listen-peers,env:TINARCH_LISTEN_PEERS" help:"overrides listen.peers" placeholder:"ADDRESS"`
+	Seeds           []string `arg:"--seed,separate" help:"overrides cluster.seeds; may be repeated" placeholder:"ADDRESS"`
+	LogLevel        string   `arg:"--log-level,env:TINARCH_LOG_LEVEL" help:"overrides log.level: debug, info, warn or error"`
+	LogFormat       string   `arg:"--log-format,env:TINARCH_LOG_FORMAT" help:"overrides log.format: json or text"`
+	Routed          bool     `arg:"--routed" help:"run as a routed node, which serves routes in front of a platform's workers; its settings file has a form of its own"`
 	CheckOnly       bool     `arg:"--check" help:"check the settings and exit"`
 }
 
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if got.Node.Name != "front-1" || got.Store.Address != "10.0.0.9:90" || got.Bounds.RetryRatio != 0.2 || got.Log.Level != "info" {
-		t.Errorf("%+v", got)
+		t.Errorf("settings are %+v", got)
 	}
 }
 
@@ -30,14 +30,14 @@
 log: {level: loud}
 `))
 	if err == nil {
-		t.Fatal("mistakes were taken")
+		t.Fatal("invalid settings were accepted")
 	}
 	for _, part := range []string{
 		"line 1: node.name", "node.zone", "line 2: listen.callers", "listen.readiness", "listen.exchange", "listen.metrics",
 		"line 3: store.address", "line 4: limits.memory_mb", "line 5: bounds.retry_ratio", "bounds.stop_ms", "bounds.lease_ms", "line 6: log.level", "[7001",
 	} {
 		if !strings.Contains(err.Error(), part) {
-			t.Errorf("%q is not told in:\n%v", part, err)
+			t.Errorf("%q is missing in the error:\n%v", part, err)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 func TestRoutedSettingsRejectUnknownKeys(t *testing.T) {
 	for _, text := range []string{validRouted + "odd: 1\n", "node: {nmae: x}\n", "node: [", "\x00"} {
 		if _, err := ParseRouted("file", []byte(text)); err == nil || !strings.Contains(err.Error(), "file") {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v, want one that names the file", text, err)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	if got.Zones["b"] != "south" || got.Quota != (RoutedQuota{WindowSeconds: 4, Overshoot: 0.2, Slack: 100}) || got.Bounds.Fencing {
-		t.Errorf("%+v", got)
+		t.Errorf("settings are %+v", got)
 	}
 	if got, err := ParseRouted("file", []byte(validRouted+"zones:\n")); err != nil || len(got.Zones) != 0 || !got.Bounds.Fencing {
 		t.Errorf("without zones: %+v, %v", got, err)
@@ -68,7 +68,7 @@
 	_, err = ParseRouted("file", []byte(validRouted+"zones: {a: North}\nquota: {window_s: 0, overshoot: -1}\n"))
 	for _, part := range []string{"zones.a", "quota.window_s", "quota.overshoot"} {
 		if err == nil || !strings.Contains(err.Error(), part) {
-			t.Errorf("%q is not told in: %v", part, err)
+			t.Errorf("%q is missing in the error: %v", part, err)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	for text, want := range map[string]bool{validRouted: false, validRouted + "late: {hold: true}\n": true} {
 		got, err := ParseRouted("file", []byte(text))
 		if err != nil || got.Late.Hold != want {
-			t.Errorf("hold %v, %v", got.Late.Hold, err)
+			t.Errorf("late.hold is %v, error %v", got.Late.Hold, err)
 		}
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -36,7 +36,7 @@
 		t.Error(err)
 	}
 	if settings.Limits.MaxBodyBytes != Default().Limits.MaxBodyBytes {
-		t.Error("the defaults are gone")
+		t.Error("limits.max_body_bytes does not have its default")
 	}
 }
 
@@ -57,12 +57,12 @@
 			err = settings.Check(source)
 		}
 		if result.CodeOf(err) != result.SettingsInvalid {
-			t.Errorf("%s: %v", test.name, err)
+			t.Errorf("%s: error %v, want the code SettingsInvalid", test.name, err)
 			continue
 		}
 		for _, part := range test.want {
 			if !strings.Contains(err.Error(), part) {
-				t.Errorf("%s: %q does not name %q", test.name, err, part)
+				t.Errorf("%s: error %q does not contain %q", test.name, err, part)
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 		t.Errorf("settings %+v, error %v", settings, err)
 	}
 	if _, err := (Flags{Config: path, LogLevel: "loud"}).Resolve(); result.CodeOf(err) != result.SettingsInvalid {
-		t.Errorf("a wrong flag passed: %v", err)
+		t.Errorf("an invalid flag was accepted: %v", err)
 	}
 }
 
@@ -93,7 +93,7 @@
 			err = settings.Check(source)
 		}
 		if err != nil && result.CodeOf(err) != result.SettingsInvalid {
-			t.Fatalf("error without its code: %v", err)
+			t.Fatalf("error without the code SettingsInvalid: %v", err)
 		}
 	})
 }
