--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -25,15 +25,15 @@
 	"github.com/tinarch/tinarch/internal/engine"
 )
 
-// clusterIdentity is what nodes must have in common to talk to each other. The
-// number of ledger groups is part of it: nodes that disagree on it would look for
-// the same key in different groups.
+// clusterIdentity returns what two nodes must have in common to talk to each other. It includes
+// the number of ledger groups, since nodes that disagree on it would look for the same key in
+// different groups.
 func clusterIdentity(cluster settings.Cluster) string {
 	return fmt.Sprintf("%s/ledger-groups=%d", cluster.ID, cluster.LedgerGroups)
 }
 
-// seeds returns addresses to join through: those of the settings, and the nodes
-// of the machine list.
+// seeds returns the addresses through which the node joins the cluster: those in the settings,
+// and the nodes in the machine list.
 func (n *Node) seeds() []string {
 	addresses := slices.Clone(n.settings.Cluster.Seeds)
 	for _, machine := range n.machines.nodes() {
@@ -55,7 +55,7 @@
 	return addresses
 }
 
-// addressOf returns the address of a member of one of this node's groups.
+// addressOf returns the address of a member of any group that this node has a record of.
 func (n *Node) addressOf(id replica.MemberID) (string, bool) {
 	for _, record := range n.host.Records() {
 		for _, member := range record.Members {
@@ -67,7 +67,8 @@
 	return "", false
 }
 
-// publishLeadership spreads the word that this node leads a group.
+// publishLeadership announces that this node leads a group; membership messages carry it to all
+// nodes.
 func (n *Node) publishLeadership(groupID string) {
 	r := n.host.Replica(groupID)
 	if r == nil {
@@ -107,7 +108,7 @@
 	return addresses
 }
 
-// Candidates implements group.View.
+// Candidates implements group.Cluster.
 func (n *Node) Candidates() []group.Member {
 	var candidates []group.Member
 	for _, view := range n.members.Nodes() {
@@ -121,7 +122,7 @@
 	return candidates
 }
 
-// KnownLeader implements group.View.
+// KnownLeader implements group.Cluster.
 func (n *Node) KnownLeader(groupID string) (epoch uint64, leader string, leaderAlive bool) {
 	known, exists := n.members.Group(groupID)
 	if !exists {
@@ -131,20 +132,20 @@
 	return known.Epoch, known.Leader, found && node.State == membership.Alive
 }
 
-// endedAfter is how long the machine list must have shown a machine as dropped
-// before that counts as the platform's word that it is gone.
+// endedAfter is how long a machine must have been missing in the machine list before its
+// process counts as ended.
 const endedAfter = 15 * time.Second
 
-// HasEnded implements group.View. It is asked only where a majority of a group can't
-// be reached, and errs on the side of no.
+// HasEnded implements group.Cluster. It is asked only when a majority of a group can't be
+// reached, and returns false when in doubt.
 func (n *Node) HasEnded(member group.Member) bool {
 	if node, found := n.members.Node(member.Node); found && node.Incarnation != string(member.ID) && node.State == membership.Alive {
-		return true // its node runs a later process
+		return true // the node runs again, as a later process
 	}
 	return n.machines.droppedFor(member.Address) > endedAfter
 }
 
-// MinEpoch implements group.View.
+// MinEpoch implements group.Cluster.
 func (n *Node) MinEpoch(groupID string) uint64 {
 	n.mu.Lock()
 	service := n.cells[groupID]
@@ -158,7 +159,7 @@
 	return 0
 }
 
-// DesiredGroups implements group.View.
+// DesiredGroups implements group.Cluster.
 func (n *Node) DesiredGroups() []string {
 	if !n.caughtUp.Load() {
 		return nil
@@ -174,7 +175,7 @@
 	return wanted
 }
 
-// configuredCells returns the cells of the configuration, with their pools.
+// configuredCells returns the cells of the configuration, each with the name of its pool.
 func (n *Node) configuredCells() map[string]string {
 	cells := map[string]string{}
 	for _, pool := range n.manager.Current().Catalog.GetPools() {
@@ -185,7 +186,7 @@
 	return cells
 }
 
-// poolOf returns the pool of a cell's name.
+// poolOf returns the pool in a cell's name.
 func poolOf(cellName string) string {
 	trimmed := strings.TrimPrefix(cellName, gateway.CellPrefix)
 	pool, _, _ := strings.Cut(trimmed, "/")
@@ -208,14 +209,14 @@
 	n.mu.Lock()
 	n.cells[groupID] = service
 	n.mu.Unlock()
-	// What changed before the service was known here.
+	// The service gets the changes that came before it was added to n.cells.
 	service.SetCatalog(n.manager.Current())
 	service.ObserveMachines(n.enginesOf(groupID))
 	return service, service
 }
 
-// enginesOf returns the engines of a cell: those of its pool that rendezvous
-// hashing gives to it.
+// enginesOf returns the engines of a cell: those of its pool that rendezvous hashing assigns to
+// it.
 func (n *Node) enginesOf(cellName string) []cell.Machine {
 	pool := poolOf(cellName)
 	count := catalog.Cells(n.manager.Current().Pool(pool))
@@ -228,7 +229,7 @@
 	return list
 }
 
-// cellOf returns the number of an engine's cell.
+// cellOf returns the number of the cell to which rendezvous hashing assigns an engine.
 func cellOf(engineName string, cells int) int {
 	best, bestWeight := 0, uint64(0)
 	for number := range cells {
@@ -259,7 +260,7 @@
 	return list
 }
 
-// machinesChanged passes a new machine list on.
+// machinesChanged passes a new machine list to the routes and the cells.
 func (n *Node) machinesChanged(list []machines.Machine) {
 	n.routes.setMachines(list, n.manager.Current())
 	for name, service := range n.cellServices() {
@@ -267,7 +268,7 @@
 	}
 }
 
-// catalogChanged passes a new revision on.
+// catalogChanged passes a new configuration revision to the cells and the routes.
 func (n *Node) catalogChanged(snapshot *catalog.Snapshot) {
 	n.log.WithField("revision", snapshot.Revision).Info("configuration in force")
 	for _, service := range n.cellServices() {
@@ -278,8 +279,8 @@
 	}
 }
 
-// longestKeyWindow is the longest time that the configuration lets a key be
-// remembered.
+// longestKeyWindow returns the longest time for which any kind of the configuration keeps
+// idempotency keys.
 func (n *Node) longestKeyWindow() time.Duration {
 	longest := time.Duration(0)
 	current := n.manager.Current()
@@ -296,7 +297,7 @@
 	return cell.NoOpCommand(), nil
 }
 
-// registerMethods serves the peer protocol.
+// registerMethods registers the handlers of the peer protocol.
 func (n *Node) registerMethods() {
 	n.members.Register(n.peers)
 	n.rollout.Register(n.peers)
@@ -344,7 +345,7 @@
 	})
 }
 
-// cell returns the service of a cell of which this node is a member.
+// cell returns the service of a cell's group, if this node is a member of the group.
 func (n *Node) cell(name string) (*cell.Service, error) {
 	n.mu.Lock()
 	service := n.cells[name]
--- a/internal/node/logging.go
+++ b/internal/node/logging.go
@@ -8,8 +8,8 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// NewLogger returns a logger as the settings ask for. Levels were checked with
-// the settings.
+// NewLogger returns a logger with the given level and format. An invalid level is ignored here,
+// since the settings have been checked.
 func NewLogger(configured settings.Log) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -10,8 +10,8 @@
 	"github.com/tinarch/tinarch/internal/platform/machines"
 )
 
-// machineWatcher reads the machine list again and again. While the list can't be
-// read, the last one holds.
+// machineWatcher reads the machine list at regular intervals. While the list can't be read, the
+// last one stays in use.
 type machineWatcher struct {
 	client   *machines.Client
 	period   time.Duration
@@ -20,7 +20,8 @@
 
 	mu   sync.Mutex
 	list []machines.Machine
-	// dropped notes since when a node that was listed before is not any more.
+	// dropped holds, by address, since when a node that was listed before is missing in the
+	// list.
 	dropped map[string]time.Time
 	readAt  time.Time
 }
@@ -99,8 +100,9 @@
 	return false
 }
 
-// droppedFor returns how long a node that was listed is not any more, zero when
-// it is, never was, or the list is stale.
+// droppedFor returns for how long a node that was listed before has been missing in the list.
+// It returns zero if the node is listed, was never listed, or the list is more than five
+// periods old.
 func (w *machineWatcher) droppedFor(address string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/tinarch/tinarch/internal/membership"
 )
 
-// registerMetrics adds the metrics of the cluster side. They are computed when
-// they are read.
+// registerMetrics registers the metrics of groups, membership and peer traffic. Their values
+// are computed at each scrape.
 func (n *Node) registerMetrics() {
 	n.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	n.gauge("tinarch_catalog_revision", "Configuration revision in force.", func() float64 { return float64(n.manager.Revision()) })
@@ -53,7 +53,7 @@
 	enginesDescription  = prometheus.NewDesc("tinarch_cell_engines", "Engines by state, in cells led here.", []string{"cell", "state"}, nil)
 )
 
-// cellCollector reads the cells that this node leads.
+// cellCollector collects the metrics of the cells that this node leads.
 type cellCollector struct{ node *Node }
 
 // Describe implements prometheus.Collector.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node puts a node together: it gives the deciding packages their network,
-// clocks and each other, starts them in order, and stops them without cutting a
-// request.
+// Package node assembles a node of a cluster that manages its engines itself: it connects the
+// packages with the network, clocks and each other, starts them in order, and stops them
+// without cutting off requests. (The nodes of tinarchd --routed are in package serving.)
 package node
 
 import (
@@ -36,17 +36,18 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// Options are what experiments and tests change of a node beside its settings.
+// Options are what tests and experiments change in a node besides its settings.
 type Options struct {
 	// Policy is the placement policy; empty means the default.
 	Policy placement.Policy
 	// Log receives the node's log.
 	Log *logrus.Logger
-	// Dial replaces the way to other nodes, to cut or delay it; nil leaves it.
+	// Dial replaces the dialling of other nodes, so that tests can cut or delay connections;
+	// nil keeps the default.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Node is one running node.
+// Node is a running node.
 type Node struct {
 	settings settings.Settings
 	options  Options
@@ -85,8 +86,8 @@
 	running  sync.WaitGroup
 }
 
-// Start runs a node. Its ports are open when Start returns; it takes requests
-// once it has caught up with the configuration.
+// Start starts a node. Its ports are open when Start returns; it accepts requests once it has
+// caught up with the configuration.
 func Start(configured settings.Settings, options Options) (*Node, error) {
 	n := &Node{
 		settings: configured,
@@ -174,7 +175,8 @@
 	n.machines = newMachineWatcher(machines.New(p.Machines.URL), settings.Milliseconds(p.Machines.RefreshMillis), n.log, n.machinesChanged)
 }
 
-// buildCluster makes what nodes agree on together.
+// buildCluster creates the parts by which nodes agree with each other: configuration,
+// membership, replica groups and the ledger of idempotency keys.
 func (n *Node) buildCluster() {
 	own := membership.Node{
 		Name: n.self.Node, Incarnation: string(n.self.ID), Started: time.Now().UnixMilli(), Address: n.self.Address, Zone: n.self.Zone,
@@ -191,7 +193,7 @@
 	n.manager.OnChange(n.catalogChanged)
 }
 
-// buildServers makes what callers and operators talk to.
+// buildServers creates the servers for callers and operators.
 func (n *Node) buildServers() error {
 	limits := gateway.DefaultSettings()
 	limits.MaxBodyBytes = n.settings.Limits.MaxBodyBytes
@@ -223,7 +225,7 @@
 		ReadHeaderTimeout: 5 * time.Second,
 		Protocols:         &http.Protocols{},
 	}
-	// gRPC needs HTTP/2, also without TLS.
+	// gRPC needs HTTP/2, which net/http doesn't enable by itself without TLS.
 	n.operatorServer.Protocols.SetHTTP1(true)
 	n.operatorServer.Protocols.SetHTTP2(true)
 	n.operatorServer.Protocols.SetUnencryptedHTTP2(true)
@@ -235,7 +237,7 @@
 	return err
 }
 
-// run starts everything.
+// run starts the servers and the background work.
 func (n *Node) run(security *tlsConfig) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -260,7 +262,8 @@
 
 const catchUpInterval = 300 * time.Millisecond
 
-// catchUp brings the configuration up to date before the node takes requests.
+// catchUp reads the configuration, and tries again until that succeeds; only then does the node
+// accept requests.
 func (n *Node) catchUp(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := n.rollout.CatchUp(ctx); err == nil {
@@ -281,7 +284,7 @@
 	n.members.Announce(ctx, n.stopping.Load(), n.caughtUp.Load() && !n.stopping.Load())
 }
 
-// ready tells why the node can't take requests.
+// ready returns nil if the node accepts requests, and otherwise the reason why not.
 func (n *Node) ready() error {
 	if !n.caughtUp.Load() {
 		return result.New(result.NotConfigured, "the node has not caught up with the configuration yet").WithRetryAfter(time.Second)
@@ -292,10 +295,10 @@
 	return nil
 }
 
-// CaughtUp reports whether the node has read the configuration at its start.
+// CaughtUp reports whether the node has read the configuration since its start.
 func (n *Node) CaughtUp() bool { return n.caughtUp.Load() }
 
-// Ready reports whether the node takes requests.
+// Ready reports whether the node accepts requests.
 func (n *Node) Ready() bool { return n.ready() == nil }
 
 // Name returns the node's name.
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -18,7 +18,7 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// routedServices serves the catalog's routes before workers of the machine list.
+// routedServices serves the catalog's routes by the plain workers in the machine list.
 type routedServices struct {
 	ingress  *ingress.Handler
 	registry *worker.Registry
@@ -26,7 +26,7 @@
 	limits   routing.Limits
 }
 
-// retryLimits bound the requests of routes that are sent to a second worker.
+// retryLimits bounds how many requests of routes are sent to a second worker.
 var retryLimits = retry.Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 
 func (n *Node) buildRoutes() {
@@ -34,7 +34,7 @@
 	pool := workerconn.NewPool()
 	pool.SetMonitor(notices.New(notices.Options{
 		Registry: registry, Read: plainhttp.Protocol{}.Notice, Log: n.options.Log, Metrics: n.registry,
-		ListAge: func() time.Duration { return 0 }, // the list is followed without a version
+		ListAge: func() time.Duration { return 0 }, // this list has no version, so its age is unknown
 	}))
 	dispatcher := dispatch.New(dispatch.Options{
 		Registry: registry, Scheduler: scheduling.New(scheduling.DefaultCosts()), Pool: pool,
@@ -51,7 +51,8 @@
 	}
 }
 
-// withRoutes lets routes go before the handler of all other requests.
+// withRoutes returns a handler that serves requests for which there is a route, and passes all
+// others to next.
 func (s *routedServices) withRoutes(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if s.ingress.HasRoute(request) {
@@ -62,7 +63,7 @@
 	})
 }
 
-// setCatalog puts a revision's routes in force.
+// setCatalog applies the routes of a configuration revision.
 func (s *routedServices) setCatalog(snapshot *catalog.Snapshot) error {
 	table, err := snapshot.Routes(s.limits)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// setMachines takes the workers of the machine list.
+// setMachines replaces the workers by those in the machine list.
 func (s *routedServices) setMachines(list []machines.Machine, snapshot *catalog.Snapshot) {
 	var workers []worker.Worker
 	for _, machine := range list {
--- a/internal/node/security.go
+++ b/internal/node/security.go
@@ -12,7 +12,8 @@
 
 type tlsConfig = tls.Config
 
-// peerSecurity returns the mutual TLS of the peer port, nil where none is set.
+// peerSecurity returns the configuration of mutual TLS for the peer port, or nil if none is
+// set.
 func peerSecurity(files settings.Certificate) (*tlsConfig, error) {
 	if !files.IsSet() {
 		return nil, nil
@@ -38,7 +39,7 @@
 	}, nil
 }
 
-// serverSecurity puts TLS on a listener, where a certificate is set.
+// serverSecurity wraps a listener in TLS if a certificate is set.
 func serverSecurity(listener net.Listener, files settings.Certificate, key string) (net.Listener, error) {
 	if !files.IsSet() {
 		return listener, nil
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// handOverTimeout bounds the wait for other nodes to take this node's groups over.
+	// handOverTimeout bounds the wait until other nodes have taken over this node's groups.
 	handOverTimeout  = 6 * time.Second
 	handOverInterval = 200 * time.Millisecond
 )
 
-// Stop ends the node as planned: it gives up its leases, leaves its groups,
-// answers what is in progress, and then closes. Requests that are still in
-// progress when ctx ends are cut.
+// Stop performs a planned stop: the node transfers its leases, leaves its groups, completes the
+// requests in progress, and then closes. Requests that are still in progress when ctx ends are
+// cut off.
 func (n *Node) Stop(ctx context.Context) error {
 	n.log.Info("planned stop begins")
 	n.stopping.Store(true)
@@ -33,9 +33,9 @@
 	return nil
 }
 
-// leaveGroups hands leases over, and waits until the groups have replaced this
-// node or the time is up. While there is no node to replace it, or the table
-// service is down, the groups go on with their other members.
+// leaveGroups transfers leadership, and waits until the groups can do without this node or the
+// time is up. While no other node can replace this one, or the table service is down, the
+// groups go on with their other members.
 func (n *Node) leaveGroups(ctx context.Context) {
 	waitCtx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
@@ -51,15 +51,15 @@
 	}
 }
 
-// HandOver gives the leases of this node to other members.
+// HandOver transfers the leases of this node to other members of its groups.
 func (n *Node) HandOver() { n.host.HandOver() }
 
-// hasLeft reports whether the groups can do without this node: it holds no lease,
-// and is no member where another node could be one in its place.
+// hasLeft reports whether the groups can do without this node: it holds no lease, and is a
+// member only where no other node could take its place.
 func (n *Node) hasLeft() bool {
 	others := len(n.Candidates())
 	if others == 0 {
-		return true // there is nobody to hand over to
+		return true // no other node can take over
 	}
 	if len(n.LedGroups()) > 0 {
 		return false
@@ -70,8 +70,8 @@
 	return n.groupsKeepMajority()
 }
 
-// groupsKeepMajority reports whether each group of this node has a live majority
-// without it.
+// groupsKeepMajority reports whether each group of this node has a majority of live members
+// without this node.
 func (n *Node) groupsKeepMajority() bool {
 	alive := map[replica.MemberID]bool{}
 	for _, candidate := range n.Candidates() {
@@ -85,7 +85,7 @@
 	return true
 }
 
-// Close ends the node at once, as a crash would, but frees its ports.
+// Close ends the node at once, as a crash would, except that its ports are closed.
 func (n *Node) Close() {
 	n.gateway.Close()
 	n.close()
