--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -275,7 +275,7 @@
 		service.SetCatalog(snapshot)
 	}
 	if err := n.routes.setCatalog(snapshot); err != nil {
-		n.log.WithError(err).Error("the routes can't be used; those before stay in force")
+		n.log.WithError(err).Error("cannot apply the new routes; the previous ones stay in force")
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node assembles a node of a cluster that manages its engines itself: it connects the
-// packages with the network, clocks and each other, starts them in order, and stops them
-// without cutting off requests. (The nodes of tinarchd --routed are in package serving.)
+// Package node assembles a node: it connects the other packages with the network, the clock and
+// each other, starts them in order, and stops them without cutting off requests. Package
+// serving does the same for the nodes of tinarchd --routed.
 package node
 
 import (
@@ -255,7 +255,7 @@
 	n.gateway.Serve(n.callerListener)
 	go func() {
 		if err := n.operatorServer.Serve(n.operatorListener); !errors.Is(err, http.ErrServerClosed) {
-			n.log.WithError(err).Error("the operators' port failed")
+			n.log.WithError(err).Error("the server for operators failed")
 		}
 	}()
 }
@@ -271,7 +271,7 @@
 			n.announce(ctx)
 			return
 		} else if ctx.Err() == nil {
-			n.log.WithError(err).Warn("the configuration could not be read yet; taking no requests")
+			n.log.WithError(err).Warn("cannot read the configuration yet; accepting no requests")
 		}
 		select {
 		case <-ctx.Done():
