--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -1,4 +1,5 @@
-// Package cli holds what the operators' command prints and how it talks to nodes.
+// Package cli holds what the command-line programs share: parsing of arguments, output of
+// results and errors, and authentication at a node.
 package cli
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Format is how results are printed.
+// Format is the format in which results are printed.
 type Format string
 
 // The formats.
@@ -26,13 +27,13 @@
 	JSON  Format = "json"
 )
 
-// Printer writes results.
+// Printer prints results in a format.
 type Printer struct {
 	Out    io.Writer
 	Format Format
 }
 
-// Message prints a message as JSON, or by the function as a table.
+// Message prints a message as JSON, or as a table whose rows the function table adds.
 func (p Printer) Message(message proto.Message, table func(rows *Rows)) error {
 	if p.Format == JSON {
 		content, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true, Indent: "  "}.Marshal(message)
@@ -54,10 +55,10 @@
 	return encoder.Encode(value)
 }
 
-// Rows takes the rows of a table.
+// Rows collects the rows of a table.
 type Rows struct{ writer *tabwriter.Writer }
 
-// Add adds a row.
+// Add adds a row with the given cells; an empty cell is printed as "-".
 func (r *Rows) Add(cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
@@ -69,8 +70,8 @@
 	fmt.Fprintln(r.writer, strings.Join(texts, "\t"))
 }
 
-// FromRPC turns an error of a call into one with its result code, and lists the
-// mistakes of a refused configuration.
+// FromRPC converts the error of a call to a node into one with a result code: the code that the
+// node returned, or PeerUnavailable if it returned none.
 func FromRPC(err error) error {
 	var failure *connect.Error
 	if !errors.As(err, &failure) {
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -11,12 +11,12 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Versioned is a command line that knows its version.
+// Versioned is a set of command-line arguments that has the program's version.
 type Versioned interface{ Version() string }
 
-// Parse reads a command line into target, a pointer to a Versioned structure. It
-// reports false when the program is to end with the returned status: help or the
-// version was asked for, or the command line is wrong.
+// Parse parses a command line into target, a pointer to a Versioned structure. If proceed is
+// false, the program must end with the returned status: the help or the version was printed, or
+// the command line is invalid.
 func Parse(program string, target Versioned, parameters []string) (parser *arg.Parser, status int, proceed bool) {
 	parser, err := arg.NewParser(arg.Config{Program: program}, target)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return parser, 0, true
 }
 
-// Fail prints an error and returns the exit status of its code. A fault of the
-// program itself is printed with its trace.
+// Fail prints an error and returns the exit status for its code. For an internal error it also
+// prints the stack trace.
 func Fail(program string, err error) int {
 	failure := result.From(err)
 	fmt.Fprintf(os.Stderr, "%s: %s\n", program, failure)
@@ -48,7 +48,7 @@
 	return failure.Code.ExitStatus()
 }
 
-// NoCommand is the error of a command line without a subcommand.
+// NoCommand returns the error for a command line without a subcommand.
 func NoCommand(program string) error {
 	return result.New(result.UsageInvalid, "no command is given; see %s --help", program)
 }
--- a/internal/cli/token.go
+++ b/internal/cli/token.go
@@ -6,7 +6,7 @@
 	"connectrpc.com/connect"
 )
 
-// BearerToken puts an operator's token on each unary call.
+// BearerToken returns an interceptor that adds an operator's token to each unary call.
 func BearerToken(token string) connect.Interceptor {
 	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
