--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,7 +1,7 @@
-// Package decisionlog writes a node's log to standard output as JSON lines: one
-// line for each decision that touches a request or changes what the process
-// believes. It never blocks: lines that find the buffer full are dropped, counted,
-// and the count is logged.
+// Package decisionlog writes a node's log to standard output as JSON lines: one line for each
+// decision that concerns a request or changes the state from which the node decides. Writing
+// never blocks: lines that find the buffer full are dropped and counted, and the count is
+// logged.
 package decisionlog
 
 import (
@@ -14,19 +14,19 @@
 )
 
 const (
-	// bufferedLines bounds what waits to be written.
+	// bufferedLines is the largest number of lines that wait to be written.
 	bufferedLines = 2048
-	// batchBytes is how much is written at once.
+	// batchBytes is the size from which no more lines are added to one write.
 	batchBytes = 32 << 10
 )
 
-// Log is a log whose writing never blocks.
+// Log is a logger that never blocks.
 type Log struct {
 	*logrus.Logger
 	writer *asyncWriter
 }
 
-// New returns a log that writes to out at a level. Close flushes it.
+// New returns a log that writes lines of at least the given level to out. Close flushes it.
 func New(out io.Writer, level logrus.Level) *Log {
 	writer := &asyncWriter{lines: make(chan []byte, bufferedLines), done: make(chan struct{})}
 	go writer.run(out)
@@ -40,7 +40,7 @@
 // Dropped returns the number of lines lost because the buffer was full.
 func (l *Log) Dropped() uint64 { return l.writer.dropped.Load() }
 
-// Close writes what is buffered, waiting no longer than patience.
+// Close writes the buffered lines. It returns after the timeout even if they aren't written.
 func (l *Log) Close(timeout time.Duration) {
 	l.writer.close()
 	timer := time.NewTimer(timeout)
@@ -59,7 +59,7 @@
 	closed  bool
 }
 
-// Write takes over a copy of one line.
+// Write queues a copy of one line, or drops it if the buffer is full. It never fails.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// run writes lines, several at once where they wait.
+// run writes the queued lines, several at once where more than one waits.
 func (w *asyncWriter) run(out io.Writer) {
 	defer close(w.done)
 	reported := uint64(0)
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -29,7 +29,7 @@
 	log.Info("after the end")
 }
 
-// blockingWriter says when the first write has begun, and blocks each write until it is
+// blockingWriter signals that the first write has started, and blocks each write until it is
 // released.
 type blockingWriter struct {
 	started chan struct{}
@@ -44,9 +44,9 @@
 	return b.out.Write(text)
 }
 
-// TestFullBufferDropsLinesWithoutBlocking: an output that takes nothing holds nobody up; what is lost is
-// counted and said. The first line is in the output's hands when the others come, so
-// that how many are lost is known.
+// TestFullBufferDropsLinesWithoutBlocking: an output that accepts nothing blocks no caller, and
+// the number of dropped lines is counted and logged. The test waits until the writer has taken
+// the first line from the buffer, so that the number of dropped lines is exact.
 func TestFullBufferDropsLinesWithoutBlocking(t *testing.T) {
 	out := &blockingWriter{started: make(chan struct{}), release: make(chan struct{})}
 	log := New(out, logrus.InfoLevel)
