--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,6 +1,6 @@
-// Package result defines the numbered result codes that tinarch reports to
-// callers, operators and between its nodes. The table in this file is the only
-// source: docs/ERRORS.md is generated from it.
+// Package result defines the numbered result codes that tinarch returns to callers and
+// operators and uses between its nodes. The table in this file is their only source:
+// docs/ERRORS.md is generated from it.
 package result
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// Outcome tells whether the request that a code is about was run.
+// Outcome tells whether the request that a result code is about has run.
 type Outcome string
 
-// The outcomes. DidNotRun is only ever stated on proof.
+// The outcomes. DidNotRun is used only if it is proved that the request did not run.
 const (
 	Ran       Outcome = "ran"
 	DidNotRun Outcome = "did not run"
 	Unknown   Outcome = "unknown"
 )
 
-// Code is a result code. Codes are stable; numbers are never reused.
+// Code is a result code. Codes are stable, and a number is never used again for another code.
 type Code int
 
 // The result codes.
@@ -80,17 +80,17 @@
 	Code    Code
 	Name    string
 	Outcome Outcome
-	// Repeat tells whether sending the same request again is safe.
+	// Repeat tells whether it is safe to send the same request again.
 	Repeat bool
-	// HTTPStatus is the status of the callers' API.
+	// HTTPStatus is the HTTP status in the callers' API.
 	HTTPStatus int
-	// RPCCode is the Connect code of the operators' API.
+	// RPCCode is the Connect code in the operators' API.
 	RPCCode string
 	Meaning string
 	Action  string
 }
 
-// Table lists every code in order.
+// Table lists all codes in rising order.
 var Table = []Entry{
 	{OK, "ok", Ran, true, 200, "ok", "The request succeeded.", "Nothing."},
 	{InvalidRequest, "invalid_request", DidNotRun, true, 400, "invalid_argument", "The request is malformed: a wrong type, an unknown field, broken UTF-8 or a missing value.", "Correct the field that the message names."},
@@ -148,8 +148,8 @@
 	return entries
 }()
 
-// Entry returns the description of the code, or that of Internal for a code
-// that is not in the table.
+// Entry returns the table entry of the code, or that of Internal if the code is not in the
+// table.
 func (c Code) Entry() Entry {
 	if entry, ok := byCode[c]; ok {
 		return entry
@@ -157,19 +157,19 @@
 	return byCode[Internal]
 }
 
-// String returns the number and name, for instance "2001 tenant_limit".
+// String returns the code's number and name, for instance "2001 tenant_limit".
 func (c Code) String() string { return fmt.Sprintf("%d %s", int(c), c.Entry().Name) }
 
-// ExitStatus maps the code to a process exit status: 0 for OK, and the
-// thousands digit otherwise.
+// ExitStatus returns the process exit status for the code: 0 for OK, and otherwise the
+// thousands digit of the code.
 func (c Code) ExitStatus() int { return int(c) / 1000 }
 
-// Error is an error with a result code. It crosses process boundaries.
+// Error is an error with a result code. It is sent between processes as JSON.
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// RetryAfterMillis tells when to come back, in milliseconds. Zero means not
-	// said.
+	// RetryAfterMillis is the time in milliseconds after which to try again; zero means that
+	// none is given.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 	// Revision is the configuration revision in force, for RevisionConflict.
 	Revision uint64 `json:"revision,omitempty"`
@@ -178,7 +178,7 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("[%s] %s", e.Code, e.Message) }
 
-// WithRetryAfter returns a copy of e that tells when to come back.
+// WithRetryAfter returns a copy of e with the time after which to try again.
 func (e *Error) WithRetryAfter(after time.Duration) *Error {
 	changed := *e
 	changed.RetryAfterMillis = max(after.Milliseconds(), 1)
@@ -190,12 +190,14 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// Wrap returns an error with the code and message that keeps cause for logs.
+// Wrap returns an error with the code and with a message that ends with the cause. It also has
+// a stack trace, for logs.
 func Wrap(cause error, code Code, format string, arguments ...any) error {
 	return eris.Wrap(New(code, format+": %v", append(arguments, cause)...), code.Entry().Name)
 }
 
-// From returns the Error in err's chain. Any other error becomes Internal.
+// From returns the first Error in err's chain. For any other error it returns one with the code
+// Internal.
 func From(err error) *Error {
 	var found *Error
 	if errors.As(err, &found) {
@@ -204,7 +206,7 @@
 	return &Error{Code: Internal, Message: err.Error()}
 }
 
-// CodeOf returns the code of err, OK for nil.
+// CodeOf returns the code of err: OK for nil, Internal for an error without a code.
 func CodeOf(err error) Code {
 	if err == nil {
 		return OK
