--- a/cmd/tinarch/catalog.go
+++ b/cmd/tinarch/catalog.go
@@ -38,7 +38,8 @@
 	return apply(ctx, env, c.Expect, c.Operation, &tinarchv1.ApplyRequest{Put: put, Replace: c.Replace})
 }
 
-// apply sends a change, against the revision in force where none is given.
+// apply sends a change of the configuration. If expect is nil, the change is based on the
+// current revision.
 func apply(ctx context.Context, env environment, expect *uint64, operation string, request *tinarchv1.ApplyRequest) error {
 	client := env.catalogClient()
 	if expect != nil {
@@ -159,7 +160,7 @@
 		}
 	}
 	if ctx.Err() != nil {
-		return nil // the operator has seen enough
+		return nil // interrupted by the operator
 	}
 	return stream.Err()
 }
--- a/cmd/tinarch/main.go
+++ b/cmd/tinarch/main.go
@@ -1,4 +1,4 @@
-// Command tinarch is the operators' command.
+// Command tinarch is the operators' command-line client.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// arguments is the command line.
+// arguments are the command-line arguments.
 type arguments struct {
 	Apply      *applyCommand      `arg:"subcommand:apply" help:"change the configuration from a file"`
 	Delete     *deleteCommand     `arg:"subcommand:delete" help:"delete one object of the configuration"`
@@ -30,12 +30,12 @@
 	Output string `arg:"-o,--output" default:"table" help:"table or json"`
 }
 
-// Description is shown by --help.
+// Description is printed by --help.
 func (arguments) Description() string {
 	return "tinarch configures and observes a tinarch cluster.\nIt exits with 0, or with the thousands digit of the result code (docs/ERRORS.md)."
 }
 
-// Version is shown by --version.
+// Version is printed by --version.
 func (arguments) Version() string { return "tinarch " + settings.Version }
 
 // command is a subcommand.
@@ -43,7 +43,8 @@
 	run(ctx context.Context, env environment) error
 }
 
-// environment is what subcommands work with.
+// environment holds what all subcommands need: the node to call, the operator's token and the
+// output.
 type environment struct {
 	server  string
 	token   string
