--- a/cmd/tinarchd/main.go
+++ b/cmd/tinarchd/main.go
@@ -1,4 +1,4 @@
-// Command tinarchd is a node of tinarch.
+// Command tinarchd runs a node of tinarch.
 package main
 
 import (
@@ -39,8 +39,8 @@
 	return 0
 }
 
-// serve runs the node until a signal asks for a planned stop. A second signal
-// ends it at once.
+// serve runs the node until a signal requests a planned stop. A second signal ends the stop at
+// once.
 func serve(configured settings.Settings) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/tinarchd/routed.go
+++ b/cmd/tinarchd/routed.go
@@ -22,7 +22,7 @@
 
 const logCloseTimeout = 200 * time.Millisecond
 
-// runRouted serves routes before a platform's workers.
+// runRouted runs a routed node, which serves routes in front of a platform's workers.
 func runRouted(flags settings.Flags) int {
 	if flags.Config == "" {
 		return cli.Fail(program, result.New(result.SettingsInvalid, "no settings file is named; use --config FILE or TINARCH_CONFIG"))
@@ -53,12 +53,12 @@
 	return 0
 }
 
-// settingsCheckInterval is the time between two looks at the settings file, which may change
-// without a signal.
+// settingsCheckInterval is the time between two checks whether the settings file was modified,
+// since it may change without a signal.
 const settingsCheckInterval = 2 * time.Second
 
-// awaitStop waits for a signal that ends the process, and reloads the settings when
-// they change or SIGHUP comes.
+// awaitStop waits for a signal that ends the process. Meanwhile it reloads the settings when
+// their file is modified or on SIGHUP.
 func awaitStop(signals <-chan os.Signal, path string, log *decisionlog.Log) os.Signal {
 	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
@@ -79,8 +79,8 @@
 	}
 }
 
-// modificationTime is when the settings file was last written, the zero time where that
-// can't be told.
+// modificationTime returns when the settings file was last modified, or the zero time if that
+// is unknown.
 func modificationTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -89,7 +89,8 @@
 	return info.ModTime()
 }
 
-// limitProcess keeps the process within its one core and its memory.
+// limitProcess limits the process to one core and sets the memory limit of the Go runtime to a
+// share of the memory that the settings allow.
 func limitProcess(configured settings.Routed) {
 	const megabyte = 1 << 20
 	const memoryShare = 0.6
@@ -97,8 +98,8 @@
 	debug.SetMemoryLimit(int64(memoryShare * float64(configured.Limits.MemoryMegabytes) * megabyte))
 }
 
-// reload reads the settings again. What can change while the process runs is the
-// log's level; mistakes leave everything as it was.
+// reload reads the settings again and applies the log level, the only setting that can change
+// while the process runs. If the settings are invalid, nothing changes.
 func reload(path string, log *decisionlog.Log) {
 	configured, err := settings.LoadRouted(path)
 	if err != nil {
--- a/cmd/tinarchd/routed_test.go
+++ b/cmd/tinarchd/routed_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestReload: a broken file changes nothing, a good one does, and other signals end
-// the wait.
+// TestReload: an invalid file changes nothing, a valid one does, and signals other than SIGHUP
+// end the wait.
 func TestReload(t *testing.T) {
 	content, err := os.ReadFile(example)
 	if err != nil {
