--- a/cmd/tinarch-lab/bench.go
+++ b/cmd/tinarch-lab/bench.go
@@ -20,7 +20,7 @@
 	Out        string `arg:"--out" help:"store the result as JSON" placeholder:"FILE"`
 }
 
-// storedBench is the stored form of a benchmark.
+// storedBench is the JSON form of the results.
 type storedBench struct {
 	Provenance provenance.Provenance `json:"provenance"`
 	FirstToken *bench.FirstToken     `json:"first_token,omitempty"`
@@ -41,7 +41,7 @@
 	failovers     = 20
 )
 
-// benchmark is one benchmark of the command.
+// benchmark is one of the benchmarks that the command runs; without a selection it runs all.
 type benchmark struct {
 	selected bool
 	measure  func(ctx context.Context, stored *storedBench) error
--- a/cmd/tinarch-lab/demo.go
+++ b/cmd/tinarch-lab/demo.go
@@ -22,7 +22,7 @@
 	Out        string  `arg:"--out" help:"store the result as JSON" placeholder:"FILE"`
 }
 
-// storedDemo is the stored form of a demo.
+// storedDemo is the JSON form of the results.
 type storedDemo struct {
 	Provenance provenance.Provenance `json:"provenance"`
 	Runs       []demo.Run            `json:"runs"`
--- a/cmd/tinarch-lab/experiment.go
+++ b/cmd/tinarch-lab/experiment.go
@@ -24,7 +24,7 @@
 	Out        string  `arg:"--out" help:"store the result as JSON" placeholder:"FILE"`
 }
 
-// storedExperiment is the stored form of an experiment.
+// storedExperiment is the JSON form of the results.
 type storedExperiment struct {
 	Provenance provenance.Provenance `json:"provenance"`
 	Workload   string                `json:"workload"`
--- a/cmd/tinarch-lab/faults.go
+++ b/cmd/tinarch-lab/faults.go
@@ -25,7 +25,7 @@
 	Out      string  `arg:"--out" help:"store the result as JSON" placeholder:"FILE"`
 }
 
-// storedFaults is the stored form of a series.
+// storedFaults is the JSON form of the results.
 type storedFaults struct {
 	Provenance provenance.Provenance `json:"provenance"`
 	Outcomes   []faults.Outcome      `json:"outcomes"`
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// storedVirtual is the stored form of schedules in virtual time.
+// storedVirtual is the JSON form of the results of schedules in virtual time.
 type storedVirtual struct {
 	Provenance provenance.Provenance `json:"provenance"`
 	FirstSeed  uint64                `json:"first_seed"`
--- a/cmd/tinarch-lab/main.go
+++ b/cmd/tinarch-lab/main.go
@@ -1,5 +1,5 @@
-// Command tinarch-lab runs emulated engines and stand-ins for the platform, sends
-// load, and runs experiments.
+// Command tinarch-lab runs emulated engines and a stand-in for the platform, sends load, and
+// runs experiments and fault tests.
 package main
 
 import (
@@ -25,12 +25,12 @@
 	Serve      *serveCommand      `arg:"subcommand:serve" help:"run a deployment's engines and platform as servers"`
 }
 
-// Description is shown by --help.
+// Description is printed by --help.
 func (arguments) Description() string {
 	return "tinarch-lab runs tinarch against emulated engines and a stand-in platform."
 }
 
-// Version is shown by --version.
+// Version is printed by --version.
 func (arguments) Version() string { return "tinarch-lab " + settings.Version }
 
 type command interface {
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// writeJSON stores a result, where a path is given.
+// writeJSON writes a result to a file, or does nothing if the path is empty.
 func writeJSON(path string, value any) error {
 	if path == "" {
 		return nil
--- a/cmd/tinarch-lab/scale.go
+++ b/cmd/tinarch-lab/scale.go
@@ -13,7 +13,7 @@
 	Out   string `arg:"--out" help:"store the result as JSON" placeholder:"FILE"`
 }
 
-// storedScale is the stored form of a series.
+// storedScale is the JSON form of the results.
 type storedScale struct {
 	Provenance provenance.Provenance `json:"provenance"`
 	Nodes      []scale.Nodes         `json:"nodes"`
@@ -28,7 +28,7 @@
 	for _, count := range counts {
 		measured, err := scale.MeasureNodes(ctx, count, func(line string) { fmt.Println("  ", line) })
 		if err != nil {
-			// What was measured before the failure is kept.
+			// The results before the failure are stored too.
 			stored.Nodes = append(stored.Nodes, measured)
 			if writeErr := writeJSON(c.Out, stored); writeErr != nil {
 				return writeErr
--- a/cmd/tinarch-lab/soak.go
+++ b/cmd/tinarch-lab/soak.go
@@ -17,7 +17,8 @@
 	Seed    uint64  `arg:"--seed" help:"first seed (default: from the clock)"`
 	Count   int     `arg:"--count" default:"1" help:"number of seeds, one after the other"`
 	Seconds float64 `arg:"--seconds" default:"30" help:"time of faults for each seed"`
-	// The flags below belong to a seed: a run is only repeated with the same ones.
+	// Each flag below changes what a seed does: to repeat a run, give the same seed and the
+	// same flags.
 	Unfenced bool   `arg:"--unfenced" help:"neither the platform's API nor the engines compare fences"`
 	Quotas   bool   `arg:"--quotas" help:"give one tenant a limit, and check that it holds"`
 	Poison   bool   `arg:"--poison" help:"one caller sends a request that ends each worker which runs it"`
