--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -24,9 +24,9 @@
 		t.Fatal(err)
 	}
 	if line["id"] != "x" || line["msg"] != "planned" || strings.Count(out.String(), "\n") != 1 {
-		t.Errorf("%s", out.String())
+		t.Errorf("want one line for the message 'planned', got: %s", out.String())
 	}
-	log.Info("after the end")
+	log.Info("after Close")
 }
 
 // blockingWriter signals that the first write has started, and blocks each write until it is
@@ -62,6 +62,6 @@
 	close(out.release)
 	log.Close(closeTimeout)
 	if !strings.Contains(out.out.String(), `"msg":"log lines dropped"`) {
-		t.Error("the loss isn't said")
+		t.Error("the number of dropped lines isn't logged")
 	}
 }
