--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -27,7 +27,7 @@
 		}
 		last = entry.Code
 		if names[entry.Name] {
-			t.Errorf("name %s stands twice", entry.Name)
+			t.Errorf("name %s is used twice", entry.Name)
 		}
 		names[entry.Name] = true
 		if entry.Outcome == Unknown && entry.HTTPStatus == 200 {
