--- a/cmd/tinarchd/routed.go
+++ b/cmd/tinarchd/routed.go
@@ -103,7 +103,7 @@
 func reload(path string, log *decisionlog.Log) {
 	configured, err := settings.LoadRouted(path)
 	if err != nil {
-		log.WithField("cause", err.Error()).Error("the settings were not reloaded; the process goes on with those it had")
+		log.WithField("cause", err.Error()).Error("the settings were not reloaded; the previous ones stay in force")
 		return
 	}
 	level, err := logrus.ParseLevel(configured.Log.Level)
--- a/cmd/tinarchd/routed_test.go
+++ b/cmd/tinarchd/routed_test.go
@@ -19,13 +19,13 @@
 
 func TestRoutedSettingsAreChecked(t *testing.T) {
 	if status := runRouted(settings.Flags{Config: example, CheckOnly: true}); status != 0 {
-		t.Errorf("the example's exit status is %d", status)
+		t.Errorf("with the example file the exit status is %d", status)
 	}
 	if status := runRouted(settings.Flags{}); status != 7 {
-		t.Errorf("without a file the exit status is %d", status)
+		t.Errorf("without a file the exit status is %d, want that of SettingsInvalid", status)
 	}
 	if status := runRouted(settings.Flags{Config: "none.yaml"}); status != 7 {
-		t.Errorf("for a file that is not there the exit status is %d", status)
+		t.Errorf("with a file that does not exist the exit status is %d", status)
 	}
 }
 
@@ -44,7 +44,7 @@
 	log := decisionlog.New(&out, logrus.InfoLevel)
 	reload(path, log)
 	if log.GetLevel() != logrus.InfoLevel {
-		t.Error("a broken file changed the level")
+		t.Error("an invalid file changed the level")
 	}
 	if err := os.WriteFile(path, []byte(strings.Replace(string(content), "level: info", "level: debug", 1)), 0o600); err != nil {
 		t.Fatal(err)
@@ -53,10 +53,10 @@
 	signals <- syscall.SIGHUP
 	signals <- syscall.SIGTERM
 	if got := awaitStop(signals, path, log); got != syscall.SIGTERM {
-		t.Errorf("ended by %v", got)
+		t.Errorf("awaitStop returned %v, want SIGTERM", got)
 	}
 	if log.GetLevel() != logrus.DebugLevel {
-		t.Error("the level isn't the file's")
+		t.Error("the level in the settings file was not applied")
 	}
 	log.Close(20 * time.Second)
 	for _, part := range []string{"not reloaded", "7001", `"msg":"settings reloaded"`} {
