--- a/cmd/tinarch-lab/bench.go
+++ b/cmd/tinarch-lab/bench.go
@@ -12,10 +12,10 @@
 type benchCommand struct {
 	FirstToken bool   `arg:"--first-token" help:"added time to the first token at 200 requests a second"`
 	Relay      bool   `arg:"--relay" help:"processor time of a relayed token against a bare copying proxy"`
-	Memory     bool   `arg:"--memory" help:"memory of a node at rest and with open streams"`
+	Memory     bool   `arg:"--memory" help:"memory of a node, idle and with open streams"`
 	Claims     bool   `arg:"--claims" help:"cost of claims of idempotency keys"`
-	Failover   bool   `arg:"--failover" help:"time from a leader's death to the next leader"`
-	Slopes     bool   `arg:"--slopes" help:"what engines and requests cost a node's process"`
+	Failover   bool   `arg:"--failover" help:"time from the end of a leader to the next leader"`
+	Slopes     bool   `arg:"--slopes" help:"processor time and memory that a node needs for each engine and request"`
 	Program    string `arg:"--program" default:"bin/tinarchd" help:"node program for --memory"`
 	Out        string `arg:"--out" help:"store the result as JSON" placeholder:"FILE"`
 }
--- a/cmd/tinarch-lab/experiment.go
+++ b/cmd/tinarch-lab/experiment.go
@@ -17,10 +17,10 @@
 type experimentCommand struct {
 	Deployment string  `arg:"positional" default:"examples/verifica-norte/deployment.yaml" help:"deployment file"`
 	Seeds      int     `arg:"--seeds" default:"10" help:"number of seeds"`
-	Parallel   int     `arg:"--parallel" default:"4" help:"simulations run side by side"`
+	Parallel   int     `arg:"--parallel" default:"4" help:"simulations run at the same time"`
 	Seconds    float64 `arg:"--seconds" help:"length of the workload (default: as in its file)"`
 	Rate       float64 `arg:"--rate" default:"1" help:"multiplies all arrival rates"`
-	Fleets     []int   `arg:"--fleets" help:"instead: measure the cost of simulating the deployment this many times over"`
+	Fleets     []int   `arg:"--fleets" help:"instead, measure the cost of simulating this many copies of the deployment at once"`
 	Out        string  `arg:"--out" help:"store the result as JSON" placeholder:"FILE"`
 }
 
--- a/cmd/tinarch-lab/faults.go
+++ b/cmd/tinarch-lab/faults.go
@@ -15,11 +15,11 @@
 type faultsCommand struct {
 	Seed     uint64  `arg:"--seed" default:"1" help:"first seed"`
 	Count    int     `arg:"--count" default:"1" help:"number of seeds"`
-	Parallel int     `arg:"--parallel" default:"1" help:"schedules run side by side"`
-	Seconds  float64 `arg:"--seconds" default:"12" help:"length of a schedule, before the time to settle"`
+	Parallel int     `arg:"--parallel" default:"1" help:"schedules run at the same time"`
+	Seconds  float64 `arg:"--seconds" default:"12" help:"length of a schedule, without the time to settle after it"`
 	Events   int     `arg:"--events" default:"8" help:"failures in a schedule"`
 	Virtual  bool    `arg:"--virtual" help:"run groups in virtual time instead of processes"`
-	Without  string  `arg:"--without" help:"with --virtual: leave out a guard (promise or claim), to see a checker report"`
+	Without  string  `arg:"--without" help:"with --virtual: remove a guard (promise or claim), to see the checker report a violation"`
 	Program  string  `arg:"--program" default:"bin/tinarchd" help:"node program"`
 	Logs     string  `arg:"--logs" default:"out/faults" help:"folder for settings and logs of nodes"`
 	Out      string  `arg:"--out" help:"store the result as JSON" placeholder:"FILE"`
--- a/cmd/tinarch-lab/main.go
+++ b/cmd/tinarch-lab/main.go
@@ -17,11 +17,11 @@
 type arguments struct {
 	Demo       *demoCommand       `arg:"subcommand:demo" help:"run a whole deployment in this process under its workload"`
 	Load       *loadCommand       `arg:"subcommand:load" help:"send a workload to nodes"`
-	Bench      *benchCommand      `arg:"subcommand:bench" help:"measure what a node adds, beside a baseline"`
-	Faults     *faultsCommand     `arg:"subcommand:faults" help:"run nodes as processes under seeded failures and check what must always hold"`
-	Soak       *soakCommand       `arg:"subcommand:soak" help:"run routed nodes as processes under seeded faults from outside and check their promises"`
-	Scale      *scaleCommand      `arg:"subcommand:scale" help:"measure what hollow nodes cost, and rollouts among them"`
-	Experiment *experimentCommand `arg:"subcommand:experiment" help:"simulate a deployment in virtual time, policies side by side over seeds"`
+	Bench      *benchCommand      `arg:"subcommand:bench" help:"measure the overhead of a node against a baseline"`
+	Faults     *faultsCommand     `arg:"subcommand:faults" help:"run nodes as processes under seeded failures and check invariants"`
+	Soak       *soakCommand       `arg:"subcommand:soak" help:"run routed nodes as processes under seeded external faults and check their promises"`
+	Scale      *scaleCommand      `arg:"subcommand:scale" help:"measure the cost of hollow nodes, which have no callers, and of rollouts to them"`
+	Experiment *experimentCommand `arg:"subcommand:experiment" help:"simulate a deployment in virtual time and compare placement policies over several seeds"`
 	Serve      *serveCommand      `arg:"subcommand:serve" help:"run a deployment's engines and platform as servers"`
 }
 
--- a/cmd/tinarch-lab/serve.go
+++ b/cmd/tinarch-lab/serve.go
@@ -9,7 +9,7 @@
 
 type serveCommand struct {
 	Deployment string `arg:"positional" default:"examples/verifica-norte/deployment.yaml" help:"deployment file"`
-	BasePort   int    `arg:"--base-port" default:"9000" help:"first of the ports: table, objects, machine list, faults, and engines ten later"`
+	BasePort   int    `arg:"--base-port" default:"9000" help:"first port, for the table; objects, machine list and faults have the next ones, and engines those from ten later"`
 }
 
 func (c *serveCommand) run(ctx context.Context) error {
--- a/cmd/tinarch-lab/soak.go
+++ b/cmd/tinarch-lab/soak.go
@@ -16,19 +16,19 @@
 	Program string  `arg:"--program" default:"bin/tinarchd" help:"path of tinarchd"`
 	Seed    uint64  `arg:"--seed" help:"first seed (default: from the clock)"`
 	Count   int     `arg:"--count" default:"1" help:"number of seeds, one after the other"`
-	Seconds float64 `arg:"--seconds" default:"30" help:"time of faults for each seed"`
+	Seconds float64 `arg:"--seconds" default:"30" help:"duration of the faults for each seed"`
 	// Each flag below changes what a seed does: to repeat a run, give the same seed and the
 	// same flags.
 	Unfenced bool   `arg:"--unfenced" help:"neither the platform's API nor the engines compare fences"`
 	Quotas   bool   `arg:"--quotas" help:"give one tenant a limit, and check that it holds"`
-	Poison   bool   `arg:"--poison" help:"one caller sends a request that ends each worker which runs it"`
-	Limits   bool   `arg:"--limits" help:"workers name how many requests they take, and it is checked what they get"`
-	Notices  bool   `arg:"--notices" help:"workers say that they are about to end or want a pause, and it is checked what they get"`
-	Storms   bool   `arg:"--storms" help:"configurations come in quick succession while the store turns a share of the nodes away, and it is checked how soon each node has them; in odd seeds they fit in no datagram"`
-	Restores bool   `arg:"--restores" help:"the store goes away again and again and comes back from a copy of some seconds before"`
+	Poison   bool   `arg:"--poison" help:"one caller sends a request that crashes each worker that runs it"`
+	Limits   bool   `arg:"--limits" help:"workers state a limit of requests, and the requests that they get are checked against it"`
+	Notices  bool   `arg:"--notices" help:"workers announce that they are about to end, or ask for a pause, and the requests that they get are checked"`
+	Storms   bool   `arg:"--storms" help:"the configuration changes in quick succession while the store rejects a share of the nodes, and the time until each node has it is checked; with odd seeds it is too large for a datagram"`
+	Restores bool   `arg:"--restores" help:"the store fails repeatedly, and is restored from a backup that is some seconds old"`
 	Nodes    int    `arg:"--nodes" default:"3" help:"number of nodes, each a process"`
-	Earlier  string `arg:"--earlier" help:"path of tinarchd of an earlier build: half of the nodes begin with it, and nodes are rolled forward and back"`
-	Logs     string `arg:"--logs" help:"directory for settings and logs (default: a new one, kept only where a promise broke)"`
+	Earlier  string `arg:"--earlier" help:"path of tinarchd of an earlier build: half of the nodes start with it, and nodes are upgraded and downgraded"`
+	Logs     string `arg:"--logs" help:"directory for settings and logs (default: a new one, kept only if a promise was broken)"`
 	Verbose  bool   `arg:"--verbose" help:"print each fault"`
 	Out      string `arg:"--out" help:"store the reports as JSON"`
 }
