--- a/test.sh
+++ b/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# All checks: formatting, linters, generated files, model checking, the tests under the
-# race detector, but for those that KNOWN-RED.txt lists, and a short fault soak. Needs Go,
-# a C compiler, and Spin, which is installed from Debian's packages where it is missing.
+# Runs all checks: formatting, linters, generated files, model checking, the tests with the race
+# detector (except those in KNOWN-RED.txt), and a short fault soak. Needs Go, a C compiler, and
+# Spin, which is installed from Debian's packages if it is missing.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -38,8 +38,8 @@
 spec/check.sh
 
 say "tests"
-red=$(tools/known-red.sh)
-go test -race -timeout 8m ${red:+-skip "$red"} ./...
+known_red=$(tools/known-red.sh)
+go test -race -timeout 8m ${known_red:+-skip "$known_red"} ./...
 
 say "a short fault soak of real processes, seven seeds"
 programs=$(mktemp -d)
