--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -119,7 +119,7 @@
 		n.client.Dial = options.Dial
 	}
 	n.peers = peer.NewServer(identity, n.counters, n.log)
-	n.newPlatformClients()
+	n.buildPlatformClients()
 	n.buildCluster()
 	n.buildRoutes()
 	if err := n.buildServers(); err != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-func (n *Node) newPlatformClients() {
+func (n *Node) buildPlatformClients() {
 	p := n.settings.Platform
 	n.table = table.New(table.Settings{
 		Endpoint: p.Table.Endpoint, Region: p.Table.Region, Table: p.Table.Name,
