--- a/spec/authority.pml
+++ b/spec/authority.pml
@@ -1,29 +1,31 @@
 /*
  * Orders to one engine (packages internal/control and internal/cell).
  *
- * Two leaders follow each other; the first may be paused at any point and wake
- * believing that it still leads. The engine crashes, forgets its fence, and comes
- * back as another incarnation. Orders are delayed, lost, repeated and reordered;
- * answers are lost.
+ * Two leaders succeed each other; the first may be paused at any point and go on in
+ * the belief that it still leads. The engine crashes, loses its fence, and restarts
+ * as another incarnation. Orders are delayed, lost, duplicated and reordered; answers
+ * are lost.
  *
  * Properties:
  *   - an order takes effect only under a fence at least as high as every fence
  *     under which the engine was claimed, in any incarnation;
- *   - of one leader's orders to an incarnation, they take effect in order;
+ *   - the orders of one leader to one incarnation take effect in the order in which
+ *     they were sent;
  *   - a leader never sends an order while an earlier one of its own to the same
  *     incarnation may still take effect;
- *   - no order takes effect that left after its sender's lease had ended;
- *   - no order but a claim takes effect in an incarnation that its leader has not
- *     claimed and read before.
+ *   - no order takes effect that was sent after its sender's lease had ended;
+ *   - in an incarnation that a leader has not yet claimed, no order of that leader
+ *     takes effect but a claim.
  *
  * Guards, each removed by a macro:
- *   NO_FENCE           the engine obeys lower fences
- *   NO_INCARNATION     the engine obeys orders that name another incarnation
- *   NO_LEASE_RECHECK   a leader that was paused does not look at its lease again
- *                      before an order leaves
- *   NO_SEQUENCE        the engine obeys an older order of the same leader
- *   NO_ASKING          a lost answer is taken for a refusal
- *   NO_CLAIM           a leader orders without claiming and reading first
+ *   NO_FENCE           the engine carries out orders with a lower fence
+ *   NO_INCARNATION     the engine carries out orders that name another incarnation
+ *   NO_LEASE_RECHECK   a leader that was paused does not check its lease again
+ *                      before it sends an order
+ *   NO_SEQUENCE        the engine carries out an older order of the same leader
+ *   NO_ASKING          a leader treats a lost answer as a refusal, instead of reading
+ *                      from the engine whether the order took effect
+ *   NO_CLAIM           a leader sends other orders without a claim before them
  */
 #define LAST_INCARNATION 2
 #define LAST_SEQUENCE 4
@@ -39,12 +41,12 @@
 byte sequence = 0;
 byte lastOrder = 0;             /* fence * 16 + sequence of the last order */
 
-/* ghosts */
+/* ghost variables, which only the assertions read */
 byte claimedFence = 0;          /* highest fence of a claim that took effect */
-byte doneSequence[3];           /* by fence: last that took effect in this incarnation */
+byte doneSequence[3];           /* by fence: last order that took effect in this incarnation */
 bool claimedBy[3];              /* by fence: this incarnation was claimed */
 
-/* fence, sequence, incarnation, and as a ghost whether it left without a lease */
+/* type, fence, sequence, incarnation, and as a ghost whether it was sent without a lease */
 chan orders = [NETWORK] of { mtype, byte, byte, byte, bool };
 
 /* an order of leader f that may still take effect */
@@ -53,17 +55,17 @@
      (orders ?? [claim, eval(f), eval(s), eval(i), _] || orders ?? [deploy, eval(f), eval(s), eval(i), _]))
 
 proctype leader(byte me) {
-    byte seen = 0;              /* incarnation last read */
-    byte known = 0;             /* incarnation claimed and read */
+    byte seen = 0;              /* incarnation in the status read last */
+    byte known = 0;             /* incarnation in which its claim took effect */
     byte next = 1;
     byte open = 0;              /* sequence of the unresolved order */
     byte openFor = 0;
     mtype openType;
-    bool mayAct;
+    bool mayOrder;
     lease == me;
 end:
     do
-    :: /* read the engine's status; resolve what it tells about */
+    :: /* read the engine's status, which tells whether the unresolved order took effect */
        atomic {
         if
         :: incarnation != seen -> seen = incarnation; open = 0; openFor = 0
@@ -78,19 +80,19 @@
             open = 0; openFor = 0
         :: else
         fi }
-    :: /* act: the lease was looked at, then anything may happen, then it is sent */
+    :: /* order: the lease is checked, any time may pass, then the order is sent */
        seen != 0 && next <= LAST_SEQUENCE ->
-       mayAct = (lease == me);
+       mayOrder = (lease == me);
        skip;                    /* a pause of any length */
        atomic {
         if
 #ifndef NO_LEASE_RECHECK
         :: lease == me && nfull(orders) ->
 #else
-        :: mayAct && nfull(orders) ->
+        :: mayOrder && nfull(orders) ->
 #endif
             if
-            :: open != 0 ->     /* the same order again */
+            :: open != 0 ->     /* resend the unresolved order */
                 orders ! openType, me, open, openFor, (lease != me)
             :: open == 0 ->
                 assert(!PENDING(me, 1, seen) && !PENDING(me, 2, seen) && !PENDING(me, 3, seen));
@@ -107,7 +109,7 @@
             fi
         :: else
         fi;
-        mayAct = false }
+        mayOrder = false }
 #ifdef NO_ASKING
     :: atomic { open != 0 -> open = 0; openFor = 0 }
 #endif
@@ -115,7 +117,7 @@
 }
 
 inline effect(kind, f, s) {
-    assert(!unled);
+    assert(!leaseless);
     assert(f >= claimedFence);
     assert(s > doneSequence[f]);
     assert(kind == claim || claimedBy[f]);
@@ -130,10 +132,10 @@
 active proctype engine() {
     mtype kind;
     byte f, s, i;
-    bool unled;
+    bool leaseless;
 end:
     do
-    :: atomic { orders ?? kind, f, s, i, unled ->
+    :: atomic { orders ?? kind, f, s, i, leaseless ->
         if
 #ifndef NO_INCARNATION
         :: i != incarnation             /* refused */
@@ -141,7 +143,7 @@
 #ifndef NO_FENCE
         :: f < fence                    /* refused */
 #endif
-        :: lastOrder == f * 16 + s      /* the same order again: answered as before */
+        :: lastOrder == f * 16 + s      /* a duplicate: answered as before */
 #ifndef NO_SEQUENCE
         :: f == fence && s <= sequence  /* refused */
 #endif
@@ -149,10 +151,10 @@
             fence = f; sequence = s;
             effect(kind, f, s)
         fi;
-        f = 0; s = 0; i = 0; unled = false }
-    :: atomic { orders ?? kind, f, s, i, unled -> f = 0; s = 0; i = 0; unled = false }            /* lost */
-    :: atomic { orders ?? [kind, f, s, i, unled] && nfull(orders) ->               /* repeated */
-        orders ?? <kind, f, s, i, unled>; orders ! kind, f, s, i, unled; f = 0; s = 0; i = 0; unled = false }
+        f = 0; s = 0; i = 0; leaseless = false }
+    :: atomic { orders ?? kind, f, s, i, leaseless -> f = 0; s = 0; i = 0; leaseless = false }            /* lost */
+    :: atomic { orders ?? [kind, f, s, i, leaseless] && nfull(orders) ->               /* duplicated */
+        orders ?? <kind, f, s, i, leaseless>; orders ! kind, f, s, i, leaseless; f = 0; s = 0; i = 0; leaseless = false }
     :: atomic { incarnation < LAST_INCARNATION ->
         incarnation++; fence = 0; sequence = 0; lastOrder = 0;
         doneSequence[1] = 0; doneSequence[2] = 0;
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -2,24 +2,24 @@
  * At most one run of a request with an idempotency key (packages internal/ledger
  * and internal/gateway).
  *
- * Two gateways serve the same key; either may pause for ever at any point, with
- * the request still in hand. Dispatches are delayed and lost. The engine crashes
- * and comes back as another incarnation that remembers nothing. The ledger is one
- * register: package internal/replica makes it so (lease.pml, epoch.pml); it may
- * lose its memory with a majority of its group. An engine forgets the attempts that
- * it has accepted after a time, but not those that it was told to refuse.
+ * Two gateways serve the same key; either may stop for ever at any point, while it
+ * still has the request. Dispatches are delayed and lost. The engine crashes and
+ * restarts as another incarnation without any state. The ledger is modelled as a
+ * single register, which package internal/replica provides (lease.pml, epoch.pml); it
+ * may lose its state together with a majority of its group. After some time an engine
+ * discards the attempts that it has accepted, but not those that it was told to refuse.
  *
  * Property: the request is run at most once.
  *
  * Guards, each removed by a macro:
- *   DISPATCH_FIRST     the engine sees the request before it is claimed
- *   NO_TOMBSTONE       an attempt that the engine does not know is not refused there
- *                      before another takes its place
- *   BLIND_REPLACE      the ledger replaces an attempt without comparing it
+ *   DISPATCH_FIRST     the request is sent to the engine before the key is claimed
+ *   NO_TOMBSTONE       an attempt that the engine does not know is replaced without
+ *                      telling the engine to refuse it from then on
+ *   BLIND_REPLACE      the ledger replaces the attempt on record without comparing it
  *   RESTART_IS_NOT_RUN an engine's restart is taken as proof that nothing ran
- *   NO_TICKET_INCARNATION  the engine takes tickets for another incarnation
- *   NO_AGE_LIMIT       an engine that may have forgotten the attempt is asked about it
- *   NO_FORGET          a ledger that lost its memory takes unknown keys for new
+ *   NO_TICKET_INCARNATION  the engine accepts tickets for another incarnation
+ *   NO_AGE_LIMIT       an engine is asked about an attempt that it may have discarded
+ *   NO_FORGET          a ledger that has lost its state treats unknown keys as new
  */
 #define NONE 0
 #define LAST_ATTEMPT 4
@@ -43,17 +43,17 @@
 
 /* ledger */
 byte record = NONE;             /* attempt on record */
-byte recordIncarnation = 0;     /* incarnation it was given to */
-bool lostStatus = false;        /* outcome unknown, for good */
-bool forgot = false;
+byte recordIncarnation = 0;     /* incarnation that its ticket names */
+bool lostStatus = false;        /* the outcome is recorded as unknown, which is final */
+bool forgot = false;            /* the ledger has lost its state */
 
 /* engine */
 byte incarnation = 1;
 bool seen[5];
 bool refused[5];
-bool aged = false;              /* the engine's memory of attempts has ended */
+bool aged = false;              /* the engine has discarded the attempts that it accepted */
 
-byte runs = 0;                  /* ghost */
+byte runs = 0;                  /* ghost: times that the request was run */
 byte nextAttempt = 1;
 
 chan dispatches = [3] of { byte, byte };    /* attempt, incarnation of its ticket */
@@ -76,7 +76,7 @@
     byte attempt, ticket, other, otherTicket;
     bool granted;
 start:
-    /* place: a ticket for a new attempt */
+    /* placement: a ticket for a new attempt */
     atomic {
         if
         :: nextAttempt > LAST_ATTEMPT -> goto done
@@ -91,7 +91,7 @@
         granted = false;
         if
         :: lostStatus -> goto done          /* answered: outcome unknown */
-        :: !lostStatus && record == NONE && !MAY_BE_NEW -> goto done    /* answered: outcome unknown */
+        :: !lostStatus && record == NONE && !MAY_BE_NEW -> goto done            /* answered: outcome unknown */
         :: !lostStatus && record == NONE && MAY_BE_NEW -> record = attempt; recordIncarnation = ticket; granted = true
         :: !lostStatus && record != NONE -> other = record; otherTicket = recordIncarnation
         fi
@@ -115,7 +115,7 @@
 #else
             skip
 #endif
-        :: !TOO_OLD && incarnation == otherTicket && seen[other] -> goto done   /* follow its stream */
+        :: !TOO_OLD && incarnation == otherTicket && seen[other] -> goto done   /* attach to its stream */
         :: !TOO_OLD && incarnation == otherTicket && !seen[other] ->
 #ifndef NO_TOMBSTONE
             refused[other] = true
@@ -124,7 +124,7 @@
 #endif
         fi
     }
-    /* replace it by this one */
+    /* replace the attempt on record by this one */
     atomic {
         if
         :: lostStatus -> goto done
@@ -139,7 +139,7 @@
     atomic { nfull(dispatches) -> dispatches ! attempt, ticket }
 #endif
     if
-    :: goto start               /* a later caller with the key comes here again */
+    :: goto start               /* a later caller with the same key starts anew */
     :: goto done
     fi;
 done:
--- a/spec/epoch.pml
+++ b/spec/epoch.pml
@@ -1,33 +1,34 @@
 /*
  * Change of a group's members (package internal/group).
  *
- * Epoch 1 has the members 0, 1, 2; two coordinators race to make epoch 2, each
- * with the members 1, 2, 3. A leader of epoch 1 goes on replicating one entry
- * meanwhile. Any step may be the last one of a coordinator.
+ * Epoch 1 has the members 0, 1, 2; two coordinators race to establish epoch 2, each
+ * with the members 1, 2, 3. Meanwhile a leader of epoch 1 goes on replicating one
+ * entry. A coordinator may stop after any step.
  *
  * Properties:
- *   - an entry that a majority of epoch 1 has taken is in the state that epoch 2
+ *   - an entry that a majority of epoch 1 has stored is in the state that epoch 2
  *     starts from;
- *   - the members of epoch 2 that act have the same state.
+ *   - all active members of epoch 2 have the same state.
  *
  * Guards, each removed by a macro:
- *   SEAL_ONE           one sealed member is taken for enough
- *   SEALED_ANSWERS     a sealed member still takes entries
+ *   SEAL_ONE           one sealed member is enough, instead of a majority
+ *   SEALED_ANSWERS     a sealed member still accepts entries
  *   ANY_PREPARED       a member activates any prepared state, not the decided one
- *   NO_CONDITION       the table takes a record without comparing the epoch
- *   STATE_OF_FIRST     the state is that of any sealed member, not of the newest
+ *   NO_CONDITION       the table accepts a record without comparing the epoch
+ *   STATE_OF_FIRST     the state is that of the member sealed first, instead of the
+ *                      newest of all sealed members
  */
 #define MEMBERS 4
 
 bool sealed[MEMBERS];
 bool has[MEMBERS];              /* the entry, in epoch 1 */
-bool committed = false;         /* ghost: a majority of epoch 1 has taken it */
+bool committed = false;         /* ghost: a majority of epoch 1 has stored it */
 
-/* prepared states: by member and coordinator: 0 none, 1 without, 2 with the entry */
+/* prepared state, by member and coordinator; 0: none, 1: without the entry, 2: with it */
 byte prepared[8];
 byte decided = 0;               /* table: the coordinator whose proposal is epoch 2 */
 byte decisions = 0;
-byte acting[MEMBERS];           /* state that a member of epoch 2 acts on */
+byte activeState[MEMBERS];      /* state that a member of epoch 2 has activated, 0: not active */
 
 inline replicate(m) {
     if
@@ -62,7 +63,7 @@
     byte state = 1;
     byte m;
     byte ready = 0;
-    /* seal any members, in any order */
+    /* seal any of the members; one that it can't reach stays unsealed */
     do
     :: atomic { m < 3 ->
         if
@@ -126,18 +127,18 @@
 }
 
 proctype member(byte m) {
-    /* learns the decision and activates its prepared state; one that was not
-       prepared starts empty and is brought up by the leader, which is modelled
-       by not acting */
+    /* learns the decision and activates its prepared state; a member without one
+       starts empty and gets the state from the leader, which the model leaves out:
+       such a member stays inactive */
 end:
     atomic {
         decided != 0 ->
 #ifndef ANY_PREPARED
-        acting[m] = prepared[m + (decided - 1) * MEMBERS]
+        activeState[m] = prepared[m + (decided - 1) * MEMBERS]
 #else
         if
-        :: prepared[m] != 0 -> acting[m] = prepared[m]
-        :: prepared[m + MEMBERS] != 0 -> acting[m] = prepared[m + MEMBERS]
+        :: prepared[m] != 0 -> activeState[m] = prepared[m]
+        :: prepared[m + MEMBERS] != 0 -> activeState[m] = prepared[m + MEMBERS]
         :: else
         fi
 #endif
@@ -147,10 +148,10 @@
 active proctype monitor() {
 end:
     atomic {
-        (committed && (acting[1] == 1 || acting[2] == 1 || acting[3] == 1)) ||
-        (acting[1] != 0 && acting[2] != 0 && acting[1] != acting[2]) ||
-        (acting[1] != 0 && acting[3] != 0 && acting[1] != acting[3]) ||
-        (acting[2] != 0 && acting[3] != 0 && acting[2] != acting[3]) ->
+        (committed && (activeState[1] == 1 || activeState[2] == 1 || activeState[3] == 1)) ||
+        (activeState[1] != 0 && activeState[2] != 0 && activeState[1] != activeState[2]) ||
+        (activeState[1] != 0 && activeState[3] != 0 && activeState[1] != activeState[3]) ||
+        (activeState[2] != 0 && activeState[3] != 0 && activeState[2] != activeState[3]) ->
         assert(false)
     }
 }
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,21 +1,21 @@
 /*
  * Leader leases within one epoch of a replica group (package internal/replica).
  *
- * Three members; time is a global counter; messages are delayed, lost and
- * received in any order. Votes are atomic: a vote that is on its way binds the
- * voter already, so its delay only makes elections later.
+ * Three members; time is a global counter; messages are delayed, lost and received in
+ * any order. An election is one step: a vote binds the voter as soon as it is sent, so
+ * a delay of the vote could only make the election later.
  *
  * Property: at most one member holds a valid lease at any time.
  *
- * That a leader which holds its lease votes for no other is not among the guards:
- * it keeps leadership steady, but the checker finds no counterexample without it,
- * since a vote ends the voter's own leadership at once.
+ * The rule that a leader with a valid lease votes for nobody else is not among the
+ * guards: it keeps leadership stable, but the checker finds no counterexample without
+ * it, since a vote ends the voter's own leadership at once.
  *
  * Guards, each removed by a macro:
- *   NO_PROMISE         a follower votes although its promise to a leader holds
+ *   NO_PROMISE         a follower votes although its promise to a leader is still valid
  *   LEASE_FROM_RECEIPT  the leader counts its lease from the receipt of the answer
  *                      instead of from the sending of the heartbeat
- *   NO_TERM_CHECK      a follower obeys a leader of an older term
+ *   NO_TERM_CHECK      a follower accepts heartbeats of a leader with an older term
  */
 #define N 3
 #define LEASE 2
@@ -27,9 +27,9 @@
 
 byte now = 0;
 byte term[N];
-byte promise[N];                /* end of the promise to a leader */
+byte promise[N];                /* time until which it has promised a leader not to vote */
 bool leader[N];
-byte acked[9];                  /* leader * N + follower: 1 + time of sending */
+byte acked[9];                  /* at leader * N + follower: 1 + sending time of the heartbeat answered last */
 #ifdef NO_PROMISE
 #define UNBOUND(i, j) true
 #else
@@ -51,7 +51,7 @@
 }
 
 inline elect(i, j) {
-    /* i stands, j votes for it */
+    /* i is a candidate, j votes for it */
     if
     :: term[i] >= term[j] -> newTerm = term[i] + 1
     :: else -> newTerm = term[j] + 1
--- a/spec/limit.pml
+++ b/spec/limit.pml
@@ -1,19 +1,21 @@
 /*
- * What nodes believe of a worker's limit (worker.LimitStatement, docs/design/worker-limits.md).
+ * What nodes know of a worker's rate limit (worker.LimitStatement,
+ * docs/design/worker-limits.md).
  *
- * A worker is limited or takes all, and changes that at any time. Two nodes send it requests;
- * an answer tells the worker's state at some moment between the sending and the hearing, and
- * answers overtake each other. Node 0 tells node 1 what it believes, by the ages of the sending
- * and the hearing; the message takes up to SLACK ticks. Clocks tick alike at both nodes, and show
- * different times.
+ * A worker has a limit or accepts everything, and changes that at any time. Two nodes send
+ * it requests; an answer tells the worker's state at some moment between the sending of the
+ * request and the receipt of the answer, and answers overtake each other. Node 0 tells node 1
+ * the statement that it holds, with the ages of its sending and receipt; that message takes
+ * up to SLACK ticks. The clocks of both nodes run at the same speed and show different times.
  *
- * Property: no node believes that the worker takes all if it has heard a newer word that it is
- * limited.
+ * Property: no node holds that the worker accepts everything if it has received a newer
+ * statement that the worker has a limit.
  *
  * Guards, each removed by a macro:
- *   BY_ARRIVAL     the statement that comes last holds
- *   LAX_OVERLAP    of two whose order isn't known the one that comes last holds
- *   NO_SLACK       what is told counts as sent when its age says so, however long the message took
+ *   BY_ARRIVAL     the statement that arrives last holds
+ *   LAX_OVERLAP    of two statements whose order isn't known the one that arrives last holds
+ *   NO_SLACK       the receiver of a message computes the sending time from the age alone,
+ *                  without subtracting SLACK for the time that the message may have taken
  */
 #define LAST 2                  /* ticks */
 #define SLACK 1
@@ -26,23 +28,23 @@
 byte now = 0;
 byte state = ALL; byte version = 1;          /* the worker's */
 
-/* Requests under way. */
+/* Requests in flight. */
 #define IDLE 0
 #define SENT 1
-#define SAID 2
-byte step[SLOTS]; byte owner[SLOTS]; byte sentAt[SLOTS]; byte saidState[SLOTS]; byte saidVersion[SLOTS];
+#define ANSWERED 2
+byte step[SLOTS]; byte owner[SLOTS]; byte sentAt[SLOTS]; byte answerState[SLOTS]; byte answerVersion[SLOTS];
 
-/* Beliefs: the statement that holds, and the newest that was heard. */
-bool known[2]; byte holds[2]; byte holdsVersion[2]; short sent[2]; short heard[2];
+/* By node: the statement that holds, and as ghosts the newest one that was received. */
+bool known[2]; byte holds[2]; byte holdsVersion[2]; short sent[2]; short received[2];
 byte newest[2]; byte newestVersion[2];
 
 /* One message from node 0 to node 1. */
-bool telling = false; byte toldAt; byte toldState; byte toldVersion; byte sentAge; byte heardAge;
+bool messagePending = false; byte messageSentAt; byte messageState; byte messageVersion; byte sentAge; byte receivedAge;
 
 #define TIME(n) (now + (n) * SKEW)
 
 inline adopt(n, s, v, from, until) {
-    known[n] = true; holds[n] = s; holdsVersion[n] = v; sent[n] = from; heard[n] = until
+    known[n] = true; holds[n] = s; holdsVersion[n] = v; sent[n] = from; received[n] = until
 }
 
 inline merge(n, s, v, from, until) {
@@ -51,7 +53,7 @@
     :: else
     fi;
     if
-    :: !known[n] || from > heard[n] -> adopt(n, s, v, from, until)
+    :: !known[n] || from > received[n] -> adopt(n, s, v, from, until)
 #ifdef BY_ARRIVAL
     :: else -> adopt(n, s, v, from, until)
 #else
@@ -64,7 +66,7 @@
             :: true -> adopt(n, s, v, from, until)
 #else
             :: s <= holds[n] ->
-                /* either may be the newer one: the interval covers both */
+                /* either may be the newer one: keep the later sending and the later receipt */
                 if
                 :: s == holds[n] && v < holdsVersion[n] -> v = holdsVersion[n]
                 :: else
@@ -74,7 +76,7 @@
                 :: else
                 fi;
                 if
-                :: until < heard[n] -> until = heard[n]
+                :: until < received[n] -> until = received[n]
                 :: else
                 fi;
                 adopt(n, s, v, from, until)
@@ -88,43 +90,43 @@
 }
 
 short from, until;
-byte told;                      /* the version that is merged */
+byte mergedVersion;                      /* the version that is merged */
 
-inline hear(i) {
-    from = sentAt[i] + owner[i] * SKEW; until = TIME(owner[i]); told = saidVersion[i];
-    merge(owner[i], saidState[i], told, from, until);
-    step[i] = IDLE; owner[i] = 0; sentAt[i] = 0; saidState[i] = 0; saidVersion[i] = 0;
-    from = 0; until = 0; told = 0
+inline receiveAnswer(i) {
+    from = sentAt[i] + owner[i] * SKEW; until = TIME(owner[i]); mergedVersion = answerVersion[i];
+    merge(owner[i], answerState[i], mergedVersion, from, until);
+    step[i] = IDLE; owner[i] = 0; sentAt[i] = 0; answerState[i] = 0; answerVersion[i] = 0;
+    from = 0; until = 0; mergedVersion = 0
 }
 
-inline tell() {
-    telling = true; toldAt = now; toldState = holds[0]; toldVersion = holdsVersion[0];
-    sentAge = TIME(0) - sent[0]; heardAge = TIME(0) - heard[0]
+inline sendMessage() {
+    messagePending = true; messageSentAt = now; messageState = holds[0]; messageVersion = holdsVersion[0];
+    sentAge = TIME(0) - sent[0]; receivedAge = TIME(0) - received[0]
 }
 
 inline deliver() {
-    from = TIME(1) - sentAge; until = TIME(1) - heardAge;
+    from = TIME(1) - sentAge; until = TIME(1) - receivedAge;
 #ifndef NO_SLACK
     from = from - SLACK;
 #endif
-    told = toldVersion;
-    merge(1, toldState, told, from, until);
-    telling = false; toldAt = 0; toldState = 0; toldVersion = 0; sentAge = 0; heardAge = 0;
-    from = 0; until = 0; told = 0
+    mergedVersion = messageVersion;
+    merge(1, messageState, mergedVersion, from, until);
+    messagePending = false; messageSentAt = 0; messageState = 0; messageVersion = 0; sentAge = 0; receivedAge = 0;
+    from = 0; until = 0; mergedVersion = 0
 }
 
 #define REQUEST(i) \
     :: atomic { step[i] == IDLE -> step[i] = SENT; sentAt[i] = now; if :: owner[i] = 0 :: owner[i] = 1 fi } \
-    :: atomic { step[i] == SENT -> step[i] = SAID; saidState[i] = state; saidVersion[i] = version } \
-    :: atomic { step[i] == SAID -> hear(i) }
+    :: atomic { step[i] == SENT -> step[i] = ANSWERED; answerState[i] = state; answerVersion[i] = version } \
+    :: atomic { step[i] == ANSWERED -> receiveAnswer(i) }
 
 active proctype system() {
 end: do
     REQUEST(0)
     REQUEST(1)
     :: atomic { version <= CHANGES -> version++; state = 1 - state }
-    :: atomic { now < LAST && !(telling && now - toldAt >= SLACK) -> now++ }
-    :: atomic { known[0] && !telling -> tell() }
-    :: atomic { telling -> deliver() }
+    :: atomic { now < LAST && !(messagePending && now - messageSentAt >= SLACK) -> now++ }
+    :: atomic { known[0] && !messagePending -> sendMessage() }
+    :: atomic { messagePending -> deliver() }
     od
 }
--- a/spec/quota.pml
+++ b/spec/quota.pml
@@ -2,71 +2,72 @@
  * A tenant's quota over all nodes (package internal/quota and its exchange between nodes,
  * docs/design/quotas.md).
  *
- * Two nodes and two keepers of one account, as small as shows the faults: requests of one
- * unit, a window in which nothing is refilled, and one outstanding ask a node. A node asks
- * any keeper, is granted or denied, or gives the ask up; what was granted runs, or is given
- * back. Counters of units taken and returned only rise; each message carries both. Messages
- * are lost, repeated, and overtake each other. At any time one fault happens: a keeper
- * restarts and has forgotten all (COLD units are its to grant), or the nodes fall into two
- * halves of one node and one keeper each.
+ * Two nodes and two keepers of one account, the smallest system that shows the faults:
+ * requests of one unit, a window without refill, and one outstanding charge request per
+ * node. A node sends its charge request to either keeper, which grants or denies it, or the
+ * node abandons it; a granted unit is used, or returned. The counters of units taken and
+ * returned only increase; each message carries both. Messages are lost, duplicated and
+ * reordered. At any time one fault happens: a keeper restarts without its state and may grant
+ * COLD units, or a partition leaves one node and one keeper on each side.
  *
  * Assumed, and to be covered by the slack in reality:
- *   - a node doesn't ask again before the keepers that it reaches have heard of its last use;
- *   - silence is mutual. With a single link cut, the keeper that hears both nodes keeps
- *     nothing back, and the bound doesn't hold;
- *   - halves notice at once that they don't hear each other, when all that was used before
- *     has been told, so that both sides know the same shares.
+ *   - a node sends no further charge request before the keepers that it reaches have heard
+ *     of its last use;
+ *   - a partition cuts both directions. With a single link cut, the keeper that hears both
+ *     nodes reserves nothing, and the bound doesn't hold;
+ *   - both sides detect a partition at once, when all use before it has been reported, so
+ *     that they compute the same shares.
  *
- * Property: what runs is no more than BURST, and COLD for a restart, and one unit that two
+ * Property: the units used are at most BURST, plus COLD for a restart, plus one unit that two
  * keepers grant at the same moment.
  *
  * Guards, each removed by a macro:
- *   ADDED              messages carry increases that are added up, instead of totals of
+ *   ADDED              messages carry increments that are added up, instead of totals of
  *                      which the greater one holds
- *   NOT_TAKEN          an ask without an answer is given back without being taken
- *   FULL_COLD          a keeper that has restarted has a whole burst to grant
- *   NO_RESERVE         a keeper keeps nothing back for nodes that it can't hear
- *   RETURNED_TWICE     a request that was granted and didn't run is given back twice
+ *   NOT_TAKEN          an abandoned charge request is counted as returned, but not as taken
+ *   FULL_COLD          a keeper that has restarted may grant a full burst
+ *   NO_RESERVE         a keeper reserves nothing for nodes that it can't hear
+ *   RETURNED_TWICE     a request that was granted and didn't run is returned twice
  */
 #define BURST 3
 #define COLD 1
 #define BOUND (BURST + COLD + 1)
-#define MOST 4                  /* units that a node takes in the model, */
-#define MOST_RETURNED 2         /* and that it returns */
+#define MAX_TAKEN 4             /* units that each node may take in the model, */
+#define MAX_RETURNED 2          /* and return */
 
 byte taken[2]; byte returned[2];             /* the nodes' counters */
-byte ran = 0;                                /* units that ran, of both nodes */
+byte used = 0;                               /* units used, by both nodes */
 
-bool asking[2]; byte asked[2];               /* the ask that a node waits for, and whom */
-byte askTaken[2]; byte askReturned[2];       /* counters in that ask */
-byte reply[2];                               /* to it */
+bool requesting[2]; byte requestedAt[2];     /* a node waits for the reply of this keeper */
+byte requestTaken[2]; byte requestReturned[2];       /* counters in that charge request */
+byte reply[2];                               /* the reply to it */
 #define NO_REPLY 0
 #define GRANT 1
 #define DENY 2
 
-/* One ask that was given up, and is delivered late, or again, with the counters of its time. */
-bool late = false; byte lateFrom, lateTo, lateTaken, lateReturned;
+/* One abandoned charge request that is delivered late, or twice, with its old counters. */
+bool delayed = false; byte delayedFrom, delayedTo, delayedTaken, delayedReturned;
 
-/* A keeper's account. Counters of the node are at index 2 * keeper + node. */
-short credit[2];                             /* what it may grant in all */
+/* The keepers' accounts. What a keeper knows of a node is at index AT(keeper, node). */
+short credit[2];                             /* what the keeper may grant in all */
 byte heardTaken[4]; byte heardReturned[4];
-byte baseTaken[4]; byte baseReturned[4];     /* what it heard first since its restart */
-bool known[4];                               /* it has heard the node since then */
-byte told[4];                                /* units taken of which it was told */
+byte baseTaken[4]; byte baseReturned[4];     /* the first counters heard since its restart */
+bool known[4];                               /* the keeper has heard the node since its restart */
+byte reported[4];                            /* units taken, as last reported to the keeper */
 #ifdef ADDED
-byte sentTaken[4]; byte sentReturned[4];     /* up to where the node has told its increases */
+byte sentTaken[4]; byte sentReturned[4];     /* counters as of the last increments sent */
 #endif
 
 bool faulty = false;                         /* the one fault has happened */
-bool halves = false;
+bool partitioned = false;
 
 #define AT(k, n) (2 * (k) + (n))
 #define NET(k, n) (heardTaken[AT(k, n)] - baseTaken[AT(k, n)] - heardReturned[AT(k, n)] + baseReturned[AT(k, n)])
 #define LEVEL(k) (credit[k] - NET(k, 0) - NET(k, 1))
-#define REACHES(n, k) (!halves || (n) == (k))
-#define TOLD(n, k) (!REACHES(n, k) || told[AT(k, n)] == taken[n])
+#define REACHES(n, k) (!partitioned || (n) == (k))
+#define REPORTED(n, k) (!REACHES(n, k) || reported[AT(k, n)] == taken[n])
 
-/* A keeper takes a node's counters in. */
+/* A keeper merges the counters t and r of a node into its account. */
 inline merge(k, n, t, r) {
     if
     :: !known[AT(k, n)] ->
@@ -84,12 +85,12 @@
         fi
     fi;
     if
-    :: told[AT(k, n)] < t -> told[AT(k, n)] = t
+    :: reported[AT(k, n)] < t -> reported[AT(k, n)] = t
     :: else
     fi
 }
 
-inline tell(n, k) {
+inline report(n, k) {
 #ifdef ADDED
     if
     :: true -> /* delivered */
@@ -98,73 +99,73 @@
     :: true -> skip /* lost */
     fi;
     sentTaken[AT(k, n)] = taken[n]; sentReturned[AT(k, n)] = returned[n];
-    told[AT(k, n)] = taken[n]
+    reported[AT(k, n)] = taken[n]
 #else
     merge(k, n, taken[n], returned[n])
 #endif
 }
 
-inline ask(n, k) {
-    asking[n] = true; asked[n] = k; reply[n] = NO_REPLY;
-    askTaken[n] = taken[n]; askReturned[n] = returned[n]
+inline sendRequest(n, k) {
+    requesting[n] = true; requestedAt[n] = k; reply[n] = NO_REPLY;
+    requestTaken[n] = taken[n]; requestReturned[n] = returned[n]
 }
 
-inline endAsk(n) {
-    asking[n] = false; asked[n] = 0; reply[n] = NO_REPLY; askTaken[n] = 0; askReturned[n] = 0
+inline endRequest(n) {
+    requesting[n] = false; requestedAt[n] = 0; reply[n] = NO_REPLY; requestTaken[n] = 0; requestReturned[n] = 0
 }
 
-/* A keeper decides on an ask. */
-inline decide(n, k, t, r, verdict) {
+/* A keeper decides on a charge request. */
+inline decide(n, k, t, r, decision) {
 #ifndef ADDED
     merge(k, n, t, r);
 #endif
     if
     :: LEVEL(k) >= 1 ->
-        verdict = GRANT;
+        decision = GRANT;
         heardTaken[AT(k, n)]++;
 #ifdef ADDED
         sentTaken[AT(k, n)]++;
 #endif
-    :: else -> verdict = DENY
+    :: else -> decision = DENY
     fi
 }
 
-inline runIt(n) {
-    taken[n]++; ran++;
-    endAsk(n);
-    assert(ran <= BOUND)
+inline use(n) {
+    taken[n]++; used++;
+    endRequest(n);
+    assert(used <= BOUND)
 }
 
-inline giveBack(n) {
+inline returnUnit(n) {
     taken[n]++; returned[n]++;
 #ifdef RETURNED_TWICE
     returned[n]++;
 #endif
-    endAsk(n)
+    endRequest(n)
 }
 
-/* The keeper may have granted it, or may still do so. */
-inline giveUp(n) {
+/* The node stops waiting. The keeper may have granted the unit, or may still do so. */
+inline abandon(n) {
 #ifndef NOT_TAKEN
     taken[n]++;
 #endif
     returned[n]++;
     if
-    :: !late && reply[n] == NO_REPLY ->
-        late = true; lateFrom = n; lateTo = asked[n];
-        lateTaken = askTaken[n]; lateReturned = askReturned[n]
+    :: !delayed && reply[n] == NO_REPLY ->
+        delayed = true; delayedFrom = n; delayedTo = requestedAt[n];
+        delayedTaken = requestTaken[n]; delayedReturned = requestReturned[n]
     :: true -> skip
     fi;
-    endAsk(n)
+    endRequest(n)
 }
 
-inline clearLate() {
-    late = false; lateFrom = 0; lateTo = 0; lateTaken = 0; lateReturned = 0
+inline clearDelayed() {
+    delayed = false; delayedFrom = 0; delayedTo = 0; delayedTaken = 0; delayedReturned = 0
 }
 
-inline deliverLate() {
-    decide(lateFrom, lateTo, lateTaken, lateReturned, ignored);
-    ignored = 0
+inline deliverDelayed() {
+    decide(delayedFrom, delayedTo, delayedTaken, delayedReturned, ignoredReply);
+    ignoredReply = 0
 }
 
 inline restart(k) {
@@ -179,8 +180,8 @@
     baseTaken[AT(k, 0)] = 0; baseTaken[AT(k, 1)] = 0; baseReturned[AT(k, 0)] = 0; baseReturned[AT(k, 1)] = 0
 }
 
-/* A keeper keeps the share of the node that it can't hear: by use, or by number where there
- * was none. Shares of both sides are rounded down. */
+/* In a partition a keeper reserves the share of the node that it can't hear: in proportion to use,
+ * or half where there was no use. The share that it may grant is rounded down. */
 inline reserve(k) {
 #ifndef NO_RESERVE
     if
@@ -195,22 +196,22 @@
 #endif
 }
 
-#define SETTLED (TOLD(0, 0) && TOLD(0, 1) && TOLD(1, 0) && TOLD(1, 1) && !asking[0] && !asking[1])
+#define SETTLED (REPORTED(0, 0) && REPORTED(0, 1) && REPORTED(1, 0) && REPORTED(1, 1) && !requesting[0] && !requesting[1])
 
-#define ASK_STEPS(n, k) \
-    :: atomic { !asking[n] && taken[n] < MOST && returned[n] < MOST_RETURNED && REACHES(n, k) && TOLD(n, 0) && TOLD(n, 1) -> ask(n, k) } \
-    :: atomic { REACHES(n, k) && (told[AT(k, n)] != taken[n] || !known[AT(k, n)] || heardReturned[AT(k, n)] != returned[n]) -> tell(n, k) }
+#define REQUEST_STEPS(n, k) \
+    :: atomic { !requesting[n] && taken[n] < MAX_TAKEN && returned[n] < MAX_RETURNED && REACHES(n, k) && REPORTED(n, 0) && REPORTED(n, 1) -> sendRequest(n, k) } \
+    :: atomic { REACHES(n, k) && (reported[AT(k, n)] != taken[n] || !known[AT(k, n)] || heardReturned[AT(k, n)] != returned[n]) -> report(n, k) }
 
 #define STEPS(n) \
-    ASK_STEPS(n, 0) \
-    ASK_STEPS(n, 1) \
-    :: atomic { asking[n] && reply[n] == NO_REPLY && REACHES(n, asked[n]) -> decide(n, asked[n], askTaken[n], askReturned[n], reply[n]) } \
-    :: atomic { asking[n] && reply[n] == GRANT -> runIt(n) } \
-    :: atomic { asking[n] && reply[n] == GRANT -> giveBack(n) } \
-    :: atomic { asking[n] && reply[n] == DENY -> endAsk(n) } \
-    :: atomic { asking[n] -> giveUp(n) }
+    REQUEST_STEPS(n, 0) \
+    REQUEST_STEPS(n, 1) \
+    :: atomic { requesting[n] && reply[n] == NO_REPLY && REACHES(n, requestedAt[n]) -> decide(n, requestedAt[n], requestTaken[n], requestReturned[n], reply[n]) } \
+    :: atomic { requesting[n] && reply[n] == GRANT -> use(n) } \
+    :: atomic { requesting[n] && reply[n] == GRANT -> returnUnit(n) } \
+    :: atomic { requesting[n] && reply[n] == DENY -> endRequest(n) } \
+    :: atomic { requesting[n] -> abandon(n) }
 
-byte ignored = 0;               /* the reply to an ask that its node has given up */
+byte ignoredReply = 0;                       /* the reply to an abandoned charge request */
 
 active proctype system() {
     d_step {
@@ -220,9 +221,9 @@
 end: do
     STEPS(0)
     STEPS(1)
-    :: atomic { late && REACHES(lateFrom, lateTo) -> deliverLate() }
-    :: atomic { late -> clearLate() }
+    :: atomic { delayed && REACHES(delayedFrom, delayedTo) -> deliverDelayed() }
+    :: atomic { delayed -> clearDelayed() }
     :: atomic { !faulty -> restart(0) }
-    :: atomic { !faulty && SETTLED -> faulty = true; halves = true; reserve(0); reserve(1) }
+    :: atomic { !faulty && SETTLED -> faulty = true; partitioned = true; reserve(0); reserve(1) }
     od
 }
--- a/spec/rollout.pml
+++ b/spec/rollout.pml
@@ -1,22 +1,23 @@
 /*
- * Acceptance and spreading of configuration revisions (package internal/rollout).
+ * Acceptance and distribution of configuration revisions (package internal/rollout).
  *
- * Two operators race with one operation each; the answer of a write may be lost
- * after it took effect, and the operator's node then tries again. Two nodes learn
- * revisions by push and pull in any order, and restart. A restarted node asks the
- * table or a majority of the others before it serves.
+ * Two operators race with one operation each; the answer to a write may be lost after the
+ * write took effect, and the operator's node then tries again. Two nodes learn revisions
+ * by push and pull in any order, and restart. A restarted node reads the revision from the
+ * table before it serves. (In reality it may ask a majority of the other nodes instead; its
+ * peers must then know the revision that it served before.)
  *
  * Properties:
  *   - each operation is accepted at most once;
  *   - a revision number never has two contents;
- *   - a node never goes to a lower revision while it runs, and a restarted node
- *     does not serve below what it served before, while its peer knows that.
+ *   - a node never goes back to a lower revision while it runs, and a restarted node does
+ *     not serve a lower revision than it served before.
  *
  * Guards, each removed by a macro:
- *   NO_CONDITION       the table takes a revision without comparing the head
+ *   NO_CONDITION       the table accepts a revision without comparing the head
  *   NO_OPERATION_ID    a repeated operation is taken for a new one
- *   TAKE_LOWER         a node takes whatever revision it is sent
- *   SERVE_AT_ONCE      a restarted node serves before it has asked
+ *   TAKE_LOWER         a node takes any revision that it is sent, also a lower one
+ *   SERVE_AT_ONCE      a restarted node serves before it has read the table
  */
 #define LAST_REVISION 3
 
@@ -115,7 +116,7 @@
         if
         :: !serving[n] ->
 #ifndef SERVE_AT_ONCE
-            revision[n] = head;                             /* the table's word */
+            revision[n] = head;                             /* as the table says */
 #endif
             serving[n] = true;
             assert(revision[n] >= served[n]);
--- a/spec/storelease.pml
+++ b/spec/storelease.pml
@@ -1,45 +1,45 @@
 /*
- * The authority to give orders as a lease in one row of a store with conditional
+ * The lease that allows a node to give orders, kept in one row of a store with conditional
  * writes (package internal/lease), and the orders given under it.
  *
- * Two nodes; times are kept as ages and remainders that all advance by a tick, so
- * time itself has no end in the model; writes to the store are carried out at any
- * later time, also after their sender has given them up, and answered at any time
- * after that or never. Orders to a worker are carried out at any later time. A node
- * may pause between deciding on an order and sending it.
+ * Two nodes. Instead of clock times the model keeps ages and remaining times, which all
+ * advance by a tick, so that time in the model has no end. Writes to the store may be carried
+ * out at any later time, even after their sender has stopped waiting for them, and are
+ * answered at any time after that or never. Orders to a worker are carried out at any later
+ * time. A node may pause between deciding on an order and sending it.
  *
- * Properties: at most one node holds the lease at any time; an order leaves its node
- * only while that node holds the lease; a worker carries out no order of a lower
- * fence after one of a higher.
+ * Properties: at most one node holds the lease at any time; a node sends an order only while
+ * it holds the lease; a worker carries out no order with a lower fence after one with a
+ * higher.
  *
  * Guards, each removed by a macro:
- *   NO_WAIT            a node takes the lease without having seen the row unchanged
- *                      for a whole life
- *   FROM_ANSWER        a holder counts its lease from the answer to its write instead
- *                      of from the sending
+ *   NO_WAIT            a node takes the lease without having seen the row unchanged for
+ *                      the whole duration of a lease
+ *   FROM_ANSWER        a holder counts its lease from the answer to its write instead of
+ *                      from the sending
  *   NO_CONDITION       writes are carried out whatever version the row has
- *   NO_RECHECK         a node sends an order that it decided on without looking at its
- *                      lease again
+ *   NO_RECHECK         a node sends an order that it decided on without checking its lease
+ *                      again
  *   NO_FENCE           the worker does not compare fences
  */
-#define LIFE 2
+#define LEASE 2
 #define LAST_VERSION 3
 #define REFUSED 255
 
-byte version = 0;               /* of the row; zero: there is none */
+byte version = 0;               /* of the row, 0: there is none */
 
-byte seen[2];                   /* 1 + version that the node saw last, 0: none yet */
-byte seenFor[2];                /* for how long it has seen that version, LIFE at most */
-byte left[2];                   /* what is left of the node's lease */
+byte seen[2];                   /* 1 + version that the node read last, 0: none yet */
+byte seenFor[2];                /* for how long it has seen that version, at most LEASE */
+byte left[2];                   /* remaining time of the node's lease */
 byte fence[2];                  /* of that lease */
 bool decided[2];                /* an order is about to be sent */
 
-/* The write that a node waits for, and one that it has given up. */
-bool pending[2]; byte condition[2]; byte sentFor[2]; bool takes[2];
+/* The write that a node waits for, and one for which it has stopped waiting. */
+bool pending[2]; byte condition[2]; byte sentFor[2]; bool takesLease[2];
 bool late[2]; byte lateCondition[2];
-byte result[2];                 /* version at which the pending write was carried out */
+byte result[2];                 /* row version after the pending write, REFUSED, or 0: none yet */
 
-bool ordered[2]; byte orderFence[2]; /* an order on its way to the worker */
+bool ordered[2]; byte orderFence[2]; /* an order in transit to the worker */
 byte highest = 0;               /* fence that the worker carried out last */
 
 #define HOLDS(i) (left[i] > 0)
@@ -47,12 +47,12 @@
 #ifdef NO_WAIT
 #define FREE(i) true
 #else
-#define FREE(i) (seen[i] == 1 || seenFor[i] == LIFE)
+#define FREE(i) (seen[i] == 1 || seenFor[i] == LEASE)
 #endif
 #ifdef FROM_ANSWER
-#define TAKEN_OFF(i) 0
+#define ELAPSED(i) 0
 #else
-#define TAKEN_OFF(i) sentFor[i]
+#define ELAPSED(i) sentFor[i]
 #endif
 #ifdef NO_CONDITION
 #define MATCHES(v) true
@@ -70,15 +70,15 @@
 #define ACCEPTS(f) ((f) >= highest)
 #endif
 
-inline propose(i, take) {
-    pending[i] = true; condition[i] = seen[i] - 1; sentFor[i] = 0; takes[i] = take; result[i] = 0;
+inline startWrite(i, takeLease) {
+    pending[i] = true; condition[i] = seen[i] - 1; sentFor[i] = 0; takesLease[i] = takeLease; result[i] = 0;
 }
 
-/* Everything that one node, the store on its behalf, and the worker may do next. */
+/* Every step that a node, the store on its behalf, and the worker may take. */
 #define STEPS(i) \
     :: d_step { seen[i] != version + 1 -> seen[i] = version + 1; seenFor[i] = 0 } \
-    :: d_step { MAY_WRITE(i) && HOLDS(i) -> propose(i, false) } \
-    :: d_step { MAY_WRITE(i) && !HOLDS(i) && FREE(i) -> propose(i, true) } \
+    :: d_step { MAY_WRITE(i) && HOLDS(i) -> startWrite(i, false) } \
+    :: d_step { MAY_WRITE(i) && !HOLDS(i) && FREE(i) -> startWrite(i, true) } \
     :: d_step { pending[i] && result[i] == 0 -> carryOut(i) } \
     :: d_step { pending[i] && result[i] != 0 -> answer(i) } \
     :: d_step { pending[i] && result[i] == 0 && !late[i] -> \
@@ -92,8 +92,8 @@
 
 #define MAY_WRITE(i) (seen[i] != 0 && !pending[i] && version < LAST_VERSION)
 
-/* What no longer matters is cleared, so that like states are one. */
-inline forget(i) {
+/* The fence of an expired lease is cleared, so that states which differ in it alone are one. */
+inline clearFence(i) {
     if
     :: left[i] == 0 -> fence[i] = 0
     :: else
@@ -102,18 +102,18 @@
 
 inline tick(i) {
     if
-    :: seenFor[i] < LIFE -> seenFor[i]++
+    :: seenFor[i] < LEASE -> seenFor[i]++
     :: else
     fi;
     if
-    :: pending[i] && sentFor[i] < LIFE -> sentFor[i]++
+    :: pending[i] && sentFor[i] < LEASE -> sentFor[i]++
     :: else
     fi;
     if
     :: left[i] > 0 -> left[i]--
     :: else
     fi;
-    forget(i)
+    clearFence(i)
 }
 
 inline carryOut(i) {
@@ -136,18 +136,18 @@
     if
     :: result[i] != REFUSED ->
         if
-        :: takes[i] -> fence[i] = result[i]
+        :: takesLease[i] -> fence[i] = result[i]
         :: else
         fi;
-        left[i] = LIFE - TAKEN_OFF(i);
+        left[i] = LEASE - ELAPSED(i);
         if
         :: seen[i] < result[i] + 1 -> seen[i] = result[i] + 1; seenFor[i] = 0
         :: else
         fi
     :: else
     fi;
-    result[i] = 0; condition[i] = 0; sentFor[i] = 0; takes[i] = false;
-    forget(i)
+    result[i] = 0; condition[i] = 0; sentFor[i] = 0; takesLease[i] = false;
+    clearFence(i)
 }
 
 inline carryOutOrder(i) {
--- a/spec/tables.pml
+++ b/spec/tables.pml
@@ -1,116 +1,117 @@
 /*
- * Tables of the store that nodes follow through each other (packages internal/tablerelay and
+ * Distribution of the store's tables from node to node (packages internal/tablerelay and
  * internal/tablefeed, docs/design/tables.md).
  *
  * Three nodes, ranked 0, 1, 2, that all hear each other, and one table. The store serves some of
- * the nodes, one at least, and turns the others away; which ones changes. Time goes in rounds, in
- * each of which every node acts once on what was told in the rounds before. A node that the
- * store served says the version that it has; the word counts for FRESH rounds. A node reads at
- * the store unless a word is younger than its patience; once it does, only words of nodes that
- * rank ahead of it count for that. It takes what is newer from a node that tells of it.
+ * the nodes, at least one, and rejects the others; which ones changes. Time proceeds in rounds; in
+ * each round every node acts once on the announcements of earlier rounds. A node that the store
+ * has served announces the version that it has; an announcement is valid for FRESH rounds. A node
+ * reads at the store unless it has an announcement younger than its patience; once it reads,
+ * only announcements of nodes that rank before it make it stop. It fetches a newer version from a
+ * node that announces one.
  *
- * Property: SETTLED rounds after the last change of the table, and of who is served, all nodes
- * hold the newest version.
+ * Property: SETTLED rounds after the last change of the table, and of the nodes that are served,
+ * all nodes have the newest version.
  *
  * Guards, each removed by a macro:
- *   RANK_ONLY          a node takes what is newer only from nodes that rank ahead of it
- *   ASK_FIRST          changes are asked for at the node that ranks first
- *   DEAF_CALL          a node that waits for the store hears nothing from others
+ *   RANK_ONLY          a node fetches newer versions only from nodes that rank before it
+ *   ASK_FIRST          changes are fetched from the node that ranks first, whoever announced them
+ *   DEAF_CALL          a node whose call to the store fails ignores the announcements of others
  *   NO_TAKEOVER        only the node that ranks first reads at the store
  */
 #define NODES 3
 #define VERSIONS 3              /* of the table */
-#define MOVES 3                 /* changes of who is served */
-#define FRESH 3                 /* rounds for which a word counts */
+#define MOVES 3                 /* changes of the nodes that are served */
+#define FRESH 3                 /* rounds for which an announcement is valid */
 #define SETTLED 5
-#define NEVER 9                 /* the age of a word that doesn't count */
+#define NEVER 9                 /* the age of an expired announcement */
 
 byte version = 1;
 bool served[NODES];
 byte held[NODES];
-bool reads[NODES];              /* at the store, for the others too */
-byte told[NODES]; byte age[NODES];       /* what a node said, and rounds ago */
-byte newTold[NODES]; byte newAge[NODES]; /* in this round */
+bool reads[NODES];              /* the node reads at the store, for the others too */
+byte announced[NODES]; byte age[NODES];  /* announced version, and rounds since */
+byte newAnnounced[NODES]; byte newAge[NODES]; /* the same, as of this round */
 byte since = 0;                 /* rounds since the last change */
 byte moves = 0;
 
-/* Rounds for which a node waits for another's word. */
+/* Rounds for which a node waits for another's announcement before it reads. */
 #define patience(n) ((n) == 0 -> 0 : FRESH - 1)
-/* A word of m is one that n hears. */
-#define counts(n, m) ((m) != (n) && age[m] < FRESH)
-/* A word of m keeps n from reading. */
+/* n has a valid announcement of m. */
+#define hears(n, m) ((m) != (n) && age[m] < FRESH)
+/* An announcement of m keeps n from reading at the store. */
 #ifdef NO_TAKEOVER
-#define spares(n, m) ((n) != 0)
+#define stops(n, m) ((n) != 0)
 #else
-#define spares(n, m) (counts(n, m) && age[m] < patience(n) && (!reads[n] || (m) < (n)) && told[m] >= held[n])
+#define stops(n, m) (hears(n, m) && age[m] < patience(n) && (!reads[n] || (m) < (n)) && announced[m] >= held[n])
 #endif
 #ifdef RANK_ONLY
-#define maySay(n, m) (counts(n, m) && (m) < (n))
+#define isSource(n, m) (hears(n, m) && (m) < (n))
 #else
-#define maySay(n, m) counts(n, m)
+#define isSource(n, m) hears(n, m)
 #endif
-#define better(m, best) (told[m] > told[best])
+#define better(m, best) (announced[m] > announced[best])
 
-byte n, m, best; bool spared, failed;
+byte n, m, best; bool stopped, failed;
 
-/* Node n follows what others tell. */
-inline follow() {
+/* Node n fetches the newest version that others announce. */
+inline fetch() {
     best = NODES;
     for (m : 0 .. NODES - 1) {
         if
-        :: maySay(n, m) && (best == NODES || better(m, best)) -> best = m
+        :: isSource(n, m) && (best == NODES || better(m, best)) -> best = m
         :: else
         fi
     }
     if
-    :: best < NODES && told[best] > held[n] ->
+    :: best < NODES && announced[best] > held[n] ->
 #ifdef ASK_FIRST
         if
         :: held[0] > held[n] -> held[n] = held[0]
         :: else
         fi
 #else
-        held[n] = told[best]
+        held[n] = announced[best]
 #endif
     :: else
     fi
 }
 
 inline act() {
-    spared = false;
+    stopped = false;
     for (m : 0 .. NODES - 1) {
         if
-        :: spares(n, m) -> spared = true
+        :: stops(n, m) -> stopped = true
         :: else
         fi
     }
     failed = false;
     if
-    :: spared -> reads[n] = false
-    :: !spared ->
+    :: stopped -> reads[n] = false
+    :: !stopped ->
         reads[n] = true;
         if
         :: served[n] ->
             held[n] = version;
-            newTold[n] = version;
+            newAnnounced[n] = version;
             newAge[n] = 0
         :: else -> failed = true
         fi
     fi;
 #ifdef DEAF_CALL
     if
-    :: spared -> follow()
+    :: stopped -> fetch()
     :: else
     fi
 #else
     if
-    :: spared || failed -> follow()
+    :: stopped || failed -> fetch()
     :: else
     fi
 #endif
 }
 
-/* What changes between two rounds. */
+/* A change of the table or of the served nodes, between two rounds. */
 inline change() {
     if
     :: true
@@ -144,17 +145,17 @@
     :: atomic {
         change();
         for (n : 0 .. NODES - 1) {
-            newTold[n] = told[n];
+            newAnnounced[n] = announced[n];
             newAge[n] = (age[n] < FRESH -> age[n] + 1 : NEVER);
             act();
         }
         for (n : 0 .. NODES - 1) {
-            told[n] = newTold[n];
+            announced[n] = newAnnounced[n];
             age[n] = newAge[n];
             assert(since < SETTLED || held[n] == version)
         }
         since = (since < SETTLED -> since + 1 : SETTLED);
-        n = 0; m = 0; best = 0; spared = false; failed = false
+        n = 0; m = 0; best = 0; stopped = false; failed = false
        }
     od
 }
--- a/spec/usage.pml
+++ b/spec/usage.pml
@@ -1,46 +1,48 @@
 /*
- * One truth for a window of usage (package internal/usage): what is reported lies in the
- * store before it is sent, written under a condition, by a node that has the authority.
+ * Each window of usage is reported with one set of counts (package internal/usage): a report is
+ * recorded in the store before it is sent, by a conditional write, by the node that holds the
+ * lease.
  *
- * Two nodes have gathered different counts of the same window. The lease is as in
- * storelease.pml, here without its clocks: it may lapse at any time, and is taken only
- * when nobody else can hold it. Transactions and reports are carried out at any later
- * time, also after their sender has lost the lease or given them up, and answered then or
+ * Two nodes have gathered different counts for the same window. The lease is as in
+ * storelease.pml, here without its clocks: it may expire at any time, and is taken only when
+ * nobody else can hold it. Transactions and reports may be carried out at any later time, even
+ * after their sender has lost the lease or stopped waiting for them, and are answered then or
  * never; a report may be carried out twice. A node may pause between any two steps.
  *
- * Properties: the platform accepts no two reports of the window with different counts; a
- * report leaves its node only while that node, and no other, has the authority; what the
- * platform accepts has no lower fence than what it accepted before.
+ * Properties: the platform accepts no two reports of the window with different counts; a node
+ * sends a report only while it holds the lease and no other node does; what the platform accepts
+ * has no lower fence than what it accepted before.
  *
  * Guards, each removed by a macro:
- *   NO_RECORD          a node reports what it has gathered, without recording it
+ *   NO_RECORD          a node reports the counts that it has gathered, without recording them
  *   NO_ABSENCE         a window is recorded over another record of it
  *   NO_WAIT            a node takes the lease while another may hold it
- *   NO_RECHECK         a node sends a report without looking at its lease again
+ *   NO_RECHECK         a node sends a report without checking its lease again
  *   NO_FENCE           the platform does not compare fences
  *
  * Variants, in which the model holds too, each chosen by a macro:
- *   UNFENCED           the platform doesn't compare fences, and may accept lower ones; of
- *                      the window it still hears one truth (unfenced.pml has the fences)
+ *   UNFENCED           the platform doesn't compare fences, and may accept lower ones; it
+ *                      still accepts only one set of counts for the window (unfenced.pml
+ *                      models the fences)
  */
 #define LAST_VERSION 3
 
 byte version = 0;               /* of the lease's row */
 byte record = 0;                /* 1 + node whose counts are recorded, 0: none */
-byte reported = 0;              /* the same for what the platform accepted */
-byte highest = 0;               /* fence that it accepted last */
+byte reported = 0;              /* the same for the report that the platform accepted */
+byte highest = 0;               /* fence of that report */
 
 bool holds[2]; byte fence[2];   /* the node's lease */
-byte known[2];                  /* the record as the node has read it */
-bool writing[2]; byte under[2]; /* a record on its way, and the lease's version it wants */
+byte known[2];                  /* the record as the node has read it last */
+bool writing[2]; byte leaseVersion[2]; /* a write of the record in transit, and its condition */
 bool decided[2];                /* a report is about to be sent */
-bool sent[2]; byte told[2]; byte sentFence[2]; /* a report on its way */
+bool sent[2]; byte reportOf[2]; byte sentFence[2]; /* a report in transit */
 
 #ifdef NO_RECORD
-#define TO_TELL(i) (i + 1)
+#define REPORT_OF(i) (i + 1)
 #define MAY_DECIDE(i) true
 #else
-#define TO_TELL(i) known[i]
+#define REPORT_OF(i) known[i]
 #define MAY_DECIDE(i) (known[i] != 0)
 #endif
 #ifdef NO_ABSENCE
@@ -72,7 +74,7 @@
 
 inline carryOutRecord(i) {
     if
-    :: version == under[i] && ABSENT -> record = i + 1
+    :: version == leaseVersion[i] && ABSENT -> record = i + 1
     :: else
     fi
 }
@@ -80,9 +82,9 @@
 inline carryOutReport(i) {
     if
     :: ACCEPTS(sentFence[i]) ->
-        assert(reported == 0 || reported == told[i]);
+        assert(reported == 0 || reported == reportOf[i]);
         assert(FENCE_IN_ORDER(sentFence[i]));
-        reported = told[i];
+        reported = reportOf[i];
         highest = sentFence[i]
     :: else
     fi
@@ -92,19 +94,19 @@
     :: d_step { !holds[i] && FREE(i) && version < LAST_VERSION -> \
         version++; holds[i] = true; fence[i] = version } \
     :: d_step { holds[i] -> holds[i] = false } \
-    :: d_step { holds[i] && !writing[i] && known[i] == 0 -> writing[i] = true; under[i] = fence[i] } \
-    :: d_step { writing[i] -> carryOutRecord(i); writing[i] = false; under[i] = 0 } \
+    :: d_step { holds[i] && !writing[i] && known[i] == 0 -> writing[i] = true; leaseVersion[i] = fence[i] } \
+    :: d_step { writing[i] -> carryOutRecord(i); writing[i] = false; leaseVersion[i] = 0 } \
     :: d_step { writing[i] -> carryOutRecord(i) } \
     :: d_step { known[i] != record -> known[i] = record } \
     :: d_step { holds[i] && !decided[i] && !sent[i] && MAY_DECIDE(i) -> decided[i] = true } \
     :: d_step { decided[i] && MAY_SEND(i) -> \
         decided[i] = false; \
         assert(holds[i] && !holds[1 - i]); \
-        sent[i] = true; told[i] = TO_TELL(i); sentFence[i] = fence[i] } \
+        sent[i] = true; reportOf[i] = REPORT_OF(i); sentFence[i] = fence[i] } \
     :: d_step { decided[i] && !holds[i] -> decided[i] = false } \
-    :: d_step { sent[i] -> carryOutReport(i); sent[i] = false; told[i] = 0; sentFence[i] = 0 } \
+    :: d_step { sent[i] -> carryOutReport(i); sent[i] = false; reportOf[i] = 0; sentFence[i] = 0 } \
     :: d_step { sent[i] -> carryOutReport(i) } \
-    :: d_step { sent[i] -> sent[i] = false; told[i] = 0; sentFence[i] = 0 }
+    :: d_step { sent[i] -> sent[i] = false; reportOf[i] = 0; sentFence[i] = 0 }
 
 active proctype system() {
 end: do
