--- a/cmd/tinarch-lab/bench.go
+++ b/cmd/tinarch-lab/bench.go
@@ -49,7 +49,7 @@
 
 func (c *benchCommand) run(ctx context.Context) error {
 	stored := storedBench{Provenance: provenance.Collect()}
-	parts := []benchmark{
+	benchmarks := []benchmark{
 		{c.FirstToken, measureFirstToken},
 		{c.Relay, measureRelay},
 		{c.Memory, c.measureMemory},
@@ -57,8 +57,8 @@
 		{c.Failover, measureFailover},
 		{c.Slopes, c.measureSlopes},
 	}
-	all := !slices.ContainsFunc(parts, func(p benchmark) bool { return p.selected })
-	for _, p := range parts {
+	all := !slices.ContainsFunc(benchmarks, func(p benchmark) bool { return p.selected })
+	for _, p := range benchmarks {
 		if !p.selected && !all {
 			continue
 		}
