--- a/cmd/tinarch-lab/bench.go
+++ b/cmd/tinarch-lab/bench.go
@@ -12,15 +12,15 @@
 type benchCommand struct {
 	FirstToken bool   `arg:"--first-token" help:"added time to the first token at 200 requests a second"`
 	Relay      bool   `arg:"--relay" help:"processor time of a relayed token against a bare copying proxy"`
-	Memory     bool   `arg:"--memory" help:"memory of a node at rest and with open streams"`
+	Memory     bool   `arg:"--memory" help:"memory of a node, idle and with open streams"`
 	Claims     bool   `arg:"--claims" help:"cost of claims of idempotency keys"`
-	Failover   bool   `arg:"--failover" help:"time from a leader's death to the next leader"`
-	Slopes     bool   `arg:"--slopes" help:"what engines and requests cost a node's process"`
+	Failover   bool   `arg:"--failover" help:"time from the end of a leader to the next leader"`
+	Slopes     bool   `arg:"--slopes" help:"processor time and memory that a node needs for each engine and request"`
 	Program    string `arg:"--program" default:"bin/tinarchd" help:"node program for --memory"`
 	Out        string `arg:"--out" help:"store the result as JSON" placeholder:"FILE"`
 }
 
-// storedBench is the stored form of a benchmark.
+// storedBench is the JSON form of the results.
 type storedBench struct {
 	Provenance provenance.Provenance `json:"provenance"`
 	FirstToken *bench.FirstToken     `json:"first_token,omitempty"`
@@ -41,15 +41,15 @@
 	failovers     = 20
 )
 
-// part is one benchmark of the command.
-type part struct {
-	chosen  bool
-	measure func(ctx context.Context, stored *storedBench) error
+// benchmark is one of the benchmarks that the command runs; without a selection it runs all.
+type benchmark struct {
+	selected bool
+	measure  func(ctx context.Context, stored *storedBench) error
 }
 
 func (c *benchCommand) run(ctx context.Context) error {
 	stored := storedBench{Provenance: provenance.Collect()}
-	parts := []part{
+	benchmarks := []benchmark{
 		{c.FirstToken, measureFirstToken},
 		{c.Relay, measureRelay},
 		{c.Memory, c.measureMemory},
@@ -57,9 +57,9 @@
 		{c.Failover, measureFailover},
 		{c.Slopes, c.measureSlopes},
 	}
-	all := !slices.ContainsFunc(parts, func(p part) bool { return p.chosen })
-	for _, p := range parts {
-		if !p.chosen && !all {
+	all := !slices.ContainsFunc(benchmarks, func(p benchmark) bool { return p.selected })
+	for _, p := range benchmarks {
+		if !p.selected && !all {
 			continue
 		}
 		if err := p.measure(ctx, &stored); err != nil {
--- a/cmd/tinarch-lab/main.go
+++ b/cmd/tinarch-lab/main.go
@@ -1,5 +1,5 @@
-// Command tinarch-lab runs emulated engines and stand-ins for the platform, sends
-// load, and runs experiments.
+// Command tinarch-lab runs emulated engines and a stand-in for the platform, sends load, and
+// runs experiments and fault tests.
 package main
 
 import (
@@ -17,20 +17,20 @@
 type arguments struct {
 	Demo       *demoCommand       `arg:"subcommand:demo" help:"run a whole deployment in this process under its workload"`
 	Load       *loadCommand       `arg:"subcommand:load" help:"send a workload to nodes"`
-	Bench      *benchCommand      `arg:"subcommand:bench" help:"measure what a node adds, beside a baseline"`
-	Faults     *faultsCommand     `arg:"subcommand:faults" help:"run nodes as processes under seeded failures and check what must always hold"`
-	Soak       *soakCommand       `arg:"subcommand:soak" help:"run routed nodes as processes under seeded faults from outside and check their promises"`
-	Scale      *scaleCommand      `arg:"subcommand:scale" help:"measure what hollow nodes cost, and rollouts among them"`
-	Experiment *experimentCommand `arg:"subcommand:experiment" help:"simulate a deployment in virtual time, policies side by side over seeds"`
+	Bench      *benchCommand      `arg:"subcommand:bench" help:"measure the overhead of a node against a baseline"`
+	Faults     *faultsCommand     `arg:"subcommand:faults" help:"run nodes as processes under seeded failures and check invariants"`
+	Soak       *soakCommand       `arg:"subcommand:soak" help:"run routed nodes as processes under seeded external faults and check their promises"`
+	Scale      *scaleCommand      `arg:"subcommand:scale" help:"measure the cost of hollow nodes, which have no callers, and of rollouts to them"`
+	Experiment *experimentCommand `arg:"subcommand:experiment" help:"simulate a deployment in virtual time and compare placement policies over several seeds"`
 	Serve      *serveCommand      `arg:"subcommand:serve" help:"run a deployment's engines and platform as servers"`
 }
 
-// Description is shown by --help.
+// Description is printed by --help.
 func (arguments) Description() string {
 	return "tinarch-lab runs tinarch against emulated engines and a stand-in platform."
 }
 
-// Version is shown by --version.
+// Version is printed by --version.
 func (arguments) Version() string { return "tinarch-lab " + settings.Version }
 
 type command interface {
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// writeJSON stores a result, where a path is given.
+// writeJSON writes a result to a file, or does nothing if the path is empty.
 func writeJSON(path string, value any) error {
 	if path == "" {
 		return nil
--- a/cmd/tinarchd/routed.go
+++ b/cmd/tinarchd/routed.go
@@ -20,9 +20,9 @@
 	"github.com/tinarch/tinarch/platform"
 )
 
-const logPatience = 200 * time.Millisecond
+const logCloseTimeout = 200 * time.Millisecond
 
-// runRouted serves routes before a platform's workers.
+// runRouted runs a routed node, which serves routes in front of a platform's workers.
 func runRouted(flags settings.Flags) int {
 	if flags.Config == "" {
 		return cli.Fail(program, result.New(result.SettingsInvalid, "no settings file is named; use --config FILE or TINARCH_CONFIG"))
@@ -41,7 +41,7 @@
 	}
 	limitProcess(configured)
 	log := decisionlog.New(os.Stdout, level)
-	defer log.Close(logPatience)
+	defer log.Close(logCloseTimeout)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	adapter := platform.New(platform.Options{Store: configured.Store.Address, API: configured.API.Address, Dial: workerconn.DialStore})
@@ -53,16 +53,16 @@
 	return 0
 }
 
-// changeEvery is the time between two looks at the settings file, which may change
-// without a signal.
-const changeEvery = 2 * time.Second
+// settingsCheckInterval is the time between two checks whether the settings file was modified,
+// since it may change without a signal.
+const settingsCheckInterval = 2 * time.Second
 
-// awaitStop waits for a signal that ends the process, and reloads the settings when
-// they change or SIGHUP comes.
+// awaitStop waits for a signal that ends the process. Meanwhile it reloads the settings when
+// their file is modified or on SIGHUP.
 func awaitStop(signals <-chan os.Signal, path string, log *decisionlog.Log) os.Signal {
-	ticker := time.NewTicker(changeEvery)
+	ticker := time.NewTicker(settingsCheckInterval)
 	defer ticker.Stop()
-	changed := changeTime(path)
+	changed := modificationTime(path)
 	for {
 		select {
 		case received := <-signals:
@@ -71,7 +71,7 @@
 			}
 			reload(path, log)
 		case <-ticker.C:
-			if now := changeTime(path); !now.Equal(changed) {
+			if now := modificationTime(path); !now.Equal(changed) {
 				changed = now
 				reload(path, log)
 			}
@@ -79,9 +79,9 @@
 	}
 }
 
-// changeTime is when the settings file was last written, the zero time where that
-// can't be told.
-func changeTime(path string) time.Time {
+// modificationTime returns when the settings file was last modified, or the zero time if that
+// is unknown.
+func modificationTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -89,20 +89,21 @@
 	return info.ModTime()
 }
 
-// limitProcess keeps the process within its one core and its memory.
+// limitProcess limits the process to one core and sets the memory limit of the Go runtime to a
+// share of the memory that the settings allow.
 func limitProcess(configured settings.Routed) {
 	const megabyte = 1 << 20
-	const softShare = 0.6
+	const memoryShare = 0.6
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(softShare * float64(configured.Limits.MemoryMegabytes) * megabyte))
+	debug.SetMemoryLimit(int64(memoryShare * float64(configured.Limits.MemoryMegabytes) * megabyte))
 }
 
-// reload reads the settings again. What can change while the process runs is the
-// log's level; mistakes leave everything as it was.
+// reload reads the settings again and applies the log level, the only setting that can change
+// while the process runs. If the settings are invalid, nothing changes.
 func reload(path string, log *decisionlog.Log) {
 	configured, err := settings.LoadRouted(path)
 	if err != nil {
-		log.WithField("cause", err.Error()).Error("the settings were not reloaded; the process goes on with those it had")
+		log.WithField("cause", err.Error()).Error("the settings were not reloaded; the previous ones stay in force")
 		return
 	}
 	level, err := logrus.ParseLevel(configured.Log.Level)
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -25,15 +25,15 @@
 	"github.com/tinarch/tinarch/internal/engine"
 )
 
-// clusterIdentity is what nodes must have in common to talk to each other. The
-// number of ledger groups is part of it: nodes that disagree on it would look for
-// the same key in different groups.
+// clusterIdentity returns what two nodes must have in common to talk to each other. It includes
+// the number of ledger groups, since nodes that disagree on it would look for the same key in
+// different groups.
 func clusterIdentity(cluster settings.Cluster) string {
 	return fmt.Sprintf("%s/ledger-groups=%d", cluster.ID, cluster.LedgerGroups)
 }
 
-// seeds returns addresses to join through: those of the settings, and the nodes
-// of the machine list.
+// seeds returns the addresses through which the node joins the cluster: those in the settings,
+// and the nodes in the machine list.
 func (n *Node) seeds() []string {
 	addresses := slices.Clone(n.settings.Cluster.Seeds)
 	for _, machine := range n.machines.nodes() {
@@ -55,7 +55,7 @@
 	return addresses
 }
 
-// addressOf returns the address of a member of one of this node's groups.
+// addressOf returns the address of a member of any group that this node has a record of.
 func (n *Node) addressOf(id replica.MemberID) (string, bool) {
 	for _, record := range n.host.Records() {
 		for _, member := range record.Members {
@@ -67,7 +67,8 @@
 	return "", false
 }
 
-// publishLeadership spreads the word that this node leads a group.
+// publishLeadership announces that this node leads a group; membership messages carry it to all
+// nodes.
 func (n *Node) publishLeadership(groupID string) {
 	r := n.host.Replica(groupID)
 	if r == nil {
@@ -107,11 +108,11 @@
 	return addresses
 }
 
-// Candidates implements group.View.
+// Candidates implements group.Cluster.
 func (n *Node) Candidates() []group.Member {
 	var candidates []group.Member
 	for _, view := range n.members.Nodes() {
-		if view.State != membership.Alive || view.Leaving || n.machines.leavingNode(view.Address) {
+		if view.State != membership.Alive || view.Leaving || n.machines.nodeIsLeaving(view.Address) {
 			continue
 		}
 		candidates = append(candidates, group.Member{
@@ -121,7 +122,7 @@
 	return candidates
 }
 
-// KnownLeader implements group.View.
+// KnownLeader implements group.Cluster.
 func (n *Node) KnownLeader(groupID string) (epoch uint64, leader string, leaderAlive bool) {
 	known, exists := n.members.Group(groupID)
 	if !exists {
@@ -131,20 +132,20 @@
 	return known.Epoch, known.Leader, found && node.State == membership.Alive
 }
 
-// goneAfter is how long the machine list must have shown a machine as dropped
-// before that counts as the platform's word that it is gone.
-const goneAfter = 15 * time.Second
+// endedAfter is how long a machine must have been missing in the machine list before its
+// process counts as ended.
+const endedAfter = 15 * time.Second
 
-// HasEnded implements group.View. It is asked only where a majority of a group can't
-// be reached, and errs on the side of no.
+// HasEnded implements group.Cluster. It is asked only when a majority of a group can't be
+// reached, and returns false when in doubt.
 func (n *Node) HasEnded(member group.Member) bool {
 	if node, found := n.members.Node(member.Node); found && node.Incarnation != string(member.ID) && node.State == membership.Alive {
-		return true // its node runs a later process
+		return true // the node runs again, as a later process
 	}
-	return n.machines.droppedFor(member.Address) > goneAfter
+	return n.machines.droppedFor(member.Address) > endedAfter
 }
 
-// MinEpoch implements group.View.
+// MinEpoch implements group.Cluster.
 func (n *Node) MinEpoch(groupID string) uint64 {
 	n.mu.Lock()
 	service := n.cells[groupID]
@@ -158,7 +159,7 @@
 	return 0
 }
 
-// DesiredGroups implements group.View.
+// DesiredGroups implements group.Cluster.
 func (n *Node) DesiredGroups() []string {
 	if !n.caughtUp.Load() {
 		return nil
@@ -167,15 +168,15 @@
 	for number := range n.settings.Cluster.LedgerGroups {
 		wanted = append(wanted, ledger.GroupName(number))
 	}
-	for name := range n.cellsOf() {
+	for name := range n.configuredCells() {
 		wanted = append(wanted, name)
 	}
 	slices.Sort(wanted)
 	return wanted
 }
 
-// cellsOf returns the cells of the configuration, with their pools.
-func (n *Node) cellsOf() map[string]string {
+// configuredCells returns the cells of the configuration, each with the name of its pool.
+func (n *Node) configuredCells() map[string]string {
 	cells := map[string]string{}
 	for _, pool := range n.manager.Current().Catalog.GetPools() {
 		for number := range catalog.Cells(pool) {
@@ -185,15 +186,15 @@
 	return cells
 }
 
-// poolOf returns the pool of a cell's name.
+// poolOf returns the pool in a cell's name.
 func poolOf(cellName string) string {
 	trimmed := strings.TrimPrefix(cellName, gateway.CellPrefix)
 	pool, _, _ := strings.Cut(trimmed, "/")
 	return pool
 }
 
-// newMachine implements group.Factory.
-func (n *Node) newMachine(groupID string, handle func() *group.Replica) (group.StateMachine, group.LeadershipListener) {
+// newStateMachine implements group.Factory.
+func (n *Node) newStateMachine(groupID string, handle func() *group.Replica) (group.StateMachine, group.LeadershipListener) {
 	if strings.HasPrefix(groupID, ledger.GroupPrefix) {
 		m := ledger.NewReplicatedLedger(handle, n.log)
 		n.mu.Lock()
@@ -208,14 +209,14 @@
 	n.mu.Lock()
 	n.cells[groupID] = service
 	n.mu.Unlock()
-	// What changed before the service was known here.
+	// The service gets the changes that came before it was added to n.cells.
 	service.SetCatalog(n.manager.Current())
 	service.ObserveMachines(n.enginesOf(groupID))
 	return service, service
 }
 
-// enginesOf returns the engines of a cell: those of its pool that rendezvous
-// hashing gives to it.
+// enginesOf returns the engines of a cell: those of its pool that rendezvous hashing assigns to
+// it.
 func (n *Node) enginesOf(cellName string) []cell.Machine {
 	pool := poolOf(cellName)
 	count := catalog.Cells(n.manager.Current().Pool(pool))
@@ -228,7 +229,7 @@
 	return list
 }
 
-// cellOf returns the number of an engine's cell.
+// cellOf returns the number of the cell to which rendezvous hashing assigns an engine.
 func cellOf(engineName string, cells int) int {
 	best, bestWeight := 0, uint64(0)
 	for number := range cells {
@@ -249,7 +250,7 @@
 	return services
 }
 
-func (n *Node) ledgerMachines() []*ledger.ReplicatedLedger {
+func (n *Node) localLedgers() []*ledger.ReplicatedLedger {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	list := make([]*ledger.ReplicatedLedger, 0, len(n.ledgers))
@@ -259,28 +260,28 @@
 	return list
 }
 
-// machinesChanged passes a new machine list on.
+// machinesChanged passes a new machine list to the routes and the cells.
 func (n *Node) machinesChanged(list []machines.Machine) {
-	n.routes.observe(list, n.manager.Current())
+	n.routes.setMachines(list, n.manager.Current())
 	for name, service := range n.cellServices() {
 		service.ObserveMachines(n.enginesOf(name))
 	}
 }
 
-// catalogChanged passes a new revision on.
+// catalogChanged passes a new configuration revision to the cells and the routes.
 func (n *Node) catalogChanged(snapshot *catalog.Snapshot) {
 	n.log.WithField("revision", snapshot.Revision).Info("configuration in force")
 	for _, service := range n.cellServices() {
 		service.SetCatalog(snapshot)
 	}
 	if err := n.routes.setCatalog(snapshot); err != nil {
-		n.log.WithError(err).Error("the routes can't be used; those before stay in force")
+		n.log.WithError(err).Error("cannot apply the new routes; the previous ones stay in force")
 	}
 }
 
-// longestWindow is the longest time that the configuration lets a key be
-// remembered.
-func (n *Node) longestWindow() time.Duration {
+// longestKeyWindow returns the longest time for which any kind of the configuration keeps
+// idempotency keys.
+func (n *Node) longestKeyWindow() time.Duration {
 	longest := time.Duration(0)
 	current := n.manager.Current()
 	for _, kind := range current.Catalog.GetKinds() {
@@ -289,14 +290,14 @@
 	return longest
 }
 
-func (n *Node) forgetCommand(groupID string) ([]byte, error) {
+func (n *Node) stateLossCommand(groupID string) ([]byte, error) {
 	if strings.HasPrefix(groupID, ledger.GroupPrefix) {
-		return ledger.StateLossCommand(n.longestWindow())
+		return ledger.StateLossCommand(n.longestKeyWindow())
 	}
 	return cell.NoOpCommand(), nil
 }
 
-// registerMethods serves the peer protocol.
+// registerMethods registers the handlers of the peer protocol.
 func (n *Node) registerMethods() {
 	n.members.Register(n.peers)
 	n.rollout.Register(n.peers)
@@ -344,7 +345,7 @@
 	})
 }
 
-// cell returns the service of a cell of which this node is a member.
+// cell returns the service of a cell's group, if this node is a member of the group.
 func (n *Node) cell(name string) (*cell.Service, error) {
 	n.mu.Lock()
 	service := n.cells[name]
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -10,23 +10,24 @@
 	"github.com/tinarch/tinarch/internal/platform/machines"
 )
 
-// machineWatcher reads the machine list again and again. While the list can't be
-// read, the last one holds.
+// machineWatcher reads the machine list at regular intervals. While the list can't be read, the
+// last one stays in use.
 type machineWatcher struct {
-	client  *machines.Client
-	period  time.Duration
-	log     logrus.FieldLogger
-	changed func([]machines.Machine)
+	client   *machines.Client
+	period   time.Duration
+	log      logrus.FieldLogger
+	onChange func([]machines.Machine)
 
 	mu   sync.Mutex
 	list []machines.Machine
-	// dropped notes since when a node that was listed before is not any more.
+	// dropped holds, by address, since when a node that was listed before is missing in the
+	// list.
 	dropped map[string]time.Time
 	readAt  time.Time
 }
 
-func newMachineWatcher(client *machines.Client, period time.Duration, log logrus.FieldLogger, changed func([]machines.Machine)) *machineWatcher {
-	return &machineWatcher{client: client, period: period, log: log, changed: changed, dropped: map[string]time.Time{}}
+func newMachineWatcher(client *machines.Client, period time.Duration, log logrus.FieldLogger, onChange func([]machines.Machine)) *machineWatcher {
+	return &machineWatcher{client: client, period: period, log: log, onChange: onChange, dropped: map[string]time.Time{}}
 }
 
 func (w *machineWatcher) run(ctx context.Context) {
@@ -37,8 +38,8 @@
 		list, err := w.client.List(ctx)
 		switch {
 		case err == nil:
-			w.take(list)
-			w.changed(list)
+			w.update(list)
+			w.onChange(list)
 			failing = false
 		case ctx.Err() == nil && !failing:
 			w.log.WithError(err).Warn("the machine list can't be read; the last one holds")
@@ -52,7 +53,7 @@
 	}
 }
 
-func (w *machineWatcher) take(list []machines.Machine) {
+func (w *machineWatcher) update(list []machines.Machine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -90,7 +91,7 @@
 
 func (w *machineWatcher) nodes() []machines.Machine { return w.ofKind(machines.KindNode) }
 
-func (w *machineWatcher) leavingNode(address string) bool {
+func (w *machineWatcher) nodeIsLeaving(address string) bool {
 	for _, machine := range w.nodes() {
 		if machine.Address == address {
 			return machine.Leaving
@@ -99,8 +100,9 @@
 	return false
 }
 
-// droppedFor returns how long a node that was listed is not any more, zero when
-// it is, never was, or the list is stale.
+// droppedFor returns for how long a node that was listed before has been missing in the list.
+// It returns zero if the node is listed, was never listed, or the list is more than five
+// periods old.
 func (w *machineWatcher) droppedFor(address string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/node/routes.go
+++ b/internal/node/routes.go
@@ -18,31 +18,31 @@
 	"github.com/tinarch/tinarch/internal/workerconn"
 )
 
-// routedServices serves the catalog's routes before workers of the machine list.
+// routedServices serves the catalog's routes by the plain workers in the machine list.
 type routedServices struct {
-	front    *ingress.Handler
+	ingress  *ingress.Handler
 	registry *worker.Registry
 	pool     *workerconn.Pool
 	limits   routing.Limits
 }
 
-// retryTerms bound the requests of routes that are sent to a second worker.
-var retryTerms = retry.Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
+// retryLimits bounds how many requests of routes are sent to a second worker.
+var retryLimits = retry.Limits{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
 
 func (n *Node) buildRoutes() {
 	registry := worker.NewRegistry(topology.New(n.self.Zone, nil))
 	pool := workerconn.NewPool()
 	pool.SetMonitor(notices.New(notices.Options{
 		Registry: registry, Read: plainhttp.Protocol{}.Notice, Log: n.options.Log, Metrics: n.registry,
-		ListAge: func() time.Duration { return 0 }, // the list is followed without a version
+		ListAge: func() time.Duration { return 0 }, // this list has no version, so its age is unknown
 	}))
 	dispatcher := dispatch.New(dispatch.Options{
 		Registry: registry, Scheduler: scheduling.New(scheduling.DefaultCosts()), Pool: pool,
 		Wire: plainhttp.Protocol{}, Log: n.options.Log, Metrics: dispatch.NewMetrics(n.registry),
-		Nodes: func() int { return max(len(n.Candidates()), 1) }, Retries: retryTerms,
+		Nodes: func() int { return max(len(n.Candidates()), 1) }, Retries: retryLimits,
 	})
 	n.routes = &routedServices{
-		front: ingress.New(ingress.Options{
+		ingress: ingress.New(ingress.Options{
 			Parser: plainhttp.Protocol{}, Runner: dispatcher, Log: n.options.Log, Metrics: ingress.NewMetrics(n.registry),
 		}),
 		registry: registry,
@@ -51,29 +51,30 @@
 	}
 }
 
-// over lets routes go before the handler of all other requests.
-func (s *routedServices) over(next http.Handler) http.Handler {
+// withRoutes returns a handler that serves requests for which there is a route, and passes all
+// others to next.
+func (s *routedServices) withRoutes(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if s.front.HasRoute(request) {
-			s.front.ServeHTTP(writer, request)
+		if s.ingress.HasRoute(request) {
+			s.ingress.ServeHTTP(writer, request)
 			return
 		}
 		next.ServeHTTP(writer, request)
 	})
 }
 
-// setCatalog puts a revision's routes in force.
+// setCatalog applies the routes of a configuration revision.
 func (s *routedServices) setCatalog(snapshot *catalog.Snapshot) error {
 	table, err := snapshot.Routes(s.limits)
 	if err != nil {
 		return err
 	}
-	s.front.SetTable(table)
+	s.ingress.SetTable(table)
 	return nil
 }
 
-// observe takes the workers of the machine list.
-func (s *routedServices) observe(list []machines.Machine, snapshot *catalog.Snapshot) {
+// setMachines replaces the workers by those in the machine list.
+func (s *routedServices) setMachines(list []machines.Machine, snapshot *catalog.Snapshot) {
 	var workers []worker.Worker
 	for _, machine := range list {
 		if machine.Kind != machines.KindWorker {
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// handOverFor bounds the wait for other nodes to take this node's groups over.
-	handOverFor   = 6 * time.Second
-	handOverEvery = 200 * time.Millisecond
+	// handOverTimeout bounds the wait until other nodes have taken over this node's groups.
+	handOverTimeout  = 6 * time.Second
+	handOverInterval = 200 * time.Millisecond
 )
 
-// Stop ends the node as planned: it gives up its leases, leaves its groups,
-// answers what is in progress, and then closes. Requests that are still in
-// progress when ctx ends are cut.
+// Stop performs a planned stop: the node transfers its leases, leaves its groups, completes the
+// requests in progress, and then closes. Requests that are still in progress when ctx ends are
+// cut off.
 func (n *Node) Stop(ctx context.Context) error {
 	n.log.Info("planned stop begins")
 	n.stopping.Store(true)
 	n.announce(ctx)
 	n.leaveGroups(ctx)
-	n.routes.front.Stop()
+	n.routes.ingress.Stop()
 	err := n.gateway.Stop(ctx)
 	n.close()
 	if err != nil {
@@ -33,13 +33,13 @@
 	return nil
 }
 
-// leaveGroups hands leases over, and waits until the groups have replaced this
-// node or the time is up. While there is no node to replace it, or the table
-// service is down, the groups go on with their other members.
+// leaveGroups transfers leadership, and waits until the groups can do without this node or the
+// time is up. While no other node can replace this one, or the table service is down, the
+// groups go on with their other members.
 func (n *Node) leaveGroups(ctx context.Context) {
-	waitCtx, cancel := context.WithTimeout(ctx, handOverFor)
+	waitCtx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	ticker := time.NewTicker(handOverEvery)
+	ticker := time.NewTicker(handOverInterval)
 	defer ticker.Stop()
 	for !n.hasLeft() {
 		n.HandOver()
@@ -51,15 +51,15 @@
 	}
 }
 
-// HandOver gives the leases of this node to other members.
+// HandOver transfers the leases of this node to other members of its groups.
 func (n *Node) HandOver() { n.host.HandOver() }
 
-// hasLeft reports whether the groups can do without this node: it holds no lease,
-// and is no member where another node could be one in its place.
+// hasLeft reports whether the groups can do without this node: it holds no lease, and is a
+// member only where no other node could take its place.
 func (n *Node) hasLeft() bool {
 	others := len(n.Candidates())
 	if others == 0 {
-		return true // there is nobody to hand over to
+		return true // no other node can take over
 	}
 	if len(n.LedGroups()) > 0 {
 		return false
@@ -67,12 +67,12 @@
 	if others >= group.Size {
 		return len(n.host.Replicas()) == 0
 	}
-	return n.groupsCanSpareIt()
+	return n.groupsKeepMajority()
 }
 
-// groupsCanSpareIt reports whether each group of this node has a live majority
-// without it.
-func (n *Node) groupsCanSpareIt() bool {
+// groupsKeepMajority reports whether each group of this node has a majority of live members
+// without this node.
+func (n *Node) groupsKeepMajority() bool {
 	alive := map[replica.MemberID]bool{}
 	for _, candidate := range n.Candidates() {
 		alive[candidate.ID] = true
@@ -85,14 +85,14 @@
 	return true
 }
 
-// Close ends the node at once, as a crash would, but frees its ports.
+// Close ends the node at once, as a crash would, except that its ports are closed.
 func (n *Node) Close() {
 	n.gateway.Close()
 	n.close()
 }
 
 func (n *Node) close() {
-	_ = n.operator.Close()
+	_ = n.operatorServer.Close()
 	n.host.Close()
 	n.mu.Lock()
 	cells := n.cells
@@ -100,7 +100,7 @@
 	for _, service := range cells {
 		service.Close()
 	}
-	n.stop()
+	n.cancel()
 	n.routes.pool.Close()
 	n.client.Close()
 	n.peers.Close()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-const good = `node:
+const validExample = `node:
   name: node-1
   zone: lisbon-a
 listen:
@@ -27,8 +27,8 @@
     url: http://127.0.0.1:3
 `
 
-func TestGoodFilePasses(t *testing.T) {
-	settings, source, err := Parse("node.yaml", []byte(good))
+func TestValidFilePasses(t *testing.T) {
+	settings, source, err := Parse("node.yaml", []byte(validExample))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,11 +36,11 @@
 		t.Error(err)
 	}
 	if settings.Limits.MaxBodyBytes != Default().Limits.MaxBodyBytes {
-		t.Error("the defaults are gone")
+		t.Error("limits.max_body_bytes does not have its default")
 	}
 }
 
-func TestMistakesNameLineAndKey(t *testing.T) {
+func TestErrorsNameLineAndKey(t *testing.T) {
 	cases := []struct {
 		name, from, to string
 		want           []string
@@ -52,25 +52,25 @@
 		{"missing", "    bucket: tinarch\n", "", []string{"platform.objects.bucket", "missing"}},
 	}
 	for _, test := range cases {
-		settings, source, err := Parse("node.yaml", []byte(strings.Replace(good, test.from, test.to, 1)))
+		settings, source, err := Parse("node.yaml", []byte(strings.Replace(validExample, test.from, test.to, 1)))
 		if err == nil {
 			err = settings.Check(source)
 		}
 		if result.CodeOf(err) != result.SettingsInvalid {
-			t.Errorf("%s: %v", test.name, err)
+			t.Errorf("%s: error %v, want the code SettingsInvalid", test.name, err)
 			continue
 		}
 		for _, part := range test.want {
 			if !strings.Contains(err.Error(), part) {
-				t.Errorf("%s: %q does not name %q", test.name, err, part)
+				t.Errorf("%s: error %q does not contain %q", test.name, err, part)
 			}
 		}
 	}
 }
 
-func TestFlagsReplaceTheFile(t *testing.T) {
+func TestFlagsOverrideTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validExample), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	settings, err := Flags{Config: path, NodeName: "node-2", LogLevel: "debug"}.Resolve()
@@ -78,12 +78,12 @@
 		t.Errorf("settings %+v, error %v", settings, err)
 	}
 	if _, err := (Flags{Config: path, LogLevel: "loud"}).Resolve(); result.CodeOf(err) != result.SettingsInvalid {
-		t.Errorf("a wrong flag passed: %v", err)
+		t.Errorf("an invalid flag was accepted: %v", err)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validExample))
 	f.Add([]byte("node: [1]\n"))
 	f.Add([]byte("node:\n  name: *x\n"))
 	f.Add([]byte("limits: {max_body_bytes: 99999999999999999999}\n"))
@@ -93,7 +93,7 @@
 			err = settings.Check(source)
 		}
 		if err != nil && result.CodeOf(err) != result.SettingsInvalid {
-			t.Fatalf("error without its code: %v", err)
+			t.Fatalf("error without the code SettingsInvalid: %v", err)
 		}
 	})
 }
