--- a/internal/rowstore/rowstore.go
+++ b/internal/rowstore/rowstore.go
@@ -48,8 +48,8 @@
 	// Kind and Table tell what was requested.
 	Kind  CallKind
 	Table string
-	// Answered tells that the store did what was requested.
-	Answered bool
+	// Succeeded tells that the store did what was requested.
+	Succeeded bool
 	// Sent and Received are the sizes of the bodies in bytes.
 	Sent, Received int
 }
--- a/internal/serving/metrics.go
+++ b/internal/serving/metrics.go
@@ -29,7 +29,7 @@
 	var known atomic.Uint64
 	platform.ObserveCalls(func(call rowstore.Call) {
 		logRestored(platform.Era(), &known, log)
-		calls.WithLabelValues(string(call.Kind), call.Table, answered(call.Answered)).Inc()
+		calls.WithLabelValues(string(call.Kind), call.Table, answeredLabel(call.Succeeded)).Inc()
 		bytes.WithLabelValues(string(call.Kind), call.Table).Add(float64(call.Sent + call.Received))
 	})
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-func answered(yes bool) string {
+func answeredLabel(yes bool) string {
 	if yes {
 		return "yes"
 	}
