--- a/internal/serving/metrics.go
+++ b/internal/serving/metrics.go
@@ -81,7 +81,7 @@
 // tableBehind returns the time since this node heard of a change of a table that it doesn't
 // hold yet, zero if it lacks none.
 func (n *Node) tableBehind(table string, now time.Time) time.Duration {
-	lag, behind := n.board.Lag(table)
+	lag, behind := n.coordinator.Lag(table)
 	if !behind {
 		return 0
 	}
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -106,7 +106,7 @@
 	servers  []*http.Server
 	callers  *http.Server
 
-	board *tablerelay.Coordinator
+	coordinator *tablerelay.Coordinator
 	// configurationFeed and workersFeed follow the platform's tables.
 	configurationFeed, workersFeed *tablefeed.Feed
 	// nodesFeed follows the list of nodes once the fleet is large; large is closed when the
@@ -286,8 +286,8 @@
 
 // newFeed returns a feed that takes part in the relay of table changes between nodes.
 func (n *Node) newFeed(table string, consumer tablefeed.Consumer) *tablefeed.Feed {
-	feed := tablefeed.New(n.platform, table, consumer, n.board, n.log)
-	n.board.Add(table, feed)
+	feed := tablefeed.New(n.platform, table, consumer, n.coordinator, n.log)
+	n.coordinator.Add(table, feed)
 	n.tables.Add(table, feed)
 	return feed
 }
@@ -295,15 +295,15 @@
 // shareTables sets up the joint following of tables with other nodes, and the exchange of
 // copies of them.
 func (n *Node) shareTables() {
-	n.board = tablerelay.New(n.exchange)
-	n.board.SetLog(n.log)
-	n.exchange.SetTableCoordinator(n.board)
+	n.coordinator = tablerelay.New(n.exchange)
+	n.coordinator.SetLog(n.log)
+	n.exchange.SetTableCoordinator(n.coordinator)
 	n.tables = tableshare.NewServer(tablerelay.Freshness, func(table string) {
 		if table == nodesTable {
 			n.markLarge()
 		}
 	})
-	n.board.SetFetcher(tableshare.NewClient(n.exchange, n.tables, workerconn.DialStore, n.log))
+	n.coordinator.SetFetcher(tableshare.NewClient(n.exchange, n.tables, workerconn.DialStore, n.log))
 }
 
 // startBackground starts the feeds of the platform's tables, the exchange and all other
--- a/internal/serving/quarantine.go
+++ b/internal/serving/quarantine.go
@@ -104,7 +104,7 @@
 		for len(n.quarantine.Unsaved()) > 0 && sleepFor(ctx, wait) {
 			wait = savePause
 			if !n.saveBatch(ctx) {
-				wait = n.board.MaxBackoff(quarantineTable) // each call is paid for, even while the store is unavailable
+				wait = n.coordinator.MaxBackoff(quarantineTable) // each call is paid for, even while the store is unavailable
 			}
 		}
 	}
--- a/internal/serving/warmup.go
+++ b/internal/serving/warmup.go
@@ -14,9 +14,9 @@
 
 // Times and limits of the warm-up.
 const (
-	// listWait bounds the wait for the first lists of workers and nodes.
-	listWait       = 3 * time.Second
-	listPoll       = 10 * time.Millisecond
+	// readyWait bounds the wait for the first lists of workers and nodes.
+	readyWait      = 3 * time.Second
+	readyPoll      = 10 * time.Millisecond
 	cacheListPause = 15 * time.Millisecond
 	// cacheListTimeout bounds one request for a cache list.
 	cacheListTimeout = 500 * time.Millisecond
@@ -33,7 +33,7 @@
 // or leaves. It asks the other homes and, only after a start, the workers that no home knows
 // about.
 func (n *Node) warmUp(ctx context.Context) {
-	if !n.awaitLists(ctx) {
+	if !n.awaitReady(ctx) {
 		return
 	}
 	if n.settings.Node.FirstStart {
@@ -98,9 +98,9 @@
 	return ids
 }
 
-// awaitLists waits until workers and routes are known.
-func (n *Node) awaitLists(ctx context.Context) bool {
-	for end := time.Now().Add(listWait); !n.Ready(); time.Sleep(listPoll) {
+// awaitReady waits until workers and routes are known.
+func (n *Node) awaitReady(ctx context.Context) bool {
+	for end := time.Now().Add(readyWait); !n.Ready(); time.Sleep(readyPoll) {
 		if ctx.Err() != nil || time.Now().After(end) {
 			return false
 		}
