--- a/internal/stagecontrol/controller.go
+++ b/internal/stagecontrol/controller.go
@@ -220,7 +220,7 @@
 func (c *Controller) give(ctx context.Context, service Service, planner *stageplan.Planner, order stageplan.Order) Verdict {
 	log := c.options.Log.WithFields(logrus.Fields{
 		"worker": order.Worker, "region": order.Region, "prefill": order.Prefill, "reason": order.Reason,
-		"reading_demand": planner.Demand().Reading, "writing_demand": planner.Demand().Writing,
+		"reading_demand": planner.Demand().PrefillEngines, "writing_demand": planner.Demand().DecodeEngines,
 	})
 	to, listed := c.options.Fleet.Get(order.Worker)
 	if !listed {
--- a/internal/stageplan/regional.go
+++ b/internal/stageplan/regional.go
@@ -125,7 +125,7 @@
 // suspendDecay keeps the averages and peaks of the demand from decaying up to now.
 func (p *Planner) suspendDecay(now time.Time) {
 	for _, observed := range []*time.Time{
-		&p.readingMean.observed, &p.writingMean.observed, &p.readingPeak.observed, &p.writingPeak.observed,
+		&p.prefillMean.observed, &p.decodeMean.observed, &p.prefillPeak.observed, &p.decodePeak.observed,
 	} {
 		if !observed.IsZero() {
 			*observed = now
--- a/internal/stageplan/regional_test.go
+++ b/internal/stageplan/regional_test.go
@@ -173,7 +173,7 @@
 	if orders := ordersWithin(planner, 10*time.Second, workers, busy, hearsAll); len(orders) > 0 && orders[0].Prefill && orders[0].Region == "south" {
 		t.Fatalf("%+v", orders)
 	}
-	needed := planner.Planner("south").Demand().Writing
+	needed := planner.Planner("south").Demand().DecodeEngines
 	for elapsed := 10 * time.Second; elapsed < 70*time.Second; elapsed += tick {
 		now := origin.Add(elapsed)
 		for _, order := range planner.Decide(now, workers, nil, func(region string) bool { return region != "south" }) {
@@ -183,7 +183,7 @@
 		}
 	}
 	planner.Decide(origin.Add(70*time.Second), workers, nil, hearsAll)
-	if left := planner.Planner("south").Demand().Writing; left < 0.9*needed {
+	if left := planner.Planner("south").Demand().DecodeEngines; left < 0.9*needed {
 		t.Errorf("of a demand for %.1f engines only %.1f is left", needed, left)
 	}
 }
--- a/internal/stageplan/stageplan.go
+++ b/internal/stageplan/stageplan.go
@@ -63,9 +63,9 @@
 // Policy holds the parameters of the planner. None of them depends on the speed or size of an
 // engine.
 type Policy struct {
-	// Reading and Writing are the target utilizations of the prefill and the decode stage:
+	// PrefillTarget and DecodeTarget are the target utilizations of the prefill and the decode stage:
 	// above them, requests of that stage become late (docs/design/decisions.md).
-	Reading, Writing float64
+	PrefillTarget, DecodeTarget float64
 	// PeakDecay is the time constant with which a peak of demand decays.
 	PeakDecay time.Duration
 	// Smoothing is the time over which demand is averaged.
@@ -108,7 +108,7 @@
 // DefaultPolicy returns the values measured so far; docs/design/decisions.md describes how.
 func DefaultPolicy() Policy {
 	return Policy{
-		Reading: 0.6, Writing: 0.9, PeakDecay: 15 * time.Second, Smoothing: 700 * time.Millisecond,
+		PrefillTarget: 0.6, DecodeTarget: 0.9, PeakDecay: 15 * time.Second, Smoothing: 700 * time.Millisecond,
 		Spare: 0.4, NextPeak: 8, Gain: 0.15, LateGain: 0.05, DecodeShare: 0.25, Settle: time.Second, Outage: 1200 * time.Millisecond,
 		TogetherShare: 0.17, RegionShare: 0.34, Learn: 2 * time.Second,
 	}
@@ -125,14 +125,14 @@
 
 // Demand is the number of engines that the load on a service would keep fully busy: Reading in
 // the prefill stage, Writing in the decode stage.
-type Demand struct{ Reading, Writing float64 }
+type Demand struct{ PrefillEngines, DecodeEngines float64 }
 
 // Planner plans the engines of one service.
 type Planner struct {
-	policy                   Policy
-	readingMean, writingMean movingMean
-	readingPeak, writingPeak decayingPeak
-	demand                   Demand
+	policy                  Policy
+	prefillMean, decodeMean movingMean
+	prefillPeak, decodePeak decayingPeak
+	demand                  Demand
 	// nextOrders is the time from which orders may be given again.
 	nextOrders time.Time
 	// demandSince is when demand was first observed, zero before that.
@@ -260,11 +260,11 @@
 
 // canSpare reports whether a stage can serve the observed load in time without count of its
 // engines.
-func (p *Planner) canSpare(d division, decode bool, count int) bool {
-	if decode {
-		return p.demand.Writing/p.policy.Writing <= float64(len(d.decode)-count)
+func (p *Planner) canSpare(d division, fromDecode bool, count int) bool {
+	if fromDecode {
+		return p.demand.DecodeEngines/p.policy.DecodeTarget <= float64(len(d.decode)-count)
 	}
-	return p.demand.Reading/p.policy.Reading <= float64(len(d.prefill)-count)
+	return p.demand.PrefillEngines/p.policy.PrefillTarget <= float64(len(d.prefill)-count)
 }
 
 // maxChanging returns how many engines of a service may change at once.
@@ -287,19 +287,19 @@
 
 // observe updates the demand.
 func (p *Planner) observe(now time.Time, d division, offered OfferedLoad) {
-	reading := p.readingMean.observe(now, readingDemand(d, offered.ReadTokens), p.policy.Smoothing)
-	writing := p.writingMean.observe(now, writingDemand(d, offered), p.policy.Smoothing)
+	reading := p.prefillMean.observe(now, prefillDemand(d, offered.ReadTokens), p.policy.Smoothing)
+	writing := p.decodeMean.observe(now, decodeDemand(d, offered), p.policy.Smoothing)
 	if p.demandSince.IsZero() && reading+writing > 0 {
 		p.demandSince = now
 	}
 	p.demand = Demand{
-		Reading: p.readingPeak.observe(now, reading, p.policy.PeakDecay),
-		Writing: p.writingPeak.observe(now, writing, p.policy.PeakDecay),
+		PrefillEngines: p.prefillPeak.observe(now, reading, p.policy.PeakDecay),
+		DecodeEngines:  p.decodePeak.observe(now, writing, p.policy.PeakDecay),
 	}
 }
 
-// readingDemand returns the number of prefill engines that the prompts keep busy.
-func readingDemand(d division, tokensPerSecond float64) float64 {
+// prefillDemand returns the number of prefill engines that the prompts keep busy.
+func prefillDemand(d division, tokensPerSecond float64) float64 {
 	pace := meanPace(d.prefill)
 	if pace == 0 {
 		pace = meanPace(d.decode)
@@ -310,10 +310,10 @@
 	return tokensPerSecond / (pace * float64(time.Second/time.Millisecond))
 }
 
-// writingDemand returns the number of decode engines that the requests fill, by slots or by KV
+// decodeDemand returns the number of decode engines that the requests fill, by slots or by KV
 // cache, whichever is more. It counts the load known to run there or the offered load,
 // whichever is more.
-func writingDemand(d division, offered OfferedLoad) float64 {
+func decodeDemand(d division, offered OfferedLoad) float64 {
 	bySlots, byMemory := 0.0, 0.0
 	slots, capacity := 0.0, 0.0
 	for _, worker := range d.decode {
@@ -420,8 +420,8 @@
 // decode engines can prefill too, since this delays the requests they are decoding. Observed
 // load has the same weight in both stages.
 func (p *Planner) estimate(prefill, decode int) utilization {
-	reading := p.demand.Reading / p.policy.Reading / float64(max(prefill, 1))
-	writing := p.demand.Writing / p.policy.Writing / float64(max(decode, 1))
+	reading := p.demand.PrefillEngines / p.policy.PrefillTarget / float64(max(prefill, 1))
+	writing := p.demand.DecodeEngines / p.policy.DecodeTarget / float64(max(decode, 1))
 	return utilization{overload: max(reading, writing, 1), spare: max(reading, writing, p.spareUtilization(prefill, decode))}
 }
 
@@ -432,8 +432,8 @@
 func (p *Planner) spareUtilization(prefill, decode int) float64 {
 	const minBusyEngines = 1.0 // a service without load is treated as if it kept one engine busy
 	share := p.policy.Spare * float64(prefill+decode)
-	peak := p.policy.NextPeak * max(p.demand.Reading, minBusyEngines)
-	capacity := p.policy.Reading * float64(max(prefill, 1))
+	peak := p.policy.NextPeak * max(p.demand.PrefillEngines, minBusyEngines)
+	capacity := p.policy.PrefillTarget * float64(max(prefill, 1))
 	if peak < share {
 		return max(peak/capacity, 1)
 	}
