--- a/internal/fleetsize/basis.go
+++ b/internal/fleetsize/basis.go
@@ -15,11 +15,11 @@
 // table holds one row per service with the basis of its plan.
 const table = "fleet"
 
-// learnBasis reads the stored basis of a service's plan, or writes it if this node is the first
+// readOrWriteBasis reads the stored basis of a service's plan, or writes it if this node is the first
 // to plan: nodes that plan later find a fleet that was already changed by orders, not the
 // operators' choice. A basis that is missing after the store was restored from a backup is
 // written again.
-func (c *Controller) learnBasis(ctx context.Context, service Service, fleet *fleetState, standing Counts) error {
+func (c *Controller) readOrWriteBasis(ctx context.Context, service Service, fleet *fleetState, standing Counts) error {
 	if status := c.options.Authority.Acquire(ctx); status != authority.Held {
 		return eris.Errorf("no authority: %s", status)
 	}
@@ -41,7 +41,7 @@
 	if fleet.basis != nil {
 		basis = *fleet.basis
 	} else {
-		basis = c.policy.Prior(service.Terms, standing)
+		basis = c.policy.InitialBasis(service.Terms, standing)
 	}
 	if content, err = json.Marshal(basis); err != nil {
 		return err
--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -128,12 +128,12 @@
 		if now.Sub(fleet.since) < c.settleTime() || standing.total() == 0 {
 			return nil
 		}
-		if err := c.learnBasis(ctx, service, fleet, standing); err != nil {
+		if err := c.readOrWriteBasis(ctx, service, fleet, standing); err != nil {
 			return err
 		}
 	}
 	if fleet.era != c.options.Store.Era() {
-		if err := c.learnBasis(ctx, service, fleet, standing); err != nil {
+		if err := c.readOrWriteBasis(ctx, service, fleet, standing); err != nil {
 			c.options.Log.WithFields(logrus.Fields{"service": service.Name, "cause": err.Error()}).
 				Warn("the basis of the plan may have been lost when the store was restored; it will be written again")
 		}
@@ -164,16 +164,16 @@
 	idle := c.options.Workers.Idle(service.Name, now)
 	unlimited := fleet.unlimitedPlan(c.policy, service.Terms)
 	c.options.Metrics.observe(service, fleet.standing, unlimited)
-	wished := fleet.targets(service.Terms, unlimited, idle)
+	unlimitedTargets := fleet.targets(service.Terms, unlimited, idle)
 	if len(fleet.unavailableSince) == 0 {
-		return wished
+		return unlimitedTargets
 	}
 	limited := fleet.planWithin(c.policy, service.Terms, fleet.availability(service.Terms, now))
 	targets := fleet.targets(service.Terms, limited, idle)
 	for kind := range fleet.unavailableSince {
 		// Kinds that were unavailable are requested again now and then as if they were
 		// available.
-		targets[kind] = wished[kind]
+		targets[kind] = unlimitedTargets[kind]
 	}
 	return targets
 }
@@ -196,7 +196,7 @@
 	}).Info("workers ordered")
 	switch verdict {
 	case duty.Accepted:
-		fleet.wanted[kind], fleet.orderedAt[kind] = count, now
+		fleet.lastOrdered[kind], fleet.orderedAt[kind] = count, now
 		delete(fleet.unavailableSince, kind)
 	case duty.Refused:
 		if _, already := fleet.unavailableSince[kind]; !already {
--- a/internal/fleetsize/ordered.go
+++ b/internal/fleetsize/fleetstate.go
@@ -26,9 +26,9 @@
 	limits  map[Kind]int
 	// lastRound is when the last round of orders was sent.
 	lastRound time.Time
-	// wanted is the last number ordered of each kind, and orderedAt when it was ordered.
-	wanted    Counts
-	orderedAt map[Kind]time.Time
+	// lastOrdered is the last number ordered of each kind, and orderedAt when it was ordered.
+	lastOrdered Counts
+	orderedAt   map[Kind]time.Time
 	// shrunk are the kinds that lost workers since the check before.
 	shrunk map[Kind]bool
 	// unavailableSince has the kinds whose last order was refused, with the time of the first
@@ -39,7 +39,7 @@
 
 func newFleetState() *fleetState {
 	return &fleetState{
-		wanted: make(Counts), orderedAt: make(map[Kind]time.Time),
+		lastOrdered: make(Counts), orderedAt: make(map[Kind]time.Time),
 		unavailableSince: make(map[Kind]time.Time), pausedUntil: make(map[Kind]time.Time),
 	}
 }
@@ -138,7 +138,7 @@
 	var due []Kind
 	for _, kind := range kindsOf(terms) {
 		target := targets[kind]
-		last, given := f.wanted[kind]
+		last, given := f.lastOrdered[kind]
 		late := now.Sub(f.orderedAt[kind]) >= terms.Boot+lateMargin || f.shrunk[kind]
 		switch {
 		case now.Before(f.pausedUntil[kind]):
@@ -156,7 +156,7 @@
 // previous returns the number of workers that an order changes: the last number ordered, or the
 // standing workers if there was no order.
 func (f *fleetState) previous(kind Kind) int {
-	if last, given := f.wanted[kind]; given {
+	if last, given := f.lastOrdered[kind]; given {
 		return last
 	}
 	return f.standing[kind]
@@ -178,7 +178,7 @@
 func (f *fleetState) observe(standing Counts, now time.Time) {
 	f.shrunk = make(map[Kind]bool)
 	for kind, before := range f.standing {
-		f.shrunk[kind] = standing[kind] < before && standing[kind] < f.wanted[kind]
+		f.shrunk[kind] = standing[kind] < before && standing[kind] < f.lastOrdered[kind]
 	}
 	if !maps.Equal(standing, f.standing) {
 		f.standing, f.since = standing, now
--- a/internal/fleetsize/plan.go
+++ b/internal/fleetsize/plan.go
@@ -97,9 +97,9 @@
 
 func (c Counts) inZone(zone string) int { return c[Kind{Zone: zone}] + c[Kind{Zone: zone, Spot: true}] }
 
-// Prior returns the basis before any request has come. It assumes that the operators' fleet is
+// InitialBasis returns the basis before any request has come. It assumes that the operators' fleet is
 // optimal at on-demand prices, so that one more worker would save exactly its price.
-func (p Policy) Prior(terms *routing.Scaling, standing Counts) Basis {
+func (p Policy) InitialBasis(terms *routing.Scaling, standing Counts) Basis {
 	workers, price := 0.0, 0.0
 	for kind, count := range standing {
 		workers += float64(count)
--- a/internal/fleetsize/plan_test.go
+++ b/internal/fleetsize/plan_test.go
@@ -36,7 +36,7 @@
 		for _, times := range []float64{0.05, 1, 4} {
 			for _, boot := range []time.Duration{2 * time.Second, 12 * time.Second} {
 				known := terms(spot, times, boot)
-				basis := policy.Prior(terms(spot, 1, boot), operatorsFleet())
+				basis := policy.InitialBasis(terms(spot, 1, boot), operatorsFleet())
 				plan := policy.Plan(known, basis, nil)
 				if before, after := policy.Cost(known, basis, operatorsFleet()), policy.Cost(known, basis, plan); after > before {
 					t.Errorf("spot %v, prices × %v: %v costs %.1f, the operators' fleet %.1f", spot, times, plan, after, before)
@@ -56,7 +56,7 @@
 func TestPricesDecideTheMix(t *testing.T) {
 	policy := DefaultPolicy()
 	plan := func(spot, times float64) Counts {
-		basis := policy.Prior(terms(spot, 1, 4*time.Second), operatorsFleet())
+		basis := policy.InitialBasis(terms(spot, 1, 4*time.Second), operatorsFleet())
 		return policy.Plan(terms(spot, times, 4*time.Second), basis, nil)
 	}
 	if cheap := plan(0.18, 1); countSpot(cheap) != cheap.total() || cheap.total() <= operatorsFleet().total() {
@@ -78,7 +78,7 @@
 func TestSameFleetAtTheSamePrices(t *testing.T) {
 	policy := DefaultPolicy()
 	flat := &routing.Scaling{Min: 1, Max: 94, PriceByZone: map[string]float64{"a": 1, "b": 1, "c": 1}}
-	plan := policy.Plan(flat, policy.Prior(flat, operatorsFleet()), nil)
+	plan := policy.Plan(flat, policy.InitialBasis(flat, operatorsFleet()), nil)
 	if total := plan.total(); total < 138 || total > 142 {
 		t.Errorf("%d workers, the operators' fleet has 140", total)
 	}
@@ -89,7 +89,7 @@
 func TestUnavailableZoneIsReplacedElsewhere(t *testing.T) {
 	policy := DefaultPolicy()
 	known := terms(0.5, 1, 4*time.Second)
-	basis := policy.Prior(known, operatorsFleet())
+	basis := policy.InitialBasis(known, operatorsFleet())
 	whole := policy.Plan(known, basis, nil)
 	away := Kind{Zone: "a", Spot: true}
 	without := policy.Plan(known, basis, map[Kind]int{away: 0})
@@ -109,8 +109,8 @@
 	for kind, count := range operatorsFleet() {
 		times[kind] = 10 * count
 	}
-	few := policy.Plan(small, policy.Prior(small, operatorsFleet()), nil).total()
-	many := policy.Plan(&large, policy.Prior(&large, times), nil).total()
+	few := policy.Plan(small, policy.InitialBasis(small, operatorsFleet()), nil).total()
+	many := policy.Plan(&large, policy.InitialBasis(&large, times), nil).total()
 	if off := many - 10*few; off < -10*few/20 || off > 10*few/20 {
 		t.Errorf("%d workers, %d in a fleet a tenth as large", many, few)
 	}
