--- a/internal/stageplan/stageplan.go
+++ b/internal/stageplan/stageplan.go
@@ -287,14 +287,14 @@
 
 // observe updates the demand.
 func (p *Planner) observe(now time.Time, d division, offered OfferedLoad) {
-	reading := p.prefillMean.observe(now, prefillDemand(d, offered.ReadTokens), p.policy.Smoothing)
-	writing := p.decodeMean.observe(now, decodeDemand(d, offered), p.policy.Smoothing)
-	if p.demandSince.IsZero() && reading+writing > 0 {
+	prefill := p.prefillMean.observe(now, prefillDemand(d, offered.ReadTokens), p.policy.Smoothing)
+	decode := p.decodeMean.observe(now, decodeDemand(d, offered), p.policy.Smoothing)
+	if p.demandSince.IsZero() && prefill+decode > 0 {
 		p.demandSince = now
 	}
 	p.demand = Demand{
-		PrefillEngines: p.prefillPeak.observe(now, reading, p.policy.PeakDecay),
-		DecodeEngines:  p.decodePeak.observe(now, writing, p.policy.PeakDecay),
+		PrefillEngines: p.prefillPeak.observe(now, prefill, p.policy.PeakDecay),
+		DecodeEngines:  p.decodePeak.observe(now, decode, p.policy.PeakDecay),
 	}
 }
 
@@ -420,9 +420,9 @@
 // decode engines can prefill too, since this delays the requests they are decoding. Observed
 // load has the same weight in both stages.
 func (p *Planner) estimate(prefill, decode int) utilization {
-	reading := p.demand.PrefillEngines / p.policy.PrefillTarget / float64(max(prefill, 1))
-	writing := p.demand.DecodeEngines / p.policy.DecodeTarget / float64(max(decode, 1))
-	return utilization{overload: max(reading, writing, 1), spare: max(reading, writing, p.spareUtilization(prefill, decode))}
+	prefillLoad := p.demand.PrefillEngines / p.policy.PrefillTarget / float64(max(prefill, 1))
+	decodeLoad := p.demand.DecodeEngines / p.policy.DecodeTarget / float64(max(decode, 1))
+	return utilization{overload: max(prefillLoad, decodeLoad, 1), spare: max(prefillLoad, decodeLoad, p.spareUtilization(prefill, decode))}
 }
 
 // spareUtilization returns the utilization of the prefill engines by the peak that they should
