--- a/internal/stagecontrol/controller.go
+++ b/internal/stagecontrol/controller.go
@@ -1,6 +1,7 @@
-// Package stagecontrol sends engines the orders that stageplan decides on. Orders carry a fence
-// and are sent only by the holder of the authority, which is normally the one node that all
-// others expect to do so.
+// Package stagecontrol sends engines the orders that stageplan decides on. An order is a
+// request to one engine to change its stage; in package fleetsize it is a request to the
+// platform for a number of workers. Orders carry a fence and are sent only by the holder of the
+// authority, which is normally the one node that all others expect to do so.
 package stagecontrol
 
 import (
@@ -41,7 +42,7 @@
 const (
 	// Accepted orders are carried out, or the worker already has the stage.
 	Accepted Verdict = "accepted"
-	// Rejected orders are not carried out.
+	// Rejected orders are not carried out: the worker refused them, or they were not sent.
 	Rejected Verdict = "rejected"
 	// Unknown orders were not answered, and may still be carried out.
 	Unknown Verdict = "unknown"
@@ -216,7 +217,9 @@
 	return free
 }
 
-// give sends an order if this node holds the authority.
+// give sends an order if this node holds the authority. It logs the verdict of every order that
+// it tried to send, so "order given" with the verdict rejected includes orders that could not
+// be sent.
 func (c *Controller) give(ctx context.Context, service Service, planner *stageplan.Planner, order stageplan.Order) Verdict {
 	log := c.options.Log.WithFields(logrus.Fields{
 		"worker": order.Worker, "region": order.Region, "prefill": order.Prefill, "reason": order.Reason,
