--- a/internal/fleetsize/basis.go
+++ b/internal/fleetsize/basis.go
@@ -15,10 +15,10 @@
 // table holds one row per service with the basis of its plan.
 const table = "fleet"
 
-// readOrWriteBasis reads the stored basis of a service's plan, or writes it if this node is the first
-// to plan: nodes that plan later find a fleet that was already changed by orders, not the
-// operators' choice. A basis that is missing after the store was restored from a backup is
-// written again.
+// readOrWriteBasis reads the stored basis of a service's plan, or writes it if there is none
+// yet. The first node that plans computes it from the fleet that the operators started. Later
+// ones can't observe that fleet any more, since orders have changed it. A basis that is missing
+// after the store was restored from a backup is written again.
 func (c *Controller) readOrWriteBasis(ctx context.Context, service Service, fleet *fleetState, standing Counts) error {
 	if status := c.options.Authority.Acquire(ctx); status != authority.Held {
 		return eris.Errorf("no authority: %s", status)
--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -37,7 +37,7 @@
 
 // API is the part of the platform's API that orders workers.
 type API interface {
-	// OrderWorkers sets the number of workers of a kind that a service is to have. If the
+	// OrderWorkers requests the number of workers of a kind that a service is to have. If the
 	// verdict isn't duty.Accepted, the error tells why.
 	OrderWorkers(ctx context.Context, token duty.LeaseToken, service string, kind Kind, count int) (duty.Verdict, error)
 }
@@ -52,6 +52,7 @@
 
 // Service is a service whose number of workers is controlled.
 type Service struct {
+	// Name is the name of the service, and Terms are the bounds and prices of its workers.
 	Name  string
 	Terms *routing.Scaling
 }
@@ -77,7 +78,7 @@
 	Metrics *Metrics
 }
 
-// Controller orders workers. It is not safe for concurrent use.
+// Controller requests numbers of workers from the platform. It is not safe for concurrent use.
 type Controller struct {
 	options Options
 	policy  Policy
@@ -178,7 +179,9 @@
 	return targets
 }
 
-// order sends an order if this node holds the authority.
+// order sends an order if this node holds the authority. It logs "workers ordered" whatever the
+// verdict is: refused and throttled orders are not carried out, and unanswered ones may be. The
+// cause is "<nil>" if there was no error.
 func (c *Controller) order(ctx context.Context, service Service, fleet *fleetState, kind Kind, count int, now time.Time) error {
 	if status := c.options.Authority.Acquire(ctx); status != authority.Held {
 		return eris.Errorf("no authority: %s", status)
--- a/internal/fleetsize/fleetstate.go
+++ b/internal/fleetsize/fleetstate.go
@@ -26,7 +26,8 @@
 	limits  map[Kind]int
 	// lastRound is when the last round of orders was sent.
 	lastRound time.Time
-	// lastOrdered is the last number ordered of each kind, and orderedAt when it was ordered.
+	// lastOrdered is the last number ordered of each kind that the platform accepted, and
+	// orderedAt when it was ordered.
 	lastOrdered Counts
 	orderedAt   map[Kind]time.Time
 	// shrunk are the kinds that lost workers since the check before.
--- a/internal/fleetsize/metrics.go
+++ b/internal/fleetsize/metrics.go
@@ -8,7 +8,9 @@
 	"github.com/tinarch/tinarch/internal/routing"
 )
 
-// Metrics are the wanted and the observed workers, as seen by the node that orders them.
+// Metrics are the wanted and the standing workers, as seen by the node that orders them. Wanted
+// is the plan if all kinds are available, which may differ from what is ordered. Standing
+// workers, "that stand" in the help texts, are listed and not draining.
 type Metrics struct {
 	workers *prometheus.GaugeVec
 	price   *prometheus.GaugeVec
--- a/internal/fleetsize/plan.go
+++ b/internal/fleetsize/plan.go
@@ -4,6 +4,10 @@
 // spot workers of a zone are reclaimed at once. Planning is pure: the caller passes the time;
 // Controller sends the orders. docs/design/fleet-size.md describes the alternatives that were
 // considered.
+//
+// To order workers means to request a number of them from the platform's API. Standing workers
+// are those that are listed and not draining. The basis of a plan is what was known of the load
+// when planning began.
 package fleetsize
 
 import (
@@ -97,8 +101,8 @@
 
 func (c Counts) inZone(zone string) int { return c[Kind{Zone: zone}] + c[Kind{Zone: zone, Spot: true}] }
 
-// InitialBasis returns the basis before any request has come. It assumes that the operators' fleet is
-// optimal at on-demand prices, so that one more worker would save exactly its price.
+// InitialBasis returns the basis before any request has come. It assumes that the operators'
+// fleet is optimal at on-demand prices, so that one more worker would save exactly its price.
 func (p Policy) InitialBasis(terms *routing.Scaling, standing Counts) Basis {
 	workers, price := 0.0, 0.0
 	for kind, count := range standing {
