--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -59,9 +59,13 @@
 
 // Settings configure a lease.
 type Settings struct {
-	// Life is how long a holder may act after a renewal.
+	// Life is the time that Margin is counted from: a holder may act for Life less Margin after
+	// it sent its last successful write, and another node takes the lease once it has seen the
+	// row unchanged for Life plus Margin.
 	Life time.Duration
-	// Margin covers the difference between the rates of the nodes' clocks.
+	// Margin covers the difference between the rates of the nodes' clocks. If these are equal,
+	// at least twice the Margin passes between the end of a lease that was not released and the
+	// next.
 	Margin time.Duration
 	// RenewEvery is the time between renewals.
 	RenewEvery time.Duration
@@ -145,9 +149,10 @@
 	return m.settings.KeepFence && m.fence != 0 && m.row.Holder == m.self && !m.row.Released
 }
 
-// isFree reports whether no other node can hold the lease: the row has not changed for a whole
-// life since this node first saw it, was released, or was written by this incarnation, or it
-// never existed.
+// isFree reports whether no other node can hold the lease: the row was released, was written by
+// this incarnation, never existed in era 0, or has not changed for Life plus Margin since this
+// node first saw it. A row that is missing in a later era may have been lost when the store was
+// restored, so it must be missing for as long.
 func (m *StateMachine) isFree(now time.Time) bool {
 	if m.row.Released || m.row.Holder == m.self || m.row.Version == 0 && m.row.Era == 0 {
 		return true
