--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -1,6 +1,7 @@
-// Package authority makes sure that one node at a time acts for all: gives orders to engines,
-// reports usage and orders workers. It operates a lease, which is a row in the platform's
-// store.
+// Package authority makes sure that one node at a time acts for all: changes the stages of
+// engines, reports usage, and requests numbers of workers from the platform. The right to do so
+// is the authority. A node has it while it holds a lease, which is a row in the platform's
+// store, so the authority expires with the lease.
 package authority
 
 import (
@@ -29,9 +30,11 @@
 	storeTimeout = 800 * time.Millisecond
 	// headroom is the fraction of the lease's life that must be left when an unfenced operation
 	// begins. If the peer acknowledges nothing, the kernel aborts a call after
-	// duty.TCPUserTimeout (1 s), even while this process is frozen. The next holder acts no
-	// earlier than a fifth of the life after this lease expires (two margins, 0.6 s of 3 s).
-	// With 0.25 (0.75 s) left at the beginning, the call is gone 0.35 s before that.
+	// duty.TCPUserTimeout (1 s), even while this process is frozen. A holder acts for the life
+	// less the margin of package lease, and others wait for the life plus the margin, which is
+	// a tenth of the life. So the next holder acts no earlier than a fifth of the life after
+	// this lease expires: 0.6 s with the default life of 3 s. With 0.25 (0.75 s) left at the
+	// beginning, the call is gone 0.35 s before that.
 	headroom = 0.25
 )
 
@@ -54,7 +57,8 @@
 type Options struct {
 	// Self is this node's incarnation.
 	Self string
-	// Life is how long the lease lasts without renewal.
+	// Life is the Life of the lease's Settings. Without renewal this node may act for nine
+	// tenths of it.
 	Life  time.Duration
 	Store rowstore.Store
 	Log   *logrus.Logger
@@ -72,7 +76,7 @@
 // stepBackMargin is added to 1.1 times the life of the lease to get the time for which a node
 // that can't reach the store leaves its duties to others: one of them must first hear of it,
 // which takes up to two seconds, and then see the lease unchanged for the life and the margin
-// before it takes it (inc-6b64).
+// before it takes it (docs/incidents/inc-6b64.md).
 const stepBackMargin = 3 * time.Second
 
 // Authority is this node's access to the lease. It is safe for concurrent use, since several
@@ -145,10 +149,15 @@
 	})}, true
 }
 
-// Status tells whether this node may act.
+// Status tells whether this node may act. Its values are part of the causes that operators
+// read.
 type Status string
 
-// The results of Acquire.
+// The results of Acquire. MaybeHeldElsewhere stands for every reason not to act now other than
+// a store that didn't answer. Besides a lease that another node holds or may hold, these are:
+// this node is releasing the lease or started too recently to take a released one, it is too
+// early for another write, too little of its own lease is left for an unfenced operation, its
+// write was refused, the store was restored meanwhile, or the row can't be encoded.
 const (
 	Held               Status = "held"
 	MaybeHeldElsewhere Status = "another node may hold it"
@@ -357,7 +366,7 @@
 	return 0, nil, 0, rowstore.ErrRestored
 }
 
-// writeLease writes the row to take or renew the lease.
+// writeLease writes the row to take the lease or to renew it, as the proposal says.
 func (a *Authority) writeLease(ctx context.Context, proposal lease.Proposal) Status {
 	content, err := json.Marshal(rowValue{Holder: a.options.Self, Fence: proposal.Fence})
 	if err != nil {
@@ -400,6 +409,8 @@
 	return version, done, err
 }
 
+// causeOf describes the result of a write. Without an error, a row that was not written had
+// another version than the condition required.
 func causeOf(err error) string {
 	if err == nil {
 		return "the row has another version"
