--- a/internal/rowstore/rowstore.go
+++ b/internal/rowstore/rowstore.go
@@ -48,7 +48,9 @@
 	// Kind and Table tell what was requested.
 	Kind  CallKind
 	Table string
-	// Succeeded tells that the store did what was requested.
+	// Succeeded tells that the store did what was requested. It is false without an answer, and
+	// also if the answer was that a condition doesn't hold, that the history is gone, or any
+	// other error.
 	Succeeded bool
 	// Sent and Received are the sizes of the bodies in bytes.
 	Sent, Received int
