--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -14,6 +14,9 @@
 // each operation. A platform that compares fences refuses a lower fence than it has seen for
 // the same duty. With a platform that doesn't, the caller's context ends with the lease, and
 // nothing may be sent after that.
+//
+// Holder is the node's name. The lease's row and orders to engines have its incarnation
+// instead.
 type LeaseToken struct {
 	Holder string
 	Fence  uint64
@@ -27,7 +30,7 @@
 	// Accepted operations are carried out.
 	Accepted Verdict = "accepted"
 	// Refused operations are not carried out: the platform has seen a higher fence, or can't do
-	// what was requested.
+	// what was requested. The corresponding verdict of engines is stagecontrol.Rejected.
 	Refused Verdict = "refused"
 	// Throttled operations are not carried out either: there were too many calls at once.
 	Throttled Verdict = "throttled"
