--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -85,7 +85,8 @@
 type workerConsumer struct {
 	node *Node
 	era  tablefeed.EraTracker
-	// unreadable counts the rows that could not be read as a worker.
+	// unreadable counts the rows that could not be parsed as a worker, each time that one was
+	// received.
 	unreadable prometheus.Counter
 }
 
@@ -124,7 +125,10 @@
 // ended is gone at the latest.
 const missedHeartbeats = 4
 
-// replace sets the whole worker list to that of a version.
+// replace sets the whole worker list to that of a version. Workers that were gone before the
+// store was restored and are listed again may have ended in the meantime: these are doubted, as
+// described at Registry.ReplaceRestored. They count as gone for the time given by doubt or
+// until their rows are written again.
 func (w *workerConsumer) replace(listed []worker.Worker, version tablefeed.Version) (added, gone, doubted []string) {
 	if !w.era.Advances(version) || !w.node.workersKnown.Load() {
 		added, gone = w.node.registry.Replace(listed)
--- a/internal/serving/limits.go
+++ b/internal/serving/limits.go
@@ -25,7 +25,10 @@
 // longer than Ahead.
 var turnTolerance = quota.Tolerance{Window: 4 * time.Second, Overshoot: 0.5, Slack: 5, Ahead: 4 * time.Second}
 
-// limitLog logs and counts changes of the limits that workers state.
+// limitLog logs and counts changes of the limits that workers state. A stated limit is a number
+// of requests per second; names and texts call it named. In the log, said_ms_ago is the time
+// since this node received the statement, and passed_over is the number of changes that were
+// not logged since the last line.
 type limitLog struct {
 	log     *logrus.Logger
 	changes *prometheus.CounterVec
@@ -48,7 +51,8 @@
 	limitEnded   = "ended"
 )
 
-// watchLimits sets up the logging and counting of changes of workers' limits.
+// watchLimits sets up the logging and counting of changes of workers' limits. The metrics count
+// the changes that this node learned of and the workers that state a limit now.
 func (n *Node) watchLimits(registry prometheus.Registerer) {
 	l := &limitLog{
 		log: n.log, logged: make(map[string]limitLogEntry),
--- a/internal/serving/listing.go
+++ b/internal/serving/listing.go
@@ -15,9 +15,10 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// nodesTable holds one row for each node. The key consists of its zone and name, so that a node
-// that starts in a large fleet can read the rows of its own zone only. Older builds use the
-// name alone as the key and don't follow the table.
+// nodesTable is the list of nodes in the store, with one row for each node. A node is listed if
+// it has a row. The key consists of its zone and name, so that a node that starts in a large
+// fleet can read the rows of its own zone only. Older builds use the name alone as the key and
+// don't follow the table.
 const nodesTable = "nodes"
 
 // zoneSeparator follows the zone in a row's key, and afterSeparator is the next character,
--- a/internal/serving/metrics.go
+++ b/internal/serving/metrics.go
@@ -13,7 +13,10 @@
 )
 
 // countCalls counts the calls to the platform's store and their bytes by kind and table. Each
-// call is paid for, and the calls that all nodes make for themselves grow with the fleet.
+// call is paid for, and the calls that all nodes make for themselves grow with the fleet. The
+// label answered is "yes" for calls that succeeded, and "no" for all others, answered or not.
+// The era (tinarch_store_era) is the number of the store's history, which increases when the
+// store is restored from a backup.
 func countCalls(platform Platform, registry prometheus.Registerer, log *logrus.Logger) {
 	labels := []string{"call", "table"}
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -34,7 +37,8 @@
 	})
 }
 
-// logRestored logs once when the store answers from a later era than known before.
+// logRestored logs once when the store answers from a later era than known before, that is,
+// after it was restored from a backup.
 func logRestored(era uint64, known *atomic.Uint64, log *logrus.Logger) {
 	before := known.Load()
 	if era > before && known.CompareAndSwap(before, era) {
--- a/internal/serving/node.go
+++ b/internal/serving/node.go
@@ -106,6 +106,8 @@
 	servers  []*http.Server
 	callers  *http.Server
 
+	// coordinator holds the announcements of all nodes and decides which node reads a table at
+	// the store.
 	coordinator *tablerelay.Coordinator
 	// configurationFeed and workersFeed follow the platform's tables.
 	configurationFeed, workersFeed *tablefeed.Feed
--- a/internal/serving/warmup.go
+++ b/internal/serving/warmup.go
@@ -14,7 +14,8 @@
 
 // Times and limits of the warm-up.
 const (
-	// readyWait bounds the wait for the first lists of workers and nodes.
+	// readyWait bounds the wait until workers and routes are known. If it runs out, there is no
+	// warm-up, and caches are not learned from other homes later either.
 	readyWait      = 3 * time.Second
 	readyPoll      = 10 * time.Millisecond
 	cacheListPause = 15 * time.Millisecond
@@ -98,7 +99,8 @@
 	return ids
 }
 
-// awaitReady waits until workers and routes are known.
+// awaitReady waits until this node is ready, which requires that workers and routes are known.
+// It reports whether that was so before readyWait ran out.
 func (n *Node) awaitReady(ctx context.Context) bool {
 	for end := time.Now().Add(readyWait); !n.Ready(); time.Sleep(readyPoll) {
 		if ctx.Err() != nil || time.Now().After(end) {
