--- a/internal/serving/warmup.go
+++ b/internal/serving/warmup.go
@@ -110,7 +110,8 @@
 	return true
 }
 
-// fetchCacheList asks a worker for the list of its cache contents.
+// fetchCacheList asks a worker for the list of its cache contents. Once that is read, it logs
+// that the worker "told what it keeps".
 func (n *Node) fetchCacheList(ctx context.Context, target worker.Worker) {
 	callCtx, cancel := context.WithTimeout(ctx, cacheListTimeout)
 	defer cancel()
--- a/internal/serving/workercalls.go
+++ b/internal/serving/workercalls.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// probeLimit probes a worker that has stated nothing for long enough.
+// probeLimit probes a worker that has stated nothing for long enough. If the answer states no
+// limit, it logs that the worker "names no limit".
 func (n *Node) probeLimit(ctx context.Context, id string, probes map[string]*limitProbe) {
 	stated, _, _ := n.registry.Limit(id)
 	probe := probes[id]
