--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -366,7 +366,8 @@
 	return 0, nil, 0, rowstore.ErrRestored
 }
 
-// writeLease writes the row to take the lease or to renew it, as the proposal says.
+// writeLease writes the row to take the lease or to renew it, as the proposal says. It logs
+// "authority taken" in both cases; the field renewed tells them apart.
 func (a *Authority) writeLease(ctx context.Context, proposal lease.Proposal) Status {
 	content, err := json.Marshal(rowValue{Holder: a.options.Self, Fence: proposal.Fence})
 	if err != nil {
