--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -314,7 +314,7 @@
 		return
 	}
 	_, done, err := a.write(ctx, proposal, content)
-	a.options.Log.WithFields(logrus.Fields{"written": done, "cause": causeOf(err)}).Info("authority released")
+	a.options.Log.WithFields(logrus.Fields{"written": done, "cause": causeOf(err)}).Info("tried to release the authority")
 }
 
 // beginRelease prevents further operations and reports whether none is in flight.
@@ -377,7 +377,7 @@
 	version, done, err := a.write(ctx, proposal, content)
 	if err != nil || !done {
 		a.machine.WriteFailed()
-		a.options.Log.WithFields(logrus.Fields{"if_version": proposal.IfVersion, "written": done, "cause": causeOf(err)}).Warn("the authority was not taken")
+		a.options.Log.WithFields(logrus.Fields{"if_version": proposal.IfVersion, "written": done, "cause": causeOf(err)}).Warn("the authority was not taken or renewed")
 		if err != nil && !errors.Is(err, rowstore.ErrRestored) {
 			return StoreUnavailable
 		}
@@ -410,11 +410,11 @@
 	return version, done, err
 }
 
-// causeOf describes the result of a write. Without an error, a row that was not written had
-// another version than the condition required.
+// causeOf describes the result of a write, for log lines that also tell whether it was written.
+// Without an error, a row that was not written had another version than the condition required.
 func causeOf(err error) string {
 	if err == nil {
-		return "the row has another version"
+		return "no error; if not written, the row had another version"
 	}
 	return err.Error()
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -91,7 +91,7 @@
 	first.Acquire(context.Background())
 	condition, held := first.Condition()
 	if !held {
-		t.Fatal("the lease lapsed at once")
+		t.Fatal("the lease expired at once")
 	}
 	awaitHeld(t, second)
 	_, done, err := store.Transact(context.Background(), rowstore.Transaction{
