--- a/internal/stagecontrol/controller_test.go
+++ b/internal/stagecontrol/controller_test.go
@@ -211,7 +211,7 @@
 	cut := b.controllerWith("a", func(span time.Duration) {
 		stood++
 		// Another node first looks at the lease when it hears of this, and takes the lease once
-		// it has seen it unchanged for its life and a margin (inc-6b64).
+		// it has seen it unchanged for its life and a margin (docs/incidents/inc-6b64.md).
 		const heard = 2 * time.Second
 		if takes := heard + leaseLife*11/10; span < takes {
 			t.Errorf("steps back for %v, but another node takes the lease after up to %v", span, takes)
