--- a/internal/stagecontrol/controller.go
+++ b/internal/stagecontrol/controller.go
@@ -251,7 +251,7 @@
 func (c *Controller) send(ctx context.Context, to worker.Worker, order stageplan.Order) (Verdict, string) {
 	operation, held := c.options.Authority.Begin(ctx, orderTimeout)
 	if !held {
-		return Rejected, "the lease lapsed before the order left"
+		return Rejected, "the lease expired before the order was sent"
 	}
 	defer operation.End()
 	request := c.options.Wire.StageOrder(to, order.Prefill, c.options.Self, operation.Fence)
