--- a/internal/serving/consumers.go
+++ b/internal/serving/consumers.go
@@ -59,7 +59,8 @@
 	return given.Gone || err != nil || now.Version < before.Version
 }
 
-// activate makes a version of the routes the one in force for requests.
+// activate makes a version of the routes the one in force for requests. The log field keys is
+// the number of callers' API keys.
 func (n *Node) activate(table *routing.Table, rowVersion tablefeed.Version) {
 	if current := n.front.Table(); current != nil && table.Version < current.Version {
 		n.log.WithFields(logrus.Fields{"version": table.Version, "in_force": current.Version}).Warn("an older configuration was passed over")
