--- a/internal/fleetsize/controller.go
+++ b/internal/fleetsize/controller.go
@@ -37,7 +37,7 @@
 
 // API is the part of the platform's API that orders workers.
 type API interface {
-	// OrderWorkers sets the number of workers of a kind that a service is to have. If the
+	// OrderWorkers requests the number of workers of a kind that a service is to have. If the
 	// verdict isn't duty.Accepted, the error tells why.
 	OrderWorkers(ctx context.Context, token duty.LeaseToken, service string, kind Kind, count int) (duty.Verdict, error)
 }
@@ -52,6 +52,7 @@
 
 // Service is a service whose number of workers is controlled.
 type Service struct {
+	// Name is the name of the service, and Terms are the bounds and prices of its workers.
 	Name  string
 	Terms *routing.Scaling
 }
@@ -77,7 +78,7 @@
 	Metrics *Metrics
 }
 
-// Controller orders workers. It is not safe for concurrent use.
+// Controller requests numbers of workers from the platform. It is not safe for concurrent use.
 type Controller struct {
 	options Options
 	policy  Policy
@@ -128,12 +129,12 @@
 		if now.Sub(fleet.since) < c.settleTime() || standing.total() == 0 {
 			return nil
 		}
-		if err := c.learnBasis(ctx, service, fleet, standing); err != nil {
+		if err := c.readOrWriteBasis(ctx, service, fleet, standing); err != nil {
 			return err
 		}
 	}
 	if fleet.era != c.options.Store.Era() {
-		if err := c.learnBasis(ctx, service, fleet, standing); err != nil {
+		if err := c.readOrWriteBasis(ctx, service, fleet, standing); err != nil {
 			c.options.Log.WithFields(logrus.Fields{"service": service.Name, "cause": err.Error()}).
 				Warn("the basis of the plan may have been lost when the store was restored; it will be written again")
 		}
@@ -164,21 +165,23 @@
 	idle := c.options.Workers.Idle(service.Name, now)
 	unlimited := fleet.unlimitedPlan(c.policy, service.Terms)
 	c.options.Metrics.observe(service, fleet.standing, unlimited)
-	wished := fleet.targets(service.Terms, unlimited, idle)
+	unlimitedTargets := fleet.targets(service.Terms, unlimited, idle)
 	if len(fleet.unavailableSince) == 0 {
-		return wished
+		return unlimitedTargets
 	}
 	limited := fleet.planWithin(c.policy, service.Terms, fleet.availability(service.Terms, now))
 	targets := fleet.targets(service.Terms, limited, idle)
 	for kind := range fleet.unavailableSince {
 		// Kinds that were unavailable are requested again now and then as if they were
 		// available.
-		targets[kind] = wished[kind]
+		targets[kind] = unlimitedTargets[kind]
 	}
 	return targets
 }
 
-// order sends an order if this node holds the authority.
+// order sends an order if this node holds the authority. It logs "workers ordered" whatever the
+// verdict is: refused and throttled orders are not carried out, and unanswered ones may be. The
+// cause is "<nil>" if there was no error.
 func (c *Controller) order(ctx context.Context, service Service, fleet *fleetState, kind Kind, count int, now time.Time) error {
 	if status := c.options.Authority.Acquire(ctx); status != authority.Held {
 		return eris.Errorf("no authority: %s", status)
@@ -196,7 +199,7 @@
 	}).Info("workers ordered")
 	switch verdict {
 	case duty.Accepted:
-		fleet.wanted[kind], fleet.orderedAt[kind] = count, now
+		fleet.lastOrdered[kind], fleet.orderedAt[kind] = count, now
 		delete(fleet.unavailableSince, kind)
 	case duty.Refused:
 		if _, already := fleet.unavailableSince[kind]; !already {
--- a/internal/rowstore/rowstore.go
+++ b/internal/rowstore/rowstore.go
@@ -48,8 +48,10 @@
 	// Kind and Table tell what was requested.
 	Kind  CallKind
 	Table string
-	// Answered tells that the store did what was requested.
-	Answered bool
+	// Succeeded tells that the store did what was requested. It is false without an answer, and
+	// also if the answer was that a condition doesn't hold, that the history is gone, or any
+	// other error.
+	Succeeded bool
 	// Sent and Received are the sizes of the bodies in bytes.
 	Sent, Received int
 }
--- a/internal/serving/metrics.go
+++ b/internal/serving/metrics.go
@@ -13,7 +13,10 @@
 )
 
 // countCalls counts the calls to the platform's store and their bytes by kind and table. Each
-// call is paid for, and the calls that all nodes make for themselves grow with the fleet.
+// call is paid for, and the calls that all nodes make for themselves grow with the fleet. The
+// label answered is "yes" for calls that succeeded, and "no" for all others, answered or not.
+// The era (tinarch_store_era) is the number of the store's history, which increases when the
+// store is restored from a backup.
 func countCalls(platform Platform, registry prometheus.Registerer, log *logrus.Logger) {
 	labels := []string{"call", "table"}
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -29,12 +32,13 @@
 	var known atomic.Uint64
 	platform.ObserveCalls(func(call rowstore.Call) {
 		logRestored(platform.Era(), &known, log)
-		calls.WithLabelValues(string(call.Kind), call.Table, answered(call.Answered)).Inc()
+		calls.WithLabelValues(string(call.Kind), call.Table, answeredLabel(call.Succeeded)).Inc()
 		bytes.WithLabelValues(string(call.Kind), call.Table).Add(float64(call.Sent + call.Received))
 	})
 }
 
-// logRestored logs once when the store answers from a later era than known before.
+// logRestored logs once when the store answers from a later era than known before, that is,
+// after it was restored from a backup.
 func logRestored(era uint64, known *atomic.Uint64, log *logrus.Logger) {
 	before := known.Load()
 	if era > before && known.CompareAndSwap(before, era) {
@@ -42,7 +46,7 @@
 	}
 }
 
-func answered(yes bool) string {
+func answeredLabel(yes bool) string {
 	if yes {
 		return "yes"
 	}
@@ -81,7 +85,7 @@
 // tableBehind returns the time since this node heard of a change of a table that it doesn't
 // hold yet, zero if it lacks none.
 func (n *Node) tableBehind(table string, now time.Time) time.Duration {
-	lag, behind := n.board.Lag(table)
+	lag, behind := n.coordinator.Lag(table)
 	if !behind {
 		return 0
 	}
--- a/internal/serving/warmup.go
+++ b/internal/serving/warmup.go
@@ -14,9 +14,10 @@
 
 // Times and limits of the warm-up.
 const (
-	// listWait bounds the wait for the first lists of workers and nodes.
-	listWait       = 3 * time.Second
-	listPoll       = 10 * time.Millisecond
+	// readyWait bounds the wait until workers and routes are known. If it runs out, there is no
+	// warm-up, and caches are not learned from other homes later either.
+	readyWait      = 3 * time.Second
+	readyPoll      = 10 * time.Millisecond
 	cacheListPause = 15 * time.Millisecond
 	// cacheListTimeout bounds one request for a cache list.
 	cacheListTimeout = 500 * time.Millisecond
@@ -33,7 +34,7 @@
 // or leaves. It asks the other homes and, only after a start, the workers that no home knows
 // about.
 func (n *Node) warmUp(ctx context.Context) {
-	if !n.awaitLists(ctx) {
+	if !n.awaitReady(ctx) {
 		return
 	}
 	if n.settings.Node.FirstStart {
@@ -98,9 +99,10 @@
 	return ids
 }
 
-// awaitLists waits until workers and routes are known.
-func (n *Node) awaitLists(ctx context.Context) bool {
-	for end := time.Now().Add(listWait); !n.Ready(); time.Sleep(listPoll) {
+// awaitReady waits until this node is ready, which requires that workers and routes are known.
+// It reports whether that was so before readyWait ran out.
+func (n *Node) awaitReady(ctx context.Context) bool {
+	for end := time.Now().Add(readyWait); !n.Ready(); time.Sleep(readyPoll) {
 		if ctx.Err() != nil || time.Now().After(end) {
 			return false
 		}
@@ -108,7 +110,8 @@
 	return true
 }
 
-// fetchCacheList asks a worker for the list of its cache contents.
+// fetchCacheList asks a worker for the list of its cache contents. Once that is read, it logs
+// that the worker "told what it keeps".
 func (n *Node) fetchCacheList(ctx context.Context, target worker.Worker) {
 	callCtx, cancel := context.WithTimeout(ctx, cacheListTimeout)
 	defer cancel()
