--- a/cmd/tinarch-lab/experiment.go
+++ b/cmd/tinarch-lab/experiment.go
@@ -32,7 +32,7 @@
 	Seeds      int                   `json:"seeds"`
 	Rate       float64               `json:"rate"`
 	Policies   []sim.Outcome         `json:"policies,omitempty"`
-	Sizes      []sim.Size            `json:"sizes,omitempty"`
+	Sizes      []sim.SimulationCost  `json:"sizes,omitempty"`
 }
 
 func (c *experimentCommand) run(context.Context) error {
@@ -76,10 +76,10 @@
 	return options, nil
 }
 
-func measureSizes(options sim.Options, fleets []int) ([]sim.Size, error) {
-	var sizes []sim.Size
+func measureSizes(options sim.Options, fleets []int) ([]sim.SimulationCost, error) {
+	var sizes []sim.SimulationCost
 	for _, count := range fleets {
-		size, err := sim.MeasureSize(options, count)
+		size, err := sim.MeasureSimulationCost(options, count)
 		if err != nil {
 			return sizes, err
 		}
--- a/cmd/tinarch-lab/scale.go
+++ b/cmd/tinarch-lab/scale.go
@@ -16,7 +16,7 @@
 // storedScale is the JSON form of the results.
 type storedScale struct {
 	Provenance provenance.Provenance `json:"provenance"`
-	Nodes      []scale.Nodes         `json:"nodes"`
+	Nodes      []scale.NodeCosts     `json:"nodes"`
 }
 
 func (c *scaleCommand) run(ctx context.Context) error {
@@ -26,7 +26,7 @@
 	}
 	stored := storedScale{Provenance: provenance.Collect()}
 	for _, count := range counts {
-		measured, err := scale.MeasureNodes(ctx, count, func(line string) { fmt.Println("  ", line) })
+		measured, err := scale.MeasureNodeCosts(ctx, count, func(line string) { fmt.Println("  ", line) })
 		if err != nil {
 			// The results before the failure are stored too.
 			stored.Nodes = append(stored.Nodes, measured)
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -20,8 +20,8 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Nodes is what hollow nodes cost, each.
-type Nodes struct {
+// NodeCosts is what hollow nodes cost, each.
+type NodeCosts struct {
 	Count int `json:"nodes"`
 	// ProcessorPercent is the share of one core that a node takes.
 	ProcessorPercent float64 `json:"processor_percent_per_node"`
@@ -49,20 +49,20 @@
 	restartWindow = 20 * time.Second
 )
 
-// MeasureNodes runs count hollow nodes, measures them at rest, then applies
+// MeasureNodeCosts runs count hollow nodes, measures them at rest, then applies
 // revisions while one node in ten is restarted.
-func MeasureNodes(ctx context.Context, count int, show func(string)) (Nodes, error) {
+func MeasureNodeCosts(ctx context.Context, count int, show func(string)) (NodeCosts, error) {
 	c, err := cluster.Start(cluster.Options{Name: "scale", Zones: zones(19), LedgerGroups: max(1, count/24)})
 	if err != nil {
-		return Nodes{}, err
+		return NodeCosts{}, err
 	}
 	defer c.Close()
 	if err := join(ctx, c, count); err != nil {
-		return Nodes{}, err
+		return NodeCosts{}, err
 	}
 	show(fmt.Sprintf("%d nodes know each other", count))
 	c.Table.SetFaults(platform.Faults{RequestsPerSecond: tableRate})
-	measured := Nodes{Count: count}
+	measured := NodeCosts{Count: count}
 	if err := applyOnce(ctx, c, 0); err != nil {
 		return measured, err
 	}
@@ -120,7 +120,7 @@
 	return sent, received
 }
 
-func measureRest(ctx context.Context, c *cluster.Cluster, measured *Nodes) {
+func measureRest(ctx context.Context, c *cluster.Cluster, measured *NodeCosts) {
 	usedBefore := processorTime()
 	sentBefore, receivedBefore := traffic(c)
 	tableBefore := c.Table.Requests()
@@ -139,7 +139,7 @@
 }
 
 // measureRollouts applies revisions while nodes are restarted.
-func measureRollouts(ctx context.Context, c *cluster.Cluster, measured *Nodes) error {
+func measureRollouts(ctx context.Context, c *cluster.Cluster, measured *NodeCosts) error {
 	restarting := make(chan error, 1)
 	steady := slices.Clone(c.Nodes)
 	victims := len(c.Nodes) / restartShare
--- a/internal/lab/sim/experiment.go
+++ b/internal/lab/sim/experiment.go
@@ -69,7 +69,7 @@
 	outcome := Outcome{Policy: policy, Goodputs: collect(reports, (*Report).Goodput)}
 	outcome.Median = middle(outcome.Goodputs)
 	for number, stream := range reports[0].Streams {
-		goodputs := collect(reports, func(r *Report) float64 { return r.Streams[number].GoodputOf() })
+		goodputs := collect(reports, func(r *Report) float64 { return r.Streams[number].Goodput() })
 		outcome.Streams = append(outcome.Streams, StreamOutcome{
 			Name:             stream.Name,
 			Goodput:          middle(goodputs),
@@ -93,8 +93,8 @@
 
 func middle(sorted []float64) float64 { return sorted[len(sorted)/2] }
 
-// Size is the cost of simulating a number of engines.
-type Size struct {
+// SimulationCost is the cost of simulating a number of engines.
+type SimulationCost struct {
 	Engines       int     `json:"engines"`
 	Requests      int     `json:"requests"`
 	Seconds       float64 `json:"wall_seconds"`
@@ -103,8 +103,8 @@
 	Goodput       float64 `json:"goodput"`
 }
 
-// MeasureSize simulates the deployment several times over, on one core.
-func MeasureSize(options Options, fleets int) (Size, error) {
+// MeasureSimulationCost simulates the deployment several times over, on one core.
+func MeasureSimulationCost(options Options, fleets int) (SimulationCost, error) {
 	options.Fleets = fleets
 	engines := 0
 	for _, pool := range options.Pools {
@@ -113,14 +113,14 @@
 	began := time.Now()
 	report, err := Run(options)
 	if err != nil {
-		return Size{}, err
+		return SimulationCost{}, err
 	}
 	seconds := time.Since(began).Seconds()
 	requests := 0
 	for _, stream := range report.Streams {
 		requests += stream.Sent
 	}
-	return Size{
+	return SimulationCost{
 		Engines: engines, Requests: requests, Seconds: seconds, MicrosEach: seconds / float64(max(requests, 1)) * 1e6,
 		TimesRealTime: options.Workload.Seconds / seconds, Goodput: report.Goodput(),
 	}, nil
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -79,8 +79,8 @@
 	return float64(good) / float64(max(sent, 1))
 }
 
-// GoodputOf returns the goodput of one stream.
-func (s *Stream) GoodputOf() float64 { return float64(s.InDeadline) / float64(max(s.Sent, 1)) }
+// Goodput returns the goodput of one stream.
+func (s *Stream) Goodput() float64 { return float64(s.InDeadline) / float64(max(s.Sent, 1)) }
 
 // FirstTokenMillis returns a quantile of the time to the first token.
 func (s *Stream) FirstTokenMillis(quantile float64) float64 {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -76,8 +76,8 @@
 	}
 	report := run(t, o)
 	for _, stream := range report.Streams {
-		if stream.Name == "report-status" && stream.GoodputOf() < 0.999 {
-			t.Errorf("portal requests in time: %.4f", stream.GoodputOf())
+		if stream.Name == "report-status" && stream.Goodput() < 0.999 {
+			t.Errorf("portal requests in time: %.4f", stream.Goodput())
 		}
 	}
 }
--- a/internal/lab/virtual/claims.go
+++ b/internal/lab/virtual/claims.go
@@ -124,9 +124,9 @@
 			return own
 		}
 	}
-	machine := func() Machine { return plainLedger{ledger.New()} }
+	machine := func() StateMachine { return plainLedger{ledger.New()} }
 	if without == GuardClaim {
-		machine = func() Machine { return greedyLedger{ledger.New()} }
+		machine = func() StateMachine { return greedyLedger{ledger.New()} }
 	}
 	r := &claimRun{
 		cluster: NewCluster(seed, settings, machine, settingsOf),
@@ -176,7 +176,7 @@
 }
 
 func (r *claimRun) fail() {
-	n := r.cluster.Nodes[r.random.IntN(Members)]
+	n := r.cluster.Nodes[r.random.IntN(MemberCount)]
 	var what string
 	switch r.random.IntN(5) {
 	case 0:
@@ -187,7 +187,7 @@
 		what = fmt.Sprintf("%s cut off: %v", n.ID, n.Cut)
 	case 2:
 		n.Member.HandOver(n.Clock(r.cluster.Now))
-		r.cluster.Collect(n)
+		r.cluster.ProcessReady(n)
 		what = fmt.Sprintf("%s hands its lease over", n.ID)
 	default:
 		return
--- a/internal/lab/virtual/cluster.go
+++ b/internal/lab/virtual/cluster.go
@@ -12,8 +12,8 @@
 	"github.com/tinarch/tinarch/internal/replica"
 )
 
-// Machine is the state machine of a member.
-type Machine interface {
+// StateMachine is the state machine of a member.
+type StateMachine interface {
 	Apply(data []byte) any
 	Snapshot() []byte
 	Restore(data []byte) error
@@ -23,7 +23,7 @@
 type Node struct {
 	ID      replica.MemberID
 	Member  *replica.Member
-	Machine Machine
+	Machine StateMachine
 	Paused  bool
 	Cut     bool
 
@@ -62,8 +62,8 @@
 	history [][]byte
 }
 
-// Members is the number of members.
-const Members = 3
+// MemberCount is the number of members.
+const MemberCount = 3
 
 const (
 	stepLength  = 10 * time.Millisecond
@@ -72,10 +72,10 @@
 
 // NewCluster returns a group whose clocks drift by half the margin. settingsOf
 // may give members settings of their own; nil means the same for all.
-func NewCluster(seed uint64, settings replica.Settings, machine func() Machine, settingsOf func(int) replica.Settings) *Cluster {
+func NewCluster(seed uint64, settings replica.Settings, machine func() StateMachine, settingsOf func(int) replica.Settings) *Cluster {
 	c := &Cluster{random: rand.New(rand.NewPCG(seed, 1))}
 	config := replica.Config{Group: "g", Epoch: 1}
-	for i := range Members {
+	for i := range MemberCount {
 		config.Members = append(config.Members, replica.MemberID(fmt.Sprint("m", i)))
 	}
 	drift := float64(settings.DriftMargin) / float64(settings.Lease) / 2
@@ -91,7 +91,7 @@
 		random := rand.New(rand.NewPCG(seed, uint64(i)+2))
 		n.Member = replica.New(id, config, own, replica.State{}, n.Clock(0), random, n.snapshot)
 		c.Nodes = append(c.Nodes, n)
-		c.Collect(n)
+		c.ProcessReady(n)
 	}
 	return c
 }
@@ -113,8 +113,8 @@
 	}
 }
 
-// Collect does what a member wants done.
-func (c *Cluster) Collect(n *Node) {
+// ProcessReady does what a member wants done.
+func (c *Cluster) ProcessReady(n *Node) {
 	ready := n.Member.Ready()
 	if ready.Restore != nil {
 		n.restore(ready.Restore.Data)
@@ -173,21 +173,21 @@
 		case from.Cut != to.Cut:
 		default:
 			to.Member.Step(to.Clock(c.Now), d.message)
-			c.Collect(to)
+			c.ProcessReady(to)
 		}
 	}
 	c.network = append(c.network, later...)
 	for _, n := range c.Nodes {
 		if !n.Paused {
 			n.Member.Tick(n.Clock(c.Now))
-			c.Collect(n)
+			c.ProcessReady(n)
 		}
 	}
 }
 
-// Holders returns the members whose lease holds now. A paused member counts too:
+// LeaseHolders returns the members whose lease holds now. A paused member counts too:
 // it would look at its lease when it wakes, at this very time.
-func (c *Cluster) Holders() []*Node {
+func (c *Cluster) LeaseHolders() []*Node {
 	var holders []*Node
 	for _, n := range c.Nodes {
 		if _, active := n.Member.Fence(n.Clock(c.Now)); active {
@@ -199,7 +199,7 @@
 
 // Leader returns the only holder of a lease, nil when there is none.
 func (c *Cluster) Leader() *Node {
-	if holders := c.Holders(); len(holders) == 1 {
+	if holders := c.LeaseHolders(); len(holders) == 1 {
 		return holders[0]
 	}
 	return nil
@@ -214,7 +214,7 @@
 		}
 		if index, term, ok := n.Member.Propose(n.Clock(c.Now), data); ok {
 			n.waiting[index] = waiter{term, done}
-			c.Collect(n)
+			c.ProcessReady(n)
 			return true
 		}
 	}
@@ -223,7 +223,7 @@
 
 // Check returns a description of a broken guarantee, empty when all hold.
 func (c *Cluster) Check() string {
-	if holders := c.Holders(); len(holders) > 1 {
+	if holders := c.LeaseHolders(); len(holders) > 1 {
 		return fmt.Sprintf("%s and %s hold the lease at the same time", holders[0].ID, holders[1].ID)
 	}
 	for _, n := range c.Nodes {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -17,7 +17,7 @@
 
 func newCluster(t *testing.T, seed uint64, settings replica.Settings) *virtual.Cluster {
 	t.Helper()
-	c := virtual.NewCluster(seed, settings, func() virtual.Machine { return counter{} }, nil)
+	c := virtual.NewCluster(seed, settings, func() virtual.StateMachine { return counter{} }, nil)
 	run(t, c, 3*time.Second)
 	if c.Leader() == nil {
 		t.Fatal("no leader within three seconds")
@@ -92,7 +92,7 @@
 	if !old.Member.HandOver(old.Clock(c.Now)) {
 		t.Fatal("no follower to transfer the leadership to")
 	}
-	c.Collect(old)
+	c.ProcessReady(old)
 	run(t, c, 300*time.Millisecond)
 	if next := c.Leader(); next == nil || next == old {
 		t.Error("no other member became leader within a few round trips")
