--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -12,7 +12,8 @@
 )
 
 // Routed are the settings of a routed node (tinarchd --routed), which serves routes in front of
-// the workers that a platform's store lists.
+// the workers that a platform's store lists. A worker is a process behind a route; an engine is
+// a worker that runs a model. Only engines get orders from nodes.
 type Routed struct {
 	Node RoutedNode `yaml:"node"`
 	// Zones maps each zone to its region; all zones without an entry share one region.
@@ -28,10 +29,12 @@
 	Log    Log               `yaml:"log"`
 }
 
-// RoutedLate tells what happens to requests that can't meet their objective.
+// RoutedLate tells what happens to late requests, those to engines that can't be answered
+// within the objective of their route (its target time for an answer or for the first event of
+// a stream).
 type RoutedLate struct {
-	// Hold lets them wait at their node for a free engine; if it is false, they are rejected
-	// when no engine is free.
+	// Hold lets late requests wait at their node for an engine at which nothing else waits; if
+	// it is false, they are rejected when there is no such engine.
 	Hold bool `yaml:"hold"`
 }
 
@@ -39,7 +42,9 @@
 type RoutedNode struct {
 	Name string `yaml:"name"`
 	Zone string `yaml:"zone"`
-	// FirstStart tells that the whole system starts for the first time.
+	// FirstStart tells that the whole system starts for the first time. The node then writes
+	// its row in the store before it reads those of the others, and doesn't ask workers what
+	// their KV caches hold, since they are empty. At a later start the setting would make it miss what they hold.
 	FirstStart bool `yaml:"first_start"`
 }
 
@@ -80,7 +85,8 @@
 // RoutedUsage holds how the tenants' usage is reported.
 type RoutedUsage struct {
 	// WindowSeconds is the length of a window of wall-clock time. LateSeconds is how long after
-	// its end a window may still be reported.
+	// the end of a window the platform is expected to accept its report; nodes send it for up
+	// to twice that time. It has nothing to do with late requests (RoutedLate).
 	WindowSeconds float64 `yaml:"window_s"`
 	LateSeconds   float64 `yaml:"late_s"`
 }
@@ -100,12 +106,13 @@
 	MemoryMegabytes int `yaml:"memory_mb"`
 }
 
-// RoutedBounds are guarantees that hold over all nodes together.
+// RoutedBounds holds what the platform asks of a node's stop and of the retries, the terms of
+// leases, and what nodes may assume of the workers and the platform's API.
 type RoutedBounds struct {
-	// StopMillis is the longest duration of a planned stop.
+	// StopMillis is the longest duration of a planned stop of this node.
 	StopMillis int `yaml:"stop_ms"`
-	// RetryRatio, RetrySlack and RetryWindowMillis bound the retries: in any window there are
-	// at most RetryRatio times the requests, plus RetrySlack.
+	// RetryRatio, RetrySlack and RetryWindowMillis bound the retries of all nodes together: in
+	// any window there are at most RetryRatio times the requests, plus RetrySlack.
 	RetryRatio        float64 `yaml:"retry_ratio"`
 	RetrySlack        float64 `yaml:"retry_slack"`
 	RetryWindowMillis int     `yaml:"retry_window_ms"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -63,7 +63,9 @@
 	Table    Table    `yaml:"table"`
 	Objects  Objects  `yaml:"objects"`
 	Machines Machines `yaml:"machines"`
-	// WeightBytesPerSecond limits the rate at which one cell reads from the weight store.
+	// WeightBytesPerSecond limits the rate at which the engines of one cell load model weights
+	// from the weight store, where the platform keeps them. A cell is a replica group of nodes
+	// whose leader places requests on its part of a pool's engines (package cell).
 	WeightBytesPerSecond float64 `yaml:"weight_bytes_per_second"`
 }
 
