--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -268,7 +268,8 @@
 	}
 }
 
-// catalogChanged passes a new configuration revision to the cells and the routes.
+// catalogChanged passes a new revision of the catalog, which is the configuration that
+// operators apply (package catalog), to the cells and the routes.
 func (n *Node) catalogChanged(snapshot *catalog.Snapshot) {
 	n.log.WithField("revision", snapshot.Revision).Info("configuration in force")
 	for _, service := range n.cellServices() {
@@ -345,7 +346,8 @@
 	})
 }
 
-// cell returns the service of a cell's group, if this node is a member of the group.
+// cell returns the service of a cell's group. If this node is not a member of the group, it
+// returns the error NotLeader ("is no member of").
 func (n *Node) cell(name string) (*cell.Service, error) {
 	n.mu.Lock()
 	service := n.cells[name]
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -30,6 +30,8 @@
 	return &machineWatcher{client: client, period: period, log: log, onChange: onChange, dropped: map[string]time.Time{}}
 }
 
+// run reads the machine list once per period, until ctx ends. While it can't be read, the list that
+// was read last stays in use ("the last one holds").
 func (w *machineWatcher) run(ctx context.Context) {
 	ticker := time.NewTicker(w.period)
 	defer ticker.Stop()
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -8,7 +8,10 @@
 )
 
 // registerMetrics registers the metrics of groups, membership and peer traffic. Their values
-// are computed at each scrape.
+// are computed at each scrape. The catalog of tinarch_catalog_revision is the configuration
+// that operators apply (package catalog). A claim of tinarch_ledger_claims is the ledger's
+// record of the attempt that runs the request with an idempotency key (ledger.Claim); the order
+// by which a new leader takes over an engine, which is called a claim too, isn't counted.
 func (n *Node) registerMetrics() {
 	n.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	n.gauge("tinarch_catalog_revision", "Configuration revision in force.", func() float64 { return float64(n.manager.Revision()) })
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -54,8 +54,10 @@
 // HandOver transfers the leases of this node to other members of its groups.
 func (n *Node) HandOver() { n.host.HandOver() }
 
-// hasLeft reports whether the groups can do without this node: it holds no lease, and is a
-// member only where no other node could take its place.
+// hasLeft reports whether this node, which is being stopped, can close without harm to its
+// groups. If there is no other live node, it can, even if it holds leases. Otherwise it must
+// hold no lease; besides, with at least group.Size other nodes it must be in no group, and with
+// fewer each of its groups must have a majority of live members without it.
 func (n *Node) hasLeft() bool {
 	others := len(n.Candidates())
 	if others == 0 {
@@ -85,7 +87,9 @@
 	return true
 }
 
-// Close ends the node at once, as a crash would, except that its ports are closed.
+// Close ends the node at once, as a crash of its process would: it transfers no lease,
+// announces nothing, and cuts off the requests in progress. As the process goes on, Close
+// itself closes the node's ports and connections.
 func (n *Node) Close() {
 	n.gateway.Close()
 	n.close()
