--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -70,8 +70,11 @@
 	fmt.Fprintln(r.writer, strings.Join(texts, "\t"))
 }
 
-// FromRPC converts the error of a call to a node into one with a result code: the code that the
-// node returned, or PeerUnavailable if it returned none.
+// FromRPC converts a Connect error of a call to a node into one with a result code: the code
+// that the node returned or, if the error has none, PeerUnavailable. The text "the node did not
+// answer" then stands for all failures without a result code: no answer came, or the server at
+// that address, which need not be a node, returned an error of its own. An error that isn't a
+// connect.Error is returned unchanged.
 func FromRPC(err error) error {
 	var failure *connect.Error
 	if !errors.As(err, &failure) {
