--- a/cmd/tinarch/catalog.go
+++ b/cmd/tinarch/catalog.go
@@ -23,6 +23,8 @@
 	return tinarchv1connect.NewCatalogServiceClient(http.DefaultClient, e.server, connect.WithInterceptors(cli.BearerToken(e.token)))
 }
 
+// applyCommand changes the configuration. The Catalog message describes the whole configuration:
+// catalog is its name in the API, in packages and in metrics.
 type applyCommand struct {
 	File      string  `arg:"positional,required" help:"YAML or JSON file in the form of the Catalog message"`
 	Replace   bool    `arg:"--replace" help:"delete the objects that are not in the file"`
@@ -78,6 +80,8 @@
 	"route":   tinarchv1.ObjectType_OBJECT_TYPE_ROUTE,
 }
 
+// deleteCommand deletes one object of the configuration. Type is one of objectTypes; for any
+// other value the command says that it "is no sort of object".
 type deleteCommand struct {
 	Type   string  `arg:"positional,required" help:"class, kind, model, version, adapter, pool, tenant, service or route"`
 	Name   string  `arg:"positional,required" help:"name; model/version for a version"`
--- a/cmd/tinarch/fleet.go
+++ b/cmd/tinarch/fleet.go
@@ -16,6 +16,10 @@
 	return tinarchv1connect.NewFleetServiceClient(http.DefaultClient, e.server, connect.WithInterceptors(cli.BearerToken(e.token)))
 }
 
+// statusCommand prints the nodes and the cells that the called node knows. HEARD is the time
+// since the node was last heard of, and PEERS is its own address for other nodes. The last table
+// has a row for each cell: a cell is a replica group that places requests on a part of a pool's
+// engines, so a pool with several cells has several rows, each with the leader of one of them.
 type statusCommand struct{}
 
 func (c *statusCommand) run(ctx context.Context, env environment) error {
@@ -37,6 +41,9 @@
 	})
 }
 
+// enginesCommand prints the engines as the leaders of their cells see them. A pool is printed as
+// "did not answer" once for each of its cells whose leader didn't; the engines of that cell are
+// missing then.
 type enginesCommand struct {
 	Pool string `arg:"positional" help:"pool (default: all)"`
 }
