--- a/spec/authority.pml
+++ b/spec/authority.pml
@@ -4,7 +4,8 @@
  * Two leaders succeed each other; the first may be paused at any point and go on in
  * the belief that it still leads. The engine crashes, loses its fence, and restarts
  * as another incarnation. Orders are delayed, lost, duplicated and reordered; answers
- * are lost.
+ * are lost. A claim is a leader's first order to an incarnation, which makes the engine
+ * refuse earlier leaders; it is not the ledger's claim of an idempotency key (claim.pml).
  *
  * Properties:
  *   - an order takes effect only under a fence at least as high as every fence
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -8,6 +8,8 @@
  * single register, which package internal/replica provides (lease.pml, epoch.pml); it
  * may lose its state together with a majority of its group. After some time an engine
  * discards the attempts that it has accepted, but not those that it was told to refuse.
+ * To claim a key is to record in the ledger the attempt that runs its request; it is not
+ * the order of that name in authority.pml.
  *
  * Property: the request is run at most once.
  *
--- a/spec/limit.pml
+++ b/spec/limit.pml
@@ -5,15 +5,17 @@
  * A worker has a limit or accepts everything, and changes that at any time. Two nodes send
  * it requests; an answer tells the worker's state at some moment between the sending of the
  * request and the receipt of the answer, and answers overtake each other. Node 0 tells node 1
- * the statement that it holds, with the ages of its sending and receipt; that message takes
- * up to SLACK ticks. The clocks of both nodes run at the same speed and show different times.
+ * the statement that is in force at node 0, with the ages of its sending and receipt; that
+ * message takes up to SLACK ticks. The clocks of both nodes run at the same speed and show
+ * different times.
  *
- * Property: no node holds that the worker accepts everything if it has received a newer
+ * Property: no node believes that the worker accepts everything if it has received a newer
  * statement that the worker has a limit.
  *
  * Guards, each removed by a macro:
- *   BY_ARRIVAL     the statement that arrives last holds
- *   LAX_OVERLAP    of two statements whose order isn't known the one that arrives last holds
+ *   BY_ARRIVAL     the statement that arrives last is in force
+ *   LAX_OVERLAP    of two statements whose order isn't known the one that arrives last is in
+ *                  force
  *   NO_SLACK       the receiver of a message computes the sending time from the age alone,
  *                  without subtracting SLACK for the time that the message may have taken
  */
@@ -34,7 +36,7 @@
 #define ANSWERED 2
 byte step[SLOTS]; byte owner[SLOTS]; byte sentAt[SLOTS]; byte answerState[SLOTS]; byte answerVersion[SLOTS];
 
-/* By node: the statement that holds, and as ghosts the newest one that was received. */
+/* By node: the statement in force (holds), and as ghosts the newest one that was received. */
 bool known[2]; byte holds[2]; byte holdsVersion[2]; short sent[2]; short received[2];
 byte newest[2]; byte newestVersion[2];
 
--- a/spec/quarantine.pml
+++ b/spec/quarantine.pml
@@ -6,14 +6,15 @@
  * sent again and again, D to either node, I to one of them. Crashes are numbered; what a node
  * knows of a request is the set of crashes at which it was present. Nodes and the store merge
  * their sets sooner or later; what nodes tell each other goes through the store in this
- * model. All nodes may lose their memory, and the store may not.
+ * model. All nodes may lose their memory; the store never does in this model.
  *
  * A node is in touch once it has received all that the other node and the store know; the
  * runs of D after that are bounded. A node decides on I once it is in touch.
  *
- * Properties: nodes in touch give D to two workers at most after the third crash (three
- * are allowed); a node refuses I, once reports have settled, only if I was present at three
- * crashes since it was last completed, and D not at all of them, or at five.
+ * Properties: after the third crash of D, nodes in touch give it to at most two more workers
+ * (the package allows three, trials included; the model has no trials). Once reports have
+ * settled, a node refuses I only if, since I was last completed, I was present at three or
+ * more crashes and D was absent from at least one of them, or I was present at five or more.
  *
  * Guards, each removed by a macro:
  *   NO_SHARE           nodes don't receive what others know
--- a/spec/storelease.pml
+++ b/spec/storelease.pml
@@ -5,11 +5,11 @@
  * Two nodes. Instead of clock times the model keeps ages and remaining times, which all
  * advance by a tick, so that time in the model has no end. Writes to the store may be carried
  * out at any later time, even after their sender has stopped waiting for them, and are
- * answered at any time after that or never. Orders to a worker are carried out at any later
+ * answered at any time after that or never. Orders to an engine are carried out at any later
  * time. A node may pause between deciding on an order and sending it.
  *
  * Properties: at most one node holds the lease at any time; a node sends an order only while
- * it holds the lease; a worker carries out no order with a lower fence after one with a
+ * it holds the lease; an engine carries out no order with a lower fence after one with a
  * higher.
  *
  * Guards, each removed by a macro:
@@ -20,7 +20,7 @@
  *   NO_CONDITION       writes are carried out whatever version the row has
  *   NO_RECHECK         a node sends an order that it decided on without checking its lease
  *                      again
- *   NO_FENCE           the worker does not compare fences
+ *   NO_FENCE           the engine does not compare fences
  */
 #define LEASE 2
 #define LAST_VERSION 3
@@ -39,8 +39,8 @@
 bool late[2]; byte lateCondition[2];
 byte result[2];                 /* row version after the pending write, REFUSED, or 0: none yet */
 
-bool ordered[2]; byte orderFence[2]; /* an order in transit to the worker */
-byte highest = 0;               /* fence that the worker carried out last */
+bool ordered[2]; byte orderFence[2]; /* an order in transit to the engine */
+byte highest = 0;               /* fence that the engine carried out last */
 
 #define HOLDS(i) (left[i] > 0)
 
@@ -74,7 +74,7 @@
     pending[i] = true; condition[i] = seen[i] - 1; sentFor[i] = 0; takesLease[i] = takeLease; result[i] = 0;
 }
 
-/* Every step that a node, the store on its behalf, and the worker may take. */
+/* Every step that a node, the store on its behalf, and the engine may take. */
 #define STEPS(i) \
     :: d_step { seen[i] != version + 1 -> seen[i] = version + 1; seenFor[i] = 0 } \
     :: d_step { MAY_WRITE(i) && HOLDS(i) -> startWrite(i, false) } \
