--- a/internal/lab/fleetstore/store.go
+++ b/internal/lab/fleetstore/store.go
@@ -1,6 +1,6 @@
-// Package fleetstore is a stand-in for the store of the users' platform: rows in
-// tables under one rising version, changes as a feed, transactions under
-// conditions. It speaks the platform's protocol and can be told to fail.
+// Package fleetstore is a fake of the platform's store for tests. It keeps rows in tables under
+// a single increasing version, serves changes as a feed, and runs transactions that depend on
+// row versions. It speaks the platform's protocol and can inject faults.
 package fleetstore
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Row is a row as it goes over the wire.
+// Row is a row as encoded on the wire.
 type Row struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -27,47 +27,47 @@
 	Gone    bool   `json:"gone,omitempty"`
 }
 
-// Faults are what the store can be told to do.
+// Faults are the faults that the store injects.
 type Faults struct {
 	// Down refuses all calls with 503.
 	Down bool
 	// Throttled refuses all calls with 429.
 	Throttled bool
-	// LoseWrites carries writes out and does not answer them.
+	// LoseWrites commits transactions but breaks off their connections without an answer.
 	LoseWrites bool
-	// StaleReads answers reads as of this version, zero for the newest.
+	// StaleReads answers reads as of this version; zero means the newest.
 	StaleReads uint64
 }
 
-// mostRows is the most changed rows that the store gives at once.
+// mostRows limits the changed rows in one response.
 const mostRows = 500
 
-// Store is a running stand-in.
+// Store is a running fake store.
 type Store struct {
 	server *httptest.Server
 
 	mu      sync.Mutex
 	version uint64
-	// era rises each time the store comes back from a copy.
+	// era is the number of the store's history; it rises with each restore from a backup.
 	era     uint64
 	rows    map[string]Row
 	history []Row
-	// written are all rows that were ever written, in order.
+	// written holds all rows ever written, in order, except those that a restore lost.
 	written []Row
-	// forgotten is the version up to which the history is gone.
+	// forgotten is the version up to which the change history has been dropped.
 	forgotten uint64
 	changed   chan struct{}
 	faults    Faults
-	// away breaks off all calls.
+	// away breaks off all calls without a response.
 	away  bool
 	calls int
-	// reads counts the calls that read rows, and feeds those for changes, by table.
+	// reads counts the calls that read rows and feeds those that ask for changes, by table.
 	reads, feeds map[string]int
-	// onRead is told the table of each call that reads rows, before it does; it may be nil.
+	// onRead, if not nil, is called with the table before each call that reads rows.
 	onRead func(table string)
 }
 
-// Start runs a store on a port of its own.
+// Start starts a store on a free port.
 func Start() *Store {
 	s := &Store{rows: make(map[string]Row), reads: make(map[string]int), feeds: make(map[string]int), changed: make(chan struct{})}
 	router := chi.NewRouter()
@@ -79,38 +79,38 @@
 	return s
 }
 
-// Address returns IP:PORT.
+// Address returns the store's IP:PORT.
 func (s *Store) Address() string { return strings.TrimPrefix(s.server.URL, "http://") }
 
-// Close ends the store.
+// Close stops the store and closes its connections.
 func (s *Store) Close() {
 	s.server.CloseClientConnections()
 	s.server.Close()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls so far, failed ones included.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Reads returns the number of calls that read rows of a table, changes left out.
+// Reads returns the number of calls that read rows of a table; calls for changes don't count.
 func (s *Store) Reads(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads[table]
 }
 
-// OnRead has a function told the table of each call that reads rows, before it does. It may
-// call the store.
+// OnRead sets a function that is called with the table before each call that reads rows. The
+// function may call the store.
 func (s *Store) OnRead(told func(table string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +124,8 @@
 	return s.feeds[table]
 }
 
-// Compact drops the history, as after a compaction.
+// Compact drops the change history, as a compaction does. A node that asks for changes since an
+// earlier version is then answered 410 Gone.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +134,8 @@
 	s.wake()
 }
 
-// SetUnreachable has the store break off all calls, those under way too, or answer again.
+// SetUnreachable makes the store break off all calls, including those in flight, or answer
+// again.
 func (s *Store) SetUnreachable(away bool) {
 	s.mu.Lock()
 	s.away = away
@@ -143,9 +145,9 @@
 	}
 }
 
-// Restore has the store come back from a copy: its rows, versions and history are those of a
-// version again, its era rises, and open connections are cut. It returns the last state of each
-// row that was lost.
+// Restore puts the store back to the state at a version, as a restore from a backup does: rows,
+// versions and history are those of then, the era rises, and open connections are cut. It
+// returns the last state of each row that was lost.
 func (s *Store) Restore(version uint64) (lost []Row) {
 	s.mu.Lock()
 	isLater := func(row Row) bool { return row.Version > version }
@@ -165,7 +167,7 @@
 	return lost
 }
 
-// newestOf returns the last of the rows with each key.
+// newestOf returns the last row for each table and key.
 func newestOf(rows []Row) []Row {
 	byName := make(map[string]Row)
 	for _, row := range rows {
@@ -174,8 +176,8 @@
 	return slices.Collect(maps.Values(byName))
 }
 
-// RewriteLost writes a row that was lost, unless it was written since the store came back with a
-// version.
+// RewriteLost writes a row that a restore lost, unless it has been written since the store was
+// restored to the given version.
 func (s *Store) RewriteLost(lost Row, restored uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,14 +189,15 @@
 	s.write([]Row{lost})
 }
 
-// Era returns the number of the store's history.
+// Era returns the number of the store's history, which rises with each restore.
 func (s *Store) Era() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// Put writes a row as the operator or a worker does. A nil value removes it.
+// Put writes a row as the operator or a worker does, and returns its version. A nil value
+// removes the row.
 func (s *Store) Put(table, key string, value any) uint64 {
 	row := Row{Table: table, Key: key}
 	if value == nil {
@@ -208,7 +211,7 @@
 	return s.version
 }
 
-// Rows returns the rows of a table in order of their keys.
+// Rows returns the rows of a table, sorted by key.
 func (s *Store) Rows(table string) []Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,7 +269,7 @@
 	s.wake()
 }
 
-// keep has a written row stand.
+// keep applies a written row to the current rows.
 func (s *Store) keep(row Row) {
 	if row.Gone {
 		delete(s.rows, row.name())
@@ -346,8 +349,8 @@
 	s.replyWith(writer, http.StatusOK, answer{Rows: rows, More: more, Version: version})
 }
 
-// within returns the rows from one key up to another, which is left out, or to the end where
-// that is empty.
+// within returns the rows with keys from from up to, but not including, to. An empty to means
+// no upper bound.
 func within(rows []Row, from, to string) []Row {
 	return slices.DeleteFunc(rows, func(row Row) bool { return row.Key < from || to != "" && row.Key >= to })
 }
@@ -430,7 +433,7 @@
 	s.reply(writer, http.StatusOK, nil, version)
 }
 
-// differing returns the rows of a condition that don't have the version wanted.
+// differing returns the current rows whose version isn't the one that a condition requires.
 func (s *Store) differing(conditions []Row) []Row {
 	var differing []Row
 	for _, condition := range conditions {
