--- a/internal/lab/fleetworker/crash.go
+++ b/internal/lab/fleetworker/crash.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// crash ends the worker with all that it runs. Nobody listens at its address any more once
-// the first of its connections breaks off. It does not return.
+// crash ends the worker with everything that it runs. It closes the listener before it breaks
+// off the first connection, so a new connection is refused by then. It does not return.
 func (w *Worker) crash() {
 	w.crashed.Do(func() {
 		_ = w.server.Listener.Close()
@@ -18,7 +18,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// SetCrashOn changes which requests crash the worker, none where the text is empty.
+// SetCrashOn sets the text that makes a request crash the worker; empty means that none does.
 func (w *Worker) SetCrashOn(text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/fleetworker/notices.go
+++ b/internal/lab/fleetworker/notices.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// SetLimit has the worker name a limit in its answers, and none where it is empty.
+// SetLimit makes the worker state a limit in its answers; empty means that it states none.
 func (w *Worker) SetLimit(limit string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limit = limit
 }
 
-// arrive counts a request of a node, and names in its answer what the worker says of itself.
+// arrive records a request from a node and sets the headers that announce the worker's limit
+// and coming shutdown.
 func (w *Worker) arrive(writer http.ResponseWriter, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -32,22 +33,22 @@
 	}
 }
 
-// SetLeaving has the worker's answers say that it is about to end, or not.
+// SetLeaving sets whether the worker's answers announce that it is about to end.
 func (w *Worker) SetLeaving(leaving bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = leaving
 }
 
-// SetBackoff has the worker reject all requests and ask to be left alone for so many seconds, and
-// take them where that is empty.
+// SetBackoff makes the worker reject all requests with a backoff of this many seconds in
+// Retry-After; empty means that it accepts them.
 func (w *Worker) SetBackoff(seconds string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pause = seconds
 }
 
-// pauses reports whether the worker rejects requests, and names the time in the answer.
+// pauses reports whether the worker rejects requests, and if so sets Retry-After.
 func (w *Worker) pauses(writer http.ResponseWriter) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,25 +58,26 @@
 	return w.pause != ""
 }
 
-// Arrival is a request of a node that reached a worker.
+// Arrival is a request from a node that reached the worker.
 type Arrival struct {
-	// ID is the request's, empty where it has none.
+	// ID is the request's id; empty if it has none.
 	ID string
 	At time.Time
-	// Leaving tells that the answer said the worker is about to end, and Pause for how long the
-	// worker asked to be left alone then.
+	// Leaving reports whether the answer announced that the worker is about to end. Backoff is
+	// the time for which the worker asked to get no requests, zero if none.
 	Leaving bool
 	Backoff time.Duration
 }
 
-// Arrivals returns the requests of any kind that came.
+// Arrivals returns the requests of all kinds that reached the worker.
 func (w *Worker) Arrivals() []Arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.arrivals)
 }
 
-// MaxInWindow returns the most of some times, in rising order, that lie in one window.
+// MaxInWindow returns the largest number of the given times, which are sorted, that lie within
+// one window.
 func MaxInWindow(times []time.Time, window time.Duration) int {
 	busiest, first := 0, 0
 	for last, at := range times {
--- a/internal/lab/fleetworker/order.go
+++ b/internal/lab/fleetworker/order.go
@@ -9,13 +9,14 @@
 	"github.com/tinarch/tinarch/internal/lab/fences"
 )
 
-// stageOrder is the body of an order to have a stage.
+// stageOrder is the body of an order that changes the worker's stage.
 type stageOrder struct {
 	Op, Stage, Holder string
 	Fence             uint64
 }
 
-// order carries an order out at once, or leaves it unanswered and does so later.
+// order carries out an order. With late orders it waits first, and then breaks off the
+// connection instead of answering.
 func (w *Worker) order(writer http.ResponseWriter, body []byte) {
 	var order stageOrder
 	err := json.Unmarshal(body, &order)
@@ -40,8 +41,9 @@
 	}
 }
 
-// carryOut reports whether an order changed the stage. One that is carried out behind an
-// order of a higher fence breaks a promise: it undoes what the newer holder wanted.
+// carryOut carries out an order and reports whether the stage changed. It records a violation
+// if an order with a higher fencing token was carried out before: this one undoes what the
+// newer lease holder wanted.
 func (w *Worker) carryOut(order stageOrder) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,14 +59,16 @@
 	return true
 }
 
-// SetLateOrders has orders left unanswered and carried out after a time, zero for at once.
+// SetLateOrders makes the worker carry out orders after this time and leave them unanswered;
+// zero means at once and answered.
 func (w *Worker) SetLateOrders(after time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lateOrders = after
 }
 
-// Fences is the log of the orders that reached the worker, which compares no fences.
+// Fences returns the log of the orders that reached the worker. The worker itself doesn't
+// compare fencing tokens.
 func (w *Worker) Fences() *fences.Log { return w.fences }
 
 func (w *Worker) currentStage() string {
@@ -73,7 +77,7 @@
 	return w.stage
 }
 
-// Orders counts the orders that the worker carried out.
+// Orders returns the number of orders that changed the worker's stage.
 func (w *Worker) Orders() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/fleetworker/order_test.go
+++ b/internal/lab/fleetworker/order_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestOrdersAreNoRequests: an order changes the stage that the entry shows, and isn't
+// TestOrdersAreNoRequests: an order changes the stage in the worker's list entry and isn't
 // counted as a request that ran.
 func TestOrdersAreNoRequests(t *testing.T) {
 	staged := 0
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestLateOrderIsSeen: an order may be left unanswered and carried out later; behind a newer
-// holder's that breaks a promise.
+// TestLateOrderIsSeen: a late order is carried out without an answer, and one that is carried
+// out after a newer holder's order is a violation.
 func TestLateOrderIsSeen(t *testing.T) {
 	w := Start(Options{ID: "w", Stage: "decode"})
 	defer w.Close()
--- a/internal/lab/fleetworker/worker.go
+++ b/internal/lab/fleetworker/worker.go
@@ -1,6 +1,6 @@
-// Package fleetworker is a stand-in for the workers of the users' platform, model
-// engines in two stages and others, speaking the platform's protocol. It counts
-// what it ran, and can be told to fail.
+// Package fleetworker is a fake of the platform's workers for tests: model engines with a
+// prefill or decode stage, and workers without a stage. It speaks the platform's protocol,
+// records the requests that it ran, and can inject faults.
 package fleetworker
 
 import (
@@ -20,27 +20,28 @@
 	"github.com/tinarch/tinarch/internal/lab/fences"
 )
 
-// Fault is what a worker does with requests.
+// Fault is a way in which a worker fails requests.
 type Fault string
 
-// The faults.
+// The faults that a worker can inject.
 const (
 	NoFault Fault = ""
 	// Full rejects requests without running them.
 	Full Fault = "full"
-	// Failing answers 500 after it ran.
+	// Failing runs the request and answers 500.
 	Failing Fault = "failing"
-	// CutEarly ends the connection after it ran, before any answer.
+	// CutEarly closes the connection after the request ran, before any answer.
 	CutEarly Fault = "cut early"
-	// CutMidway ends the connection within the answer.
+	// CutMidway closes the connection in the middle of the answer.
 	CutMidway Fault = "cut midway"
-	// Hanging runs and says nothing.
+	// Hanging runs the request and never answers.
 	Hanging Fault = "hanging"
-	// LosesHandles forgets prompts that it read apart at once.
+	// LosesHandles answers a disaggregated prefill but keeps no KV handle for it, so that the
+	// fetch by a decode engine fails.
 	LosesHandles Fault = "lapsing"
 )
 
-// Options describe a worker.
+// Options configure a worker.
 type Options struct {
 	ID      string
 	Service string
@@ -48,40 +49,42 @@
 	// Stage is empty for workers that aren't model engines.
 	Stage string
 	Slots int
-	// Events is the length of streams.
+	// Events is the number of events in a streamed answer.
 	Events int
 	// Pause is the time between events.
 	Pause time.Duration
-	// OnStageChange is told of each stage to which the worker was ordered, for its entry in the
-	// platform's list. It may be nil.
+	// OnStageChange, if not nil, is called after an order has changed the worker's stage, so
+	// that its entry in the platform's worker list can be updated.
 	OnStageChange func(w *Worker)
-	// CachedParts are parts of prompts that the worker says it keeps, with their tokens.
+	// CachedParts maps the prompt parts that the worker reports as cached to their token
+	// counts.
 	CachedParts map[string]int
-	// Born is when the worker started in Unix milliseconds; it doesn't tell where it is zero.
+	// Born is when the worker started, in Unix milliseconds; zero leaves it out of the entry.
 	Born int64
-	// Address is where the worker listens; any port where it is empty.
+	// Address is the address to listen on; empty means any free port.
 	Address string
-	// CrashOn has the worker crash as soon as it runs a request whose body holds this text,
-	// with all that it runs beside; Crashed is told of it before the first connection breaks
-	// off, and must return. Both may be empty.
+	// CrashOn makes the worker crash, with everything else that it runs, as soon as it runs a
+	// request whose body contains this text; empty means never. OnCrash, if not nil, is called
+	// before the first connection is broken off, and must return.
 	CrashOn string
 	OnCrash func(w *Worker)
-	// OnPrefill is told of each prompt that is read apart, before that is answered; it may be nil.
+	// OnPrefill, if not nil, is called with the request id of each disaggregated prefill before
+	// it is answered.
 	OnPrefill func(id string)
 }
 
-// Run is a request that a worker worked on.
+// Run is a request that a worker ran.
 type Run struct {
 	ID     string
 	Worker string
 	Target string
 	Header http.Header
 	Body   []byte
-	// At is when the worker began.
+	// At is when the worker began to run it.
 	At time.Time
 }
 
-// Worker is a running stand-in.
+// Worker is a running fake worker.
 type Worker struct {
 	options Options
 	server  *httptest.Server
@@ -99,22 +102,21 @@
 	left    int
 	lists   int
 	orders  int
-	// limit is what the worker names in its answers, empty where it names none, and arrivals
-	// are the requests that came, of all kinds.
+	// limit is the limit stated in answers, empty for none; arrivals records the requests of
+	// all kinds that came.
 	limit    string
 	arrivals []Arrival
-	// leaving tells that the worker's answers say it is about to end, and pause is the time in
-	// seconds for which it asks to be left alone in each rejection, all requests being rejected;
-	// empty where it takes them.
+	// leaving makes the answers announce that the worker is about to end. If pause isn't empty,
+	// all requests are rejected with it as Retry-After, in seconds.
 	leaving bool
 	pause   string
-	// carried is the highest fence of the orders carried out, and lateOrders how long
-	// orders are left unanswered before they are.
+	// carried is the highest fencing token of the orders carried out. lateOrders is how long
+	// orders wait, unanswered, before they are carried out.
 	carried    uint64
 	lateOrders time.Duration
 }
 
-// Start runs a worker on a port of its own.
+// Start starts a worker on its configured address or a free port.
 func Start(options Options) *Worker {
 	if options.Slots == 0 {
 		options.Slots = 8
@@ -131,7 +133,7 @@
 	return w
 }
 
-// listen has the worker listen at an address that an earlier one has left.
+// listen makes the worker listen on an address that an earlier worker used.
 func (w *Worker) listen(address string) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -141,47 +143,48 @@
 	w.server.Listener = listener
 }
 
-// Address returns IP:PORT.
+// Address returns the worker's IP:PORT.
 func (w *Worker) Address() string { return strings.TrimPrefix(w.server.URL, "http://") }
 
 // ID returns the worker's id.
 func (w *Worker) ID() string { return w.options.ID }
 
-// Close ends the worker at once.
+// Close stops the worker and closes its connections.
 func (w *Worker) Close() {
 	w.server.CloseClientConnections()
 	w.server.Close()
 }
 
-// SetFault makes the next count requests fail so; a negative count means all.
+// SetFault applies a fault to the next count requests, or to all if count is negative.
 func (w *Worker) SetFault(fault Fault, count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault, w.faulty = fault, count
 }
 
-// Runs returns what the worker worked on, prompts read apart not among it.
+// Runs returns the requests that the worker ran; disaggregated prefills don't count.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Run(nil), w.runs...)
 }
 
-// CallersGone counts requests whose caller had gone before their end.
+// CallersGone returns the number of requests whose caller disconnected before the answer was
+// complete.
 func (w *Worker) CallersGone() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.left
 }
 
-// FreedHandles counts the handles that were freed without being taken.
+// FreedHandles returns the number of KV handles that were released without being fetched.
 func (w *Worker) FreedHandles() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.freed
 }
 
-// Entry is the worker's row in the platform's list.
+// Entry returns the worker's row in the platform's worker list, in the given state.
 func (w *Worker) Entry(state string) map[string]any {
 	entry := map[string]any{
 		"Service": w.options.Service, "Address": w.Address(), "Zone": w.options.Zone,
@@ -197,13 +200,14 @@
 	return entry
 }
 
-// Signature is what the worker puts under its answer to a request.
+// Signature returns the signature of the worker's answer to a request. It depends on the worker
+// and the request id, so that a check can tell whose answer a caller received.
 func (w *Worker) Signature(id string) string {
 	sum := sha256.Sum256([]byte(w.options.ID + " " + id))
 	return hex.EncodeToString(sum[:8])
 }
 
-// Body is the whole answer to a request, after an event.
+// Body returns the complete answer to a request, from the event that follows number after.
 func Body(id string, events, after int) string {
 	var out strings.Builder
 	for event := after + 1; event <= events; event++ {
@@ -212,7 +216,7 @@
 	return out.String()
 }
 
-// takeFault returns the fault of the next request.
+// takeFault returns the fault for the next request and counts it down.
 func (w *Worker) takeFault() Fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -230,7 +234,7 @@
 		return
 	}
 	id := request.Header.Get("X-Request-Id")
-	if request.Header.Get("X-Taken") == "" { // else another worker fetches
+	if request.Header.Get("X-Taken") == "" { // X-Taken marks the fetch of a KV handle by another worker
 		w.arrive(writer, id)
 	}
 	writer.Header().Set("X-Request-Id", id)
@@ -272,13 +276,13 @@
 	w.run(writer, request, id, body, fault)
 }
 
-// report tells the worker's state.
+// report answers a request for the worker's state.
 func (w *Worker) report(writer http.ResponseWriter) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(map[string]any{"Stage": w.currentStage(), "Busy": false, "Waiting": 0, "Running": 0})
 }
 
-// list tells what the worker keeps: the parts that its options name.
+// list answers with the cache list: the prompt parts in Options.CachedParts.
 func (w *Worker) list(writer http.ResponseWriter) {
 	w.mu.Lock()
 	w.lists++
@@ -291,21 +295,21 @@
 	_ = json.NewEncoder(writer).Encode(map[string]any{"epoch": 1, "NextPageToken": 1, "held": held})
 }
 
-// ListCalls counts how often the worker was asked what it keeps.
+// ListCalls returns how often the worker was asked for its cache list.
 func (w *Worker) ListCalls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lists
 }
 
-// reject answers that the request was not run, and nothing else.
+// reject answers that the request was not run, and states no limit.
 func reject(writer http.ResponseWriter) {
 	writer.Header().Del("Server-Limit")
 	writer.Header().Set("X-Not-Executed", "1")
 	writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// read keeps a prompt under a handle.
+// read answers a disaggregated prefill and keeps its KV cache under a handle.
 func (w *Worker) read(writer http.ResponseWriter, id string, fault Fault) {
 	if fault == CutEarly {
 		panic(http.ErrAbortHandler)
@@ -322,7 +326,8 @@
 	_ = json.NewEncoder(writer).Encode(map[string]any{"KvHandle": "h" + id, "Tokens": 1, "Version": 1})
 }
 
-// fetch takes the prompt that another worker keeps.
+// fetch fetches, for a decode stage, the KV cache that another worker keeps under a handle, and
+// reports whether that worker still had it.
 func fetch(source string) bool {
 	address, handle, _ := strings.Cut(source, "/")
 	request, err := http.NewRequest(http.MethodDelete, "http://"+address+"/v1/kv-handle/"+handle, nil)
@@ -338,7 +343,8 @@
 	return response.Header.Get("X-Handle-Known") != ""
 }
 
-// drop forgets a handle, and reports whether it was known.
+// drop deletes a KV handle and reports whether it was known. unused tells that it is released
+// without being fetched.
 func (w *Worker) drop(handle string, unused bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
