--- a/internal/lab/fleetapi/api.go
+++ b/internal/lab/fleetapi/api.go
@@ -1,6 +1,6 @@
-// Package fleetapi is a stand-in for the API of the users' platform: reports of usage
-// and orders for workers, under fences that rise. It speaks the platform's protocol,
-// remembers what it was told, and can be told to fail.
+// Package fleetapi is a fake of the platform's API for tests. It receives usage reports and
+// orders to scale workers, each with a fencing token. It speaks the platform's protocol,
+// records what it received, and can inject faults.
 package fleetapi
 
 import (
@@ -19,34 +19,35 @@
 	"github.com/tinarch/tinarch/internal/lab/fences"
 )
 
-// Faults are what the API can be told to do.
+// Faults are the faults that the API injects.
 type Faults struct {
 	// Down refuses all calls with 503.
 	Down bool
-	// LoseAnswers carries calls out and doesn't answer them.
+	// LoseAnswers carries calls out and breaks off their connections without an answer.
 	LoseAnswers bool
-	// Delay is how long a call takes.
+	// Delay is how long the API waits before it handles a call.
 	Delay time.Duration
-	// Late leaves calls unanswered, and carries them out after that time.
+	// Late carries calls out after this time and leaves them unanswered.
 	Late time.Duration
 }
 
-// disrupted reports whether the API is in trouble: calls that come meanwhile don't count.
+// disrupted reports whether any fault is injected. An unfenced API doesn't check the fencing
+// tokens of calls that come meanwhile.
 func (f Faults) disrupted() bool { return f != Faults{} }
 
-// Order is an order for workers.
+// Order is an order that sets the number of workers of a service in a zone.
 type Order struct {
 	Service, Zone string
 	DesiredCount  int
 	Spot          bool
 }
 
-// API is a running stand-in.
+// API is a running fake API.
 type API struct {
 	server *httptest.Server
 
 	fences *fences.Log
-	// unfenced tells that lower fences aren't refused.
+	// unfenced makes the API carry out calls with stale fencing tokens.
 	unfenced bool
 
 	mu      sync.Mutex
@@ -55,11 +56,11 @@
 	orders  []Order
 }
 
-// Start runs an API on a port of its own, that refuses lower fences.
+// Start starts an API on a free port. It refuses calls whose fencing token is stale.
 func Start() *API { return start(false) }
 
-// StartUnfenced runs an API that carries out whatever comes, and remembers lower fences as
-// broken promises.
+// StartUnfenced starts an API that carries out every call, and records a stale fencing token as
+// a violation.
 func StartUnfenced() *API { return start(true) }
 
 func start(unfenced bool) *API {
@@ -71,41 +72,41 @@
 	return a
 }
 
-// Address returns IP:PORT.
+// Address returns the API's IP:PORT.
 func (a *API) Address() string { return strings.TrimPrefix(a.server.URL, "http://") }
 
-// Close ends the API.
+// Close stops the API and closes its connections.
 func (a *API) Close() {
 	a.server.CloseClientConnections()
 	a.server.Close()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (a *API) SetFaults(faults Faults) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.faults = faults
 }
 
-// Fences is the log of the calls.
+// Fences returns the log of the calls and their fencing tokens.
 func (a *API) Fences() *fences.Log { return a.fences }
 
-// Reports returns the counts that were reported, by window, in order.
+// Reports returns the reported counts per tenant, by window, in the order in which they came.
 func (a *API) Reports() map[int64][]map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.reports)
 }
 
-// Orders returns the orders for workers, in order.
+// Orders returns the orders for workers in the order in which they were carried out.
 func (a *API) Orders() []Order {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]Order(nil), a.orders...)
 }
 
-// Violations returns the promises that the calls broke: two truths of a window, and those of
-// fences.
+// Violations returns the violations found in the calls: windows that were reported with
+// different counts, and those that the fence log found.
 func (a *API) Violations(lease time.Duration) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,8 +121,8 @@
 	return problems
 }
 
-// admit applies the faults and checks the fence. It reports whether the call is carried
-// out, and whether it is to be answered.
+// admit applies the faults and checks the fencing token. It reports whether the call is to be
+// carried out, and whether it is to be answered.
 func (a *API) admit(writer http.ResponseWriter, request *http.Request, duty string) (done, answered bool) {
 	a.mu.Lock()
 	faults := a.faults
--- a/internal/lab/fleetapi/api_test.go
+++ b/internal/lab/fleetapi/api_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestProblemsAreFound: the checks fail where promises are broken.
+// TestProblemsAreFound: Violations reports conflicting usage reports, a fencing token that two
+// holders use, and holders that alternate; and a stale token is refused.
 func TestProblemsAreFound(t *testing.T) {
 	report := func(a *API, holder string, fence, window, count int) int {
 		body := fmt.Sprintf(`{"Window":%d,"Counts":{"t":%d}}`, window, count)
@@ -49,8 +50,8 @@
 	}
 }
 
-// TestUnfencedAPI: it carries a lower fence out, and remembers it as a broken promise, but
-// not of a call that came while the API was in trouble.
+// TestUnfencedAPI: the API carries out a call with a stale fencing token and reports it as a
+// violation, unless the call came while faults were injected.
 func TestUnfencedAPI(t *testing.T) {
 	for _, example := range []struct {
 		faults Faults
