--- a/internal/lab/fences/fences.go
+++ b/internal/lab/fences/fences.go
@@ -1,6 +1,6 @@
-// Package fences follows the calls that a stand-in receives from the holders of a lease, and
-// finds those that break what fences promise. It serves stand-ins that compare fences and
-// those that don't.
+// Package fences records the calls that a fake platform service receives from lease holders,
+// and finds those that violate what fencing tokens guarantee. It serves fakes that refuse stale
+// tokens and fakes that don't.
 package fences
 
 import (
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// Call is a call of a holder.
+// Call is a call from a lease holder.
 type Call struct {
-	// Subject is what the call is about: a lower fence counts within one subject.
+	// Subject is what the call is about; fencing tokens are compared within one subject.
 	Subject string
 	Holder  string
 	Fence   uint64
 	At      time.Time
 }
 
-// Log is the calls that a stand-in took. It is safe for concurrent use.
+// Log records the calls that a fake carried out. It is safe for concurrent use.
 type Log struct {
 	mu      sync.Mutex
 	calls   []Call
 	highest map[string]uint64
-	// excused is until when calls of holders don't count, and all until when none do.
+	// Until these times, calls from a holder, or from all holders, are not checked.
 	excused map[string]time.Time
 	all     time.Time
 	broken  []string
@@ -34,7 +34,8 @@
 	return &Log{highest: make(map[string]uint64), excused: make(map[string]time.Time)}
 }
 
-// IgnoreUntil has calls of a holder not count until a moment: it was paused, and is going on.
+// IgnoreUntil leaves the calls of a holder unchecked until a time. It is for a holder that was
+// paused and now resumes: calls that it had begun may still arrive.
 func (l *Log) IgnoreUntil(holder string, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,8 +44,8 @@
 	}
 }
 
-// IgnoreAllUntil has no call count until a moment: a link is mended, or any holder may have been
-// paused.
+// IgnoreAllUntil leaves all calls unchecked until a time. It is for a connection that works
+// again, or a pause after which the holder isn't known.
 func (l *Log) IgnoreAllUntil(until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,8 +54,8 @@
 	}
 }
 
-// RecordUnlessStale takes a call in as a stand-in does that compares fences: it reports false
-// for a lower fence than one before on its subject, which is refused.
+// RecordUnlessStale records a call for a fake that compares fencing tokens. It reports false,
+// for the fake to refuse the call, if a higher token was seen on the same subject.
 func (l *Log) RecordUnlessStale(call Call) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,8 +66,8 @@
 	return true
 }
 
-// Record takes a call in that is carried out whatever its fence. A lower one than before
-// breaks a promise.
+// Record records a call for a fake that carries it out whatever its fencing token is. A lower
+// token than before on the same subject is a violation.
 func (l *Log) Record(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,15 +85,15 @@
 	l.calls = append(l.calls, call)
 }
 
-// AddViolation adds a promise that was seen broken otherwise.
+// AddViolation adds a violation that was found elsewhere.
 func (l *Log) AddViolation(problem string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.broken = append(l.broken, problem)
 }
 
-// Violations returns the promises that were broken: a lower fence after a higher one, one
-// fence of two holders, and holders that took turns within the life of a lease.
+// Violations returns the violations found: a lower fencing token after a higher one, a token
+// that two holders used, and holders that alternated within the lifetime of a lease.
 func (l *Log) Violations(lease time.Duration) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,7 +109,8 @@
 	return append(problems, turns(l.calls, lease)...)
 }
 
-// turns finds holders that acted A, B, A within a time.
+// turns finds holders that acted before and after another one within a time: A, B, A. A lease
+// can't change hands that often while it lasts.
 func turns(calls []Call, within time.Duration) []string {
 	var problems []string
 	for i := range calls {
--- a/internal/lab/fences/fences_test.go
+++ b/internal/lab/fences/fences_test.go
@@ -13,7 +13,8 @@
 	return Call{Subject: "s", Holder: holder, Fence: fence, At: origin.Add(time.Duration(second * float64(time.Second)))}
 }
 
-// TestBrokenPromisesAreFound: and calls that count for nothing are not.
+// TestBrokenPromisesAreFound: stale fencing tokens, tokens that two holders share and
+// alternating holders are reported, and calls that are excused are not.
 func TestBrokenPromisesAreFound(t *testing.T) {
 	other := call("b", 1, 1)
 	other.Subject = "another"
