--- a/internal/lab/memorystore/store.go
+++ b/internal/lab/memorystore/store.go
@@ -1,5 +1,5 @@
-// Package memorystore is a store of rows in the memory of a test. It can be told to be
-// away, and to lose answers.
+// Package memorystore is an in-memory store of rows for tests. It can be made unavailable, and
+// can lose the answers to writes.
 package memorystore
 
 import (
@@ -12,31 +12,31 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// ErrUnavailable is what calls get that have no answer.
+// ErrUnavailable is returned by calls that get no answer.
 var ErrUnavailable = errors.New("the store is away")
 
-// Faults are what the store can be told to do.
+// Faults are the faults that the store injects.
 type Faults struct {
-	// Down answers nothing and does nothing.
+	// Down fails all calls without carrying them out.
 	Down bool
-	// LoseWrites carries transactions out and doesn't answer them.
+	// LoseWrites commits transactions and returns ErrUnavailable for them.
 	LoseWrites bool
 }
 
-// Store implements rowstore.Store, and the reading of whole tables. It is safe for
-// concurrent use.
+// Store implements rowstore.Store and reads whole tables. It is safe for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[string]map[string]tablefeed.Row
 	version uint64
 	era     uint64
-	// written are all rows that were ever written, in order; those without a value were removed.
+	// written holds all rows ever written, in order, except those that a restore lost. A row
+	// without a value is a removal.
 	written []writtenRow
 	faults  Faults
 	calls   int
 }
 
-// writtenRow is a row as it was written.
+// writtenRow is a written row and the version of its transaction.
 type writtenRow struct {
 	rowstore.Write
 	version uint64
@@ -45,7 +45,7 @@
 // New returns an empty store.
 func New() *Store { return &Store{rows: make(map[string]map[string]tablefeed.Row)} }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,14 +59,14 @@
 	return s.era
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls so far, failed ones included.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// begin counts a call, and reports whether it is answered.
+// begin counts a call and returns ErrUnavailable if the store is down.
 func (s *Store) begin() error {
 	s.calls++
 	if s.faults.Down {
@@ -100,8 +100,9 @@
 	return rows, s.newest(), nil
 }
 
-// Transact implements rowstore.Store. Conditions are compared by their numbers; one of a lost
-// history that holds all the same gets no answer, as of a node that hasn't heard of the new one.
+// Transact implements rowstore.Store. Conditions are compared by version number alone. If one
+// that holds has a version of an earlier era, the transaction is committed and returns
+// rowstore.ErrRestored: the node hadn't heard of the restore, so it can't rely on the result.
 func (s *Store) Transact(_ context.Context, transaction rowstore.Transaction) (uint64, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,10 +131,11 @@
 	return uint64(s.newest()), true, nil
 }
 
-// newest is the version of the last transaction.
+// newest returns the version of the last transaction.
 func (s *Store) newest() tablefeed.Version { return tablefeed.VersionOf(s.era, s.version) }
 
-// Restore has the store come back from the copy that was made after so many transactions.
+// Restore puts the store back to its state after this many transactions, as a restore from a
+// backup does, and raises the era.
 func (s *Store) Restore(version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
