--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs a node as a process of its own, again and again, and signals
-// it. Only processes that it started are ended, by their ids.
+// Package process runs a node as a separate process, restarts it and sends it signals. It only
+// signals processes that it started, by process id.
 package process
 
 import (
@@ -17,17 +17,17 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Node is a node that runs as a process, and may be started again after it ended.
+// Node is a node that runs as a process and can be started again after it exited.
 type Node struct {
-	// Program is the path of tinarchd, and Arguments stand before --config.
+	// Program is the path of tinarchd; Arguments precede --config.
 	Program   string
 	Arguments []string
-	// Directory takes the settings file and the log, under Name.
+	// Directory holds the settings file and the log, Name.yaml and Name.log.
 	Directory string
 	Name      string
-	// Settings are written as YAML at each start.
+	// Settings are written as YAML before each start.
 	Settings any
-	// ReadyURL answers 200 when the node takes requests.
+	// ReadyURL answers 200 when the node accepts requests.
 	ReadyURL string
 
 	mu      sync.Mutex
@@ -38,26 +38,26 @@
 
 const killTimeout = 5 * time.Second
 
-// SetProgram has the next incarnation run another program.
+// SetProgram sets the program that the next start runs.
 func (n *Node) SetProgram(path string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.Program = path
 }
 
-// Starts counts the incarnations.
+// Starts returns the number of incarnations started so far.
 func (n *Node) Starts() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.starts
 }
 
-// Start runs a new incarnation, unless one runs.
+// Start starts a new incarnation unless one is running.
 func (n *Node) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.running() {
-		return nil // another failure of the same node has started it already
+		return nil // another fault injected on the same node has already restarted it
 	}
 	content, err := yaml.Marshal(n.Settings)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// running reports whether the incarnation has not ended. The caller holds the lock.
+// running reports whether the incarnation has not exited. The caller holds the lock.
 func (n *Node) running() bool {
 	if n.exited == nil {
 		return false
@@ -101,7 +101,7 @@
 	}
 }
 
-// Signal sends a signal to the running incarnation.
+// Signal sends a signal to the last incarnation, if there is one.
 func (n *Node) Signal(signal syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// Wait waits until the incarnation has ended, or for ctx. It reports whether it has.
+// Wait waits until the incarnation has exited or ctx is done, and reports whether it exited.
 func (n *Node) Wait(ctx context.Context) bool {
 	n.mu.Lock()
 	exited := n.exited
@@ -126,7 +126,7 @@
 	}
 }
 
-// Kill ends the incarnation at once.
+// Kill kills the incarnation, even if it is paused, and waits for its exit.
 func (n *Node) Kill() {
 	n.Signal(syscall.SIGCONT)
 	n.Signal(syscall.SIGKILL)
@@ -135,7 +135,7 @@
 	n.Wait(ctx)
 }
 
-// Ready reports whether the node takes requests.
+// Ready reports whether the node accepts requests.
 func (n *Node) Ready(ctx context.Context) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, n.ReadyURL, nil)
 	if err != nil {
