--- a/internal/lab/provenance/provenance.go
+++ b/internal/lab/provenance/provenance.go
@@ -1,4 +1,4 @@
-// Package provenance tells what a stored result was measured on.
+// Package provenance describes the build and machine on which a result was measured.
 package provenance
 
 import (
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Provenance is stored with each result.
+// Provenance describes where a result comes from; it is stored with the result.
 type Provenance struct {
 	Commit    string `json:"commit"`
 	Command   string `json:"command"`
@@ -17,7 +17,7 @@
 	Processor string `json:"processor"`
 }
 
-// Collect describes this process and machine.
+// Collect returns the provenance of results that this process measures.
 func Collect() Provenance {
 	arguments := append([]string{"tinarch-lab"}, os.Args[1:]...)
 	return Provenance{
@@ -29,7 +29,8 @@
 	}
 }
 
-// commit returns the checked-out commit, with a mark where files have changed.
+// commit returns the checked-out commit, with "+changes" appended if tracked files differ from
+// it.
 func commit() string {
 	head, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
