--- a/internal/lab/fleetstore/store.go
+++ b/internal/lab/fleetstore/store.go
@@ -39,8 +39,8 @@
 	StaleReads uint64
 }
 
-// mostRows limits the changed rows in one response.
-const mostRows = 500
+// maxRowsPerAnswer limits the changed rows in one response.
+const maxRowsPerAnswer = 500
 
 // Store is a running fake store.
 type Store struct {
@@ -54,13 +54,13 @@
 	history []Row
 	// written holds all rows ever written, in order, except those that a restore lost.
 	written []Row
-	// forgotten is the version up to which the change history has been dropped.
-	forgotten uint64
-	changed   chan struct{}
-	faults    Faults
-	// away breaks off all calls without a response.
-	away  bool
-	calls int
+	// compactedTo is the version up to which the change history has been dropped.
+	compactedTo uint64
+	changed     chan struct{}
+	faults      Faults
+	// unreachable breaks off all calls without a response.
+	unreachable bool
+	calls       int
 	// reads counts the calls that read rows and feeds those that ask for changes, by table.
 	reads, feeds map[string]int
 	// onRead, if not nil, is called with the table before each call that reads rows.
@@ -71,7 +71,7 @@
 func Start() *Store {
 	s := &Store{rows: make(map[string]Row), reads: make(map[string]int), feeds: make(map[string]int), changed: make(chan struct{})}
 	router := chi.NewRouter()
-	router.Use(s.fail)
+	router.Use(s.injectFaults)
 	router.Get("/v1/rows-get", s.get)
 	router.Get("/v1/rows-feed", s.feed)
 	router.Post("/v1/rows-tx", s.transact)
@@ -111,10 +111,10 @@
 
 // OnRead sets a function that is called with the table before each call that reads rows. The
 // function may call the store.
-func (s *Store) OnRead(told func(table string)) {
+func (s *Store) OnRead(callback func(table string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.onRead = told
+	s.onRead = callback
 }
 
 // Feeds returns the number of calls for changes of a table.
@@ -130,17 +130,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.forgotten = s.version
-	s.wake()
+	s.compactedTo = s.version
+	s.notifyFeeds()
 }
 
 // SetUnreachable makes the store break off all calls, including those in flight, or answer
 // again.
-func (s *Store) SetUnreachable(away bool) {
+func (s *Store) SetUnreachable(unreachable bool) {
 	s.mu.Lock()
-	s.away = away
+	s.unreachable = unreachable
 	s.mu.Unlock()
-	if away {
+	if unreachable {
 		s.server.CloseClientConnections()
 	}
 }
@@ -151,27 +151,27 @@
 func (s *Store) Restore(version uint64) (lost []Row) {
 	s.mu.Lock()
 	isLater := func(row Row) bool { return row.Version > version }
-	lost = newestOf(slices.DeleteFunc(slices.Clone(s.written), func(row Row) bool { return !isLater(row) }))
+	lost = lastStates(slices.DeleteFunc(slices.Clone(s.written), func(row Row) bool { return !isLater(row) }))
 	s.written = slices.DeleteFunc(s.written, isLater)
 	s.history = slices.DeleteFunc(s.history, isLater)
 	s.rows = make(map[string]Row)
 	for _, row := range s.written {
-		s.keep(row)
+		s.apply(row)
 	}
 	s.version = version
-	s.forgotten = min(s.forgotten, version)
+	s.compactedTo = min(s.compactedTo, version)
 	s.era++
-	s.wake()
+	s.notifyFeeds()
 	s.mu.Unlock()
 	s.server.CloseClientConnections()
 	return lost
 }
 
-// newestOf returns the last row for each table and key.
-func newestOf(rows []Row) []Row {
+// lastStates returns the last row for each table and key.
+func lastStates(rows []Row) []Row {
 	byName := make(map[string]Row)
 	for _, row := range rows {
-		byName[row.name()] = row
+		byName[row.path()] = row
 	}
 	return slices.Collect(maps.Values(byName))
 }
@@ -182,7 +182,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, row := range s.written {
-		if row.name() == lost.name() && row.Version > restored {
+		if row.path() == lost.path() && row.Version > restored {
 			return
 		}
 	}
@@ -215,10 +215,10 @@
 func (s *Store) Rows(table string) []Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.of(table)
+	return s.tableRows(table)
 }
 
-func (s *Store) of(table string) []Row {
+func (s *Store) tableRows(table string) []Row {
 	rows := []Row{}
 	for _, row := range s.rows {
 		if row.Table == table {
@@ -262,36 +262,36 @@
 	s.version++
 	for _, row := range rows {
 		row.Version = s.version
-		s.keep(row)
+		s.apply(row)
 		s.history = append(s.history, row)
 		s.written = append(s.written, row)
 	}
-	s.wake()
+	s.notifyFeeds()
 }
 
-// keep applies a written row to the current rows.
-func (s *Store) keep(row Row) {
+// apply applies a written row to the current rows.
+func (s *Store) apply(row Row) {
 	if row.Gone {
-		delete(s.rows, row.name())
+		delete(s.rows, row.path())
 	} else {
-		s.rows[row.name()] = row
+		s.rows[row.path()] = row
 	}
 }
 
-func (r Row) name() string { return r.Table + "/" + r.Key }
+func (r Row) path() string { return r.Table + "/" + r.Key }
 
-func (s *Store) wake() {
+func (s *Store) notifyFeeds() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) fail(next http.Handler) http.Handler {
+func (s *Store) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		s.mu.Lock()
 		s.calls++
-		faults, era, away := s.faults, s.era, s.away
+		faults, era, unreachable := s.faults, s.era, s.unreachable
 		s.mu.Unlock()
-		if away {
+		if unreachable {
 			panic(http.ErrAbortHandler)
 		}
 		writer.Header().Set("Store-Era", strconv.FormatUint(era, 10))
@@ -317,11 +317,11 @@
 	s.replyWith(writer, status, answer{Rows: rows, Version: version})
 }
 
-func (s *Store) replyWith(writer http.ResponseWriter, status int, told answer) {
-	told.Now = time.Now().UnixMilli()
+func (s *Store) replyWith(writer http.ResponseWriter, status int, response answer) {
+	response.Now = time.Now().UnixMilli()
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(told)
+	_ = json.NewEncoder(writer).Encode(response)
 }
 
 func (s *Store) get(writer http.ResponseWriter, request *http.Request) {
@@ -334,12 +334,12 @@
 	}
 	s.mu.Lock()
 	s.reads[query.Get("table")]++
-	rows, version := s.of(query.Get("table")), s.version
+	rows, version := s.tableRows(query.Get("table")), s.version
 	if s.faults.StaleReads > 0 {
 		version = min(s.faults.StaleReads, version)
 		rows = s.asOf(query.Get("table"), version)
 	}
-	rows = within(rows, query.Get("From"), query.Get("TargetVersion"))
+	rows = inKeyRange(rows, query.Get("From"), query.Get("TargetVersion"))
 	s.mu.Unlock()
 	limit, err := strconv.Atoi(query.Get("limit"))
 	more := err == nil && len(rows) > limit
@@ -349,9 +349,9 @@
 	s.replyWith(writer, http.StatusOK, answer{Rows: rows, More: more, Version: version})
 }
 
-// within returns the rows with keys from from up to, but not including, to. An empty to means
-// no upper bound.
-func within(rows []Row, from, to string) []Row {
+// inKeyRange returns the rows with keys from from up to, but not including, to. An empty to
+// means no upper bound.
+func inKeyRange(rows []Row, from, to string) []Row {
 	return slices.DeleteFunc(rows, func(row Row) bool { return row.Key < from || to != "" && row.Key >= to })
 }
 
@@ -367,13 +367,13 @@
 	for {
 		s.mu.Lock()
 		rows, version, changed := s.since(query.Get("table"), after), s.version, s.changed
-		if len(rows) > mostRows {
-			rows = rows[:mostRows]
-			version = rows[mostRows-1].Version
+		if len(rows) > maxRowsPerAnswer {
+			rows = rows[:maxRowsPerAnswer]
+			version = rows[maxRowsPerAnswer-1].Version
 		}
-		gone := after < s.forgotten || after > s.version
+		compacted := after < s.compactedTo || after > s.version
 		s.mu.Unlock()
-		if gone {
+		if compacted {
 			writer.WriteHeader(http.StatusGone)
 			return
 		}
@@ -409,22 +409,22 @@
 }
 
 func (s *Store) transact(writer http.ResponseWriter, request *http.Request) {
-	var wanted transaction
-	if err := json.NewDecoder(request.Body).Decode(&wanted); err != nil {
+	var requested transaction
+	if err := json.NewDecoder(request.Body).Decode(&requested); err != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	if differing := s.differing(wanted.IfRevision); len(differing) > 0 {
+	if unmet := s.unmetConditions(requested.IfRevision); len(unmet) > 0 {
 		version := s.version
 		s.mu.Unlock()
-		s.reply(writer, http.StatusPreconditionFailed, differing, version)
+		s.reply(writer, http.StatusPreconditionFailed, unmet, version)
 		return
 	}
-	for i := range wanted.Remove {
-		wanted.Remove[i].Gone = true
+	for i := range requested.Remove {
+		requested.Remove[i].Gone = true
 	}
-	s.write(append(wanted.Put, wanted.Remove...))
+	s.write(append(requested.Put, requested.Remove...))
 	version, lose := s.version, s.faults.LoseWrites
 	s.mu.Unlock()
 	if lose {
@@ -433,15 +433,16 @@
 	s.reply(writer, http.StatusOK, nil, version)
 }
 
-// differing returns the current rows whose version isn't the one that a condition requires.
-func (s *Store) differing(conditions []Row) []Row {
-	var differing []Row
+// unmetConditions returns the current rows whose version isn't the one that a condition
+// requires.
+func (s *Store) unmetConditions(conditions []Row) []Row {
+	var unmet []Row
 	for _, condition := range conditions {
 		row, exists := s.rows[condition.Table+"/"+condition.Key]
 		if !exists && condition.Version != 0 || exists && row.Version != condition.Version {
 			row.Table, row.Key = condition.Table, condition.Key
-			differing = append(differing, row)
+			unmet = append(unmet, row)
 		}
 	}
-	return differing
+	return unmet
 }
