--- a/internal/lab/fleetworker/crash.go
+++ b/internal/lab/fleetworker/crash.go
@@ -8,7 +8,7 @@
 // crash ends the worker with everything that it runs. It closes the listener before it breaks
 // off the first connection, so a new connection is refused by then. It does not return.
 func (w *Worker) crash() {
-	w.crashed.Do(func() {
+	w.crashOnce.Do(func() {
 		_ = w.server.Listener.Close()
 		if w.options.OnCrash != nil {
 			w.options.OnCrash(w)
--- a/internal/lab/fleetworker/notices.go
+++ b/internal/lab/fleetworker/notices.go
@@ -14,14 +14,14 @@
 	w.limit = limit
 }
 
-// arrive records a request from a node and sets the headers that announce the worker's limit
-// and coming shutdown.
-func (w *Worker) arrive(writer http.ResponseWriter, id string) {
+// recordArrival records a request from a node and sets the headers that announce the worker's
+// limit and coming shutdown.
+func (w *Worker) recordArrival(writer http.ResponseWriter, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	arrival := Arrival{ID: id, At: time.Now(), Leaving: w.leaving}
-	if w.pause != "" {
-		seconds, _ := strconv.ParseFloat(w.pause, 64)
+	if w.backoff != "" {
+		seconds, _ := strconv.ParseFloat(w.backoff, 64)
 		arrival.Backoff = time.Duration(seconds * float64(time.Second))
 	}
 	w.arrivals = append(w.arrivals, arrival)
@@ -45,17 +45,17 @@
 func (w *Worker) SetBackoff(seconds string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.pause = seconds
+	w.backoff = seconds
 }
 
-// pauses reports whether the worker rejects requests, and if so sets Retry-After.
-func (w *Worker) pauses(writer http.ResponseWriter) bool {
+// rejectsForBackoff reports whether the worker rejects requests, and if so sets Retry-After.
+func (w *Worker) rejectsForBackoff(writer http.ResponseWriter) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.pause != "" {
-		writer.Header().Set("Retry-After", w.pause)
+	if w.backoff != "" {
+		writer.Header().Set("Retry-After", w.backoff)
 	}
-	return w.pause != ""
+	return w.backoff != ""
 }
 
 // Arrival is a request from a node that reached the worker.
--- a/internal/lab/fleetworker/order.go
+++ b/internal/lab/fleetworker/order.go
@@ -26,15 +26,15 @@
 	}
 	w.fences.Record(fences.Call{Subject: "orders to " + w.options.ID, Holder: order.Holder, Fence: order.Fence, At: time.Now()})
 	w.mu.Lock()
-	late := w.lateOrders
+	delay := w.lateOrders
 	w.mu.Unlock()
-	time.Sleep(late)
+	time.Sleep(delay)
 	changed := w.carryOut(order)
 	if changed && w.options.OnStageChange != nil {
 		w.options.OnStageChange(w)
 	}
 	switch {
-	case late > 0:
+	case delay > 0:
 		panic(http.ErrAbortHandler)
 	case changed:
 		writer.WriteHeader(http.StatusAccepted)
@@ -47,10 +47,10 @@
 func (w *Worker) carryOut(order stageOrder) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if order.Fence < w.carried {
-		w.fences.AddViolation(fmt.Sprintf("%s carried out an order under fence %d behind one under %d", w.options.ID, order.Fence, w.carried))
+	if order.Fence < w.highestFence {
+		w.fences.AddViolation(fmt.Sprintf("%s carried out an order under fence %d behind one under %d", w.options.ID, order.Fence, w.highestFence))
 	}
-	w.carried = max(w.carried, order.Fence)
+	w.highestFence = max(w.highestFence, order.Fence)
 	if order.Stage == w.stage {
 		return false
 	}
@@ -61,10 +61,10 @@
 
 // SetLateOrders makes the worker carry out orders after this time and leave them unanswered;
 // zero means at once and answered.
-func (w *Worker) SetLateOrders(after time.Duration) {
+func (w *Worker) SetLateOrders(delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lateOrders = after
+	w.lateOrders = delay
 }
 
 // Fences returns the log of the orders that reached the worker. The worker itself doesn't
--- a/internal/lab/fleetworker/order_test.go
+++ b/internal/lab/fleetworker/order_test.go
@@ -66,8 +66,8 @@
 		broken int
 	}{{3, 0}, {3, 0}, {2, 1}} {
 		w.carryOut(stageOrder{Stage: "decode", Fence: example.fence})
-		if problems := w.Fences().Violations(time.Minute); len(problems) != example.broken {
-			t.Errorf("fence %d: %v", example.fence, problems)
+		if violations := w.Fences().Violations(time.Minute); len(violations) != example.broken {
+			t.Errorf("fence %d: %v", example.fence, violations)
 		}
 	}
 }
--- a/internal/lab/fleetworker/worker.go
+++ b/internal/lab/fleetworker/worker.go
@@ -90,30 +90,30 @@
 	server  *httptest.Server
 	fences  *fences.Log
 
-	crashed sync.Once
-
-	mu      sync.Mutex
-	fault   Fault
-	faulty  int
-	stage   string
-	runs    []Run
-	handles map[string]bool
-	freed   int
-	left    int
-	lists   int
-	orders  int
+	crashOnce sync.Once
+
+	mu           sync.Mutex
+	fault        Fault
+	faultsLeft   int
+	stage        string
+	runs         []Run
+	handles      map[string]bool
+	freedHandles int
+	callersGone  int
+	listCalls    int
+	orders       int
 	// limit is the limit stated in answers, empty for none; arrivals records the requests of
 	// all kinds that came.
 	limit    string
 	arrivals []Arrival
-	// leaving makes the answers announce that the worker is about to end. If pause isn't empty,
-	// all requests are rejected with it as Retry-After, in seconds.
+	// leaving makes the answers announce that the worker is about to end. If backoff isn't
+	// empty, all requests are rejected with it as Retry-After, in seconds.
 	leaving bool
-	pause   string
-	// carried is the highest fencing token of the orders carried out. lateOrders is how long
+	backoff string
+	// highestFence is the highest fencing token of the orders carried out. lateOrders is how long
 	// orders wait, unanswered, before they are carried out.
-	carried    uint64
-	lateOrders time.Duration
+	highestFence uint64
+	lateOrders   time.Duration
 }
 
 // Start starts a worker on its configured address or a free port.
@@ -159,7 +159,7 @@
 func (w *Worker) SetFault(fault Fault, count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fault, w.faulty = fault, count
+	w.fault, w.faultsLeft = fault, count
 }
 
 // Runs returns the requests that the worker ran; disaggregated prefills don't count.
@@ -174,14 +174,14 @@
 func (w *Worker) CallersGone() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.left
+	return w.callersGone
 }
 
 // FreedHandles returns the number of KV handles that were released without being fetched.
 func (w *Worker) FreedHandles() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.freed
+	return w.freedHandles
 }
 
 // Entry returns the worker's row in the platform's worker list, in the given state.
@@ -216,14 +216,14 @@
 	return out.String()
 }
 
-// takeFault returns the fault for the next request and counts it down.
-func (w *Worker) takeFault() Fault {
+// nextFault returns the fault for the next request and counts it down.
+func (w *Worker) nextFault() Fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.faulty == 0 {
+	if w.faultsLeft == 0 {
 		return NoFault
 	}
-	w.faulty--
+	w.faultsLeft--
 	return w.fault
 }
 
@@ -234,19 +234,19 @@
 		return
 	}
 	id := request.Header.Get("X-Request-Id")
-	if request.Header.Get("X-Taken") == "" { // X-Taken marks the fetch of a KV handle by another worker
-		w.arrive(writer, id)
+	if request.Header.Get("X-Taken") == "" { // X-Taken marks a fetch by another worker
+		w.recordArrival(writer, id)
 	}
 	writer.Header().Set("X-Request-Id", id)
 	writer.Header().Set("X-Instance-Id", w.options.ID)
 	switch {
 	case request.Method == http.MethodDelete && strings.HasPrefix(request.URL.Path, "/v1/kv-handle/"):
-		if w.drop(strings.TrimPrefix(request.URL.Path, "/v1/kv-handle/"), request.Header.Get("X-Taken") == "") {
+		if w.dropHandle(strings.TrimPrefix(request.URL.Path, "/v1/kv-handle/"), request.Header.Get("X-Taken") == "") {
 			writer.Header().Set("X-Handle-Known", "1")
 		}
 		return
 	case request.URL.Path == "/v1/kv-list":
-		w.list(writer)
+		w.listCache(writer)
 		return
 	case request.Header.Get("X-Expect-Instance") != w.options.ID:
 		writer.WriteHeader(http.StatusMisdirectedRequest)
@@ -260,16 +260,16 @@
 		w.report(writer)
 		return
 	}
-	fault := w.takeFault()
-	if w.pauses(writer) || fault == Full {
+	fault := w.nextFault()
+	if w.rejectsForBackoff(writer) || fault == Full {
 		reject(writer)
 		return
 	}
 	if request.Header.Get("X-Stage") == "prefill" {
-		w.read(writer, id, fault)
+		w.prefill(writer, id, fault)
 		return
 	}
-	if source := request.Header.Get("X-Kv-Source"); source != "" && !fetch(source) {
+	if source := request.Header.Get("X-Kv-Source"); source != "" && !fetchKV(source) {
 		reject(writer)
 		return
 	}
@@ -282,10 +282,10 @@
 	_ = json.NewEncoder(writer).Encode(map[string]any{"Stage": w.currentStage(), "Busy": false, "Waiting": 0, "Running": 0})
 }
 
-// list answers with the cache list: the prompt parts in Options.CachedParts.
-func (w *Worker) list(writer http.ResponseWriter) {
+// listCache answers with the cache list: the prompt parts in Options.CachedParts.
+func (w *Worker) listCache(writer http.ResponseWriter) {
 	w.mu.Lock()
-	w.lists++
+	w.listCalls++
 	w.mu.Unlock()
 	held := [][]any{}
 	for id, tokens := range w.options.CachedParts {
@@ -299,7 +299,7 @@
 func (w *Worker) ListCalls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lists
+	return w.listCalls
 }
 
 // reject answers that the request was not run, and states no limit.
@@ -309,8 +309,8 @@
 	writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// read answers a disaggregated prefill and keeps its KV cache under a handle.
-func (w *Worker) read(writer http.ResponseWriter, id string, fault Fault) {
+// prefill answers a disaggregated prefill and keeps its KV cache under a handle.
+func (w *Worker) prefill(writer http.ResponseWriter, id string, fault Fault) {
 	if fault == CutEarly {
 		panic(http.ErrAbortHandler)
 	}
@@ -326,9 +326,9 @@
 	_ = json.NewEncoder(writer).Encode(map[string]any{"KvHandle": "h" + id, "Tokens": 1, "Version": 1})
 }
 
-// fetch fetches, for a decode stage, the KV cache that another worker keeps under a handle, and
-// reports whether that worker still had it.
-func fetch(source string) bool {
+// fetchKV fetches, for a decode stage, the KV cache that another worker keeps under a handle,
+// and reports whether that worker still had it.
+func fetchKV(source string) bool {
 	address, handle, _ := strings.Cut(source, "/")
 	request, err := http.NewRequest(http.MethodDelete, "http://"+address+"/v1/kv-handle/"+handle, nil)
 	if err != nil {
@@ -343,15 +343,15 @@
 	return response.Header.Get("X-Handle-Known") != ""
 }
 
-// drop deletes a KV handle and reports whether it was known. unused tells that it is released
-// without being fetched.
-func (w *Worker) drop(handle string, unused bool) bool {
+// dropHandle deletes a KV handle and reports whether it was known. unused tells that it is
+// released without being fetched.
+func (w *Worker) dropHandle(handle string, unused bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	known := w.handles[handle]
 	delete(w.handles, handle)
 	if known && unused {
-		w.freed++
+		w.freedHandles++
 	}
 	return known
 }
@@ -369,7 +369,7 @@
 		panic(http.ErrAbortHandler)
 	case Hanging:
 		<-request.Context().Done()
-		w.leave()
+		w.recordCallerGone()
 		return
 	}
 	writer.Header().Set("X-Response-Signature", w.Signature(id))
@@ -402,15 +402,15 @@
 		}
 		select {
 		case <-request.Context().Done():
-			w.leave()
+			w.recordCallerGone()
 			return
 		case <-time.After(w.options.Pause):
 		}
 	}
 }
 
-func (w *Worker) leave() {
+func (w *Worker) recordCallerGone() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.left++
+	w.callersGone++
 }
