--- a/internal/lab/fleetapi/api.go
+++ b/internal/lab/fleetapi/api.go
@@ -31,9 +31,9 @@
 	Late time.Duration
 }
 
-// disrupted reports whether any fault is injected. An unfenced API doesn't check the fencing
+// active reports whether any fault is injected. An unfenced API doesn't check the fencing
 // tokens of calls that come meanwhile.
-func (f Faults) disrupted() bool { return f != Faults{} }
+func (f Faults) active() bool { return f != Faults{} }
 
 // Order is an order that sets the number of workers of a service in a zone.
 type Order struct {
@@ -110,15 +110,15 @@
 func (a *API) Violations(lease time.Duration) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	problems := a.fences.Violations(lease)
+	violations := a.fences.Violations(lease)
 	for window, reports := range a.reports {
 		for _, other := range reports[1:] {
 			if !maps.Equal(reports[0], other) {
-				problems = append(problems, fmt.Sprintf("window %d was reported as %v and as %v", window, reports[0], other))
+				violations = append(violations, fmt.Sprintf("window %d was reported as %v and as %v", window, reports[0], other))
 			}
 		}
 	}
-	return problems
+	return violations
 }
 
 // admit applies the faults and checks the fencing token. It reports whether the call is to be
@@ -141,7 +141,7 @@
 	case !a.unfenced && !a.fences.RecordUnlessStale(call):
 		writer.WriteHeader(http.StatusConflict)
 		return false, true
-	case a.unfenced && !faults.disrupted():
+	case a.unfenced && !faults.active():
 		a.fences.Record(call)
 	}
 	return true, !faults.LoseAnswers && faults.Late == 0
--- a/internal/lab/fleetapi/api_test.go
+++ b/internal/lab/fleetapi/api_test.go
@@ -40,8 +40,8 @@
 		for _, call := range example.calls {
 			report(a, call[0].(string), call[1].(int), call[2].(int), call[3].(int))
 		}
-		if problems := a.Violations(time.Minute); (len(problems) > 0) != example.broken {
-			t.Errorf("%s: %v", example.name, problems)
+		if violations := a.Violations(time.Minute); (len(violations) > 0) != example.broken {
+			t.Errorf("%s: %v", example.name, violations)
 		}
 		if status := report(a, "old", 0, 9, 1); status != http.StatusConflict {
 			t.Errorf("%s: a lower fence is answered %d", example.name, status)
@@ -77,8 +77,8 @@
 				t.Errorf("fence %s: %d", fence, response.StatusCode)
 			}
 		}
-		if problems := a.Violations(time.Minute); len(problems) != example.broken || len(a.Reports()[1]) != 2 {
-			t.Errorf("%+v: %v; %d reports", example.faults, problems, len(a.Reports()[1]))
+		if violations := a.Violations(time.Minute); len(violations) != example.broken || len(a.Reports()[1]) != 2 {
+			t.Errorf("%+v: %v; %d reports", example.faults, violations, len(a.Reports()[1]))
 		}
 		a.Close()
 	}
