--- a/internal/lab/fences/fences.go
+++ b/internal/lab/fences/fences.go
@@ -24,14 +24,14 @@
 	calls   []Call
 	highest map[string]uint64
 	// Until these times, calls from a holder, or from all holders, are not checked.
-	excused map[string]time.Time
-	all     time.Time
-	broken  []string
+	ignoredUntil    map[string]time.Time
+	allIgnoredUntil time.Time
+	violations      []string
 }
 
 // New returns an empty log.
 func New() *Log {
-	return &Log{highest: make(map[string]uint64), excused: make(map[string]time.Time)}
+	return &Log{highest: make(map[string]uint64), ignoredUntil: make(map[string]time.Time)}
 }
 
 // IgnoreUntil leaves the calls of a holder unchecked until a time. It is for a holder that was
@@ -39,8 +39,8 @@
 func (l *Log) IgnoreUntil(holder string, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until.After(l.excused[holder]) {
-		l.excused[holder] = until
+	if until.After(l.ignoredUntil[holder]) {
+		l.ignoredUntil[holder] = until
 	}
 }
 
@@ -49,8 +49,8 @@
 func (l *Log) IgnoreAllUntil(until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until.After(l.all) {
-		l.all = until
+	if until.After(l.allIgnoredUntil) {
+		l.allIgnoredUntil = until
 	}
 }
 
@@ -62,7 +62,7 @@
 	if call.Fence < l.highest[call.Subject] {
 		return false
 	}
-	l.take(call)
+	l.add(call)
 	return true
 }
 
@@ -71,25 +71,25 @@
 func (l *Log) Record(call Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if call.At.Before(l.all) || call.At.Before(l.excused[call.Holder]) {
+	if call.At.Before(l.allIgnoredUntil) || call.At.Before(l.ignoredUntil[call.Holder]) {
 		return
 	}
 	if highest := l.highest[call.Subject]; call.Fence < highest {
-		l.broken = append(l.broken, fmt.Sprintf("%s sent %s under fence %d, after one under %d", call.Holder, call.Subject, call.Fence, highest))
+		l.violations = append(l.violations, fmt.Sprintf("%s sent %s under fence %d, after one under %d", call.Holder, call.Subject, call.Fence, highest))
 	}
-	l.take(call)
+	l.add(call)
 }
 
-func (l *Log) take(call Call) {
+func (l *Log) add(call Call) {
 	l.highest[call.Subject] = max(l.highest[call.Subject], call.Fence)
 	l.calls = append(l.calls, call)
 }
 
 // AddViolation adds a violation that was found elsewhere.
-func (l *Log) AddViolation(problem string) {
+func (l *Log) AddViolation(violation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.broken = append(l.broken, problem)
+	l.violations = append(l.violations, violation)
 }
 
 // Violations returns the violations found: a lower fencing token after a higher one, a token
@@ -97,31 +97,31 @@
 func (l *Log) Violations(lease time.Duration) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	problems := append([]string(nil), l.broken...)
+	found := append([]string(nil), l.violations...)
 	holders := make(map[string]string)
 	for _, call := range l.calls {
 		name := fmt.Sprint(call.Subject, " ", call.Fence)
 		if holder, known := holders[name]; known && holder != call.Holder {
-			problems = append(problems, fmt.Sprintf("%s and %s used the same fence for %s", holder, call.Holder, name))
+			found = append(found, fmt.Sprintf("%s and %s used the same fence for %s", holder, call.Holder, name))
 		}
 		holders[name] = call.Holder
 	}
-	return append(problems, turns(l.calls, lease)...)
+	return append(found, alternations(l.calls, lease)...)
 }
 
-// turns finds holders that acted before and after another one within a time: A, B, A. A lease
-// can't change hands that often while it lasts.
-func turns(calls []Call, within time.Duration) []string {
-	var problems []string
+// alternations finds holders that acted before and after another one within a time: A, B, A. A
+// lease can't change hands that often while it lasts.
+func alternations(calls []Call, within time.Duration) []string {
+	var violations []string
 	for i := range calls {
 		other := false
 		for j := i + 1; j < len(calls) && calls[j].At.Sub(calls[i].At) < within; j++ {
 			other = other || calls[j].Holder != calls[i].Holder
 			if other && calls[j].Holder == calls[i].Holder {
-				problems = append(problems, fmt.Sprintf("%s acted before and after another within %v", calls[i].Holder, within))
+				violations = append(violations, fmt.Sprintf("%s acted before and after another within %v", calls[i].Holder, within))
 				break
 			}
 		}
 	}
-	return problems
+	return violations
 }
--- a/internal/lab/fences/fences_test.go
+++ b/internal/lab/fences/fences_test.go
@@ -43,8 +43,8 @@
 		for _, c := range example.calls {
 			l.Record(c)
 		}
-		if problems := l.Violations(lease); len(problems) != example.broken {
-			t.Errorf("%s: %v", example.name, problems)
+		if violations := l.Violations(lease); len(violations) != example.broken {
+			t.Errorf("%s: %v", example.name, violations)
 		}
 	}
 }
