--- a/internal/lab/memorystore/store.go
+++ b/internal/lab/memorystore/store.go
@@ -97,7 +97,7 @@
 	for _, row := range s.rows[table] {
 		rows = append(rows, row)
 	}
-	return rows, s.newest(), nil
+	return rows, s.newestVersion(), nil
 }
 
 // Transact implements rowstore.Store. Conditions are compared by version number alone. If one
@@ -128,11 +128,11 @@
 	if s.faults.LoseWrites {
 		return 0, false, ErrUnavailable
 	}
-	return uint64(s.newest()), true, nil
+	return uint64(s.newestVersion()), true, nil
 }
 
-// newest returns the version of the last transaction.
-func (s *Store) newest() tablefeed.Version { return tablefeed.VersionOf(s.era, s.version) }
+// newestVersion returns the version of the last transaction.
+func (s *Store) newestVersion() tablefeed.Version { return tablefeed.VersionOf(s.era, s.version) }
 
 // Restore puts the store back to its state after this many transactions, as a restore from a
 // backup does, and raises the era.
