--- a/internal/lab/fleetworker/order.go
+++ b/internal/lab/fleetworker/order.go
@@ -48,7 +48,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if order.Fence < w.highestFence {
-		w.fences.AddViolation(fmt.Sprintf("%s carried out an order under fence %d behind one under %d", w.options.ID, order.Fence, w.highestFence))
+		w.fences.AddViolation(fmt.Sprintf("%s carried out an order with fencing token %d after one with token %d", w.options.ID, order.Fence, w.highestFence))
 	}
 	w.highestFence = max(w.highestFence, order.Fence)
 	if order.Stage == w.stage {
--- a/internal/lab/fleetworker/order_test.go
+++ b/internal/lab/fleetworker/order_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	if w.Entry("ready")["Stage"] != "prefill" || staged != 1 || w.Orders() != 1 || len(w.Runs()) != 0 {
-		t.Errorf("stage %v, told %d times, %d orders, %d runs", w.Entry("ready")["Stage"], staged, w.Orders(), len(w.Runs()))
+		t.Errorf("stage %v, OnStageChange called %d times, %d orders, %d runs", w.Entry("ready")["Stage"], staged, w.Orders(), len(w.Runs()))
 	}
 }
 
@@ -56,7 +56,7 @@
 	request.Header.Set("X-Expect-Instance", "w")
 	if response, err := http.DefaultClient.Do(request); err == nil {
 		_ = response.Body.Close()
-		t.Error("a late order is answered")
+		t.Error("a late order was answered")
 	}
 	if w.Orders() != 1 {
 		t.Errorf("%d orders carried out", w.Orders())
@@ -67,7 +67,7 @@
 	}{{3, 0}, {3, 0}, {2, 1}} {
 		w.carryOut(stageOrder{Stage: "decode", Fence: example.fence})
 		if violations := w.Fences().Violations(time.Minute); len(violations) != example.broken {
-			t.Errorf("fence %d: %v", example.fence, violations)
+			t.Errorf("fencing token %d: %v", example.fence, violations)
 		}
 	}
 }
