--- a/internal/lab/fleetapi/api.go
+++ b/internal/lab/fleetapi/api.go
@@ -135,7 +135,7 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return false, true
 	case err != nil || call.Holder == "":
-		a.fences.AddViolation("a call without a holder or fence")
+		a.fences.AddViolation("a call without a lease holder or fencing token")
 		writer.WriteHeader(http.StatusBadRequest)
 		return false, true
 	case !a.unfenced && !a.fences.RecordUnlessStale(call):
--- a/internal/lab/fleetapi/api_test.go
+++ b/internal/lab/fleetapi/api_test.go
@@ -32,9 +32,9 @@
 		broken bool
 	}{
 		{"one holder, the same counts twice", [][4]any{{"a", 1, 1, 5}, {"a", 1, 1, 5}}, false},
-		{"two truths", [][4]any{{"a", 1, 1, 5}, {"a", 1, 1, 6}}, true},
-		{"one fence of two holders", [][4]any{{"a", 1, 1, 5}, {"b", 1, 2, 5}}, true},
-		{"turns", [][4]any{{"a", 1, 1, 5}, {"b", 2, 2, 5}, {"a", 3, 3, 5}}, true},
+		{"one window with two counts", [][4]any{{"a", 1, 1, 5}, {"a", 1, 1, 6}}, true},
+		{"two holders with one token", [][4]any{{"a", 1, 1, 5}, {"b", 1, 2, 5}}, true},
+		{"alternating holders", [][4]any{{"a", 1, 1, 5}, {"b", 2, 2, 5}, {"a", 3, 3, 5}}, true},
 	} {
 		a := Start()
 		for _, call := range example.calls {
@@ -44,7 +44,7 @@
 			t.Errorf("%s: %v", example.name, violations)
 		}
 		if status := report(a, "old", 0, 9, 1); status != http.StatusConflict {
-			t.Errorf("%s: a lower fence is answered %d", example.name, status)
+			t.Errorf("%s: a stale fencing token was answered %d", example.name, status)
 		}
 		a.Close()
 	}
@@ -74,7 +74,7 @@
 			}
 			_ = response.Body.Close()
 			if response.StatusCode != http.StatusOK {
-				t.Errorf("fence %s: %d", fence, response.StatusCode)
+				t.Errorf("fencing token %s: status %d", fence, response.StatusCode)
 			}
 		}
 		if violations := a.Violations(time.Minute); len(violations) != example.broken || len(a.Reports()[1]) != 2 {
