--- a/internal/lab/fences/fences.go
+++ b/internal/lab/fences/fences.go
@@ -75,7 +75,7 @@
 		return
 	}
 	if highest := l.highest[call.Subject]; call.Fence < highest {
-		l.violations = append(l.violations, fmt.Sprintf("%s sent %s under fence %d, after one under %d", call.Holder, call.Subject, call.Fence, highest))
+		l.violations = append(l.violations, fmt.Sprintf("%s sent %s with fencing token %d after one with token %d", call.Holder, call.Subject, call.Fence, highest))
 	}
 	l.add(call)
 }
@@ -102,7 +102,7 @@
 	for _, call := range l.calls {
 		name := fmt.Sprint(call.Subject, " ", call.Fence)
 		if holder, known := holders[name]; known && holder != call.Holder {
-			found = append(found, fmt.Sprintf("%s and %s used the same fence for %s", holder, call.Holder, name))
+			found = append(found, fmt.Sprintf("%s and %s used the same fencing token for %s", holder, call.Holder, name))
 		}
 		holders[name] = call.Holder
 	}
@@ -118,7 +118,7 @@
 		for j := i + 1; j < len(calls) && calls[j].At.Sub(calls[i].At) < within; j++ {
 			other = other || calls[j].Holder != calls[i].Holder
 			if other && calls[j].Holder == calls[i].Holder {
-				violations = append(violations, fmt.Sprintf("%s acted before and after another within %v", calls[i].Holder, within))
+				violations = append(violations, fmt.Sprintf("%s acted before and after another holder within %v", calls[i].Holder, within))
 				break
 			}
 		}
--- a/internal/lab/fences/fences_test.go
+++ b/internal/lab/fences/fences_test.go
@@ -27,14 +27,14 @@
 		{"one holder", []Call{call("a", 1, 0), call("a", 1, 1)}, nil, 0},
 		{"the next holder", []Call{call("a", 1, 0), call("b", 2, 1)}, nil, 0},
 		{"a late call", []Call{call("a", 1, 0), call("b", 2, 4), call("a", 1, 8)}, nil, 1},
-		{"turns", []Call{call("a", 1, 0), call("b", 2, 1), call("a", 3, 2)}, nil, 1},
-		{"slow turns", []Call{call("a", 1, 0), call("b", 2, 2), call("a", 3, 4)}, nil, 0},
-		{"one fence of two holders", []Call{call("a", 1, 0), call("b", 1, 4)}, nil, 1},
+		{"alternating holders", []Call{call("a", 1, 0), call("b", 2, 1), call("a", 3, 2)}, nil, 1},
+		{"slowly alternating holders", []Call{call("a", 1, 0), call("b", 2, 2), call("a", 3, 4)}, nil, 0},
+		{"two holders with one token", []Call{call("a", 1, 0), call("b", 1, 4)}, nil, 1},
 		{"two subjects", []Call{call("a", 2, 0), other}, nil, 0},
 		{"late after a pause", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.IgnoreUntil("a", origin.Add(9*time.Second)) }, 0},
-		{"late after another's pause", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.IgnoreUntil("b", origin.Add(3*time.Second)) }, 1},
+		{"late after another holder's pause", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.IgnoreUntil("b", origin.Add(3*time.Second)) }, 1},
 		{"late long after a pause", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.IgnoreUntil("a", origin.Add(7*time.Second)) }, 1},
-		{"late over a mended link", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.IgnoreAllUntil(origin.Add(9 * time.Second)) }, 0},
+		{"late after the connection works again", []Call{call("b", 2, 4), call("a", 1, 8)}, func(l *Log) { l.IgnoreAllUntil(origin.Add(9 * time.Second)) }, 0},
 	} {
 		l := New()
 		if example.excuse != nil {
