--- a/internal/lab/memorystore/store.go
+++ b/internal/lab/memorystore/store.go
@@ -13,7 +13,7 @@
 )
 
 // ErrUnavailable is returned by calls that get no answer.
-var ErrUnavailable = errors.New("the store is away")
+var ErrUnavailable = errors.New("the store is unavailable")
 
 // Faults are the faults that the store injects.
 type Faults struct {
