--- a/internal/lab/soak/harm.go
+++ b/internal/lab/soak/harm.go
@@ -12,14 +12,14 @@
 	"github.com/tinarch/tinarch/internal/lab/process"
 )
 
-// The figures of the faults.
+// Durations of the injected faults.
 const (
 	betweenFaults = 400 * time.Millisecond
 	shortestFault = 200 * time.Millisecond
 	longestFault  = 2500 * time.Millisecond
 )
 
-// harm brings faults until the time is over, and mends all of them.
+// harm injects faults for Options.Length and then ends all of them.
 func (s *site) harm(ctx context.Context) {
 	end := time.Now().Add(s.options.Length)
 	kinds := []func(context.Context, time.Duration) string{
@@ -29,9 +29,10 @@
 		stormCtx, endStorm := context.WithCancel(ctx)
 		ended := make(chan struct{})
 		go func() { defer close(ended); s.runStorm(stormCtx) }()
-		defer s.mend() // after the storm, which changes ways to the store too
+		defer s.mend() // after the storm, which also changes the proxies to the store
 		defer func() { endStorm(); <-ended }()
-		// Faults of the whole store would leave no node that knows of a change.
+		// A fault of the whole store would leave no node that could tell the others of a
+		// change.
 		kinds = []func(context.Context, time.Duration) string{s.killNode, s.pauseNode, s.stopNode, s.startStale, s.harmWorkerWay, s.failWorker}
 	}
 	if s.options.Restores {
@@ -63,7 +64,7 @@
 	s.mend()
 }
 
-// mend ends all faults.
+// mend ends all faults and starts nodes that aren't running.
 func (s *site) mend() {
 	s.endLimits()
 	s.store.SetFaults(fleetstore.Faults{})
@@ -120,8 +121,8 @@
 	return fmt.Sprintf("paused %s for %v", node.Name, length.Round(time.Millisecond))
 }
 
-// thaw lets a paused node go on. What it sends at once doesn't count; engines know holders by
-// names that aren't known here.
+// thaw resumes a paused node. The API ignores its calls for thawSlack. Engines ignore all calls
+// for that time, since they know lease holders by ids that the run doesn't know.
 func (s *site) thaw(node *process.Node) {
 	until := time.Now().Add(thawSlack)
 	s.api.Fences().IgnoreUntil(node.Name, until)
@@ -131,7 +132,7 @@
 	node.Signal(syscall.SIGCONT)
 }
 
-// rollNode has a node start again with one of the two builds, which may be the one it ran.
+// rollNode restarts a node with one of the two builds, possibly the one that it ran.
 func (s *site) rollNode(ctx context.Context, _ time.Duration) string {
 	node := s.nodes[s.random.IntN(len(s.nodes))]
 	build := []string{s.options.Program, s.options.Earlier}[s.random.IntN(2)]
@@ -139,12 +140,12 @@
 	return s.restart(ctx, node) + " with the build " + build
 }
 
-// stopNode ends a node as planned and starts it again.
+// stopNode shuts a node down gracefully and starts it again.
 func (s *site) stopNode(ctx context.Context, _ time.Duration) string {
 	return s.restart(ctx, s.nodes[s.random.IntN(len(s.nodes))])
 }
 
-// restart ends a node as planned and starts it again.
+// restart shuts a node down gracefully, kills it if that takes too long, and starts it again.
 func (s *site) restart(ctx context.Context, node *process.Node) string {
 	node.Signal(syscall.SIGTERM)
 	stopCtx, cancel := context.WithTimeout(ctx, stopMillis*time.Millisecond)
@@ -165,12 +166,13 @@
 	worker.proxy.SetMode(mode)
 	sleep(ctx, length)
 	s.limits.harm(worker.ID(), begun, time.Now())
-	worker.Fences().IgnoreAllUntil(time.Now().Add(thawSlack)) // the proxy sends on what it holds
+	worker.Fences().IgnoreAllUntil(time.Now().Add(thawSlack)) // the proxy forwards what it held back
 	worker.proxy.SetMode(Pass)
 	return fmt.Sprintf("the way to %s was %s for %v", worker.ID(), mode, length.Round(time.Millisecond))
 }
 
-// harmStoreWay harms one node's way to the store, while the others reach it.
+// harmStoreWay injects a fault into one node's connections to the store; the others still reach
+// it.
 func (s *site) harmStoreWay(ctx context.Context, length time.Duration) string {
 	number := s.random.IntN(len(s.toStore))
 	mode := []Mode{Slow, Reset, Silent, OneWay}[s.random.IntN(4)]
@@ -189,11 +191,11 @@
 	return fmt.Sprintf("the store was %+v for %v and forgot its history", faults, length.Round(time.Millisecond))
 }
 
-// slowAPI is how long a call to a slow API takes: well below what a lease has left after
-// its holder's last act.
+// slowAPI is the duration of a call to a slow API. It is well below the time that remains of a
+// lease after its holder's last operation.
 const slowAPI = 200 * time.Millisecond
 
-// harmAPI has the platform's API refuse calls, lose answers or be slow.
+// harmAPI makes the platform's API refuse calls, lose answers or be slow.
 func (s *site) harmAPI(ctx context.Context, length time.Duration) string {
 	faults := []fleetapi.Faults{{Down: true}, {LoseAnswers: true}, {Delay: slowAPI}}[s.random.IntN(3)]
 	s.api.SetFaults(faults)
@@ -202,7 +204,7 @@
 	return fmt.Sprintf("the API was %+v for %v", faults, length.Round(time.Millisecond))
 }
 
-// lateOrders has all engines leave orders unanswered, and carry them out later.
+// lateOrders makes all engines leave orders unanswered and carry them out later.
 func (s *site) lateOrders(ctx context.Context, length time.Duration) string {
 	for _, worker := range s.standing() {
 		worker.SetLateOrders(length)
@@ -214,7 +216,7 @@
 	return fmt.Sprintf("orders were carried out %v late", length.Round(time.Millisecond))
 }
 
-// lateAPI has the platform's API leave calls unanswered and carry them out later.
+// lateAPI makes the platform's API leave calls unanswered and carry them out later.
 func (s *site) lateAPI(ctx context.Context, length time.Duration) string {
 	s.api.SetFaults(fleetapi.Faults{Late: length})
 	sleep(ctx, length)
@@ -222,8 +224,8 @@
 	return fmt.Sprintf("the API carried calls out %v late", length.Round(time.Millisecond))
 }
 
-// orderProblems are the promises that the orders to engines broke, where these don't compare
-// fences.
+// orderProblems returns the violations found in the orders to engines. They are checked only in
+// unfenced runs.
 func (s *site) orderProblems() []string {
 	if !s.options.Unfenced {
 		return nil
@@ -253,7 +255,8 @@
 	return fmt.Sprintf("%s drained for %v", worker.ID(), length.Round(time.Millisecond))
 }
 
-// vanish drops all entries, as a store may after an outage, and lists them again.
+// vanish removes all entries from the worker list, as a store may after an outage, and writes
+// them again.
 func (s *site) vanish(ctx context.Context, length time.Duration) string {
 	for _, worker := range s.standing() {
 		s.store.Put("servers", worker.ID(), nil)
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -11,50 +11,54 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// What a worker is promised that names how many requests a second it takes from all nodes
-// together: limitOver times that in each window, and limitSlack requests.
+// Bounds for a worker that states how many requests per second it accepts from all nodes
+// together. In each window it may get limitOver times that number, and limitSlack requests
+// more.
 const (
 	limitWindow = 4 * time.Second
 	limitOver   = 1.5
 	limitSlack  = 5
-	// limitTold is how long after it has passed an answer on that names a limit a node counts.
+	// limitTold is how long after a node forwarded an answer with the limit its requests begin
+	// to count.
 	limitTold = 500 * time.Millisecond
-	// limitCalm is how long after the start of a limit, and after the end of harm, requests
-	// count.
+	// limitCalm is how long after the start of a limit, and after the end of a fault, requests
+	// are ignored.
 	limitCalm = 3 * time.Second
 )
 
-// The limits that workers name, in requests a second; an engine of a soak gets about ten.
+// The range of the limits that workers state, in requests per second. Without a limit, an
+// engine gets about ten.
 const (
 	lowestLimit  = 1.0
 	highestLimit = 5.0
 )
 
-// span is a part of a soak; one without an end lasts.
+// span is a time span; a zero end means that it hasn't ended.
 type span struct{ from, to time.Time }
 
 func (s span) holds(at time.Time) bool {
 	return !at.Before(s.from) && (s.to.IsZero() || at.Before(s.to))
 }
 
-// limitSpan is a time for which a worker names one limit.
+// limitSpan is a time span in which a worker states one limit.
 type limitSpan struct {
 	span
 	worker    string
 	perSecond float64
 }
 
-// limits follows from outside which limits workers name, and what was harmed. The zero value
-// has none. It is safe for concurrent use.
+// limits records which limits workers state and where faults were injected. The zero value is
+// empty. It is safe for concurrent use.
 type limits struct {
 	mu     sync.Mutex
 	named  []limitSpan
 	harmed map[string][]span
-	// cut are the same times without limitCalm.
+	// cut holds the time spans of faults, extended by thawSlack; harmed holds the same,
+	// extended by limitCalm.
 	cut map[string][]span
 }
 
-// name has a worker name a limit from now on, none where it is zero.
+// name makes a worker state a limit from now on, or none if it is zero.
 func (l *limits) name(worker *soakWorker, perSecond float64, at time.Time) {
 	text := ""
 	if perSecond > 0 {
@@ -73,7 +77,7 @@
 	worker.SetLimit(text)
 }
 
-// harm records that a node, or the way to a worker, was harmed for a time.
+// harm records that a fault was injected into a node, or into the connections to a worker.
 func (l *limits) harm(name string, from, to time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,13 +88,13 @@
 	l.harmed[name] = append(l.harmed[name], span{from: from, to: to.Add(limitCalm)})
 }
 
-// isHarmed reports whether a node or the way to a worker was harmed at a time or just before.
+// isHarmed reports whether a fault affected a node or the connections to a worker at a time, or
+// less than limitCalm before.
 func (l *limits) isHarmed(name string, at time.Time) bool {
 	return slices.ContainsFunc(l.harmed[name], func(s span) bool { return s.holds(at) })
 }
 
-// nameLimit has a worker, or now and then each of them, name a limit, another one, or none any
-// more.
+// nameLimit makes one worker, or sometimes each of them, state a new limit or none.
 func (s *site) nameLimit(_ context.Context, _ time.Duration) string {
 	workers := []*soakWorker{s.anyWorker()}
 	if s.random.IntN(4) == 0 {
@@ -106,25 +110,26 @@
 	return fmt.Sprintf("%d workers, first %s, take %.1f requests a second (0: all)", len(workers), workers[0].ID(), perSecond)
 }
 
-// endLimits has no worker name a limit any more.
+// endLimits makes all workers state no limit.
 func (s *site) endLimits() {
 	for _, worker := range s.standing() {
 		s.limits.name(worker, 0, time.Now())
 	}
 }
 
-// via tells through which node each request came, and when its caller had the head of its
-// answer.
+// via describes through which node a request went, which worker answered, and when the caller
+// received the head of the answer.
 type via struct {
 	node           string
 	sent, answered time.Time
 	worker         string
-	// limited tells that the answer named a limit, and leaving that its worker was about to end.
+	// limited reports whether the answer stated a limit, and leaving whether it announced that
+	// the worker is about to end.
 	limited, leaving bool
 }
 
-// problems returns the limits that were exceeded: each arrival counts whose node has passed on
-// an answer of the same worker that names the limit, and isn't harmed.
+// problems returns the limits that were exceeded. An arrival counts if its node has forwarded
+// an answer in which the worker stated the limit, and neither was affected by a fault.
 func (l *limits) problems(workers []*soakWorker, requests map[string]via) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,7 +149,7 @@
 	return broken
 }
 
-// counted are the times of the arrivals that count under a limit.
+// counted returns the times of the arrivals that count towards a limit.
 func (l *limits) counted(limit limitSpan, arrivals []fleetworker.Arrival, requests map[string]via) []time.Time {
 	told := make(map[string]time.Time)
 	for _, request := range requests {
@@ -170,7 +175,7 @@
 	return times
 }
 
-// vias are the requests that callers sent.
+// vias returns the requests that callers sent, by id.
 func (l *load) vias() map[string]via {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/soak/limits_test.go
+++ b/internal/lab/soak/limits_test.go
@@ -8,7 +8,8 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// TestArrivalsUnderALimitCount: only those of nodes that were told and aren't harmed.
+// TestArrivalsUnderALimitCount: only arrivals from nodes that were told the limit, and that no
+// fault affects, count.
 func TestArrivalsUnderALimitCount(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return begin.Add(time.Duration(seconds * float64(time.Second))) }
@@ -25,11 +26,11 @@
 			arrivals = append(arrivals, fleetworker.Arrival{ID: id, At: at(from + float64(number)/100)})
 		}
 	}
-	add(30, "n1", 1)  // too early
-	add(10, "n1", 5)  // count
-	add(30, "n2", 5)  // of a node that wasn't told
-	add(30, "n1", 10) // while it is harmed
-	add(30, "n1", 21) // after the end
+	add(30, "n1", 1)  // too early: within limitCalm
+	add(10, "n1", 5)  // these count
+	add(30, "n2", 5)  // from a node that wasn't told the limit
+	add(30, "n1", 10) // during a fault of the node
+	add(30, "n1", 21) // after the limit's end
 	l := &limits{}
 	l.harm("n1", at(9.5), at(10.5))
 	if got := len(l.counted(limit, arrivals, requests)); got != 10 {
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -15,7 +15,7 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// class is a sort of request.
+// class is a kind of request.
 type class struct {
 	name, prefix, routeKind, service string
 	resumable                        bool
@@ -30,7 +30,7 @@
 	{"check", "/check/", "streaming", engines, true},
 }
 
-// The figures of the load.
+// Sizes and durations of the load.
 const (
 	callerCount   = 12
 	callerPause   = 60 * time.Millisecond
@@ -49,22 +49,22 @@
 	body   string
 	err    error
 	left   bool
-	// tenant is the caller's, and key its API key.
+	// tenant is the caller's tenant, and key its API key.
 	tenant, key string
-	// node is the one that was asked, and answered when the head of its answer came.
+	// node is the node that the caller asked; answered is when the head of the answer arrived.
 	node     string
 	answered time.Time
-	// probe tells that the request only tests which configuration is in force.
+	// probe marks requests that only test which configuration is in force.
 	probe bool
-	// patience is for how long the caller waits, and prompt names the parts of its
-	// prompt, empty where there is none.
+	// patience is the caller's timeout, and prompt the parts of its prompt; empty if there is
+	// none.
 	patience time.Duration
 	prompt   string
-	// target is what the path has after the class's prefix, the id where it is empty.
+	// target is the rest of the path after the class's prefix; empty means the id.
 	target string
 }
 
-// load sends requests and remembers what came.
+// load sends requests and records what callers see.
 type load struct {
 	site *site
 
@@ -97,7 +97,7 @@
 	callers.Wait()
 }
 
-// call is one caller, with connections of its own.
+// call runs one caller, which has its own connections.
 func (l *load) call(ctx context.Context, number int, random *rand.Rand) {
 	transport := &http.Transport{DisableCompression: true, DisableKeepAlives: number%2 == 0}
 	defer transport.CloseIdleConnections()
@@ -125,7 +125,7 @@
 	return l.send(transport, address, got, body)
 }
 
-// send makes a request, and returns what was seen of it.
+// send sends a request and returns what the caller saw of it.
 func (l *load) send(transport *http.Transport, address string, got seen, body string) seen {
 	ctx, cancel := context.WithTimeout(context.Background(), max(got.patience, 0))
 	defer cancel()
@@ -135,7 +135,7 @@
 		got.err = err
 		return got
 	}
-	request.GetBody = nil // the transport must not send it again by itself
+	request.GetBody = nil // the transport must not resend it on its own
 	request.Host = host
 	request.Header.Set("X-Request-Id", got.id)
 	request.Header.Set("X-Deadline-Ms", fmt.Sprint(deadlineMs))
@@ -159,10 +159,10 @@
 	return got
 }
 
-// nameOf is the name of the node at a callers' address.
+// nameOf returns the name of the node that serves callers at an address.
 func (s *site) nameOf(address string) string {
 	return s.nodes[slices.Index(s.callers, address)].Name
 }
 
-// whole is the answer that a worker gives to a request.
+// whole returns the complete answer of a worker to a request.
 func whole(id string) string { return fleetworker.Body(id, eventCount, 0) }
--- a/internal/lab/soak/notices.go
+++ b/internal/lab/soak/notices.go
@@ -10,25 +10,25 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// What a worker is promised that says it takes no requests.
+// Bounds for a worker that announces that it takes no more requests.
 const (
-	// drainBound is how long after a node has passed on an answer that says its worker is about
-	// to end a caller may send the last request that reaches the worker from there.
+	// drainBound is how long after a node forwarded the announcement that a worker is about to
+	// end callers may still send requests that reach the worker through this node.
 	drainBound = 2 * time.Second
-	// pauseTold is how long after a worker has asked a node for a pause requests count, and
-	// pauseSlack how many may reach it from there until the end of the pause.
+	// pauseTold is how long after a worker asked a node for a backoff requests begin to count.
+	// pauseSlack is how many may reach it from that node until the backoff ends.
 	pauseTold  = 500 * time.Millisecond
 	pauseSlack = 2
-	// leavingFor is how long a worker serves that is about to end.
+	// leavingFor is how long a worker still serves after it first announces its end.
 	leavingFor = 5 * time.Second
-	// leastStanding is how many workers of a service stay.
+	// leastStanding is the number of workers of a service and stage that must remain.
 	leastStanding = 2
 )
 
-// pauses are the times in seconds for which workers ask to be left alone.
+// pauses are the backoffs that workers ask for, in seconds.
 var pauses = []string{"0.7", "1", "2.5", "4"}
 
-// notices counts what workers said. It is safe for concurrent use.
+// notices counts the announcements of workers. It is safe for concurrent use.
 type notices struct {
 	mu              sync.Mutex
 	leaving, paused int
@@ -41,15 +41,15 @@
 	n.paused += paused
 }
 
-// counted returns how many workers said that they are about to end, and how many asked for pauses.
+// counted returns how often workers announced their end and asked for a backoff.
 func (n *notices) counted() (leaving, paused int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.leaving, n.paused
 }
 
-// announceEnd has a worker say in its answers that it is about to end, and end later. Its entry
-// says that it is ready.
+// announceEnd makes a worker announce in its answers that it is about to end, and ends it
+// later. Its list entry still says that it is ready.
 func (s *site) announceEnd(_ context.Context, _ time.Duration) string {
 	worker := s.anyWorker()
 	stay := slices.DeleteFunc(s.standing(), func(other *soakWorker) bool {
@@ -68,8 +68,8 @@
 	return fmt.Sprintf("%s is about to end in %v", worker.ID(), leavingFor)
 }
 
-// askForPause has a worker, or now and then each of them, reject requests for a time and ask to be
-// left alone.
+// askForPause makes one worker, or sometimes each of them, reject requests for a time and ask
+// for a backoff.
 func (s *site) askForPause(ctx context.Context, length time.Duration) string {
 	workers := []*soakWorker{s.anyWorker()}
 	if s.random.IntN(4) == 0 {
@@ -87,7 +87,7 @@
 	return fmt.Sprintf("%d workers, first %s, ask for pauses of %s s for %v", len(workers), workers[0].ID(), pause, length.Round(time.Millisecond))
 }
 
-// noticeProblems returns the promises to workers that say they take no requests which were broken.
+// noticeProblems returns the workers that got too many requests after an announcement.
 func (s *site) noticeProblems(requests map[string]via) []string {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
@@ -104,8 +104,8 @@
 	return broken
 }
 
-// sentTooLate counts the requests that reached a worker from a node although their callers had
-// sent them later than drainBound after the node passed on that the worker is about to end.
+// sentTooLate counts the requests that reached a worker although their callers sent them more
+// than drainBound after the node had forwarded that the worker is about to end.
 func (l *limits) sentTooLate(worker string, arrivals []fleetworker.Arrival, requests map[string]via) int {
 	told := make(map[string]time.Time)
 	for _, request := range requests {
@@ -127,8 +127,8 @@
 	return count
 }
 
-// mostInPause returns the most requests that reached a worker from one node within a pause that
-// the worker had asked that node for, from pauseTold on.
+// mostInPause returns the largest number of requests that reached a worker from one node during
+// a backoff that it had asked that node for, from pauseTold on.
 func (l *limits) mostInPause(worker string, arrivals []fleetworker.Arrival, requests map[string]via) int {
 	byNode := make(map[string][]fleetworker.Arrival)
 	for _, arrival := range arrivals {
@@ -155,7 +155,8 @@
 	return most
 }
 
-// harmedWithin reports whether a node, or the way to a worker, was harmed at some moment of a time.
+// harmedWithin reports whether a fault affected a node, or the connections to a worker, at some
+// moment of a time span.
 func (l *limits) harmedWithin(name string, from, to time.Time) bool {
 	return slices.ContainsFunc(l.cut[name], func(s span) bool { return s.from.Before(to) && from.Before(s.to) })
 }
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -12,21 +12,20 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// The figures of the poison request.
+// Constants of the poison request.
 const (
-	// poisonBody ends each worker that runs it.
+	// poisonBody is the body of the request that crashes workers.
 	poisonBody  = "poison"
 	poisonPause = 250 * time.Millisecond
-	// fallenFor is how long a worker is away that has ended under it.
+	// fallenFor is how long after its end a worker is replaced.
 	fallenFor = time.Second
-	// poisonRuns is how many workers may end under it before it is known, and how often it
-	// may reach others after that while nothing is harmed.
+	// poisonRuns is how many workers may crash before nodes must recognize the request, and how
+	// many it may reach after that while no faults are injected.
 	poisonRuns = 3
 )
 
-// poison follows from outside a request that comes again and again, under another id each
-// time, and ends each worker that runs it. The zero value has sent none. It is safe for
-// concurrent use.
+// poison tracks a request that is sent again and again, with a new id each time, and crashes
+// each worker that runs it. The zero value has sent none. It is safe for concurrent use.
 type poison struct {
 	mu         sync.Mutex
 	tries      map[string]seen
@@ -39,7 +38,7 @@
 	d.quietSince = time.Now()
 }
 
-// sent reports whether an id is that of a try.
+// sent reports whether an id belongs to one of the poison requests.
 func (d *poison) sent(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,9 +55,9 @@
 	d.tries[got.id] = got
 }
 
-// problems returns the promises that were broken: the request reaches workers no more than
-// three times once it is known and nothing has been harmed for a while, and a try that is
-// called not run has not run.
+// problems returns the violations found: the request may reach at most poisonRuns workers once
+// it is recognized and no faults have been injected for a while, and one that was answered as
+// not run must not have run.
 func (d *poison) problems(runs []fleetworker.Run) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,7 +86,7 @@
 	return broken
 }
 
-// send sends the poison request again and again until ctx ends.
+// sendPoison sends the poison request again and again until ctx is done.
 func (l *load) sendPoison(ctx context.Context) {
 	transport := &http.Transport{DisableCompression: true, DisableKeepAlives: true}
 	random := rand.New(rand.NewPCG(l.site.options.Seed, callerCount+2))
@@ -97,12 +96,12 @@
 			id: fmt.Sprintf("po15%012x", count), class: classes[len(classes)-1], target: "poison", sent: time.Now(),
 			tenant: tenantOf(0), key: keyOf(0), patience: clientTimeout, prompt: "a0:2000,deadbeef:1000",
 		}
-		l.site.poison.add(got) // it may run before its answer is known
+		l.site.poison.add(got) // it may run before its answer arrives
 		l.site.poison.add(l.send(transport, l.site.callers[random.IntN(len(l.site.callers))], got, poisonBody))
 	}
 }
 
-// fall takes a worker out that has ended, and has another one stand in its place later.
+// fall removes an ended worker and starts a replacement after fallenFor.
 func (s *site) fall(worker *soakWorker, options fleetworker.Options) {
 	worker.ended.Store(true)
 	worker.proxy.Close()
@@ -121,24 +120,24 @@
 	}()
 }
 
-// standing are the workers that stand.
+// standing returns the running workers.
 func (s *site) standing() []*soakWorker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.workers)
 }
 
-// fallenWorkers are those that have ended.
+// fallenWorkers returns the ended workers.
 func (s *site) fallenWorkers() []*soakWorker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.fallen)
 }
 
-// everyWorker are all that have ever stood.
+// everyWorker returns all workers, running and ended.
 func (s *site) everyWorker() []*soakWorker { return append(s.standing(), s.fallenWorkers()...) }
 
-// anyWorker draws one that stands.
+// anyWorker returns a random running worker.
 func (s *site) anyWorker() *soakWorker {
 	standing := s.standing()
 	return standing[s.random.IntN(len(standing))]
--- a/internal/lab/soak/poison_test.go
+++ b/internal/lab/soak/poison_test.go
@@ -9,7 +9,7 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// TestPoisonCheckerFinds shows that each check of the poison request can fail.
+// TestPoisonCheckerFinds: each check of the poison request can fail.
 func TestPoisonCheckerFinds(t *testing.T) {
 	quietSince := time.Unix(1000, 0)
 	calm := quietSince.Add(quiet)
--- a/internal/lab/soak/ports.go
+++ b/internal/lab/soak/ports.go
@@ -9,19 +9,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// The soak's ports lie below those that the kernel gives to whoever asks for any: a port of
-// those that a process has left may be another one's a moment later, which then gets
-// requests that were meant for the first. Each process begins elsewhere.
+// Ports are taken from below the kernel's ephemeral range. A port that one process has released
+// could otherwise be given to another process a moment later, which would then receive requests
+// meant for the first. Each soak process starts at a different port.
 const (
 	firstPort       = 10_000
 	portCount       = 9_000
 	portsPerProcess = 211
 )
 
-// lastPort counts the ports given out by this process.
+// lastPort counts the ports that this process has tried.
 var lastPort atomic.Int64
 
-// listen opens a port that no process has had lately.
+// listen listens on a port that no process has used recently.
 func listen() (net.Listener, error) {
 	var last error
 	for range portCount {
@@ -35,7 +35,7 @@
 	return nil, eris.Wrap(last, "no port is free")
 }
 
-// freeAddress returns an address that is free for a node.
+// freeAddress returns a free address for a node.
 func freeAddress() (string, error) {
 	listener, err := listen()
 	if err != nil {
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Mode is what a proxy does with the connections that go through it.
+// Mode is what a proxy does with its connections.
 type Mode string
 
-// The modes.
+// The modes of a proxy.
 const (
 	// Pass forwards everything.
 	Pass Mode = "pass"
-	// Slow delays every piece in both directions.
+	// Slow delays each chunk in both directions.
 	Slow Mode = "slow"
-	// Reset closes open connections and new ones with a reset.
+	// Reset resets open and new connections.
 	Reset Mode = "reset"
-	// Silent forwards nothing and closes nothing.
+	// Silent holds data back in both directions and keeps connections open.
 	Silent Mode = "silent"
 	// OneWay forwards requests and holds answers back.
 	OneWay Mode = "one way"
@@ -30,7 +30,7 @@
 	pieceBytes = 16 << 10
 )
 
-// Proxy forwards TCP connections over loopback and harms them on command.
+// Proxy forwards TCP connections over loopback and can inject faults into them.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -40,7 +40,7 @@
 	conns map[net.Conn]bool
 }
 
-// StartProxy returns a proxy to an address.
+// StartProxy starts a proxy to an address.
 func StartProxy(target string) (*Proxy, error) {
 	listener, err := listen()
 	if err != nil {
@@ -51,10 +51,10 @@
 	return p, nil
 }
 
-// Address returns IP:PORT.
+// Address returns the proxy's IP:PORT.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetMode changes what happens to connections, open ones included.
+// SetMode sets the mode for all connections, including open ones.
 func (p *Proxy) SetMode(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -127,7 +127,7 @@
 	_ = callee.Close()
 }
 
-// copy forwards one direction until it ends; the end is passed on as it came.
+// copy forwards one direction until it ends, and forwards how it ended: by a close or a reset.
 func (p *Proxy) copy(to, from net.Conn, answers bool) {
 	buffer := make([]byte, pieceBytes)
 	for {
@@ -152,7 +152,7 @@
 	}
 }
 
-// hold waits for as long as the mode keeps a piece back.
+// hold blocks for as long as the mode holds a chunk back.
 func (p *Proxy) hold(answer bool) {
 	if p.current() == Slow {
 		time.Sleep(slowBy)
--- a/internal/lab/soak/proxy_test.go
+++ b/internal/lab/soak/proxy_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// echoServer answers each byte with itself.
+// echoServer starts a server that echoes what it receives, and returns its address.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return c
 }
 
-// echoed reports whether a byte comes back within a time.
+// echoed reports whether a byte is echoed within a time.
 func echoed(c net.Conn, within time.Duration) bool {
 	if _, err := c.Write([]byte("x")); err != nil {
 		return false
--- a/internal/lab/soak/quota.go
+++ b/internal/lab/soak/quota.go
@@ -9,17 +9,17 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// limitedTenant has a limit where quotas are played: about half of what its four callers ask
-// for without one (58 requests ran in 8 s, seed 1796241653594264864).
+// limitedTenant is the tenant with a quota in runs with Options.Quotas. The quota is about half
+// of what its four callers send without one (58 requests ran in 8 s, seed 1796241653594264864).
 const limitedTenant = 1
 
-// The limit and by how much all nodes together may exceed it.
+// The quota, and by how much all nodes together may exceed it.
 var (
 	tenantLimit    = quota.Limit{Rate: 3, Burst: 4, Unit: quota.Requests}
 	quotaTolerance = quota.Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 4}
 )
 
-// allRuns are the requests that workers began.
+// allRuns returns the requests that workers began to run.
 func (s *site) allRuns() []fleetworker.Run {
 	var runs []fleetworker.Run
 	for _, worker := range s.everyWorker() {
@@ -28,8 +28,8 @@
 	return runs
 }
 
-// overQuota tells of the window in which workers began most requests of a tenant, if these are
-// more than it may use.
+// overQuota returns a violation if, in some window, workers began more requests of a tenant
+// than its quota and tolerance allow.
 func overQuota(runs []fleetworker.Run, tenant string, limit quota.Limit, tolerance quota.Tolerance) []string {
 	var began []time.Time
 	for _, run := range runs {
--- a/internal/lab/soak/quota_test.go
+++ b/internal/lab/soak/quota_test.go
@@ -9,10 +9,11 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// TestOverQuotaIsFound: in any window, of the tenant alone.
+// TestOverQuotaIsFound: an excess is found in any window, and only requests of the tenant
+// count.
 func TestOverQuotaIsFound(t *testing.T) {
 	limit := quota.Limit{Rate: 2, Burst: 3, Unit: quota.Requests}
-	tolerance := quota.Tolerance{Window: 2 * time.Second, Overshoot: 0, Slack: 1} // eight in two seconds
+	tolerance := quota.Tolerance{Window: 2 * time.Second, Overshoot: 0, Slack: 1} // allows eight requests in two seconds
 	begin := func(count int, tenant string, from, pause time.Duration) []fleetworker.Run {
 		var runs []fleetworker.Run
 		for number := range count {
--- a/internal/lab/soak/report.go
+++ b/internal/lab/soak/report.go
@@ -8,42 +8,42 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// Report is what a soak found.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64 `json:"seed"`
-	// Unfenced tells that nobody compared fences.
+	// Unfenced reports whether the run was unfenced.
 	Unfenced bool `json:"unfenced,omitempty"`
-	// OverLimit counts the requests of the tenant with a limit that were answered 429. They
-	// are in no other count.
+	// OverLimit counts the requests of the tenant with a quota that were answered 429. No other
+	// count includes them.
 	OverLimit int `json:"over_limit,omitempty"`
-	// Sent counts requests; Served those answered whole.
+	// Sent counts requests; Served counts those that were answered completely.
 	Sent   int `json:"sent"`
 	Served int `json:"served"`
-	// QuietSent and QuietServed count those of the quiet time at the end.
+	// QuietSent and QuietServed count the requests of the last half of the quiet period.
 	QuietSent   int `json:"quiet_sent"`
 	QuietServed int `json:"quiet_served"`
 	Starts      int `json:"starts"`
-	// Ended counts the workers that ended under a poison request.
+	// Ended counts the workers that ended during the run.
 	Ended int `json:"ended,omitempty"`
-	// Limited counts the limits that workers named.
+	// Limited counts the limits that workers stated.
 	Limited int `json:"limited,omitempty"`
-	// Leaving counts the workers that said they were about to end, and Paused those that asked
-	// for a pause, each time.
+	// Leaving counts the announcements of workers that they are about to end, and Paused the
+	// requests of workers for a backoff.
 	Leaving int `json:"leaving,omitempty"`
 	Paused  int `json:"paused,omitempty"`
-	// Storm is how soon the configurations of a storm were in force, nil where there was none.
+	// Storm is how soon the configurations of a storm were in force; nil if there was none.
 	Storm *stormReport `json:"storm,omitempty"`
-	// Windows counts the windows of usage that were reported.
+	// Windows counts the usage windows that were reported.
 	Windows  int            `json:"windows"`
 	Statuses map[string]int `json:"statuses"`
-	// Broken lists the promises that did not hold.
+	// Broken lists the violations of guarantees.
 	Broken []string `json:"broken"`
 }
 
-// quietShare is the share that must be served in the quiet time.
+// quietShare is the share of the requests counted by QuietSent that must be served.
 const quietShare = 0.9
 
-// report judges all that was seen.
+// report checks everything that callers and workers saw.
 func (l *load) report() *Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,13 +109,13 @@
 	}
 }
 
-// notRun are the statuses that promise that a request did not run and never will.
+// notRun are the statuses that guarantee that the request did not run and won't run.
 var notRun = map[int]bool{
 	http.StatusServiceUnavailable: true, http.StatusTooManyRequests: true,
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-// judge returns the promises that one request broke.
+// judge returns the guarantees that were violated for one request.
 func judge(got seen, runs []fleetworker.Run, workers map[string]*soakWorker) []string {
 	var broken []string
 	if !got.class.repeatable() && len(runs) > 1 {
@@ -138,7 +138,7 @@
 	return append(broken, judgeAnswer(got, workers)...)
 }
 
-// judgeAnswer looks at the answer itself.
+// judgeAnswer checks the content of a complete answer.
 func judgeAnswer(got seen, workers map[string]*soakWorker) []string {
 	if got.status != http.StatusOK || got.err != nil {
 		return nil
--- a/internal/lab/soak/report_test.go
+++ b/internal/lab/soak/report_test.go
@@ -9,7 +9,7 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// good is an answered request with its run.
+// good returns a request that was answered correctly, its run, and the worker.
 func good(t *testing.T, kind class) (seen, []fleetworker.Run, map[string]*soakWorker) {
 	t.Helper()
 	worker := &soakWorker{Worker: fleetworker.Start(fleetworker.Options{ID: "w"})}
@@ -23,7 +23,7 @@
 	return got, []fleetworker.Run{{ID: "id", Worker: "w", Target: kind.prefix + "id", Header: http.Header{"X-Tenant": {"t"}}}}, map[string]*soakWorker{"w": worker}
 }
 
-// TestCheckersFind shows that each checker can fail.
+// TestCheckersFind: each check of a request can fail.
 func TestCheckersFind(t *testing.T) {
 	submit, status := classes[1], classes[0]
 	for _, example := range []struct {
--- a/internal/lab/soak/restore.go
+++ b/internal/lab/soak/restore.go
@@ -9,19 +9,20 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetstore"
 )
 
-// The figures of restores of the store.
+// Durations for restores of the store.
 const (
-	// The copy is of some time before.
+	// The range of the age of the backup.
 	youngestCopy = time.Second
 	oldestCopy   = 8 * time.Second
 	longestAway  = 2500 * time.Millisecond
-	// longestRewriting is the time in which the operator and the workers write again what was
-	// lost of theirs.
+	// longestRewriting is the time in which the operator and the workers write their lost rows
+	// again.
 	longestRewriting = 1500 * time.Millisecond
 	longestBetween   = 3 * time.Second
 )
 
-// restoreOften has the store go away again and again and come back from a copy, until ctx ends.
+// restoreOften makes the store unreachable and restores it from a backup, again and again,
+// until ctx is done.
 func (s *site) restoreOften(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.options.Seed, 73))
 	for ctx.Err() == nil {
@@ -32,11 +33,11 @@
 	}
 }
 
-// restoreOnce has the store come back with what it held at a time. What the operator and the
-// workers wrote since is written again, in any order.
+// restoreOnce restores the store to the version copied, its version at a time. What the
+// operator and the workers have written since is written again, in random order.
 func (s *site) restoreOnce(random *rand.Rand, copied uint64, at time.Time) {
 	away := time.Duration(random.Int64N(int64(longestAway)))
-	// What was accepted just before may have reached nobody.
+	// Versions accepted just before the outage may not have reached any node.
 	unsure := earlier(at, time.Now().Add(-applyBound))
 	s.store.SetUnreachable(true)
 	time.Sleep(away)
@@ -56,14 +57,14 @@
 		time.Since(s.started).Seconds(), away.Round(time.Millisecond), copied, time.Since(at).Round(time.Millisecond), len(lost))
 }
 
-// writeAgain writes a row again, no configuration while another one is being put.
+// writeAgain writes a lost row again, but not while a new configuration is being written.
 func (s *site) writeAgain(row fleetstore.Row, restored uint64) {
 	s.configuring.Lock()
 	defer s.configuring.Unlock()
 	s.store.RewriteLost(row, restored)
 }
 
-// restored has the versions that were accepted since a time count as accepted now.
+// restored treats the versions that were accepted after since as accepted now.
 func (s *storm) restored(since, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,8 +1,8 @@
-// Package soak runs real nodes as separate processes on one machine, before
-// stand-ins of the users' platform, and harms them from outside under a seed:
-// proxies delay, reset and silence connections; signals stop, pause and kill
-// processes; the store is down, throttled, forgetful and loses answers; workers fail.
-// It checks from what callers and workers see that the promises hold.
+// Package soak runs real nodes as separate processes on one machine, against fakes of the
+// platform, and injects faults that a seed determines. Proxies delay, reset and stall
+// connections; signals stop, pause and kill processes; the store fails, throttles, drops its
+// change history and loses answers; workers fail. From what callers and workers see, it checks
+// that the guarantees hold.
 package soak
 
 import (
@@ -22,40 +22,43 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// Options steer a soak.
+// Options configure a soak run.
 type Options struct {
 	// Program is the path of tinarchd.
 	Program string
-	// Directory takes settings and logs.
+	// Directory holds the nodes' settings and logs.
 	Directory string
 	Seed      uint64
-	// Length is the time in which faults come; a quiet time follows.
+	// Length is the time during which faults are injected; a quiet period without faults
+	// follows.
 	Length time.Duration
 	Out    io.Writer
-	// Unfenced has neither the platform's API nor the engines compare fences.
+	// Unfenced runs against a platform on which neither the API nor the engines compare fencing
+	// tokens, and checks that no stale token reaches them.
 	Unfenced bool
-	// Quotas gives one tenant a limit, and checks that it holds over all nodes.
+	// Quotas gives one tenant a quota and checks that it holds over all nodes.
 	Quotas bool
-	// Poison has one caller send the same request again and again that ends each worker which
-	// runs it.
+	// Poison makes one caller repeat a request that crashes each worker that runs it.
 	Poison bool
-	// Limits has workers name how many requests they take, and checks what they get.
+	// Limits makes workers state rate limits, and checks how many requests reach them.
 	Limits bool
-	// Notices has workers say that they are about to end or want a pause, and checks what they get.
+	// Notices makes workers announce that they are about to end or ask for a backoff, and
+	// checks which requests still reach them.
 	Notices bool
-	// Storms has configurations come in quick succession and the store turn nodes away, and
-	// checks how soon each node has each of them.
+	// Storms changes the configuration in quick succession while the store is unreachable for
+	// some nodes, and checks how soon each node has each version.
 	Storms bool
-	// Restores has the store go away and come back from a copy of some seconds before.
+	// Restores makes the store unreachable and then restores it from a backup that is some
+	// seconds old.
 	Restores bool
 	// Nodes is the number of nodes.
 	Nodes int
-	// Earlier is the path of tinarchd of an earlier build. Where it is set, half of the nodes
-	// begin with it, and nodes are rolled forward and back.
+	// Earlier is the path of an earlier build of tinarchd. If it is set, half of the nodes
+	// start with it, and nodes are upgraded and downgraded during the run.
 	Earlier string
 }
 
-// programOf returns the program that a node begins with.
+// programOf returns the program that a node starts with.
 func (o Options) programOf(number int) string {
 	if o.Earlier != "" && number%2 == 1 {
 		return o.Earlier
@@ -63,38 +66,39 @@
 	return o.Program
 }
 
-// The size of a soak.
+// Durations and sizes of a run.
 const (
-	// quiet is the time after the last fault in which all must be served again.
+	// quiet is the length of the period without faults at the end. In its second half at least
+	// quietShare of the requests must be served again.
 	quiet        = 10 * time.Second
 	startTimeout = 20 * time.Second
 	stopMillis   = 8000
 	eventPause   = 15 * time.Millisecond
 	eventCount   = 8
-	// usageWindow and usageLate are how usage is reported.
+	// usageWindow and usageLate are the nodes' settings for usage reports.
 	usageWindow = 2 * time.Second
 	usageLate   = 10 * time.Second
-	// configuredLease is the life of the lease in the nodes' settings.
+	// configuredLease is the lifetime of a lease in the nodes' settings.
 	configuredLease = 3 * time.Second
-	// thawSlack is for how long after a node goes on, or its link is mended, its calls don't
-	// count: what was on its way then may still arrive.
+	// thawSlack is how long after a node resumes, or its connection works again, its calls are
+	// ignored: calls that were in transit may still arrive.
 	thawSlack = 300 * time.Millisecond
 )
 
-// The services of a soak.
+// The host and services of a run.
 const (
 	host    = "soak.example"
 	engines = "engines"
 	plain   = "plain"
 )
 
-// site is what a soak runs.
+// site holds the processes and fakes of a run.
 type site struct {
 	options Options
 	random  *rand.Rand
 	store   *fleetstore.Store
 	api     *fleetapi.API
-	// toStore is each node's own way to the store.
+	// toStore holds each node's proxy to the store.
 	toStore []*Proxy
 	nodes   []*process.Node
 	callers []string
@@ -104,29 +108,29 @@
 	started time.Time
 
 	mu sync.Mutex
-	// workers are those that stand, and fallen those that have ended.
+	// workers are the running workers, fallen the ended ones.
 	workers, fallen []*soakWorker
 
 	watch *watch
 	storm storm
-	// configuring is held while a configuration is put.
+	// configuring is held while a configuration is written.
 	configuring sync.Mutex
 }
 
-// soakWorker is a worker with the proxy that its entry names.
+// soakWorker is a worker and the proxy whose address is in its list entry.
 type soakWorker struct {
 	*fleetworker.Worker
 	options fleetworker.Options
 	proxy   *Proxy
-	// leaving workers say that they are about to end.
+	// leaving reports whether the worker announces that it is about to end.
 	leaving atomic.Bool
-	// state is that of its entry.
+	// state is the state in its list entry.
 	state atomic.Pointer[string]
-	// ended workers have no entry any more.
+	// ended reports whether the worker has ended; its list entry is no longer written.
 	ended atomic.Bool
 }
 
-// Run runs one seed.
+// Run performs one run with the seed in options.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	s := &site{options: options, random: rand.New(rand.NewPCG(options.Seed, options.Seed)), started: time.Now(), watch: newWatch()}
 	defer s.close()
@@ -241,13 +245,13 @@
 	return nil
 }
 
-// list writes a worker's entry, with the address of its proxy.
+// list writes a worker's list entry in a state, with the address of its proxy.
 func (s *site) list(worker *soakWorker, state string) {
 	worker.state.Store(&state)
 	s.relist(worker)
 }
 
-// relist writes a worker's entry anew, in the state that it had.
+// relist writes a worker's list entry again in its current state.
 func (s *site) relist(worker *soakWorker) {
 	if worker.ended.Load() {
 		return
@@ -289,7 +293,7 @@
 	return node.Start()
 }
 
-// zoneOf is a node's zone: in a storm one of three.
+// zoneOf returns a node's zone: one of three with Options.Storms, else always the same.
 func (s *site) zoneOf(number int) string {
 	if !s.options.Storms {
 		return "a"
@@ -316,8 +320,8 @@
 	}
 }
 
-// configuration is the operator's, with one route of each kind, some that were added later,
-// and those of a version of a storm.
+// configuration returns the operator's configuration: one route of each class, the routes added
+// so far, and the routes of a version of a storm.
 func (s *site) configuration(added, stormVersion int) map[string]any {
 	route := func(kind class) map[string]any {
 		return map[string]any{
@@ -348,15 +352,16 @@
 	}
 }
 
-// autoscale is how workers may be ordered; the stand-in takes orders and changes nothing.
+// autoscale returns the autoscaling settings of a service. The fake API records scaling orders
+// and changes nothing.
 func autoscale() map[string]any {
 	return map[string]any{"Min": 1, "Max": 8, "BootTimeoutS": 4.0, "SpotPrice": 0.2, "ZonePrices": map[string]any{"a": 1.0}}
 }
 
-// tenantCount is the number of tenants; each caller belongs to one of them.
+// tenantCount is the number of tenants; each caller belongs to one.
 const tenantCount = 3
 
-// tenants lists them, one with a limit if wanted.
+// tenants returns the tenants' configuration, with a quota for one of them if limited is set.
 func tenants(limited bool) []any {
 	var all []any
 	for number := range tenantCount {
--- a/internal/lab/soak/storm.go
+++ b/internal/lab/soak/storm.go
@@ -15,39 +15,39 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// The figures of a storm of configurations.
+// Constants of a storm: many configurations in quick succession.
 const (
 	shortestCalm = 300 * time.Millisecond
 	longestCalm  = 2800 * time.Millisecond
-	// keptRoutes is how many versions a route lasts that a version adds.
+	// keptRoutes is for how many versions a route that a version adds is kept.
 	keptRoutes = 6
-	// idleRoutes fill a configuration that fits in no datagram.
+	// idleRoutes makes a configuration too large for one datagram.
 	idleRoutes = 300
-	// stormProbeEvery is how often each node is asked.
+	// stormProbeEvery is the interval at which each node is probed.
 	stormProbeEvery = 200 * time.Millisecond
-	// promptly is the time within which each node that another one reaches is to have a
-	// version.
+	// promptly is the time within which a node should have a version if other nodes can reach
+	// it. A later one is counted but isn't a violation.
 	promptly = time.Second
-	// The store turns a share of the nodes away for a time.
+	// The store is unreachable for a share of the nodes, for a time in this range.
 	shortestDenial = 3 * time.Second
 	longestDenial  = 9 * time.Second
-	deniedShare    = 3 // one of so many
+	deniedShare    = 3 // one in this many
 )
 
-// storm follows from outside which of many versions each node has in force. It is safe for
-// concurrent use.
+// storm tracks which configuration version each node has in force. It is safe for concurrent
+// use.
 type storm struct {
 	mu sync.Mutex
-	// accepted is when the store took each version.
+	// accepted is when the store accepted each version.
 	accepted []time.Time
 	seen     []sighting
 }
 
-// sighting is what a node answered to a request for the route that a version added.
+// sighting is a node's answer to a request for the route that a version added or dropped.
 type sighting struct {
 	node    string
 	version int
-	// dropped tells that it was for a route that version dropped.
+	// dropped reports whether the request was for a route that the version dropped.
 	dropped bool
 	sent    time.Time
 	status  int
@@ -72,8 +72,8 @@
 	s.seen = append(s.seen, got)
 }
 
-// late tells that a node answered by an older version than the one that was asked for, or
-// that it doesn't know.
+// late reports whether the node answered by an older version than the one probed for, or that
+// it doesn't know whether its version is the newest.
 func (got sighting) late() bool {
 	if got.dropped {
 		return got.status == http.StatusOK
@@ -81,19 +81,19 @@
 	return got.status == http.StatusNotFound || got.stale
 }
 
-// stormReport is how soon versions were in force.
+// stormReport is how soon the versions of a storm were in force.
 type stormReport struct {
-	// Versions counts configurations, Sightings the answers that tell of one.
+	// Versions counts the configurations, and Sightings the answers to probes.
 	Versions  int `json:"versions"`
 	Sightings int `json:"sightings"`
-	// Late counts the nodes that lacked a version for longer than promptly, each time, and
-	// WorstMillis is the longest time after which one lacked it.
+	// Late counts how often a node lacked a version for longer than promptly. WorstMillis is
+	// the longest time after which a node still lacked a version.
 	Late        int   `json:"late"`
 	WorstMillis int64 `json:"worst_ms"`
 }
 
-// report judges all sightings: the bound holds for each node that ran undisturbed, also while
-// the store turns it away.
+// report checks all sightings. The bound applies to each node that no fault affected, even
+// while the store is unreachable for it.
 func (s *storm) report(harmed func(node string, at time.Time) bool) (stormReport, []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,13 +123,14 @@
 	return report, broken
 }
 
-// stormRoute is the class of the requests for the route that a version added.
+// stormRoute returns the class of the requests for the route that a version added.
 func stormRoute(version int) class {
 	return class{name: fmt.Sprintf("storm-%d", version), prefix: fmt.Sprintf("/storm-%d/", version), routeKind: "idempotent", service: plain}
 }
 
-// stormRoutes are the routes of a version of a storm: those that the last versions added, and
-// in a large configuration others with names that can't be compressed.
+// stormRoutes returns the routes of a version of a storm: those that the last keptRoutes
+// versions added and, if the configuration is to be large, others with names that don't
+// compress.
 func (s *site) stormRoutes(version int) []class {
 	if !s.options.Storms {
 		return nil
@@ -149,8 +150,8 @@
 	return routes
 }
 
-// runStorm puts configurations in quick succession, and has the store turn nodes away, until
-// ctx ends.
+// runStorm writes configurations in quick succession, and makes the store unreachable for some
+// nodes, until ctx is done.
 func (s *site) runStorm(ctx context.Context) {
 	var parts sync.WaitGroup
 	parts.Go(func() { s.changeOften(ctx) })
@@ -166,7 +167,7 @@
 	}
 }
 
-// changeOnce puts the next configuration of the storm.
+// changeOnce writes the next configuration of the storm.
 func (s *site) changeOnce() {
 	s.configuring.Lock()
 	defer s.configuring.Unlock()
@@ -174,9 +175,9 @@
 	s.storm.accept(time.Now())
 }
 
-// denyOften has the store turn a share of the nodes away again and again: every other time
-// with the one that is ranked first to read the configuration. Now and then it has forgotten
-// its history when it serves them again.
+// denyOften makes the store unreachable for a share of the nodes, again and again. Every other
+// time that includes the node that ranks first for reading the configuration. Sometimes the
+// store has dropped its change history when the nodes reach it again.
 func (s *site) denyOften(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.options.Seed, 72))
 	for count := 0; ctx.Err() == nil; count++ {
@@ -202,8 +203,8 @@
 	}
 }
 
-// startStale has a node start again, every other time the one that is ranked first to read the
-// configuration, while the store answers reads as of seconds ago.
+// startStale restarts a node, about every other time the one that ranks first for reading the
+// configuration, while the store answers reads with a state that is up to seconds old.
 func (s *site) startStale(ctx context.Context, length time.Duration) string {
 	before := s.store.Version()
 	sleep(ctx, length)
@@ -221,7 +222,7 @@
 	return fmt.Sprintf("%s was killed and started while reads were as of version %d, %v ago", node.Name, before, length.Round(time.Millisecond))
 }
 
-// firstReader is the node that is ranked first to read the configuration for all.
+// firstReader returns the node that ranks first for reading the configuration for all nodes.
 func (s *site) firstReader() int {
 	numbers := make([]int, len(s.nodes))
 	for i := range numbers {
@@ -233,8 +234,8 @@
 	return rendezvous.Top(numbers, hash, rendezvous.Hash("table op"), 1)[0]
 }
 
-// watchStorm asks each node again and again for the newest route, or for the one that the
-// newest version dropped, until ctx ends.
+// watchStorm probes each node again and again, for the newest route or for the one that the
+// newest version dropped, until ctx is done.
 func (l *load) watchStorm(ctx context.Context) {
 	var nodes sync.WaitGroup
 	for number := range l.site.nodes {
@@ -253,16 +254,16 @@
 			l.sight(transport, number, count*keptRoutes, version, dropped)
 			continue
 		}
-		// Where a node lacks the newest version, which others does it lack?
+		// If a node lacks the newest version, find out which older ones it lacks.
 		for older := range keptRoutes {
 			if !l.sight(transport, number, count*keptRoutes+older, version-older, false) {
-				break // it has this one, or doesn't tell which it has
+				break // it has this one, or doesn't tell which one it has
 			}
 		}
 	}
 }
 
-// sight asks a node once, and reports whether it answered by an older version.
+// sight probes a node once and reports whether it answered by an older version.
 func (l *load) sight(transport *http.Transport, number, count, version int, dropped bool) (older bool) {
 	kind := stormRoute(version)
 	if dropped {
--- a/internal/lab/soak/storm_test.go
+++ b/internal/lab/soak/storm_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestStormFindsNodesThatAreLate, whatever they answer by the older configuration.
+// TestStormFindsNodesThatAreLate: a node is late however it shows that it uses an older
+// configuration.
 func TestStormFindsNodesThatAreLate(t *testing.T) {
 	var s storm
 	accepted := time.Unix(100, 0)
--- a/internal/lab/soak/watch.go
+++ b/internal/lab/soak/watch.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// The figures of the watch.
+// Intervals and bounds of the watch.
 const (
 	probeEvery = 120 * time.Millisecond
-	// applyBound is the time within which an accepted configuration is in force and a
-	// leaving worker gets nothing more.
+	// applyBound is the time within which an accepted configuration is in force, and after
+	// which a draining worker gets no more requests.
 	applyBound = 2 * time.Second
-	// probeMargin is left for a probe to come and go.
+	// probeMargin is the allowance for the round trip of a probe.
 	probeMargin = 500 * time.Millisecond
 )
 
 // probed is the class of the requests that only test which configuration is in force.
 var probed = class{name: "probe", prefix: "/added-", routeKind: "idempotent", service: plain}
 
-// watch follows from outside which configuration each node has in force: each new one
-// adds a route and keeps those before. It is safe for concurrent use.
+// watch tracks which configuration each node has in force. Each new one adds a route and keeps
+// those before. It is safe for concurrent use.
 type watch struct {
 	mu sync.Mutex
-	// accepted is when the store took each version that added a route.
+	// accepted is when the store accepted each version that added a route.
 	accepted []time.Time
-	// served is the newest route that the running incarnation of each node has served.
+	// served is the newest added route that each node's current incarnation has served.
 	served map[string]incarnation
-	// leaving holds since when workers drain, to the end of the soak.
+	// leaving is when each worker began to drain; they drain until the run ends.
 	leaving map[string]time.Time
 	broken  []string
 }
@@ -41,14 +41,14 @@
 	return &watch{served: make(map[string]incarnation), leaving: make(map[string]time.Time)}
 }
 
-// accept records that the store took a configuration with one more route.
+// accept records that the store accepted a configuration with one more route.
 func (w *watch) accept(at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.accepted = append(w.accepted, at)
 }
 
-// routes returns the number of routes that were added.
+// routes returns the number of routes added so far.
 func (w *watch) routes() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,8 +62,9 @@
 	w.leaving[worker] = at
 }
 
-// observe judges a probe of a route at a node, whose incarnation was the same before
-// and after it. calm tells that nothing was harmed for a while.
+// observe checks the answer of a node to a probe for a route. starts is the number of the
+// node's incarnation, the same before and after the probe. calm tells that no fault has been
+// injected for a while.
 func (w *watch) observe(node string, starts, route, status int, sent time.Time, calm bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,7 +83,7 @@
 	w.served[node] = known
 }
 
-// ran judges a request that a worker took.
+// ran checks a request that a worker began to run.
 func (w *watch) ran(worker string, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,14 +92,14 @@
 	}
 }
 
-// problems returns what was found.
+// problems returns the violations found.
 func (w *watch) problems() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.broken
 }
 
-// configure puts a configuration with one more route.
+// configure writes a configuration with one more route.
 func (s *site) configure(_ context.Context, _ time.Duration) string {
 	s.configuring.Lock()
 	defer s.configuring.Unlock()
@@ -108,8 +109,8 @@
 	return fmt.Sprintf("a configuration with %d added routes", added)
 }
 
-// lastChange is made once all faults are over: a new configuration, and a worker that
-// leaves for good.
+// lastChange makes the last changes of a run, after all faults: it adds a route and drains a
+// worker for good.
 func (s *site) lastChange() {
 	s.configure(context.Background(), 0)
 	standing := s.standing()
@@ -118,7 +119,7 @@
 	s.watch.leave(leaving.ID(), time.Now())
 }
 
-// probe asks the nodes one after the other for added routes, until ctx ends.
+// probe probes the nodes in turn for added routes until ctx is done.
 func (l *load) probe(ctx context.Context) {
 	transport := &http.Transport{DisableCompression: true, DisableKeepAlives: true}
 	random := rand.New(rand.NewPCG(l.site.options.Seed, callerCount+1))
--- a/internal/lab/soak/watch_test.go
+++ b/internal/lab/soak/watch_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestWatchFinds shows that each of its checkers can fail.
+// TestWatchFinds: each check of the watch can fail.
 func TestWatchFinds(t *testing.T) {
 	start := time.Unix(1000, 0)
 	late := start.Add(applyBound + probeMargin + time.Millisecond)
