--- a/internal/lab/soak/harm.go
+++ b/internal/lab/soak/harm.go
@@ -14,39 +14,39 @@
 
 // Durations of the injected faults.
 const (
-	betweenFaults = 400 * time.Millisecond
-	shortestFault = 200 * time.Millisecond
-	longestFault  = 2500 * time.Millisecond
+	meanFaultPause = 400 * time.Millisecond
+	minFault       = 200 * time.Millisecond
+	maxFault       = 2500 * time.Millisecond
 )
 
-// harm injects faults for Options.Length and then ends all of them.
-func (s *site) harm(ctx context.Context) {
+// injectFaults injects faults for Options.Length and then ends all of them.
+func (s *site) injectFaults(ctx context.Context) {
 	end := time.Now().Add(s.options.Length)
 	kinds := []func(context.Context, time.Duration) string{
-		s.killNode, s.pauseNode, s.stopNode, s.killAll, s.harmWorkerWay, s.harmWorkerWay, s.harmStoreWay, s.harmStore, s.failWorker, s.failWorker, s.drainWorker, s.vanish, s.configure, s.harmAPI,
+		s.killNode, s.pauseNode, s.stopNode, s.killAll, s.faultWorkerConnections, s.faultWorkerConnections, s.faultStoreConnections, s.faultStore, s.failWorker, s.failWorker, s.drainWorker, s.removeEntries, s.configure, s.faultAPI,
 	}
 	if s.options.Storms {
 		stormCtx, endStorm := context.WithCancel(ctx)
 		ended := make(chan struct{})
 		go func() { defer close(ended); s.runStorm(stormCtx) }()
-		defer s.mend() // after the storm, which also changes the proxies to the store
+		defer s.endFaults() // after the storm, which also changes the proxies to the store
 		defer func() { endStorm(); <-ended }()
 		// A fault of the whole store would leave no node that could tell the others of a
 		// change.
-		kinds = []func(context.Context, time.Duration) string{s.killNode, s.pauseNode, s.stopNode, s.startStale, s.harmWorkerWay, s.failWorker}
+		kinds = []func(context.Context, time.Duration) string{s.killNode, s.pauseNode, s.stopNode, s.restartWithStaleReads, s.faultWorkerConnections, s.failWorker}
 	}
 	if s.options.Restores {
 		restoreCtx, endRestores := context.WithCancel(ctx)
 		ended := make(chan struct{})
-		go func() { defer close(ended); s.restoreOften(restoreCtx) }()
-		defer s.mend()
+		go func() { defer close(ended); s.restoreRepeatedly(restoreCtx) }()
+		defer s.endFaults()
 		defer func() { endRestores(); <-ended }()
 	}
 	if s.options.Limits {
-		kinds = append(kinds, s.nameLimit, s.nameLimit, s.nameLimit, s.nameLimit)
+		kinds = append(kinds, s.changeLimit, s.changeLimit, s.changeLimit, s.changeLimit)
 	}
 	if s.options.Notices {
-		kinds = append(kinds, s.announceEnd, s.announceEnd, s.askForPause, s.askForPause, s.askForPause)
+		kinds = append(kinds, s.announceEnd, s.announceEnd, s.askForBackoff, s.askForBackoff, s.askForBackoff)
 	}
 	if s.options.Earlier != "" {
 		kinds = append(kinds, s.rollNode, s.rollNode, s.rollNode)
@@ -55,24 +55,24 @@
 		kinds = append(kinds, s.lateOrders, s.lateAPI, s.pauseNode)
 	}
 	for ctx.Err() == nil && time.Now().Before(end) {
-		length := shortestFault + time.Duration(s.random.Int64N(int64(longestFault-shortestFault)))
+		length := minFault + time.Duration(s.random.Int64N(int64(maxFault-minFault)))
 		fault := kinds[s.random.IntN(len(kinds))]
 		what := fault(ctx, length)
 		_, _ = fmt.Fprintf(s.options.Out, "%7.2f s  %s\n", time.Since(s.started).Seconds(), what)
-		sleep(ctx, time.Duration(s.random.Int64N(int64(2*betweenFaults))))
+		sleep(ctx, time.Duration(s.random.Int64N(int64(2*meanFaultPause))))
 	}
-	s.mend()
+	s.endFaults()
 }
 
-// mend ends all faults and starts nodes that aren't running.
-func (s *site) mend() {
+// endFaults ends all faults and starts nodes that aren't running.
+func (s *site) endFaults() {
 	s.endLimits()
 	s.store.SetFaults(fleetstore.Faults{})
 	s.api.SetFaults(fleetapi.Faults{})
-	for _, proxy := range s.toStore {
+	for _, proxy := range s.storeProxies {
 		proxy.SetMode(Pass)
 	}
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		worker.SetLateOrders(0)
 		worker.proxy.SetMode(Pass)
 		worker.SetFault(fleetworker.NoFault, 0)
@@ -80,7 +80,7 @@
 		s.list(worker, "ready")
 	}
 	for _, node := range s.nodes {
-		s.thaw(node)
+		s.resume(node)
 		_ = node.Start()
 	}
 }
@@ -91,7 +91,7 @@
 	node.Kill()
 	sleep(ctx, length/4)
 	_ = node.Start()
-	s.limits.harm(node.Name, begun, time.Now())
+	s.limits.recordFault(node.Name, begun, time.Now())
 	return "killed " + node.Name
 }
 
@@ -106,7 +106,7 @@
 	sleep(ctx, length/4)
 	for _, node := range s.nodes {
 		_ = node.Start()
-		s.limits.harm(node.Name, begun, time.Now())
+		s.limits.recordFault(node.Name, begun, time.Now())
 	}
 	return "killed all nodes"
 }
@@ -116,17 +116,17 @@
 	begun := time.Now()
 	node.Signal(syscall.SIGSTOP)
 	sleep(ctx, length)
-	s.thaw(node)
-	s.limits.harm(node.Name, begun, time.Now())
+	s.resume(node)
+	s.limits.recordFault(node.Name, begun, time.Now())
 	return fmt.Sprintf("paused %s for %v", node.Name, length.Round(time.Millisecond))
 }
 
-// thaw resumes a paused node. The API ignores its calls for thawSlack. Engines ignore all calls
-// for that time, since they know lease holders by ids that the run doesn't know.
-func (s *site) thaw(node *process.Node) {
-	until := time.Now().Add(thawSlack)
+// resume resumes a paused node. The API ignores its calls for resumeSlack. Engines ignore all
+// calls for that time, since they know lease holders by ids that the run doesn't know.
+func (s *site) resume(node *process.Node) {
+	until := time.Now().Add(resumeSlack)
 	s.api.Fences().IgnoreUntil(node.Name, until)
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		worker.Fences().IgnoreAllUntil(until)
 	}
 	node.Signal(syscall.SIGCONT)
@@ -155,34 +155,34 @@
 		node.Kill()
 	}
 	_ = node.Start()
-	s.limits.harm(node.Name, begun, time.Now())
+	s.limits.recordFault(node.Name, begun, time.Now())
 	return fmt.Sprintf("stopped %s in %v", node.Name, time.Since(begun).Round(time.Millisecond))
 }
 
-func (s *site) harmWorkerWay(ctx context.Context, length time.Duration) string {
-	worker := s.anyWorker()
+func (s *site) faultWorkerConnections(ctx context.Context, length time.Duration) string {
+	worker := s.randomWorker()
 	mode := []Mode{Slow, Reset, Silent, OneWay}[s.random.IntN(4)]
 	begun := time.Now()
 	worker.proxy.SetMode(mode)
 	sleep(ctx, length)
-	s.limits.harm(worker.ID(), begun, time.Now())
-	worker.Fences().IgnoreAllUntil(time.Now().Add(thawSlack)) // the proxy forwards what it held back
+	s.limits.recordFault(worker.ID(), begun, time.Now())
+	worker.Fences().IgnoreAllUntil(time.Now().Add(resumeSlack)) // the proxy forwards what it held
 	worker.proxy.SetMode(Pass)
 	return fmt.Sprintf("the way to %s was %s for %v", worker.ID(), mode, length.Round(time.Millisecond))
 }
 
-// harmStoreWay injects a fault into one node's connections to the store; the others still reach
-// it.
-func (s *site) harmStoreWay(ctx context.Context, length time.Duration) string {
-	number := s.random.IntN(len(s.toStore))
+// faultStoreConnections injects a fault into one node's connections to the store; the others
+// still reach it.
+func (s *site) faultStoreConnections(ctx context.Context, length time.Duration) string {
+	number := s.random.IntN(len(s.storeProxies))
 	mode := []Mode{Slow, Reset, Silent, OneWay}[s.random.IntN(4)]
-	s.toStore[number].SetMode(mode)
+	s.storeProxies[number].SetMode(mode)
 	sleep(ctx, length)
-	s.toStore[number].SetMode(Pass)
+	s.storeProxies[number].SetMode(Pass)
 	return fmt.Sprintf("the way of %s to the store was %s for %v", s.nodes[number].Name, mode, length.Round(time.Millisecond))
 }
 
-func (s *site) harmStore(ctx context.Context, length time.Duration) string {
+func (s *site) faultStore(ctx context.Context, length time.Duration) string {
 	faults := []fleetstore.Faults{{Down: true}, {Throttled: true}, {LoseWrites: true}, {StaleReads: 1}}[s.random.IntN(4)]
 	s.store.SetFaults(faults)
 	sleep(ctx, length)
@@ -195,8 +195,8 @@
 // lease after its holder's last operation.
 const slowAPI = 200 * time.Millisecond
 
-// harmAPI makes the platform's API refuse calls, lose answers or be slow.
-func (s *site) harmAPI(ctx context.Context, length time.Duration) string {
+// faultAPI makes the platform's API refuse calls, lose answers or be slow.
+func (s *site) faultAPI(ctx context.Context, length time.Duration) string {
 	faults := []fleetapi.Faults{{Down: true}, {LoseAnswers: true}, {Delay: slowAPI}}[s.random.IntN(3)]
 	s.api.SetFaults(faults)
 	sleep(ctx, length)
@@ -206,11 +206,11 @@
 
 // lateOrders makes all engines leave orders unanswered and carry them out later.
 func (s *site) lateOrders(ctx context.Context, length time.Duration) string {
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		worker.SetLateOrders(length)
 	}
 	sleep(ctx, length)
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		worker.SetLateOrders(0)
 	}
 	return fmt.Sprintf("orders were carried out %v late", length.Round(time.Millisecond))
@@ -224,21 +224,21 @@
 	return fmt.Sprintf("the API carried calls out %v late", length.Round(time.Millisecond))
 }
 
-// orderProblems returns the violations found in the orders to engines. They are checked only in
-// unfenced runs.
-func (s *site) orderProblems() []string {
+// orderViolations returns the violations found in the orders to engines. They are checked only
+// in unfenced runs.
+func (s *site) orderViolations() []string {
 	if !s.options.Unfenced {
 		return nil
 	}
-	var problems []string
-	for _, worker := range s.everyWorker() {
-		problems = append(problems, worker.Fences().Violations(configuredLease)...)
+	var violations []string
+	for _, worker := range s.allWorkers() {
+		violations = append(violations, worker.Fences().Violations(configuredLease)...)
 	}
-	return problems
+	return violations
 }
 
 func (s *site) failWorker(_ context.Context, _ time.Duration) string {
-	worker := s.anyWorker()
+	worker := s.randomWorker()
 	fault := []fleetworker.Fault{
 		fleetworker.Full, fleetworker.Failing, fleetworker.CutEarly, fleetworker.CutMidway, fleetworker.Hanging, fleetworker.LosesHandles,
 	}[s.random.IntN(6)]
@@ -248,21 +248,21 @@
 }
 
 func (s *site) drainWorker(ctx context.Context, length time.Duration) string {
-	worker := s.anyWorker()
+	worker := s.randomWorker()
 	s.list(worker, "draining")
 	sleep(ctx, length)
 	s.list(worker, "ready")
 	return fmt.Sprintf("%s drained for %v", worker.ID(), length.Round(time.Millisecond))
 }
 
-// vanish removes all entries from the worker list, as a store may after an outage, and writes
-// them again.
-func (s *site) vanish(ctx context.Context, length time.Duration) string {
-	for _, worker := range s.standing() {
+// removeEntries removes all entries from the worker list, as a store may after an outage, and
+// writes them again.
+func (s *site) removeEntries(ctx context.Context, length time.Duration) string {
+	for _, worker := range s.runningWorkers() {
 		s.store.Put("servers", worker.ID(), nil)
 	}
 	sleep(ctx, length/2)
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		s.list(worker, "ready")
 	}
 	return fmt.Sprintf("all entries vanished for %v", (length / 2).Round(time.Millisecond))
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -36,19 +36,19 @@
 	callerPause   = 60 * time.Millisecond
 	deadlineMs    = 4000
 	clientTimeout = 9 * time.Second
-	leaveShare    = 20
+	abandonOneIn  = 20
 )
 
-// seen is what a caller saw of one request.
-type seen struct {
-	id     string
-	class  class
-	sent   time.Time
-	status int
-	header http.Header
-	body   string
-	err    error
-	left   bool
+// observation is what a caller saw of one request.
+type observation struct {
+	id        string
+	class     class
+	sent      time.Time
+	status    int
+	header    http.Header
+	body      string
+	err       error
+	abandoned bool
 	// tenant is the caller's tenant, and key its API key.
 	tenant, key string
 	// node is the node that the caller asked; answered is when the head of the answer arrived.
@@ -56,10 +56,10 @@
 	answered time.Time
 	// probe marks requests that only test which configuration is in force.
 	probe bool
-	// patience is the caller's timeout, and prompt the parts of its prompt; empty if there is
+	// timeout is the caller's timeout, and prompt the parts of its prompt; empty if there is
 	// none.
-	patience time.Duration
-	prompt   string
+	timeout time.Duration
+	prompt  string
 	// target is the rest of the path after the class's prefix; empty means the id.
 	target string
 }
@@ -68,9 +68,9 @@
 type load struct {
 	site *site
 
-	mu         sync.Mutex
-	seen       []seen
-	quietSince time.Time
+	mu           sync.Mutex
+	observations []observation
+	quietSince   time.Time
 }
 
 func newLoad(s *site) *load { return &load{site: s} }
@@ -102,20 +102,20 @@
 	transport := &http.Transport{DisableCompression: true, DisableKeepAlives: number%2 == 0}
 	defer transport.CloseIdleConnections()
 	for count := 0; ctx.Err() == nil; count++ {
-		got := l.one(transport, random, number, fmt.Sprintf("%04x%012x", number, count))
+		got := l.sendOne(transport, random, number, fmt.Sprintf("%04x%012x", number, count))
 		l.mu.Lock()
-		l.seen = append(l.seen, got)
+		l.observations = append(l.observations, got)
 		l.mu.Unlock()
 		sleep(ctx, time.Duration(random.Int64N(int64(2*callerPause))))
 	}
 }
 
-func (l *load) one(transport *http.Transport, random *rand.Rand, number int, id string) seen {
-	got := seen{id: id, class: classes[random.IntN(len(classes))], sent: time.Now(), tenant: tenantOf(number), key: keyOf(number)}
-	got.patience = clientTimeout
-	if random.IntN(leaveShare) == 0 {
-		got.left = true
-		got.patience = time.Duration(random.IntN(100)) * time.Millisecond
+func (l *load) sendOne(transport *http.Transport, random *rand.Rand, number int, id string) observation {
+	got := observation{id: id, class: classes[random.IntN(len(classes))], sent: time.Now(), tenant: tenantOf(number), key: keyOf(number)}
+	got.timeout = clientTimeout
+	if random.IntN(abandonOneIn) == 0 {
+		got.abandoned = true
+		got.timeout = time.Duration(random.IntN(100)) * time.Millisecond
 	}
 	address := l.site.callers[random.IntN(len(l.site.callers))]
 	body := strings.Repeat("b", random.IntN(6000))
@@ -126,8 +126,8 @@
 }
 
 // send sends a request and returns what the caller saw of it.
-func (l *load) send(transport *http.Transport, address string, got seen, body string) seen {
-	ctx, cancel := context.WithTimeout(context.Background(), max(got.patience, 0))
+func (l *load) send(transport *http.Transport, address string, got observation, body string) observation {
+	ctx, cancel := context.WithTimeout(context.Background(), max(got.timeout, 0))
 	defer cancel()
 	path := got.class.prefix + cmp.Or(got.target, got.id)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(body))
@@ -164,5 +164,5 @@
 	return s.nodes[slices.Index(s.callers, address)].Name
 }
 
-// whole returns the complete answer of a worker to a request.
-func whole(id string) string { return fleetworker.Body(id, eventCount, 0) }
+// completeAnswer returns the complete answer of a worker to a request.
+func completeAnswer(id string) string { return fleetworker.Body(id, eventCount, 0) }
--- a/internal/lab/soak/notices_test.go
+++ b/internal/lab/soak/notices_test.go
@@ -10,7 +10,7 @@
 func TestRequestsThatReachAWorkerInSpiteOfItsNoticesCount(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return begin.Add(time.Duration(seconds * float64(time.Second))) }
-	requests := map[string]via{
+	requests := map[string]trace{
 		"first": {node: "n1", sent: at(0), answered: at(0.1), worker: "w", leaving: true},
 		"soon":  {node: "n1", sent: at(2)}, "late": {node: "n1", sent: at(2.2)}, "other": {node: "n2", sent: at(2.2)},
 	}
@@ -21,11 +21,11 @@
 	if got := l.sentTooLate("w", arrivals, requests); got != 1 {
 		t.Errorf("%d requests were sent too late, want 1", got)
 	}
-	if got := l.mostInPause("w", arrivals, requests); got != 2 {
+	if got := l.mostInBackoff("w", arrivals, requests); got != 2 {
 		t.Errorf("%d requests came in a pause, want 2", got)
 	}
-	l.harm("n1", at(1), at(1.1))
-	if late, most := l.sentTooLate("w", arrivals, requests), l.mostInPause("w", arrivals, requests); late+most > 0 {
+	l.recordFault("n1", at(1), at(1.1))
+	if late, most := l.sentTooLate("w", arrivals, requests), l.mostInBackoff("w", arrivals, requests); late+most > 0 {
 		t.Errorf("%d and %d requests count of a node that started again since", late, most)
 	}
 }
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -17,8 +17,8 @@
 	// poisonBody is the body of the request that crashes workers.
 	poisonBody  = "poison"
 	poisonPause = 250 * time.Millisecond
-	// fallenFor is how long after its end a worker is replaced.
-	fallenFor = time.Second
+	// replaceDelay is how long after its end a worker is replaced.
+	replaceDelay = time.Second
 	// poisonRuns is how many workers may crash before nodes must recognize the request, and how
 	// many it may reach after that while no faults are injected.
 	poisonRuns = 3
@@ -28,7 +28,7 @@
 // each worker that runs it. The zero value has sent none. It is safe for concurrent use.
 type poison struct {
 	mu         sync.Mutex
-	tries      map[string]seen
+	requests   map[string]observation
 	quietSince time.Time
 }
 
@@ -42,48 +42,48 @@
 func (d *poison) sent(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, exists := d.tries[id]
+	_, exists := d.requests[id]
 	return exists
 }
 
-func (d *poison) add(got seen) {
+func (d *poison) add(got observation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.tries == nil {
-		d.tries = make(map[string]seen)
+	if d.requests == nil {
+		d.requests = make(map[string]observation)
 	}
-	d.tries[got.id] = got
+	d.requests[got.id] = got
 }
 
-// problems returns the violations found: the request may reach at most poisonRuns workers once
+// violations returns the violations found: the request may reach at most poisonRuns workers once
 // it is recognized and no faults have been injected for a while, and one that was answered as
 // not run must not have run.
-func (d *poison) problems(runs []fleetworker.Run) []string {
+func (d *poison) violations(runs []fleetworker.Run) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var broken []string
-	before, quietly := 0, 0
+	var violations []string
+	earlier, quietly := 0, 0
 	for _, run := range runs {
-		got, exists := d.tries[run.ID]
+		got, exists := d.requests[run.ID]
 		switch {
 		case !exists:
 			continue
 		case notRun[got.status]:
-			broken = append(broken, fmt.Sprintf("poison request %s was called not run (status %d), and ran", got.id, got.status))
+			violations = append(violations, fmt.Sprintf("poison request %s was called not run (status %d), and ran", got.id, got.status))
 		case got.status == http.StatusOK && got.err == nil:
-			broken = append(broken, fmt.Sprintf("poison request %s was answered", got.id))
+			violations = append(violations, fmt.Sprintf("poison request %s was answered", got.id))
 		}
-		if run.At.After(d.quietSince.Add(quiet / 2)) {
+		if run.At.After(d.quietSince.Add(quietPeriod / 2)) {
 			quietly++
 		} else {
-			before++
+			earlier++
 		}
 	}
-	if before >= poisonRuns && quietly > poisonRuns {
-		broken = append(broken, fmt.Sprintf("the poison request, under which %d workers had ended, reached workers %d times more in the quiet time", before, quietly))
+	if earlier >= poisonRuns && quietly > poisonRuns {
+		violations = append(violations, fmt.Sprintf("the poison request, under which %d workers had ended, reached workers %d times more in the quiet time", earlier, quietly))
 	}
-	slices.Sort(broken)
-	return broken
+	slices.Sort(violations)
+	return violations
 }
 
 // sendPoison sends the poison request again and again until ctx is done.
@@ -92,26 +92,26 @@
 	random := rand.New(rand.NewPCG(l.site.options.Seed, callerCount+2))
 	for count := 0; ctx.Err() == nil; count++ {
 		sleep(ctx, time.Duration(random.Int64N(int64(2*poisonPause))))
-		got := seen{
+		got := observation{
 			id: fmt.Sprintf("po15%012x", count), class: classes[len(classes)-1], target: "poison", sent: time.Now(),
-			tenant: tenantOf(0), key: keyOf(0), patience: clientTimeout, prompt: "a0:2000,deadbeef:1000",
+			tenant: tenantOf(0), key: keyOf(0), timeout: clientTimeout, prompt: "a0:2000,deadbeef:1000",
 		}
 		l.site.poison.add(got) // it may run before its answer arrives
 		l.site.poison.add(l.send(transport, l.site.callers[random.IntN(len(l.site.callers))], got, poisonBody))
 	}
 }
 
-// fall removes an ended worker and starts a replacement after fallenFor.
-func (s *site) fall(worker *soakWorker, options fleetworker.Options) {
+// replaceEnded removes an ended worker and starts a replacement after replaceDelay.
+func (s *site) replaceEnded(worker *soakWorker, options fleetworker.Options) {
 	worker.ended.Store(true)
 	worker.proxy.Close()
 	s.mu.Lock()
 	s.workers = slices.DeleteFunc(s.workers, func(other *soakWorker) bool { return other == worker })
-	s.fallen = append(s.fallen, worker)
-	number := len(s.fallen)
+	s.ended = append(s.ended, worker)
+	number := len(s.ended)
 	s.mu.Unlock()
 	go func() {
-		time.Sleep(fallenFor)
+		time.Sleep(replaceDelay)
 		s.store.Put("servers", options.ID, nil)
 		options.ID = fmt.Sprintf("%s-new-%d", options.Service, number)
 		if err := s.addWorker(options); err != nil {
@@ -120,25 +120,25 @@
 	}()
 }
 
-// standing returns the running workers.
-func (s *site) standing() []*soakWorker {
+// runningWorkers returns the running workers.
+func (s *site) runningWorkers() []*soakWorker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.workers)
 }
 
-// fallenWorkers returns the ended workers.
-func (s *site) fallenWorkers() []*soakWorker {
+// endedWorkers returns the ended workers.
+func (s *site) endedWorkers() []*soakWorker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.fallen)
+	return slices.Clone(s.ended)
 }
 
-// everyWorker returns all workers, running and ended.
-func (s *site) everyWorker() []*soakWorker { return append(s.standing(), s.fallenWorkers()...) }
+// allWorkers returns all workers, running and ended.
+func (s *site) allWorkers() []*soakWorker { return append(s.runningWorkers(), s.endedWorkers()...) }
 
-// anyWorker returns a random running worker.
-func (s *site) anyWorker() *soakWorker {
-	standing := s.standing()
-	return standing[s.random.IntN(len(standing))]
+// randomWorker returns a random running worker.
+func (s *site) randomWorker() *soakWorker {
+	running := s.runningWorkers()
+	return running[s.random.IntN(len(running))]
 }
--- a/internal/lab/soak/poison_test.go
+++ b/internal/lab/soak/poison_test.go
@@ -12,7 +12,7 @@
 // TestPoisonCheckerFinds: each check of the poison request can fail.
 func TestPoisonCheckerFinds(t *testing.T) {
 	quietSince := time.Unix(1000, 0)
-	calm := quietSince.Add(quiet)
+	calm := quietSince.Add(quietPeriod)
 	for _, example := range []struct {
 		name    string
 		status  int
@@ -30,7 +30,7 @@
 		d := &poison{quietSince: quietSince}
 		var runs []fleetworker.Run
 		for number := range example.before + example.quietly {
-			got := seen{id: fmt.Sprint(number), status: example.status}
+			got := observation{id: fmt.Sprint(number), status: example.status}
 			d.add(got)
 			run := fleetworker.Run{ID: got.id, At: quietSince}
 			if number >= example.before {
@@ -38,7 +38,7 @@
 			}
 			runs = append(runs, run)
 		}
-		if got := d.problems(runs); len(got) != example.broken {
+		if got := d.violations(runs); len(got) != example.broken {
 			t.Errorf("%s: %q", example.name, got)
 		}
 	}
--- a/internal/lab/soak/proxy.go
+++ b/internal/lab/soak/proxy.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	slowBy     = 150 * time.Millisecond
-	pollEvery  = 5 * time.Millisecond
-	pieceBytes = 16 << 10
+	slowDelay    = 150 * time.Millisecond
+	pollInterval = 5 * time.Millisecond
+	chunkBytes   = 16 << 10
 )
 
 // Proxy forwards TCP connections over loopback and can inject faults into them.
@@ -129,7 +129,7 @@
 
 // copy forwards one direction until it ends, and forwards how it ended: by a close or a reset.
 func (p *Proxy) copy(to, from net.Conn, answers bool) {
-	buffer := make([]byte, pieceBytes)
+	buffer := make([]byte, chunkBytes)
 	for {
 		count, err := from.Read(buffer)
 		p.hold(answers)
@@ -155,13 +155,13 @@
 // hold blocks for as long as the mode holds a chunk back.
 func (p *Proxy) hold(answer bool) {
 	if p.current() == Slow {
-		time.Sleep(slowBy)
+		time.Sleep(slowDelay)
 	}
 	for {
 		mode := p.current()
 		if mode != Silent && (mode != OneWay || !answer) {
 			return
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
--- a/internal/lab/soak/quota.go
+++ b/internal/lab/soak/quota.go
@@ -22,7 +22,7 @@
 // allRuns returns the requests that workers began to run.
 func (s *site) allRuns() []fleetworker.Run {
 	var runs []fleetworker.Run
-	for _, worker := range s.everyWorker() {
+	for _, worker := range s.allWorkers() {
 		runs = append(runs, worker.Runs()...)
 	}
 	return runs
--- a/internal/lab/soak/quota_test.go
+++ b/internal/lab/soak/quota_test.go
@@ -34,8 +34,8 @@
 		{"one more in the next window", append(begin(8, "a", 0, time.Millisecond), begin(1, "a", 2*time.Second+10*time.Millisecond, 0)...), false},
 		{"of another tenant", begin(20, "b", 0, time.Millisecond), false},
 	} {
-		if problems := overQuota(example.runs, "a", limit, tolerance); (len(problems) > 0) != example.broken {
-			t.Errorf("%s: %v", example.name, problems)
+		if violations := overQuota(example.runs, "a", limit, tolerance); (len(violations) > 0) != example.broken {
+			t.Errorf("%s: %v", example.name, violations)
 		}
 	}
 }
--- a/internal/lab/soak/report.go
+++ b/internal/lab/soak/report.go
@@ -49,25 +49,25 @@
 	defer l.mu.Unlock()
 	runs := make(map[string][]fleetworker.Run)
 	signatures := make(map[string]*soakWorker)
-	for _, worker := range l.site.everyWorker() {
+	for _, worker := range l.site.allWorkers() {
 		signatures[worker.ID()] = worker
 		for _, run := range worker.Runs() {
 			runs[run.ID] = append(runs[run.ID], run)
-			l.site.watch.ran(run.Worker, run.At)
+			l.site.watch.checkRun(run.Worker, run.At)
 		}
 	}
 	report := &Report{Statuses: make(map[string]int), Broken: []string{}}
-	ids := make(map[string]bool, len(l.seen))
-	for _, got := range l.seen {
+	ids := make(map[string]bool, len(l.observations))
+	for _, got := range l.observations {
 		ids[got.id] = true
 		switch {
 		case l.site.options.Quotas && got.tenant == tenantOf(limitedTenant) && got.status == http.StatusTooManyRequests:
 			report.OverLimit++
 		case !got.probe:
-			report.count(got, !l.quietSince.IsZero() && got.sent.After(l.quietSince.Add(quiet/2)))
+			report.count(got, !l.quietSince.IsZero() && got.sent.After(l.quietSince.Add(quietPeriod/2)))
 		}
-		for _, broken := range judge(got, runs[got.id], signatures) {
-			report.add(got, broken)
+		for _, violation := range checkRequest(got, runs[got.id], signatures) {
+			report.add(got, violation)
 		}
 	}
 	for id := range runs {
@@ -75,7 +75,7 @@
 			report.Broken = append(report.Broken, fmt.Sprintf("request %s ran, and nobody sent it", id))
 		}
 	}
-	report.Broken = append(report.Broken, l.site.watch.problems()...)
+	report.Broken = append(report.Broken, l.site.watch.violations()...)
 	if float64(report.QuietServed) < quietShare*float64(report.QuietSent) {
 		report.Broken = append(report.Broken, fmt.Sprintf("of %d requests in the quiet time only %d were served", report.QuietSent, report.QuietServed))
 	}
@@ -83,12 +83,12 @@
 	return report
 }
 
-func (r *Report) add(got seen, broken string) {
-	r.Broken = append(r.Broken, fmt.Sprintf("%s %s: %s (status %d, %v)", got.class.name, got.id, broken, got.status, got.err))
+func (r *Report) add(got observation, violation string) {
+	r.Broken = append(r.Broken, fmt.Sprintf("%s %s: %s (status %d, %v)", got.class.name, got.id, violation, got.status, got.err))
 }
 
-func (r *Report) count(got seen, inQuiet bool) {
-	if got.left {
+func (r *Report) count(got observation, inQuiet bool) {
+	if got.abandoned {
 		return
 	}
 	r.Sent++
@@ -115,36 +115,36 @@
 	http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
 }
 
-// judge returns the guarantees that were violated for one request.
-func judge(got seen, runs []fleetworker.Run, workers map[string]*soakWorker) []string {
-	var broken []string
+// checkRequest returns the guarantees that were violated for one request.
+func checkRequest(got observation, runs []fleetworker.Run, workers map[string]*soakWorker) []string {
+	var violations []string
 	if !got.class.repeatable() && len(runs) > 1 {
-		broken = append(broken, fmt.Sprintf("ran %d times", len(runs)))
+		violations = append(violations, fmt.Sprintf("ran %d times", len(runs)))
 	}
 	if !got.class.repeatable() && notRun[got.status] && len(runs) > 0 {
-		broken = append(broken, "was called not run, and ran")
+		violations = append(violations, "was called not run, and ran")
 	}
 	if !got.probe && got.status >= 400 && got.status < 500 && !notRun[got.status] {
-		broken = append(broken, "a proper request was refused")
+		violations = append(violations, "a proper request was refused")
 	}
 	for _, run := range runs {
 		if run.Target != got.class.prefix+got.id {
-			broken = append(broken, "ran with another target "+run.Target)
+			violations = append(violations, "ran with another target "+run.Target)
 		}
 		if run.Header.Get("X-Api-Key") != "" || run.Header.Get("X-Tenant") != got.tenant {
-			broken = append(broken, fmt.Sprintf("ran for tenant %q of %q, or with a key", run.Header.Get("X-Tenant"), got.tenant))
+			violations = append(violations, fmt.Sprintf("ran for tenant %q of %q, or with a key", run.Header.Get("X-Tenant"), got.tenant))
 		}
 	}
-	return append(broken, judgeAnswer(got, workers)...)
+	return append(violations, checkAnswer(got, workers)...)
 }
 
-// judgeAnswer checks the content of a complete answer.
-func judgeAnswer(got seen, workers map[string]*soakWorker) []string {
+// checkAnswer checks the content of a complete answer.
+func checkAnswer(got observation, workers map[string]*soakWorker) []string {
 	if got.status != http.StatusOK || got.err != nil {
 		return nil
 	}
-	if got.body != whole(got.id) {
-		return []string{fmt.Sprintf("the answer looks whole and is not: %d of %d bytes", len(got.body), len(whole(got.id)))}
+	if got.body != completeAnswer(got.id) {
+		return []string{fmt.Sprintf("the answer looks whole and is not: %d of %d bytes", len(got.body), len(completeAnswer(got.id)))}
 	}
 	worker := workers[got.header.Get("X-Instance-Id")]
 	if worker == nil || got.header.Get("X-Response-Signature") != worker.Signature(got.id) || got.header.Get("X-Request-Id") != got.id {
--- a/internal/lab/soak/restore.go
+++ b/internal/lab/soak/restore.go
@@ -12,33 +12,33 @@
 // Durations for restores of the store.
 const (
 	// The range of the age of the backup.
-	youngestCopy = time.Second
-	oldestCopy   = 8 * time.Second
-	longestAway  = 2500 * time.Millisecond
-	// longestRewriting is the time in which the operator and the workers write their lost rows
+	minBackupAge = time.Second
+	maxBackupAge = 8 * time.Second
+	maxOutage    = 2500 * time.Millisecond
+	// maxRewriteTime is the time in which the operator and the workers write their lost rows
 	// again.
-	longestRewriting = 1500 * time.Millisecond
-	longestBetween   = 3 * time.Second
+	maxRewriteTime  = 1500 * time.Millisecond
+	maxRestorePause = 3 * time.Second
 )
 
-// restoreOften makes the store unreachable and restores it from a backup, again and again,
+// restoreRepeatedly makes the store unreachable and restores it from a backup, again and again,
 // until ctx is done.
-func (s *site) restoreOften(ctx context.Context) {
+func (s *site) restoreRepeatedly(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.options.Seed, 73))
 	for ctx.Err() == nil {
 		copied, at := s.store.Version(), time.Now()
-		sleep(ctx, youngestCopy+time.Duration(random.Int64N(int64(oldestCopy-youngestCopy))))
+		sleep(ctx, minBackupAge+time.Duration(random.Int64N(int64(maxBackupAge-minBackupAge))))
 		s.restoreOnce(random, copied, at)
-		sleep(ctx, time.Duration(random.Int64N(int64(longestBetween))))
+		sleep(ctx, time.Duration(random.Int64N(int64(maxRestorePause))))
 	}
 }
 
 // restoreOnce restores the store to the version copied, its version at a time. What the
 // operator and the workers have written since is written again, in random order.
 func (s *site) restoreOnce(random *rand.Rand, copied uint64, at time.Time) {
-	away := time.Duration(random.Int64N(int64(longestAway)))
+	away := time.Duration(random.Int64N(int64(maxOutage)))
 	// Versions accepted just before the outage may not have reached any node.
-	unsure := earlier(at, time.Now().Add(-applyBound))
+	unsure := earlierOf(at, time.Now().Add(-applyBound))
 	s.store.SetUnreachable(true)
 	time.Sleep(away)
 	lost := s.store.Restore(copied)
@@ -49,16 +49,16 @@
 		if row.Table != "op" && row.Table != "servers" {
 			continue
 		}
-		time.Sleep(time.Duration(random.Int64N(int64(longestRewriting) / int64(len(lost)))))
-		s.writeAgain(row, copied)
+		time.Sleep(time.Duration(random.Int64N(int64(maxRewriteTime) / int64(len(lost)))))
+		s.rewriteLost(row, copied)
 	}
 	s.storm.restored(unsure, time.Now())
 	_, _ = fmt.Fprintf(s.options.Out, "%7.2f s  the store was away for %v and came back from a copy of version %d, %v old; %d rows were lost\n",
 		time.Since(s.started).Seconds(), away.Round(time.Millisecond), copied, time.Since(at).Round(time.Millisecond), len(lost))
 }
 
-// writeAgain writes a lost row again, but not while a new configuration is being written.
-func (s *site) writeAgain(row fleetstore.Row, restored uint64) {
+// rewriteLost writes a lost row again, but not while a new configuration is being written.
+func (s *site) rewriteLost(row fleetstore.Row, restored uint64) {
 	s.configuring.Lock()
 	defer s.configuring.Unlock()
 	s.store.RewriteLost(row, restored)
@@ -75,7 +75,7 @@
 	}
 }
 
-func earlier(left, right time.Time) time.Time {
+func earlierOf(left, right time.Time) time.Time {
 	if left.Before(right) {
 		return left
 	}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -68,9 +68,9 @@
 
 // Durations and sizes of a run.
 const (
-	// quiet is the length of the period without faults at the end. In its second half at least
-	// quietShare of the requests must be served again.
-	quiet        = 10 * time.Second
+	// quietPeriod is the length of the period without faults at the end. In its second half at
+	// least quietShare of the requests must be served again.
+	quietPeriod  = 10 * time.Second
 	startTimeout = 20 * time.Second
 	stopMillis   = 8000
 	eventPause   = 15 * time.Millisecond
@@ -80,9 +80,9 @@
 	usageLate   = 10 * time.Second
 	// configuredLease is the lifetime of a lease in the nodes' settings.
 	configuredLease = 3 * time.Second
-	// thawSlack is how long after a node resumes, or its connection works again, its calls are
+	// resumeSlack is how long after a node resumes, or its connection works again, its calls are
 	// ignored: calls that were in transit may still arrive.
-	thawSlack = 300 * time.Millisecond
+	resumeSlack = 300 * time.Millisecond
 )
 
 // The host and services of a run.
@@ -98,18 +98,18 @@
 	random  *rand.Rand
 	store   *fleetstore.Store
 	api     *fleetapi.API
-	// toStore holds each node's proxy to the store.
-	toStore []*Proxy
-	nodes   []*process.Node
-	callers []string
-	poison  poison
-	limits  limits
-	notices notices
-	started time.Time
+	// storeProxies holds each node's proxy to the store.
+	storeProxies []*Proxy
+	nodes        []*process.Node
+	callers      []string
+	poison       poison
+	limits       limits
+	notices      notices
+	started      time.Time
 
 	mu sync.Mutex
-	// workers are the running workers, fallen the ended ones.
-	workers, fallen []*soakWorker
+	// workers are the running workers, ended the ended ones.
+	workers, ended []*soakWorker
 
 	watch *watch
 	storm storm
@@ -142,33 +142,33 @@
 	defer stopLoad()
 	ended := make(chan struct{})
 	go func() { defer close(ended); load.run(loadCtx) }()
-	s.harm(ctx)
+	s.injectFaults(ctx)
 	load.markQuiet()
 	s.poison.markQuiet()
-	sleep(ctx, quiet/2)
+	sleep(ctx, quietPeriod/2)
 	s.lastChange()
-	sleep(ctx, quiet/2)
+	sleep(ctx, quietPeriod/2)
 	stopLoad()
 	<-ended
 	report := load.report()
 	report.Seed = options.Seed
 	report.Unfenced = options.Unfenced
 	report.Broken = append(report.Broken, s.api.Violations(configuredLease)...)
-	report.Broken = append(report.Broken, s.orderProblems()...)
+	report.Broken = append(report.Broken, s.orderViolations()...)
 	if options.Quotas {
 		report.Broken = append(report.Broken, overQuota(s.allRuns(), tenantOf(limitedTenant), tenantLimit, quotaTolerance)...)
 	}
-	report.Broken = append(report.Broken, s.limits.problems(s.everyWorker(), load.vias())...)
-	report.Broken = append(report.Broken, s.noticeProblems(load.vias())...)
+	report.Broken = append(report.Broken, s.limits.violations(s.allWorkers(), load.traces())...)
+	report.Broken = append(report.Broken, s.noticeViolations(load.traces())...)
 	if options.Storms {
-		seen, broken := s.storm.report(s.limits.isHarmed)
-		report.Storm = &seen
-		report.Broken = append(report.Broken, broken...)
+		summary, violations := s.storm.report(s.limits.inFault)
+		report.Storm = &summary
+		report.Broken = append(report.Broken, violations...)
 	}
-	report.Limited = len(s.limits.named)
+	report.Limited = len(s.limits.stated)
 	report.Leaving, report.Paused = s.notices.counted()
-	report.Ended = len(s.fallenWorkers())
-	report.Broken = append(report.Broken, s.poison.problems(s.allRuns())...)
+	report.Ended = len(s.endedWorkers())
+	report.Broken = append(report.Broken, s.poison.violations(s.allRuns())...)
 	report.Windows = len(s.api.Reports())
 	if report.Windows == 0 {
 		report.Broken = append(report.Broken, "no window of usage was reported")
@@ -217,7 +217,7 @@
 			if startCtx.Err() != nil {
 				return result.New(result.Internal, "node %s was not ready in %v; see %s", node.Name, startTimeout, s.options.Directory)
 			}
-			sleep(startCtx, pollEvery)
+			sleep(startCtx, pollInterval)
 		}
 	}
 	return nil
@@ -228,7 +228,7 @@
 	worker := &soakWorker{}
 	if s.options.Poison {
 		options.CrashOn = poisonBody
-		options.OnCrash = func(*fleetworker.Worker) { s.fall(worker, options) }
+		options.OnCrash = func(*fleetworker.Worker) { s.replaceEnded(worker, options) }
 	}
 	options.OnStageChange = func(*fleetworker.Worker) { s.relist(worker) }
 	worker.Worker, worker.options = fleetworker.Start(options), options
@@ -266,7 +266,7 @@
 	if err != nil {
 		return err
 	}
-	s.toStore = append(s.toStore, proxy)
+	s.storeProxies = append(s.storeProxies, proxy)
 	name := fmt.Sprintf("node-%d", number+1)
 	configured := settings.DefaultRouted()
 	configured.Node = settings.RoutedNode{Name: name, Zone: s.zoneOf(number)}
@@ -305,10 +305,10 @@
 	for _, node := range s.nodes {
 		node.Kill()
 	}
-	for _, proxy := range s.toStore {
+	for _, proxy := range s.storeProxies {
 		proxy.Close()
 	}
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		worker.proxy.Close()
 		worker.Close()
 	}
@@ -334,8 +334,8 @@
 		routes = append(routes, route(kind))
 	}
 	for number := range added {
-		kind := probed
-		kind.name, kind.prefix = fmt.Sprintf("added-%d", number+1), fmt.Sprintf("%s%d/", probed.prefix, number+1)
+		kind := probeClass
+		kind.name, kind.prefix = fmt.Sprintf("added-%d", number+1), fmt.Sprintf("%s%d/", probeClass.prefix, number+1)
 		routes = append(routes, route(kind))
 	}
 	for _, kind := range s.stormRoutes(stormVersion) {
--- a/internal/lab/soak/storm.go
+++ b/internal/lab/soak/storm.go
@@ -17,21 +17,21 @@
 
 // Constants of a storm: many configurations in quick succession.
 const (
-	shortestCalm = 300 * time.Millisecond
-	longestCalm  = 2800 * time.Millisecond
+	minChangePause = 300 * time.Millisecond
+	maxChangePause = 2800 * time.Millisecond
 	// keptRoutes is for how many versions a route that a version adds is kept.
 	keptRoutes = 6
 	// idleRoutes makes a configuration too large for one datagram.
 	idleRoutes = 300
-	// stormProbeEvery is the interval at which each node is probed.
-	stormProbeEvery = 200 * time.Millisecond
-	// promptly is the time within which a node should have a version if other nodes can reach
+	// stormProbeInterval is the interval at which each node is probed.
+	stormProbeInterval = 200 * time.Millisecond
+	// promptBound is the time within which a node should have a version if other nodes can reach
 	// it. A later one is counted but isn't a violation.
-	promptly = time.Second
+	promptBound = time.Second
 	// The store is unreachable for a share of the nodes, for a time in this range.
-	shortestDenial = 3 * time.Second
-	longestDenial  = 9 * time.Second
-	deniedShare    = 3 // one in this many
+	minIsolation  = 3 * time.Second
+	maxIsolation  = 9 * time.Second
+	isolatedOneIn = 3 // one in this many
 )
 
 // storm tracks which configuration version each node has in force. It is safe for concurrent
@@ -39,8 +39,8 @@
 type storm struct {
 	mu sync.Mutex
 	// accepted is when the store accepted each version.
-	accepted []time.Time
-	seen     []sighting
+	accepted  []time.Time
+	sightings []sighting
 }
 
 // sighting is a node's answer to a request for the route that a version added or dropped.
@@ -60,16 +60,16 @@
 	return len(s.accepted)
 }
 
-func (s *storm) accept(at time.Time) {
+func (s *storm) recordAccepted(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.accepted = append(s.accepted, at)
 }
 
-func (s *storm) observe(got sighting) {
+func (s *storm) recordSighting(got sighting) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen = append(s.seen, got)
+	s.sightings = append(s.sightings, got)
 }
 
 // late reports whether the node answered by an older version than the one probed for, or that
@@ -86,7 +86,7 @@
 	// Versions counts the configurations, and Sightings the answers to probes.
 	Versions  int `json:"versions"`
 	Sightings int `json:"sightings"`
-	// Late counts how often a node lacked a version for longer than promptly. WorstMillis is
+	// Late counts how often a node lacked a version for longer than promptBound. WorstMillis is
 	// the longest time after which a node still lacked a version.
 	Late        int   `json:"late"`
 	WorstMillis int64 `json:"worst_ms"`
@@ -94,33 +94,33 @@
 
 // report checks all sightings. The bound applies to each node that no fault affected, even
 // while the store is unreachable for it.
-func (s *storm) report(harmed func(node string, at time.Time) bool) (stormReport, []string) {
+func (s *storm) report(inFault func(node string, at time.Time) bool) (stormReport, []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	report := stormReport{Versions: len(s.accepted), Sightings: len(s.seen)}
+	report := stormReport{Versions: len(s.accepted), Sightings: len(s.sightings)}
 	type lack struct {
 		node    string
 		version int
 	}
 	worst := make(map[lack]time.Duration)
-	for _, got := range s.seen {
+	for _, got := range s.sightings {
 		age := got.sent.Sub(s.accepted[got.version-1])
-		if got.late() && !harmed(got.node, got.sent) {
+		if got.late() && !inFault(got.node, got.sent) {
 			key := lack{got.node, got.version}
 			worst[key] = max(worst[key], age)
 		}
 	}
-	var broken []string
+	var violations []string
 	for key, age := range worst {
 		report.WorstMillis = max(report.WorstMillis, age.Milliseconds())
-		if age > promptly {
+		if age > promptBound {
 			report.Late++
 		}
 		if age > applyBound {
-			broken = append(broken, fmt.Sprintf("%s lacked configuration %d of a storm %v after it was accepted", key.node, key.version, age.Round(time.Millisecond)))
+			violations = append(violations, fmt.Sprintf("%s lacked configuration %d of a storm %v after it was accepted", key.node, key.version, age.Round(time.Millisecond)))
 		}
 	}
-	return report, broken
+	return report, violations
 }
 
 // stormRoute returns the class of the requests for the route that a version added.
@@ -154,58 +154,59 @@
 // nodes, until ctx is done.
 func (s *site) runStorm(ctx context.Context) {
 	var parts sync.WaitGroup
-	parts.Go(func() { s.changeOften(ctx) })
-	parts.Go(func() { s.denyOften(ctx) })
+	parts.Go(func() { s.changeRepeatedly(ctx) })
+	parts.Go(func() { s.isolateRepeatedly(ctx) })
 	parts.Wait()
 }
 
-func (s *site) changeOften(ctx context.Context) {
+func (s *site) changeRepeatedly(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.options.Seed, 71))
 	for ctx.Err() == nil {
-		s.changeOnce()
-		sleep(ctx, shortestCalm+time.Duration(random.Int64N(int64(longestCalm-shortestCalm))))
+		s.putNextVersion()
+		sleep(ctx, minChangePause+time.Duration(random.Int64N(int64(maxChangePause-minChangePause))))
 	}
 }
 
-// changeOnce writes the next configuration of the storm.
-func (s *site) changeOnce() {
+// putNextVersion writes the next configuration of the storm.
+func (s *site) putNextVersion() {
 	s.configuring.Lock()
 	defer s.configuring.Unlock()
 	s.store.Put("op", "config", s.configuration(s.watch.routes(), s.storm.newest()+1))
-	s.storm.accept(time.Now())
+	s.storm.recordAccepted(time.Now())
 }
 
-// denyOften makes the store unreachable for a share of the nodes, again and again. Every other
-// time that includes the node that ranks first for reading the configuration. Sometimes the
-// store has dropped its change history when the nodes reach it again.
-func (s *site) denyOften(ctx context.Context) {
+// isolateRepeatedly makes the store unreachable for a share of the nodes, again and again.
+// Every other time that includes the node that ranks first for reading the configuration.
+// Sometimes the store has dropped its change history when the nodes reach it again.
+func (s *site) isolateRepeatedly(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.options.Seed, 72))
 	for count := 0; ctx.Err() == nil; count++ {
-		length := shortestDenial + time.Duration(random.Int64N(int64(longestDenial-shortestDenial)))
+		length := minIsolation + time.Duration(random.Int64N(int64(maxIsolation-minIsolation)))
 		mode := []Mode{Reset, Silent, OneWay}[random.IntN(3)]
-		denied := random.Perm(len(s.nodes))[:max(1, len(s.nodes)/deniedShare)]
+		denied := random.Perm(len(s.nodes))[:max(1, len(s.nodes)/isolatedOneIn)]
 		if first := s.firstReader(); count%2 == 0 && !slices.Contains(denied, first) {
 			denied[0] = first
 		}
 		for _, number := range denied {
-			s.toStore[number].SetMode(mode)
+			s.storeProxies[number].SetMode(mode)
 		}
 		sleep(ctx, length)
 		if random.IntN(2) == 0 {
 			s.store.Compact()
 		}
 		for _, number := range denied {
-			s.toStore[number].SetMode(Pass)
+			s.storeProxies[number].SetMode(Pass)
 		}
 		_, _ = fmt.Fprintf(s.options.Out, "%7.2f s  the ways of %d nodes to the store were %s for %v, first %s\n",
 			time.Since(s.started).Seconds(), len(denied), mode, length.Round(time.Millisecond), s.nodes[denied[0]].Name)
-		sleep(ctx, time.Duration(random.Int64N(int64(shortestDenial))))
+		sleep(ctx, time.Duration(random.Int64N(int64(minIsolation))))
 	}
 }
 
-// startStale restarts a node, about every other time the one that ranks first for reading the
-// configuration, while the store answers reads with a state that is up to seconds old.
-func (s *site) startStale(ctx context.Context, length time.Duration) string {
+// restartWithStaleReads restarts a node, about every other time the one that ranks first for
+// reading the configuration, while the store answers reads with a state that is up to seconds
+// old.
+func (s *site) restartWithStaleReads(ctx context.Context, length time.Duration) string {
 	before := s.store.Version()
 	sleep(ctx, length)
 	number := s.random.IntN(len(s.nodes))
@@ -218,7 +219,7 @@
 	_ = node.Start()
 	sleep(ctx, length)
 	s.store.SetFaults(fleetstore.Faults{})
-	s.limits.harm(node.Name, begun, begun)
+	s.limits.recordFault(node.Name, begun, begun)
 	return fmt.Sprintf("%s was killed and started while reads were as of version %d, %v ago", node.Name, before, length.Round(time.Millisecond))
 }
 
@@ -248,23 +249,23 @@
 	transport := &http.Transport{DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	for count := 0; ctx.Err() == nil; count++ {
-		sleep(ctx, stormProbeEvery)
+		sleep(ctx, stormProbeInterval)
 		version := l.site.storm.newest()
 		if dropped := count%2 == 1; dropped {
-			l.sight(transport, number, count*keptRoutes, version, dropped)
+			l.probeVersion(transport, number, count*keptRoutes, version, dropped)
 			continue
 		}
 		// If a node lacks the newest version, find out which older ones it lacks.
 		for older := range keptRoutes {
-			if !l.sight(transport, number, count*keptRoutes+older, version-older, false) {
+			if !l.probeVersion(transport, number, count*keptRoutes+older, version-older, false) {
 				break // it has this one, or doesn't tell which one it has
 			}
 		}
 	}
 }
 
-// sight probes a node once and reports whether it answered by an older version.
-func (l *load) sight(transport *http.Transport, number, count, version int, dropped bool) (older bool) {
+// probeVersion probes a node once and reports whether it answered by an older version.
+func (l *load) probeVersion(transport *http.Transport, number, count, version int, dropped bool) (older bool) {
 	kind := stormRoute(version)
 	if dropped {
 		kind = stormRoute(version - keptRoutes)
@@ -274,9 +275,9 @@
 	}
 	node, starts := l.site.nodes[number], l.site.nodes[number].Starts()
 	id := fmt.Sprintf("eeee%04x%08x", number, count)
-	got := l.send(transport, l.site.callers[number], seen{id: id, class: kind, sent: time.Now(), probe: true, tenant: tenantOf(0), key: keyOf(0), patience: clientTimeout}, "")
+	got := l.send(transport, l.site.callers[number], observation{id: id, class: kind, sent: time.Now(), probe: true, tenant: tenantOf(0), key: keyOf(0), timeout: clientTimeout}, "")
 	l.mu.Lock()
-	l.seen = append(l.seen, got)
+	l.observations = append(l.observations, got)
 	l.mu.Unlock()
 	if node.Starts() != starts || got.err != nil {
 		return false
@@ -285,7 +286,7 @@
 		node: node.Name, version: version, dropped: dropped, sent: got.sent, status: got.status,
 		stale: got.status == http.StatusServiceUnavailable && strings.Contains(got.body, staleCode),
 	}
-	l.site.storm.observe(sighted)
+	l.site.storm.recordSighting(sighted)
 	return sighted.late() && !sighted.stale
 }
 
--- a/internal/lab/soak/storm_test.go
+++ b/internal/lab/soak/storm_test.go
@@ -11,8 +11,8 @@
 func TestStormFindsNodesThatAreLate(t *testing.T) {
 	var s storm
 	accepted := time.Unix(100, 0)
-	s.accept(accepted)
-	s.accept(accepted.Add(time.Second))
+	s.recordAccepted(accepted)
+	s.recordAccepted(accepted.Add(time.Second))
 	after := func(version int, age time.Duration) sighting {
 		return sighting{node: "n", version: version, sent: s.accepted[version-1].Add(age), status: http.StatusOK}
 	}
@@ -25,8 +25,8 @@
 		late, broken int
 	}{
 		"it has the version":                          {after(1, 9*time.Second), 0, 0},
-		"a route is missing, soon after":              {late(after(1, promptly), http.StatusNotFound, false, false), 0, 0},
-		"a route is missing after a while":            {late(after(2, promptly+1), http.StatusNotFound, false, false), 1, 0},
+		"a route is missing, soon after":              {late(after(1, promptBound), http.StatusNotFound, false, false), 0, 0},
+		"a route is missing after a while":            {late(after(2, promptBound+1), http.StatusNotFound, false, false), 1, 0},
 		"a route is missing for long":                 {late(after(2, applyBound+1), http.StatusNotFound, false, false), 1, 1},
 		"a dropped route is run for long":             {late(after(2, applyBound+1), http.StatusOK, true, false), 1, 1},
 		"a dropped route is refused":                  {late(after(2, applyBound+1), http.StatusNotFound, true, false), 0, 0},
@@ -35,7 +35,7 @@
 		"it was harmed, and a route is missing after": {late(sighting{node: "harmed", version: 1, sent: accepted.Add(time.Hour)}, http.StatusNotFound, false, false), 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s.seen = []sighting{test.got}
+			s.sightings = []sighting{test.got}
 			report, broken := s.report(func(node string, _ time.Time) bool { return node == "harmed" })
 			if report.Late != test.late || len(broken) != test.broken {
 				t.Errorf("%d late, %q", report.Late, broken)
--- a/internal/lab/soak/watch.go
+++ b/internal/lab/soak/watch.go
@@ -11,7 +11,7 @@
 
 // Intervals and bounds of the watch.
 const (
-	probeEvery = 120 * time.Millisecond
+	probeInterval = 120 * time.Millisecond
 	// applyBound is the time within which an accepted configuration is in force, and after
 	// which a draining worker gets no more requests.
 	applyBound = 2 * time.Second
@@ -19,8 +19,8 @@
 	probeMargin = 500 * time.Millisecond
 )
 
-// probed is the class of the requests that only test which configuration is in force.
-var probed = class{name: "probe", prefix: "/added-", routeKind: "idempotent", service: plain}
+// probeClass is the class of the requests that only test which configuration is in force.
+var probeClass = class{name: "probe", prefix: "/added-", routeKind: "idempotent", service: plain}
 
 // watch tracks which configuration each node has in force. Each new one adds a route and keeps
 // those before. It is safe for concurrent use.
@@ -32,7 +32,7 @@
 	served map[string]incarnation
 	// leaving is when each worker began to drain; they drain until the run ends.
 	leaving map[string]time.Time
-	broken  []string
+	found   []string
 }
 
 type incarnation struct{ starts, newest int }
@@ -41,8 +41,8 @@
 	return &watch{served: make(map[string]incarnation), leaving: make(map[string]time.Time)}
 }
 
-// accept records that the store accepted a configuration with one more route.
-func (w *watch) accept(at time.Time) {
+// recordAccepted records that the store accepted a configuration with one more route.
+func (w *watch) recordAccepted(at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.accepted = append(w.accepted, at)
@@ -55,17 +55,17 @@
 	return len(w.accepted)
 }
 
-// leave records that a worker drains from now on.
-func (w *watch) leave(worker string, at time.Time) {
+// recordDrain records that a worker drains from now on.
+func (w *watch) recordDrain(worker string, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving[worker] = at
 }
 
-// observe checks the answer of a node to a probe for a route. starts is the number of the
+// checkProbe checks the answer of a node to a probe for a route. starts is the number of the
 // node's incarnation, the same before and after the probe. calm tells that no fault has been
 // injected for a while.
-func (w *watch) observe(node string, starts, route, status int, sent time.Time, calm bool) {
+func (w *watch) checkProbe(node string, starts, route, status int, sent time.Time, calm bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	known := w.served[node]
@@ -76,27 +76,27 @@
 	case status == http.StatusOK:
 		known.newest = max(known.newest, route)
 	case status == http.StatusNotFound && route <= known.newest:
-		w.broken = append(w.broken, fmt.Sprintf("%s went back: it served route %d and has no route %d", node, known.newest, route))
+		w.found = append(w.found, fmt.Sprintf("%s went back: it served route %d and has no route %d", node, known.newest, route))
 	case status == http.StatusNotFound && calm && sent.Sub(w.accepted[route-1]) > applyBound+probeMargin:
-		w.broken = append(w.broken, fmt.Sprintf("%s has no route %d, %v after it was accepted", node, route, sent.Sub(w.accepted[route-1]).Round(time.Millisecond)))
+		w.found = append(w.found, fmt.Sprintf("%s has no route %d, %v after it was accepted", node, route, sent.Sub(w.accepted[route-1]).Round(time.Millisecond)))
 	}
 	w.served[node] = known
 }
 
-// ran checks a request that a worker began to run.
-func (w *watch) ran(worker string, at time.Time) {
+// checkRun checks a request that a worker began to run.
+func (w *watch) checkRun(worker string, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if since, leaves := w.leaving[worker]; leaves && at.Sub(since) > applyBound+probeMargin {
-		w.broken = append(w.broken, fmt.Sprintf("%s was given a request %v after it said that it leaves", worker, at.Sub(since).Round(time.Millisecond)))
+		w.found = append(w.found, fmt.Sprintf("%s was given a request %v after it said that it leaves", worker, at.Sub(since).Round(time.Millisecond)))
 	}
 }
 
-// problems returns the violations found.
-func (w *watch) problems() []string {
+// violations returns the violations found.
+func (w *watch) violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.broken
+	return w.found
 }
 
 // configure writes a configuration with one more route.
@@ -105,7 +105,7 @@
 	defer s.configuring.Unlock()
 	added := s.watch.routes() + 1
 	s.store.Put("op", "config", s.configuration(added, s.storm.newest()))
-	s.watch.accept(time.Now())
+	s.watch.recordAccepted(time.Now())
 	return fmt.Sprintf("a configuration with %d added routes", added)
 }
 
@@ -113,10 +113,10 @@
 // worker for good.
 func (s *site) lastChange() {
 	s.configure(context.Background(), 0)
-	standing := s.standing()
-	leaving := standing[len(standing)-1]
+	running := s.runningWorkers()
+	leaving := running[len(running)-1]
 	s.list(leaving, "draining")
-	s.watch.leave(leaving.ID(), time.Now())
+	s.watch.recordDrain(leaving.ID(), time.Now())
 }
 
 // probe probes the nodes in turn for added routes until ctx is done.
@@ -124,7 +124,7 @@
 	transport := &http.Transport{DisableCompression: true, DisableKeepAlives: true}
 	random := rand.New(rand.NewPCG(l.site.options.Seed, callerCount+1))
 	for count := 0; ctx.Err() == nil; count++ {
-		sleep(ctx, probeEvery)
+		sleep(ctx, probeInterval)
 		if routes := l.site.watch.routes(); routes > 0 {
 			l.probeOne(transport, count, 1+random.IntN(routes))
 		}
@@ -135,14 +135,14 @@
 	number := count % len(l.site.nodes)
 	node := l.site.nodes[number]
 	starts := node.Starts()
-	kind := probed
-	kind.prefix = fmt.Sprintf("%s%d/", probed.prefix, route)
-	got := l.send(transport, l.site.callers[number], seen{id: fmt.Sprintf("ffff%012x", count), class: kind, sent: time.Now(), probe: true, tenant: tenantOf(0), key: keyOf(0), patience: clientTimeout}, "")
+	kind := probeClass
+	kind.prefix = fmt.Sprintf("%s%d/", probeClass.prefix, route)
+	got := l.send(transport, l.site.callers[number], observation{id: fmt.Sprintf("ffff%012x", count), class: kind, sent: time.Now(), probe: true, tenant: tenantOf(0), key: keyOf(0), timeout: clientTimeout}, "")
 	l.mu.Lock()
-	l.seen = append(l.seen, got)
-	calm := !l.quietSince.IsZero() && got.sent.Sub(l.quietSince) > quiet/2
+	l.observations = append(l.observations, got)
+	calm := !l.quietSince.IsZero() && got.sent.Sub(l.quietSince) > quietPeriod/2
 	l.mu.Unlock()
 	if node.Starts() == starts && got.err == nil {
-		l.site.watch.observe(node.Name, starts, route, got.status, got.sent, calm)
+		l.site.watch.checkProbe(node.Name, starts, route, got.status, got.sent, calm)
 	}
 }
--- a/internal/lab/soak/watch_test.go
+++ b/internal/lab/soak/watch_test.go
@@ -15,30 +15,30 @@
 		broken int
 	}{
 		"nothing":                  {func(*watch) {}, 0},
-		"in force":                 {func(w *watch) { w.observe("n", 1, 1, http.StatusOK, late, true) }, 0},
-		"not in force in time":     {func(w *watch) { w.observe("n", 1, 1, http.StatusNotFound, late, true) }, 1},
-		"not in force, but harmed": {func(w *watch) { w.observe("n", 1, 1, http.StatusNotFound, late, false) }, 0},
-		"not in force, but soon":   {func(w *watch) { w.observe("n", 1, 1, http.StatusNotFound, late.Add(-time.Millisecond), true) }, 0},
-		"refused":                  {func(w *watch) { w.observe("n", 1, 1, http.StatusServiceUnavailable, late, true) }, 0},
+		"in force":                 {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusOK, late, true) }, 0},
+		"not in force in time":     {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusNotFound, late, true) }, 1},
+		"not in force, but harmed": {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusNotFound, late, false) }, 0},
+		"not in force, but soon":   {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusNotFound, late.Add(-time.Millisecond), true) }, 0},
+		"refused":                  {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusServiceUnavailable, late, true) }, 0},
 		"went back": {func(w *watch) {
-			w.observe("n", 1, 2, http.StatusOK, start, false)
-			w.observe("n", 1, 1, http.StatusNotFound, start, false)
+			w.checkProbe("n", 1, 2, http.StatusOK, start, false)
+			w.checkProbe("n", 1, 1, http.StatusNotFound, start, false)
 		}, 1},
 		"started again": {func(w *watch) {
-			w.observe("n", 1, 2, http.StatusOK, start, false)
-			w.observe("n", 2, 1, http.StatusNotFound, start, false)
+			w.checkProbe("n", 1, 2, http.StatusOK, start, false)
+			w.checkProbe("n", 2, 1, http.StatusNotFound, start, false)
 		}, 0},
-		"work after a worker has left":  {func(w *watch) { w.ran("leaving", late) }, 1},
-		"work just before it may not":   {func(w *watch) { w.ran("leaving", late.Add(-time.Millisecond)) }, 0},
-		"work at a worker that remains": {func(w *watch) { w.ran("other", late) }, 0},
+		"work after a worker has left":  {func(w *watch) { w.checkRun("leaving", late) }, 1},
+		"work just before it may not":   {func(w *watch) { w.checkRun("leaving", late.Add(-time.Millisecond)) }, 0},
+		"work at a worker that remains": {func(w *watch) { w.checkRun("other", late) }, 0},
 	} {
 		w := newWatch()
-		w.accept(start)
-		w.accept(start)
-		w.leave("leaving", start)
+		w.recordAccepted(start)
+		w.recordAccepted(start)
+		w.recordDrain("leaving", start)
 		test.see(w)
-		if len(w.problems()) != test.broken {
-			t.Errorf("%s: %v", name, w.problems())
+		if len(w.violations()) != test.broken {
+			t.Errorf("%s: %v", name, w.violations())
 		}
 	}
 }
