--- a/internal/lab/soak/harm.go
+++ b/internal/lab/soak/harm.go
@@ -168,7 +168,7 @@
 	s.limits.recordFault(worker.ID(), begun, time.Now())
 	worker.Fences().IgnoreAllUntil(time.Now().Add(resumeSlack)) // the proxy forwards what it held
 	worker.proxy.SetMode(Pass)
-	return fmt.Sprintf("the way to %s was %s for %v", worker.ID(), mode, length.Round(time.Millisecond))
+	return fmt.Sprintf("connections to %s were %s for %v", worker.ID(), mode, length.Round(time.Millisecond))
 }
 
 // faultStoreConnections injects a fault into one node's connections to the store; the others
@@ -179,7 +179,7 @@
 	s.storeProxies[number].SetMode(mode)
 	sleep(ctx, length)
 	s.storeProxies[number].SetMode(Pass)
-	return fmt.Sprintf("the way of %s to the store was %s for %v", s.nodes[number].Name, mode, length.Round(time.Millisecond))
+	return fmt.Sprintf("connections of %s to the store were %s for %v", s.nodes[number].Name, mode, length.Round(time.Millisecond))
 }
 
 func (s *site) faultStore(ctx context.Context, length time.Duration) string {
@@ -188,7 +188,7 @@
 	sleep(ctx, length)
 	s.store.Compact()
 	s.store.SetFaults(fleetstore.Faults{})
-	return fmt.Sprintf("the store was %+v for %v and forgot its history", faults, length.Round(time.Millisecond))
+	return fmt.Sprintf("the store had the faults %+v for %v and then dropped its change history", faults, length.Round(time.Millisecond))
 }
 
 // slowAPI is the duration of a call to a slow API. It is well below the time that remains of a
@@ -201,7 +201,7 @@
 	s.api.SetFaults(faults)
 	sleep(ctx, length)
 	s.api.SetFaults(fleetapi.Faults{})
-	return fmt.Sprintf("the API was %+v for %v", faults, length.Round(time.Millisecond))
+	return fmt.Sprintf("the API had the faults %+v for %v", faults, length.Round(time.Millisecond))
 }
 
 // lateOrders makes all engines leave orders unanswered and carry them out later.
@@ -244,7 +244,7 @@
 	}[s.random.IntN(6)]
 	count := 1 + s.random.IntN(6)
 	worker.SetFault(fault, count)
-	return fmt.Sprintf("%s is %s for %d requests", worker.ID(), fault, count)
+	return fmt.Sprintf("%s has the fault %s for %d requests", worker.ID(), fault, count)
 }
 
 func (s *site) drainWorker(ctx context.Context, length time.Duration) string {
@@ -265,5 +265,5 @@
 	for _, worker := range s.runningWorkers() {
 		s.list(worker, "ready")
 	}
-	return fmt.Sprintf("all entries vanished for %v", (length / 2).Round(time.Millisecond))
+	return fmt.Sprintf("all worker list entries were removed for %v", (length / 2).Round(time.Millisecond))
 }
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -107,7 +107,7 @@
 	for _, worker := range workers {
 		s.limits.setLimit(worker, perSecond, time.Now())
 	}
-	return fmt.Sprintf("%d workers, first %s, take %.1f requests a second (0: all)", len(workers), workers[0].ID(), perSecond)
+	return fmt.Sprintf("%d workers, first %s, state a limit of %.1f requests per second (0: none)", len(workers), workers[0].ID(), perSecond)
 }
 
 // endLimits makes all workers state no limit.
@@ -142,7 +142,7 @@
 			times := l.counted(limit, worker.Arrivals(), requests)
 			most := limitFactor*limit.perSecond*limitWindow.Seconds() + limitSlack
 			if count := fleetworker.MaxInWindow(times, limitWindow); float64(count) > most {
-				violations = append(violations, fmt.Sprintf("%s takes %.1f requests a second and got %d in %v, %.1f are allowed", limit.worker, limit.perSecond, count, limitWindow, most))
+				violations = append(violations, fmt.Sprintf("%s states a limit of %.1f requests per second and got %d in %v, %.1f are allowed", limit.worker, limit.perSecond, count, limitWindow, most))
 			}
 		}
 	}
--- a/internal/lab/soak/notices.go
+++ b/internal/lab/soak/notices.go
@@ -84,7 +84,7 @@
 	for _, worker := range workers {
 		worker.SetBackoff("")
 	}
-	return fmt.Sprintf("%d workers, first %s, ask for pauses of %s s for %v", len(workers), workers[0].ID(), pause, length.Round(time.Millisecond))
+	return fmt.Sprintf("%d workers, first %s, ask for a backoff of %s s for %v", len(workers), workers[0].ID(), pause, length.Round(time.Millisecond))
 }
 
 // noticeViolations returns the workers that got too many requests after an announcement.
@@ -95,10 +95,10 @@
 	for _, worker := range s.allWorkers() {
 		arrivals := worker.Arrivals()
 		if late := s.limits.sentTooLate(worker.ID(), arrivals, requests); late > 0 {
-			violations = append(violations, fmt.Sprintf("%s was about to end; %d requests reached it that callers sent later than %v after their node had passed that on", worker.ID(), late, drainBound))
+			violations = append(violations, fmt.Sprintf("%s was about to end, but %d requests reached it that callers sent more than %v after their node had forwarded that", worker.ID(), late, drainBound))
 		}
 		if most := s.limits.mostInBackoff(worker.ID(), arrivals, requests); most > backoffSlack {
-			violations = append(violations, fmt.Sprintf("%s asked a node for a pause and got %d requests from it in that time, %d are allowed", worker.ID(), most, backoffSlack))
+			violations = append(violations, fmt.Sprintf("%s asked a node for a backoff and got %d requests from it during that time, %d are allowed", worker.ID(), most, backoffSlack))
 		}
 	}
 	return violations
--- a/internal/lab/soak/notices_test.go
+++ b/internal/lab/soak/notices_test.go
@@ -22,10 +22,10 @@
 		t.Errorf("%d requests were sent too late, want 1", got)
 	}
 	if got := l.mostInBackoff("w", arrivals, requests); got != 2 {
-		t.Errorf("%d requests came in a pause, want 2", got)
+		t.Errorf("%d requests came during a backoff, want 2", got)
 	}
 	l.recordFault("n1", at(1), at(1.1))
 	if late, most := l.sentTooLate("w", arrivals, requests), l.mostInBackoff("w", arrivals, requests); late+most > 0 {
-		t.Errorf("%d and %d requests count of a node that started again since", late, most)
+		t.Errorf("%d and %d requests count although their node has restarted since", late, most)
 	}
 }
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -69,9 +69,9 @@
 		case !exists:
 			continue
 		case notRun[got.status]:
-			violations = append(violations, fmt.Sprintf("poison request %s was called not run (status %d), and ran", got.id, got.status))
+			violations = append(violations, fmt.Sprintf("poison request %s was answered as not run (status %d), but it ran", got.id, got.status))
 		case got.status == http.StatusOK && got.err == nil:
-			violations = append(violations, fmt.Sprintf("poison request %s was answered", got.id))
+			violations = append(violations, fmt.Sprintf("poison request %s was answered normally", got.id))
 		}
 		if run.At.After(d.quietSince.Add(quietPeriod / 2)) {
 			quietly++
@@ -80,7 +80,7 @@
 		}
 	}
 	if earlier >= poisonRuns && quietly > poisonRuns {
-		violations = append(violations, fmt.Sprintf("the poison request, under which %d workers had ended, reached workers %d times more in the quiet time", earlier, quietly))
+		violations = append(violations, fmt.Sprintf("the poison request had crashed %d workers and reached workers %d more times in the quiet period", earlier, quietly))
 	}
 	slices.Sort(violations)
 	return violations
@@ -115,7 +115,7 @@
 		s.store.Put("servers", options.ID, nil)
 		options.ID = fmt.Sprintf("%s-new-%d", options.Service, number)
 		if err := s.addWorker(options); err != nil {
-			_, _ = fmt.Fprintln(s.options.Out, "a worker can't be replaced:", err)
+			_, _ = fmt.Fprintln(s.options.Out, "can't replace a worker:", err)
 		}
 	}()
 }
--- a/internal/lab/soak/poison_test.go
+++ b/internal/lab/soak/poison_test.go
@@ -21,11 +21,11 @@
 		broken  int
 	}{
 		{"stopped", http.StatusBadGateway, 3, 0, 0},
-		{"stopped within the promise", http.StatusBadGateway, 3, 3, 0},
-		{"not known before", http.StatusBadGateway, 2, 4, 0},
+		{"stopped within the bound", http.StatusBadGateway, 3, 3, 0},
+		{"not recognized before", http.StatusBadGateway, 2, 4, 0},
 		{"not stopped", http.StatusBadGateway, 3, 4, 1},
 		{"answered", http.StatusOK, 1, 0, 1},
-		{"called not run", http.StatusServiceUnavailable, 1, 0, 1},
+		{"answered as not run", http.StatusServiceUnavailable, 1, 0, 1},
 	} {
 		d := &poison{quietSince: quietSince}
 		var runs []fleetworker.Run
--- a/internal/lab/soak/proxy_test.go
+++ b/internal/lab/soak/proxy_test.go
@@ -56,29 +56,29 @@
 	c := dialProxy(t, p)
 	const long, short = 20 * time.Second, 50 * time.Millisecond
 	if !echoed(c, long) {
-		t.Fatal("nothing passes")
+		t.Fatal("no data is forwarded")
 	}
 	for _, mode := range []Mode{Silent, OneWay} {
 		p.SetMode(mode)
 		if echoed(c, short) {
-			t.Errorf("%s: an answer came", mode)
+			t.Errorf("%s: an answer was forwarded", mode)
 		}
 		p.SetMode(Pass)
 		_ = c.SetReadDeadline(time.Now().Add(long))
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
-			t.Errorf("%s: what was held back is lost: %v", mode, err)
+			t.Errorf("%s: data that was held back is lost: %v", mode, err)
 		}
 	}
 	p.SetMode(Slow)
 	if !echoed(c, long) {
-		t.Error("nothing passes slowly")
+		t.Error("slow mode forwards no data")
 	}
 	p.SetMode(Reset)
 	if echoed(c, long) {
-		t.Error("a reset connection goes on")
+		t.Error("a reset connection still works")
 	}
 	p.SetMode(Pass)
 	if !echoed(dialProxy(t, p), long) {
-		t.Error("nothing passes after a reset")
+		t.Error("no data is forwarded after a reset")
 	}
 }
--- a/internal/lab/soak/quota.go
+++ b/internal/lab/soak/quota.go
@@ -40,7 +40,7 @@
 	slices.SortFunc(began, time.Time.Compare)
 	most := limit.Rate*tolerance.Window.Seconds() + limit.Burst + tolerance.MaxExcess(limit)
 	if count := fleetworker.MaxInWindow(began, tolerance.Window); float64(count) > most {
-		return []string{fmt.Sprintf("%s ran %d requests in %v, and may run %.1f", tenant, count, tolerance.Window, most)}
+		return []string{fmt.Sprintf("%s ran %d requests in %v, %.1f are allowed", tenant, count, tolerance.Window, most)}
 	}
 	return nil
 }
--- a/internal/lab/soak/quota_test.go
+++ b/internal/lab/soak/quota_test.go
@@ -27,7 +27,7 @@
 		runs   []fleetworker.Run
 		broken bool
 	}{
-		{"as many as may run", begin(8, "a", 0, time.Millisecond), false},
+		{"as many as allowed", begin(8, "a", 0, time.Millisecond), false},
 		{"one more", begin(9, "a", 0, time.Millisecond), true},
 		{"one more, later", append(begin(8, "a", time.Second, time.Millisecond), begin(1, "a", 2900*time.Millisecond, 0)...), true},
 		{"the same from two workers, out of order", append(begin(1, "a", 2900*time.Millisecond, 0), begin(8, "a", time.Second, time.Millisecond)...), true},
--- a/internal/lab/soak/report.go
+++ b/internal/lab/soak/report.go
@@ -72,12 +72,12 @@
 	}
 	for id := range runs {
 		if !ids[id] && !l.site.poison.sent(id) {
-			report.Broken = append(report.Broken, fmt.Sprintf("request %s ran, and nobody sent it", id))
+			report.Broken = append(report.Broken, fmt.Sprintf("request %s ran, but nobody sent it", id))
 		}
 	}
 	report.Broken = append(report.Broken, l.site.watch.violations()...)
 	if float64(report.QuietServed) < quietShare*float64(report.QuietSent) {
-		report.Broken = append(report.Broken, fmt.Sprintf("of %d requests in the quiet time only %d were served", report.QuietSent, report.QuietServed))
+		report.Broken = append(report.Broken, fmt.Sprintf("of %d requests in the quiet period only %d were served", report.QuietSent, report.QuietServed))
 	}
 	sort.Strings(report.Broken)
 	return report
@@ -122,17 +122,17 @@
 		violations = append(violations, fmt.Sprintf("ran %d times", len(runs)))
 	}
 	if !got.class.repeatable() && notRun[got.status] && len(runs) > 0 {
-		violations = append(violations, "was called not run, and ran")
+		violations = append(violations, "was answered as not run, but it ran")
 	}
 	if !got.probe && got.status >= 400 && got.status < 500 && !notRun[got.status] {
-		violations = append(violations, "a proper request was refused")
+		violations = append(violations, "a valid request was refused")
 	}
 	for _, run := range runs {
 		if run.Target != got.class.prefix+got.id {
 			violations = append(violations, "ran with another target "+run.Target)
 		}
 		if run.Header.Get("X-Api-Key") != "" || run.Header.Get("X-Tenant") != got.tenant {
-			violations = append(violations, fmt.Sprintf("ran for tenant %q of %q, or with a key", run.Header.Get("X-Tenant"), got.tenant))
+			violations = append(violations, fmt.Sprintf("ran for tenant %q instead of %q, or with an API key", run.Header.Get("X-Tenant"), got.tenant))
 		}
 	}
 	return append(violations, checkAnswer(got, workers)...)
@@ -144,11 +144,11 @@
 		return nil
 	}
 	if got.body != completeAnswer(got.id) {
-		return []string{fmt.Sprintf("the answer looks whole and is not: %d of %d bytes", len(got.body), len(completeAnswer(got.id)))}
+		return []string{fmt.Sprintf("the answer looks complete but isn't as expected: %d of %d bytes", len(got.body), len(completeAnswer(got.id)))}
 	}
 	worker := workers[got.header.Get("X-Instance-Id")]
 	if worker == nil || got.header.Get("X-Response-Signature") != worker.Signature(got.id) || got.header.Get("X-Request-Id") != got.id {
-		return []string{"the answer has the signature or id of another"}
+		return []string{"the answer has the signature or id of another one"}
 	}
 	return nil
 }
--- a/internal/lab/soak/report_test.go
+++ b/internal/lab/soak/report_test.go
@@ -35,14 +35,14 @@
 		{"nothing", submit, func(*observation, *[]fleetworker.Run) {}, 0},
 		{"ran twice", submit, func(_ *observation, runs *[]fleetworker.Run) { *runs = append(*runs, (*runs)[0]) }, 1},
 		{"may run twice", status, func(_ *observation, runs *[]fleetworker.Run) { *runs = append(*runs, (*runs)[0]) }, 0},
-		{"called not run", submit, func(got *observation, _ *[]fleetworker.Run) { got.status = http.StatusServiceUnavailable }, 1},
+		{"answered as not run", submit, func(got *observation, _ *[]fleetworker.Run) { got.status = http.StatusServiceUnavailable }, 1},
 		{"not run", submit, func(got *observation, runs *[]fleetworker.Run) {
 			got.status, *runs = http.StatusServiceUnavailable, nil
 		}, 0},
-		{"refused as wrong", submit, func(got *observation, runs *[]fleetworker.Run) { got.status, *runs = http.StatusNotFound, nil }, 1},
+		{"refused as invalid", submit, func(got *observation, runs *[]fleetworker.Run) { got.status, *runs = http.StatusNotFound, nil }, 1},
 		{"another target", submit, func(_ *observation, runs *[]fleetworker.Run) { (*runs)[0].Target = "/other" }, 1},
 		{"another tenant", submit, func(got *observation, _ *[]fleetworker.Run) { got.tenant = "u" }, 1},
-		{"a key at the worker", submit, func(_ *observation, runs *[]fleetworker.Run) { (*runs)[0].Header.Set("X-Api-Key", "k") }, 1},
+		{"an API key at the worker", submit, func(_ *observation, runs *[]fleetworker.Run) { (*runs)[0].Header.Set("X-Api-Key", "k") }, 1},
 		{"short answer", submit, func(got *observation, _ *[]fleetworker.Run) { got.body = got.body[1:] }, 1},
 		{"cut answer", submit, func(got *observation, _ *[]fleetworker.Run) { got.body, got.err = "", errors.New("cut") }, 0},
 		{"another's answer", submit, func(got *observation, _ *[]fleetworker.Run) { got.header.Set("X-Request-Id", "other") }, 1},
--- a/internal/lab/soak/restore.go
+++ b/internal/lab/soak/restore.go
@@ -53,7 +53,7 @@
 		s.rewriteLost(row, copied)
 	}
 	s.storm.restored(unsure, time.Now())
-	_, _ = fmt.Fprintf(s.options.Out, "%7.2f s  the store was away for %v and came back from a copy of version %d, %v old; %d rows were lost\n",
+	_, _ = fmt.Fprintf(s.options.Out, "%7.2f s  the store was unreachable for %v and was restored from a backup of version %d, %v old; %d rows were lost\n",
 		time.Since(s.started).Seconds(), away.Round(time.Millisecond), copied, time.Since(at).Round(time.Millisecond), len(lost))
 }
 
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -171,7 +171,7 @@
 	report.Broken = append(report.Broken, s.poison.violations(s.allRuns())...)
 	report.Windows = len(s.api.Reports())
 	if report.Windows == 0 {
-		report.Broken = append(report.Broken, "no window of usage was reported")
+		report.Broken = append(report.Broken, "no usage window was reported")
 	}
 	for _, node := range s.nodes {
 		report.Starts += node.Starts()
--- a/internal/lab/soak/storm.go
+++ b/internal/lab/soak/storm.go
@@ -117,7 +117,7 @@
 			report.Late++
 		}
 		if age > applyBound {
-			violations = append(violations, fmt.Sprintf("%s lacked configuration %d of a storm %v after it was accepted", key.node, key.version, age.Round(time.Millisecond)))
+			violations = append(violations, fmt.Sprintf("%s lacked configuration %d of the storm %v after the store accepted it", key.node, key.version, age.Round(time.Millisecond)))
 		}
 	}
 	return report, violations
@@ -197,7 +197,7 @@
 		for _, number := range denied {
 			s.storeProxies[number].SetMode(Pass)
 		}
-		_, _ = fmt.Fprintf(s.options.Out, "%7.2f s  the ways of %d nodes to the store were %s for %v, first %s\n",
+		_, _ = fmt.Fprintf(s.options.Out, "%7.2f s  connections of %d nodes to the store were %s for %v, first %s\n",
 			time.Since(s.started).Seconds(), len(denied), mode, length.Round(time.Millisecond), s.nodes[denied[0]].Name)
 		sleep(ctx, time.Duration(random.Int64N(int64(minIsolation))))
 	}
@@ -220,7 +220,7 @@
 	sleep(ctx, length)
 	s.store.SetFaults(fleetstore.Faults{})
 	s.limits.recordFault(node.Name, begun, begun)
-	return fmt.Sprintf("%s was killed and started while reads were as of version %d, %v ago", node.Name, before, length.Round(time.Millisecond))
+	return fmt.Sprintf("%s was killed and restarted while the store answered reads as of version %d, %v old", node.Name, before, length.Round(time.Millisecond))
 }
 
 // firstReader returns the node that ranks first for reading the configuration for all nodes.
--- a/internal/lab/soak/storm_test.go
+++ b/internal/lab/soak/storm_test.go
@@ -24,15 +24,15 @@
 		got          sighting
 		late, broken int
 	}{
-		"it has the version":                          {after(1, 9*time.Second), 0, 0},
-		"a route is missing, soon after":              {late(after(1, promptBound), http.StatusNotFound, false, false), 0, 0},
-		"a route is missing after a while":            {late(after(2, promptBound+1), http.StatusNotFound, false, false), 1, 0},
-		"a route is missing for long":                 {late(after(2, applyBound+1), http.StatusNotFound, false, false), 1, 1},
-		"a dropped route is run for long":             {late(after(2, applyBound+1), http.StatusOK, true, false), 1, 1},
-		"a dropped route is refused":                  {late(after(2, applyBound+1), http.StatusNotFound, true, false), 0, 0},
-		"it doesn't know for long":                    {late(after(1, applyBound+1), http.StatusServiceUnavailable, false, true), 1, 1},
-		"no worker is free, whatever the version is":  {late(after(1, applyBound+1), http.StatusServiceUnavailable, false, false), 0, 0},
-		"it was harmed, and a route is missing after": {late(sighting{node: "harmed", version: 1, sent: accepted.Add(time.Hour)}, http.StatusNotFound, false, false), 0, 0},
+		"the node has the version":                     {after(1, 9*time.Second), 0, 0},
+		"a route is missing, soon after":               {late(after(1, promptBound), http.StatusNotFound, false, false), 0, 0},
+		"a route is missing after a while":             {late(after(2, promptBound+1), http.StatusNotFound, false, false), 1, 0},
+		"a route is missing for long":                  {late(after(2, applyBound+1), http.StatusNotFound, false, false), 1, 1},
+		"a dropped route is served for long":           {late(after(2, applyBound+1), http.StatusOK, true, false), 1, 1},
+		"a dropped route is refused":                   {late(after(2, applyBound+1), http.StatusNotFound, true, false), 0, 0},
+		"the node doesn't know its version for long":   {late(after(1, applyBound+1), http.StatusServiceUnavailable, false, true), 1, 1},
+		"no worker is free, whatever the version is":   {late(after(1, applyBound+1), http.StatusServiceUnavailable, false, false), 0, 0},
+		"a route is missing after a fault of the node": {late(sighting{node: "harmed", version: 1, sent: accepted.Add(time.Hour)}, http.StatusNotFound, false, false), 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s.sightings = []sighting{test.got}
--- a/internal/lab/soak/watch.go
+++ b/internal/lab/soak/watch.go
@@ -88,7 +88,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if since, leaves := w.leaving[worker]; leaves && at.Sub(since) > applyBound+probeMargin {
-		w.found = append(w.found, fmt.Sprintf("%s was given a request %v after it said that it leaves", worker, at.Sub(since).Round(time.Millisecond)))
+		w.found = append(w.found, fmt.Sprintf("%s got a request %v after it began to drain", worker, at.Sub(since).Round(time.Millisecond)))
 	}
 }
 
@@ -106,7 +106,7 @@
 	added := s.watch.routes() + 1
 	s.store.Put("op", "config", s.configuration(added, s.storm.newest()))
 	s.watch.recordAccepted(time.Now())
-	return fmt.Sprintf("a configuration with %d added routes", added)
+	return fmt.Sprintf("wrote a configuration with %d added routes", added)
 }
 
 // lastChange makes the last changes of a run, after all faults: it adds a route and drains a
--- a/internal/lab/soak/watch_test.go
+++ b/internal/lab/soak/watch_test.go
@@ -14,12 +14,12 @@
 		see    func(*watch)
 		broken int
 	}{
-		"nothing":                  {func(*watch) {}, 0},
-		"in force":                 {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusOK, late, true) }, 0},
-		"not in force in time":     {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusNotFound, late, true) }, 1},
-		"not in force, but harmed": {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusNotFound, late, false) }, 0},
-		"not in force, but soon":   {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusNotFound, late.Add(-time.Millisecond), true) }, 0},
-		"refused":                  {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusServiceUnavailable, late, true) }, 0},
+		"nothing":                         {func(*watch) {}, 0},
+		"in force":                        {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusOK, late, true) }, 0},
+		"not in force in time":            {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusNotFound, late, true) }, 1},
+		"not in force, but after a fault": {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusNotFound, late, false) }, 0},
+		"not in force, but soon":          {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusNotFound, late.Add(-time.Millisecond), true) }, 0},
+		"refused":                         {func(w *watch) { w.checkProbe("n", 1, 1, http.StatusServiceUnavailable, late, true) }, 0},
 		"went back": {func(w *watch) {
 			w.checkProbe("n", 1, 2, http.StatusOK, start, false)
 			w.checkProbe("n", 1, 1, http.StatusNotFound, start, false)
@@ -28,9 +28,9 @@
 			w.checkProbe("n", 1, 2, http.StatusOK, start, false)
 			w.checkProbe("n", 2, 1, http.StatusNotFound, start, false)
 		}, 0},
-		"work after a worker has left":  {func(w *watch) { w.checkRun("leaving", late) }, 1},
-		"work just before it may not":   {func(w *watch) { w.checkRun("leaving", late.Add(-time.Millisecond)) }, 0},
-		"work at a worker that remains": {func(w *watch) { w.checkRun("other", late) }, 0},
+		"a request after a worker has drained": {func(w *watch) { w.checkRun("leaving", late) }, 1},
+		"a request just within the bound":      {func(w *watch) { w.checkRun("leaving", late.Add(-time.Millisecond)) }, 0},
+		"a request at a worker that remains":   {func(w *watch) { w.checkRun("other", late) }, 0},
 	} {
 		w := newWatch()
 		w.recordAccepted(start)
