--- a/internal/lab/site/configuration_test.go
+++ b/internal/lab/site/configuration_test.go
@@ -10,7 +10,7 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// largeConfiguration fits in no datagram: its names can't be compressed.
+// largeConfiguration is too large for one datagram: its names don't compress.
 func largeConfiguration(version int) map[string]any {
 	large := configuration(version)
 	for i := range 600 {
@@ -22,14 +22,14 @@
 	return large
 }
 
-// proxied is a node with its own way to the store.
+// proxied is a node that reaches the store through its own proxy.
 type proxied struct {
 	*serving.Node
 	store    *soak.Proxy
 	exchange string
 }
 
-// startProxied starts nodes in two zones, each with its own way to the store.
+// startProxied starts nodes in two zones, each with its own proxy to the store.
 func (s *site) startProxied(count int) []proxied {
 	s.t.Helper()
 	var nodes []proxied
@@ -55,13 +55,15 @@
 	return nodes
 }
 
-// ranked returns the nodes in the order in which they read the configuration for all.
+// ranked returns the nodes in the order of their rank for reading the configuration for all
+// nodes.
 func ranked(nodes []proxied) []proxied {
 	hash := func(node proxied) uint64 { return rendezvous.Hash(node.exchange) }
 	return rendezvous.Top(nodes, hash, rendezvous.Hash("table op"), len(nodes))
 }
 
-// TestNodesThatTheStoreTurnsAwayGetLargeConfigurations, whichever rank they have.
+// TestNodesThatTheStoreTurnsAwayGetLargeConfigurations: nodes that can't reach the store get a
+// large configuration from the others, whatever rank the nodes with a connection have.
 func TestNodesThatTheStoreTurnsAwayGetLargeConfigurations(t *testing.T) {
 	s := newSite(t)
 	s.addWorkers()
--- a/internal/lab/site/crash_test.go
+++ b/internal/lab/site/crash_test.go
@@ -17,42 +17,42 @@
 )
 
 const (
-	// poison is in the body of requests that crash whoever runs them.
+	// poison is in the body of requests that crash each worker that runs them.
 	poison = "poison"
-	// restartAfter is how long a worker that has crashed is away.
+	// restartAfter is how long a crashed worker is down.
 	restartAfter = 200 * time.Millisecond
-	// crashesNeeded is how many workers may end under a request before it is known, and
-	// arrivalsAllowed how often it may reach others after that.
+	// crashesNeeded is how many workers may crash before a request is quarantined, and
+	// arrivalsAllowed how many it may reach after that.
 	crashesNeeded   = 3
 	arrivalsAllowed = 3
-	// firstBirth is when workers that tell it are born first, in Unix milliseconds.
+	// firstBirth is the first start time of workers that state one, in Unix milliseconds.
 	firstBirth = 1_764_731_647_000
 )
 
-// fragile are workers that crash on requests with poison bodies, and come back, each time
-// under another id, at the same address.
+// fragile manages workers that crash on requests with a poison body and restart at the same
+// address, each time with another id.
 type fragile struct {
 	s  *site
 	mu sync.Mutex
-	// incarnations are all that ran so far, and standing those that do.
+	// incarnations holds all workers started so far, and standing those that are running.
 	incarnations []*fleetworker.Worker
 	standing     map[string]*fleetworker.Worker
 	crashes      int
-	// mended workers crash no more when they come back.
+	// mended makes workers that restart no longer crash.
 	mended bool
-	// named workers come back under the id that they had, and tell when they were born.
+	// named makes workers restart with the id that they had, and state when they started.
 	named bool
-	// tries counts the requests that were sent by again.
+	// tries counts the requests sent by again.
 	tries int
 }
 
-// startFragile runs a site of three nodes before engines that requests may crash.
+// startFragile starts a site of three nodes with workers that poison requests crash.
 func startFragile(t *testing.T) (*site, *fragile) {
 	t.Helper()
 	return startFragileWith(t, func(*fragile) {})
 }
 
-// startFragileWith is startFragile with a change before any worker starts.
+// startFragileWith is like startFragile but applies a change before any worker starts.
 func startFragileWith(t *testing.T, change func(*fragile)) (*site, *fragile) {
 	t.Helper()
 	s := startUnconfigured(t)
@@ -80,7 +80,7 @@
 	f.start(options)
 }
 
-// start is add under the lock.
+// start starts a worker. The caller holds the lock.
 func (f *fragile) start(options fleetworker.Options) {
 	if f.named && options.Born == 0 {
 		options.Born = firstBirth
@@ -96,7 +96,7 @@
 	f.s.store.Put("servers", options.ID, worker.Entry("ready"))
 }
 
-// crash counts the end of a worker.
+// crash records that a worker crashed and has it restarted.
 func (f *fragile) crash(options fleetworker.Options, crashed *fleetworker.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,7 +105,7 @@
 	go f.restart(options, crashed)
 }
 
-// restart brings a worker that has crashed back under another id.
+// restart restarts a crashed worker after restartAfter.
 func (f *fragile) restart(options fleetworker.Options, crashed *fleetworker.Worker) {
 	time.Sleep(restartAfter)
 	f.mu.Lock()
@@ -120,7 +120,7 @@
 	f.start(options)
 }
 
-// mend has workers that come back from now on, and those that stand, bear all requests.
+// mend makes running and restarted workers no longer crash.
 func (f *fragile) mend() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -130,14 +130,14 @@
 	}
 }
 
-// crashed is the number of crashes so far.
+// crashed returns the number of crashes so far.
 func (f *fragile) crashed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashes
 }
 
-// arrivals counts the runs of requests whose body holds a text.
+// arrivals counts the runs of requests whose body contains a text.
 func (f *fragile) arrivals(text string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,7 +152,7 @@
 	return count
 }
 
-// awaitStanding waits until all workers stand and all nodes know them.
+// awaitStanding waits until all workers are running and known to all nodes.
 func (f *fragile) awaitStanding() {
 	f.s.t.Helper()
 	f.s.await("all workers stand and are known", func() bool {
@@ -181,7 +181,7 @@
 	})
 }
 
-// addresses are those of all nodes.
+// addresses returns the addresses for callers of all nodes.
 func (s *site) addresses() []string {
 	addresses := []string{s.address}
 	for _, other := range s.others {
@@ -190,7 +190,7 @@
 	return addresses
 }
 
-// again sends a request to the next node, once all workers stand.
+// again sends a request to the next node once all workers are running.
 func (f *fragile) again(path, body string) answer {
 	f.s.t.Helper()
 	f.awaitStanding()
@@ -199,7 +199,7 @@
 	return f.s.askAt(nodes[f.tries%len(nodes)], http.MethodPost, path, nil, body)
 }
 
-// quarantine sends a poison request until enough workers have ended under it.
+// quarantine sends a poison request until it has crashed crashesNeeded workers.
 func (f *fragile) quarantine(path, body string) {
 	f.s.t.Helper()
 	for before := f.crashed(); f.crashed() < before+crashesNeeded; {
@@ -207,8 +207,9 @@
 	}
 }
 
-// expectStopped sends a poison request again and again, and expects that it reaches hardly
-// any worker, and that its callers are told at once that it has not run.
+// expectStopped sends a poison request repeatedly. It expects that at most arrivalsAllowed of
+// them reach a worker, and that the callers of the others are told at once that they weren't
+// run.
 func (f *fragile) expectStopped(path, body string) {
 	f.s.t.Helper()
 	before := f.arrivals(body)
@@ -241,7 +242,7 @@
 	return runs
 }
 
-// expectServed sends a request to each node and expects an answer.
+// expectServed sends a request to each node and expects it to be served.
 func (f *fragile) expectServed(path, body string) {
 	f.s.t.Helper()
 	f.awaitStanding()
@@ -252,7 +253,7 @@
 	}
 }
 
-// quarantined returns the fingerprints that nodes have said to quarantine.
+// quarantined returns the fingerprints of the requests that nodes have logged as quarantined.
 func (s *site) quarantined() []string {
 	var fingerprints []string
 	for _, match := range quarantinedLine.FindAllStringSubmatch(s.logText(), -1) {
@@ -264,7 +265,7 @@
 
 var quarantinedLine = regexp.MustCompile(`msg="request quarantined".* fingerprint=([0-9a-f]+)`)
 
-// storedQuarantine are the fingerprints that the store holds.
+// storedQuarantine returns the fingerprints in the store's quarantine table.
 func (s *site) storedQuarantine() []string {
 	var keys []string
 	for _, row := range s.store.Rows("quarantine") {
@@ -273,7 +274,7 @@
 	return keys
 }
 
-// restartNodes ends all nodes at once and starts others.
+// restartNodes ends all nodes at once and starts new ones.
 func (s *site) restartNodes() {
 	s.t.Helper()
 	s.node.Close()
@@ -286,8 +287,8 @@
 	s.addNodes("node-2", "node-3")
 }
 
-// TestRequestThatCrashesWorkersIsStopped: the same request comes again and again, each time
-// under another id and at another node.
+// TestRequestThatCrashesWorkersIsStopped: a request that crashes workers is quarantined
+// although it comes each time with another id and at another node.
 func TestRequestThatCrashesWorkersIsStopped(t *testing.T) {
 	s, f := startFragile(t)
 	nodes := s.addresses()
@@ -320,8 +321,8 @@
 	}
 }
 
-// TestWorkersThatKeepTheirNamesAreStoppedForToo: each is back under the id under which it
-// ended, before its entry lapses.
+// TestWorkersThatKeepTheirNamesAreStoppedForToo: crashes count although each worker restarts
+// with the id that it had, before its list entry expires.
 func TestWorkersThatKeepTheirNamesAreStoppedForToo(t *testing.T) {
 	_, f := startFragileWith(t, func(f *fragile) { f.named = true })
 	f.quarantine("/check/same", poison)
@@ -329,7 +330,8 @@
 	f.expectServed("/check/same", "another move")
 }
 
-// TestRoutesWithoutASecondRunAreStoppedToo, and plain services.
+// TestRoutesWithoutASecondRunAreStoppedToo: a poison request is also quarantined on routes that
+// never repeat a request, and on those of plain workers.
 func TestRoutesWithoutASecondRunAreStoppedToo(t *testing.T) {
 	for _, path := range []string{"/verdict/1", "/submit/1", "/board/1"} {
 		_, f := startFragile(t)
@@ -339,8 +341,8 @@
 	}
 }
 
-// TestNeighboursOfAPoisonRequestAreServed: they end with the same workers, and are sent on
-// with it.
+// TestNeighboursOfAPoisonRequestAreServed: requests that run on the same workers as a poison
+// request, and are sent to other workers along with it, are not quarantined.
 func TestNeighboursOfAPoisonRequestAreServed(t *testing.T) {
 	s, f := startFragile(t)
 	var neighbours []string
@@ -372,7 +374,7 @@
 	}
 }
 
-// TestSeveralPoisonRequestsAreStopped, each by itself.
+// TestSeveralPoisonRequestsAreStopped: several poison requests at a time are told apart.
 func TestSeveralPoisonRequestsAreStopped(t *testing.T) {
 	s, f := startFragile(t)
 	bodies := []string{poison + " 1", poison + " 2", poison + " 3"}
@@ -387,7 +389,7 @@
 	f.expectServed("/check/1", "harmless")
 }
 
-// TestQuarantineOutlastsAllNodes: what is known lies in the store.
+// TestQuarantineOutlastsAllNodes: the quarantine is in the store and outlives the nodes.
 func TestQuarantineOutlastsAllNodes(t *testing.T) {
 	s, f := startFragile(t)
 	f.quarantine("/check/1", poison)
@@ -407,12 +409,13 @@
 	f.expectStopped("/check/1", poison)
 }
 
-// TestNodesTellEachOtherWhileTheStoreIsAway what each has seen.
+// TestNodesTellEachOtherWhileTheStoreIsAway: nodes tell each other of crashes while the store
+// is unavailable.
 func TestNodesTellEachOtherWhileTheStoreIsAway(t *testing.T) {
 	s, f := startFragile(t)
 	s.store.SetFaults(fleetstore.Faults{Down: true})
-	// Workers that come back aren't known while the store is away: four engines write at
-	// first, and one must be left.
+	// Restarted workers aren't known while the store is unavailable. Of the four decode engines
+	// at the start, three crash and one must remain.
 	nodes := s.addresses()
 	s.askAt(nodes[0], http.MethodPost, "/check/1", nil, poison)
 	s.await("the other nodes are told of two ends", func() bool {
@@ -435,7 +438,8 @@
 	}
 }
 
-// TestLostAnswersAreNoCrashes: workers that break answers off and live.
+// TestLostAnswersAreNoCrashes: a worker that breaks off answers but goes on running hasn't
+// crashed.
 func TestLostAnswersAreNoCrashes(t *testing.T) {
 	s := start(t)
 	s.setFaults("portal", fleetworker.CutEarly, -1)
@@ -456,7 +460,8 @@
 	}
 }
 
-// TestOperatorReleasesARequest by taking its row away.
+// TestOperatorReleasesARequest: an operator releases a request by removing its row from the
+// quarantine table.
 func TestOperatorReleasesARequest(t *testing.T) {
 	s, f := startFragile(t)
 	f.quarantine("/check/1", poison)
--- a/internal/lab/site/duties_test.go
+++ b/internal/lab/site/duties_test.go
@@ -10,11 +10,11 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// usageWindow is the length of the tests' windows of usage.
+// usageWindow is the length of a usage window in these tests.
 const usageWindow = 500 * time.Millisecond
 
-// startWithAPI runs a site with tenants, whose platform wants usage reported and takes
-// orders for workers.
+// startWithAPI starts a site with tenants whose platform receives usage reports and scaling
+// orders.
 func startWithAPI(t *testing.T) (*site, *fleetapi.API) {
 	t.Helper()
 	api := fleetapi.Start()
@@ -34,8 +34,8 @@
 	return s, api
 }
 
-// TestUsageOfTenantsIsReported: each request that ran, once, whatever becomes of the
-// reports' answers; and of each window one truth.
+// TestUsageOfTenantsIsReported: each request that ran is reported once, even if answers to
+// reports are lost, and all reports of a window have the same counts.
 func TestUsageOfTenantsIsReported(t *testing.T) {
 	s, api := startWithAPI(t)
 	truth := make(map[string]int)
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestWorkersAreOrdered: cheap ones in place of those that stand.
+// TestWorkersAreOrdered: cheaper spot workers are ordered in place of the running ones.
 func TestWorkersAreOrdered(t *testing.T) {
 	s, api := startWithAPI(t)
 	s.await("spot workers are ordered", func() bool {
--- a/internal/lab/site/limit_test.go
+++ b/internal/lab/site/limit_test.go
@@ -14,27 +14,28 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// The promise to a worker that names the requests a second which it takes.
+// Bounds for a worker that states how many requests per second it accepts.
 const (
-	// limitWindow is the time over which what a worker gets is counted, limitOver how many
-	// times its limit it may get in it, and limitSlack how many requests besides.
+	// limitWindow is the time over which a worker's requests are counted. In it, a worker may
+	// get limitOver times its limit and limitSlack requests more.
 	limitWindow = 4 * time.Second
 	limitOver   = 1.5
 	limitSlack  = 5
-	// limitKnown is how long after its first answer that names a limit a worker's requests
+	// limitKnown is how long after a worker's first answer with a limit requests begin to
 	// count.
 	limitKnown = time.Second
-	// pressedFor is how long callers press, and pressEvery the pause of each after an answer.
+	// pressedFor is how long callers send requests, and pressEvery each one's pause after an
+	// answer.
 	pressedFor = 8 * time.Second
 	pressEvery = 10 * time.Millisecond
 )
 
-// most is how many requests a worker with a limit may get in a window.
+// most returns how many requests a worker with a limit may get in a window.
 func most(perSecond float64) int {
 	return int(limitOver*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// busiest returns the most requests that came in a window, of those from a time on.
+// busiest returns the largest number of arrivals in one window, counting those from a time on.
 func busiest(arrivals []fleetworker.Arrival, from time.Time) int {
 	var times []time.Time
 	for _, arrival := range arrivals {
@@ -45,16 +46,16 @@
 	return fleetworker.MaxInWindow(times, limitWindow)
 }
 
-// pressed is what callers saw who ask again and again.
+// pressed counts the answers to callers that send requests continuously.
 type pressed struct {
 	served, refused atomic.Int64
-	// unpromising counts the refusals that don't say when to come back, and odd all other
+	// unpromising counts refusals without a valid Retry-After, and odd counts all other
 	// answers.
 	unpromising, odd atomic.Int64
 }
 
-// press has callers at each node ask for paths in turn until ctx ends, much more than a worker
-// with a limit takes; those who are refused come back when they are told to.
+// press runs callers at each node, which request the paths in turn until ctx is done, far more
+// often than a worker with a limit accepts. Callers that are refused wait for Retry-After.
 func (s *site) press(ctx context.Context, perNode int, paths ...string) *pressed {
 	seen := &pressed{}
 	var callers sync.WaitGroup
@@ -101,14 +102,11 @@
 	return s
 }
 
-// TestWorkersGetNoMoreThanTheyTake: on the users' days engines in need were kept as busy as
-// before. Two of them began to say in each answer how many requests a second they take from all
-// nodes together; six nodes passed these answers on and went on sending, 10 to 19 a second to one
-// that takes 3.6, for as long as it said so. The cause: what a worker says of the whole fleet's
-// part in it was nobody's to keep. No node read it, and had each node kept to it alone, six would
-// have sent six times as much. The evidence: one node alone sent more than the whole limit, no
-// event of a node or worker came in between, and here, where nothing else is wrong, the same
-// happens; with the statement read, told on and counted by one keeper, it doesn't.
+// TestWorkersGetNoMoreThanTheyTake: a worker's limit holds for all nodes together. Six nodes
+// once forwarded answers with a limit of 3.6 requests per second and went on sending 10 to 19
+// per second to that worker: no node read the limit. Had each node kept to it alone, six would
+// still have sent six times as much, so one node must count the requests of all. Nothing else
+// needs to fail for this to happen.
 func TestWorkersGetNoMoreThanTheyTake(t *testing.T) {
 	t.Parallel()
 	s := startPressed(t)
@@ -135,8 +133,8 @@
 	}
 }
 
-// overLimit tells which workers got more than they take, of those that named a limit from their
-// first request on.
+// overLimit reports an error for each worker that got more than its limit, which it stated from
+// its first request on.
 func (s *site) overLimit(perSecond float64, ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
@@ -151,14 +149,14 @@
 	}
 }
 
-// setLimits has workers name a limit.
+// setLimits makes workers state a limit.
 func (s *site) setLimits(limit string, ids ...string) {
 	for _, id := range ids {
 		s.workers[id].SetLimit(limit)
 	}
 }
 
-// pressFor is press for a time, at the nodes of these addresses.
+// pressFor runs press for a time.
 func (s *site) pressFor(span time.Duration, perNode int, path string) *pressed {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), span)
@@ -166,8 +164,9 @@
 	return s.press(ctx, perNode, path)
 }
 
-// TestWhatWorkersInNeedTakeIsUsed where no other is left: as many are served as they take, others
-// wait for their turn or are told when to come back, and the end of the need is seen at once.
+// TestWhatWorkersInNeedTakeIsUsed: if all workers state a limit, as many requests are served as
+// they accept; the others wait for their turn or are told when to come back. The end of a limit
+// takes effect at once.
 func TestWhatWorkersInNeedTakeIsUsed(t *testing.T) {
 	t.Parallel()
 	s := startPressed(t)
@@ -190,7 +189,8 @@
 	}
 }
 
-// TestWorkerThatTakesNothingGetsNextToNothing, and callers are refused at once.
+// TestWorkerThatTakesNothingGetsNextToNothing: workers with a limit of zero get almost no
+// requests, and callers are refused at once.
 func TestWorkerThatTakesNothingGetsNextToNothing(t *testing.T) {
 	t.Parallel()
 	s := startPressed(t)
@@ -202,7 +202,7 @@
 	}
 }
 
-// TestLimitOutlivesNodes: one that counts the requests is killed, and another one starts.
+// TestLimitOutlivesNodes: a limit holds while one node is killed and another one starts.
 func TestLimitOutlivesNodes(t *testing.T) {
 	t.Parallel()
 	s := startPressed(t)
@@ -219,7 +219,8 @@
 	}
 }
 
-// TestChangedLimitBinds: it is another one in each answer.
+// TestChangedLimitBinds: a limit holds although it changes, and is invalid at times, in each
+// answer.
 func TestChangedLimitBinds(t *testing.T) {
 	t.Parallel()
 	s := startPressed(t)
@@ -242,8 +243,8 @@
 	s.await("the limit that can't be read is logged", func() bool { return strings.Contains(s.logText(), "limit that can't be read") })
 }
 
-// TestLimitEndsWithoutRequests: nobody asks the engine for anything any more, and it would be
-// counted as one in need for ever.
+// TestLimitEndsWithoutRequests: a limit ends although no requests are sent. Otherwise the
+// engine would count as limited forever.
 func TestLimitEndsWithoutRequests(t *testing.T) {
 	t.Parallel()
 	s := start(t)
@@ -255,12 +256,13 @@
 	s.await("no limit is known", func() bool { return s.node.Limited() == 0 })
 }
 
-// TestCallerThatLeavesGivesItsTurnBack: others are served in its place.
+// TestCallerThatLeavesGivesItsTurnBack: other requests are served in place of one whose caller
+// disconnects while it waits.
 func TestCallerThatLeavesGivesItsTurnBack(t *testing.T) {
 	t.Parallel()
 	s := start(t)
 	s.setLimits("0.5", "portal-1", "portal-2")
-	for range 6 { // what the workers take at once
+	for range 6 { // what the workers accept at once
 		s.ask(http.MethodPost, "/board/1", nil, "x")
 	}
 	before := len(s.workers["portal-1"].Arrivals()) + len(s.workers["portal-2"].Arrivals())
@@ -285,8 +287,9 @@
 	}
 }
 
-// TestRejectionsDoNotEndALimit: only an answer to a request that was run says what its worker
-// takes; one of the way to it, or of another worker at its address, says nothing of it.
+// TestRejectionsDoNotEndALimit: only the answer to a request that was run states or ends a
+// limit. A rejection that comes from something in between, or from another worker at the
+// address, does not.
 func TestRejectionsDoNotEndALimit(t *testing.T) {
 	t.Parallel()
 	s := startPressed(t)
--- a/internal/lab/site/notice_test.go
+++ b/internal/lab/site/notice_test.go
@@ -11,25 +11,25 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// drainBound is how long after a worker has told a node that it is about to end a caller may
-// send the last request that reaches the worker from there.
+// drainBound is how long after a worker announced its end to a node callers may still send
+// requests that reach the worker through this node.
 const drainBound = 2 * time.Second
 
-// asked is a request as its caller saw it.
+// asked is a request and its answer as the caller saw them.
 type asked struct {
 	node string
 	sent time.Time
 	answer
 }
 
-// pressing is what callers saw who ask all nodes again and again, by the id of the request.
+// pressing holds what callers saw that send requests continuously, by request id.
 type pressing struct {
 	mu   sync.Mutex
 	seen map[string]asked
 }
 
-// pressNodes has callers at each node ask for paths in turn until ctx ends. They come back at
-// once when they are refused.
+// pressNodes runs callers at each node, which request the paths in turn until ctx is done.
+// Callers that are refused don't wait.
 func (s *site) pressNodes(ctx context.Context, perNode int, paths ...string) *pressing {
 	p := &pressing{seen: make(map[string]asked)}
 	var callers sync.WaitGroup
@@ -51,7 +51,7 @@
 	return p
 }
 
-// count returns how many requests had a status.
+// count returns how many requests were answered with a status.
 func (p *pressing) count(status int) int {
 	count := 0
 	for _, one := range p.seen {
@@ -62,8 +62,8 @@
 	return count
 }
 
-// sentTooLate counts the requests that reached a worker from a node although their callers had
-// sent them later than drainBound after the worker told the node that it is about to end.
+// sentTooLate counts the requests that reached a worker through a node although their callers
+// sent them more than drainBound after the worker announced its end to the node.
 func (p *pressing) sentTooLate(worker *fleetworker.Worker) int {
 	told := make(map[string]time.Time)
 	count := 0
@@ -80,7 +80,8 @@
 	return count
 }
 
-// TestWorkerThatAnnouncesItsEndGetsNothingNew: its entry says that it is ready all the time.
+// TestWorkerThatAnnouncesItsEndGetsNothingNew: a worker that announces its end gets no new
+// requests although its list entry says that it is ready.
 func TestWorkerThatAnnouncesItsEndGetsNothingNew(t *testing.T) {
 	t.Parallel()
 	s := startPressed(t)
@@ -101,7 +102,8 @@
 	}
 }
 
-// TestAnnouncedEndIsKnownToAllNodes: one node's caller brought the answer.
+// TestAnnouncedEndIsKnownToAllNodes: all nodes learn of an announcement that only one node
+// received, and so does a node that starts later.
 func TestAnnouncedEndIsKnownToAllNodes(t *testing.T) {
 	t.Parallel()
 	s := startPressed(t)
--- a/internal/lab/site/pause_test.go
+++ b/internal/lab/site/pause_test.go
@@ -10,18 +10,18 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// The promise to a worker that asks a node to be left alone for a time.
+// Bounds for a worker that asks a node for a backoff.
 const (
-	// pauseTold is how long after a worker has asked a node for a pause requests count, and
-	// pauseSlack how many may reach it from there until the end of the pause.
+	// pauseTold is how long after a worker asked a node for a backoff requests begin to count,
+	// and pauseSlack how many may reach it from that node until the backoff ends.
 	pauseTold  = 500 * time.Millisecond
 	pauseSlack = 2
-	// pauseSeconds is the pause that workers of these tests ask for.
+	// pauseSeconds is the backoff that workers in these tests ask for.
 	pauseSeconds = "6"
 )
 
-// mostInPause returns the most requests that reached a worker from one node within a pause that
-// the worker had asked that node for, from pauseTold on.
+// mostInPause returns the largest number of requests that reached a worker from one node during
+// a backoff that it had asked that node for, from pauseTold on.
 func (p *pressing) mostInPause(worker *fleetworker.Worker) int {
 	byNode := make(map[string][]fleetworker.Arrival)
 	for _, arrival := range worker.Arrivals() {
@@ -44,7 +44,8 @@
 	return most
 }
 
-// TestWorkerThatAsksForAPauseIsLeftAlone: others of its service take requests.
+// TestWorkerThatAsksForAPauseIsLeftAlone: workers that ask for a backoff get almost no
+// requests, and the others of their service serve them all.
 func TestWorkerThatAsksForAPauseIsLeftAlone(t *testing.T) {
 	t.Parallel()
 	for _, pausing := range [][]string{{"portal-1", "write-1"}, {"read-1"}} {
@@ -78,7 +79,8 @@
 	}
 }
 
-// TestCallersWaitForAPauseThatEndsInTime: all workers of their service have asked for one.
+// TestCallersWaitForAPauseThatEndsInTime: if all workers of a service ask for a backoff that
+// ends before the deadline, callers wait for its end.
 func TestCallersWaitForAPauseThatEndsInTime(t *testing.T) {
 	t.Parallel()
 	s := startPressed(t)
@@ -100,13 +102,14 @@
 	}
 }
 
-// TestCallersAreRefusedAtOnceWhereAPauseIsTooLong, and are told when it ends.
+// TestCallersAreRefusedAtOnceWhereAPauseIsTooLong: if the backoff outlasts the deadline,
+// callers are refused at once and told when it ends.
 func TestCallersAreRefusedAtOnceWhereAPauseIsTooLong(t *testing.T) {
 	t.Parallel()
 	s := startPressed(t)
 	s.setPauses(pauseSeconds, "portal-1", "portal-2", "write-1", "write-2")
 	for _, path := range []string{"/board/1", "/submit/1", "/verdict/1", "/check/1"} {
-		s.ask(http.MethodPost, path, nil, "x") // both workers of its service are asked
+		s.ask(http.MethodPost, path, nil, "x") // both workers of the service get a request and ask for the backoff
 		s.ask(http.MethodPost, path, nil, "x")
 		begun := time.Now()
 		got := s.ask(http.MethodPost, path, nil, "x")
@@ -120,7 +123,7 @@
 	}
 }
 
-// setPauses has workers ask for a pause.
+// setPauses makes workers ask for a backoff.
 func (s *site) setPauses(seconds string, ids ...string) {
 	for _, id := range ids {
 		s.workers[id].SetBackoff(seconds)
--- a/internal/lab/site/quota_test.go
+++ b/internal/lab/site/quota_test.go
@@ -14,16 +14,16 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// burst is what a node that has just started lets a tenant use, a fourth of the slack.
+// burst is what a node that has just started lets a tenant use: a fourth of the slack.
 const (
 	slack = 160
 	burst = slack / 4
-	// credit is by how much the last requests may come too early.
+	// credit is how much of its quota a tenant may use too early.
 	credit = slack / 8
 )
 
-// withQuota is the operator's configuration with a limit of one tenant, which hardly comes
-// back within a test.
+// withQuota returns the operator's configuration with a quota for one tenant. The tests' rates
+// are so low that hardly any of it refills during a test.
 func withQuota(version int, limit map[string]any) map[string]any {
 	config := withTenants(version, portoKey, spareKey)
 	tenants := config["Tenants"].([]any)
@@ -33,7 +33,7 @@
 	return config
 }
 
-// startWithQuota starts a site in which the tenant of portoKey has a limit.
+// startWithQuota starts a site in which the tenant of portoKey has a quota.
 func startWithQuota(t *testing.T, limit map[string]any) *site {
 	t.Helper()
 	s := startWith(t, func(configured *settings.Routed) {
@@ -52,7 +52,8 @@
 	return s.ask(http.MethodPost, path, map[string]string{"X-Api-Key": key}, "x")
 }
 
-// served sends requests until one isn't served, and returns how many were, and the last.
+// served sends requests until one isn't served, and returns how many were served and the last
+// answer.
 func (s *site) served(key, path string) (count int, last answer) {
 	s.t.Helper()
 	for count <= slack {
@@ -67,8 +68,8 @@
 
 var oneInAnHour = map[string]any{"RatePerS": 1.0 / 3600, "Burst": 1000}
 
-// TestTenantOverItsQuotaIsRefused and told when to come back; others aren't, and the log
-// tells why.
+// TestTenantOverItsQuotaIsRefused: a tenant over its quota is refused and told when to come
+// back, the refusal is logged, and other tenants are still served.
 func TestTenantOverItsQuotaIsRefused(t *testing.T) {
 	s := startWithQuota(t, oneInAnHour)
 	count, last := s.served(portoKey, "/submit/1")
@@ -88,7 +89,7 @@
 	})
 }
 
-// TestRefusalDoesNotWaitForTheBody: the header tells all.
+// TestRefusalDoesNotWaitForTheBody: a refusal needs only the request's headers.
 func TestRefusalDoesNotWaitForTheBody(t *testing.T) {
 	s := startWithQuota(t, oneInAnHour)
 	s.served(portoKey, "/submit/1")
@@ -108,7 +109,8 @@
 	}
 }
 
-// TestDeclaredTokensCount: a stream's two numbers together, and the configured default of others.
+// TestDeclaredTokensCount: a stream costs the sum of its two declared token counts; other
+// requests cost the configured default.
 func TestDeclaredTokensCount(t *testing.T) {
 	s := startWithQuota(t, map[string]any{"RatePerS": 0.001, "Burst": 9000, "Unit": "tokens", "PlainTokens": 10})
 	if got := s.askAs(portoKey, "/verdict/1"); got.status != http.StatusTooManyRequests {
@@ -120,7 +122,8 @@
 	}
 }
 
-// TestRequestsThatDidNotRunAreGivenBack: refused by every worker, or malformed.
+// TestRequestsThatDidNotRunAreGivenBack: requests that all workers reject, or that are
+// malformed, aren't charged.
 func TestRequestsThatDidNotRunAreGivenBack(t *testing.T) {
 	s := startWithQuota(t, oneInAnHour)
 	s.setFaults("portal", fleetworker.Full, -1)
@@ -138,7 +141,8 @@
 	}
 }
 
-// TestSecondRunIsCharged: a request whose first answer was lost may have run twice.
+// TestSecondRunIsCharged: a request whose first answer was lost may run twice, and both runs
+// are charged.
 func TestSecondRunIsCharged(t *testing.T) {
 	s := startWithQuota(t, oneInAnHour)
 	runs, repeats := 0, 0
@@ -159,7 +163,7 @@
 	}
 }
 
-// TestLowerQuotaBinds as soon as the configuration is in force.
+// TestLowerQuotaBinds: a lower quota holds as soon as its configuration is in force.
 func TestLowerQuotaBinds(t *testing.T) {
 	s := startWithQuota(t, map[string]any{"RatePerS": 1000, "Burst": 1000})
 	if got := s.askAs(portoKey, "/submit/1"); got.status != http.StatusOK {
--- a/internal/lab/site/requests_test.go
+++ b/internal/lab/site/requests_test.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// TestHeadersOfAnswersAreTheWorkers: nothing is added that the worker didn't say.
+// TestHeadersOfAnswersAreTheWorkers: an answer has no headers besides those of the worker and
+// of HTTP itself.
 func TestHeadersOfAnswersAreTheWorkers(t *testing.T) {
 	s := start(t)
 	got := s.ask(http.MethodGet, "/board/1", nil, "")
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestNotRepeatableRunsAtMostOnce: whatever a worker does, it is not run again, and
-// it is never called not run.
+// TestNotRepeatableRunsAtMostOnce: a request that must not be repeated runs once, whatever the
+// worker does, and is never answered as not run.
 func TestNotRepeatableRunsAtMostOnce(t *testing.T) {
 	for _, fault := range []fleetworker.Fault{fleetworker.CutEarly, fleetworker.Failing, fleetworker.CutMidway} {
 		for _, path := range []string{"/submit/1", "/verdict/1"} {
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestRepeatableIsServedElsewhere: a failure that the caller has seen nothing of is
-// mended by a second worker.
+// TestRepeatableIsServedElsewhere: if the caller has received nothing yet, another worker
+// serves a repeatable request that failed.
 func TestRepeatableIsServedElsewhere(t *testing.T) {
 	for _, fault := range []fleetworker.Fault{fleetworker.CutEarly, fleetworker.Failing, fleetworker.CutMidway, fleetworker.Full} {
 		s := start(t)
@@ -92,8 +93,8 @@
 	}
 }
 
-// TestNotRunIsServedElsewhere: a worker's word that it did not run a request lets
-// any kind go to another.
+// TestNotRunIsServedElsewhere: a request of any kind that a worker rejects as not run is sent
+// to another worker.
 func TestNotRunIsServedElsewhere(t *testing.T) {
 	s := start(t)
 	s.workers["portal-1"].SetFault(fleetworker.Full, 3)
@@ -104,8 +105,8 @@
 	}
 }
 
-// TestStreamIsResumedAtAnotherWorker: the caller gets each event once, in order,
-// and never a part of one.
+// TestStreamIsResumedAtAnotherWorker: the caller gets each event once, in order, and never a
+// part of one.
 func TestStreamIsResumedAtAnotherWorker(t *testing.T) {
 	s := start(t)
 	s.workers["write-1"].SetFault(fleetworker.CutMidway, 1)
@@ -118,8 +119,8 @@
 	}
 }
 
-// TestLapsedHandleIsPlannedAgain: a prompt that was read apart and is gone costs a
-// try, not the request.
+// TestLapsedHandleIsPlannedAgain: if the KV handle of a disaggregated prefill is gone, this
+// costs an attempt and the request is still served.
 func TestLapsedHandleIsPlannedAgain(t *testing.T) {
 	s := start(t)
 	s.workers["read-1"].SetFault(fleetworker.LosesHandles, -1)
@@ -155,8 +156,8 @@
 	}
 }
 
-// TestCallerThatLeavesEndsItsWork: the worker's connection is closed with the
-// caller's.
+// TestCallerThatLeavesEndsItsWork: if the caller disconnects, the connection to the worker is
+// closed too.
 func TestCallerThatLeavesEndsItsWork(t *testing.T) {
 	s := start(t)
 	s.setFaults("portal", fleetworker.Hanging, -1)
@@ -182,8 +183,8 @@
 	})
 }
 
-// TestDeadlineEndsARequest: the final answer of a request that may have run is not
-// a promise that it did not.
+// TestDeadlineEndsARequest: a request that may have run when its deadline passes isn't answered
+// as not run.
 func TestDeadlineEndsARequest(t *testing.T) {
 	s := start(t)
 	s.setFaults("portal", fleetworker.Hanging, -1)
@@ -193,8 +194,8 @@
 	}
 }
 
-// TestSmuggledRequestIsNotRun: what follows a request's declared body is not passed
-// on as a part of it.
+// TestSmuggledRequestIsNotRun: data that follows a request with both Content-Length and
+// Transfer-Encoding isn't forwarded as part of its body.
 func TestSmuggledRequestIsNotRun(t *testing.T) {
 	s := start(t)
 	connection, err := net.Dial("tcp4", s.address)
--- a/internal/lab/site/restore_test.go
+++ b/internal/lab/site/restore_test.go
@@ -9,8 +9,8 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// startRestorable runs a site with four nodes and a configuration of version 2, of which a copy
-// of the store lacks what was written after the version returned.
+// startRestorable starts a site with four nodes and a configuration of version 2. It returns a
+// version of the store from before that configuration, to which tests restore the store.
 func startRestorable(t *testing.T) (s *site, nodes []proxied, copied uint64) {
 	t.Helper()
 	s = newSite(t)
@@ -41,7 +41,8 @@
 	s.awaitVersion(nodes, 3)
 }
 
-// TestRestoredStoreIsNoContinuation where its versions have passed those that were lost.
+// TestRestoredStoreIsNoContinuation: nodes recognize a restored store although its version
+// numbers have already passed the lost ones.
 func TestRestoredStoreIsNoContinuation(t *testing.T) {
 	s, nodes, copied := startRestorable(t)
 	lost := s.store.Version()
@@ -68,7 +69,7 @@
 	}
 }
 
-// restore has the store come back from a copy, and waits until all nodes follow it.
+// restore restores the store and waits until all nodes follow it.
 func (s *site) restore(nodes []proxied, copied uint64) {
 	s.t.Helper()
 	s.store.Restore(copied)
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -1,4 +1,4 @@
-// Package site tests whole nodes on stand-ins of the users' platform.
+// Package site tests whole nodes against fakes of the platform.
 package site
 
 import (
@@ -31,20 +31,20 @@
 	patient = 20 * time.Second
 )
 
-// site is a platform with workers and one node, in this process.
+// site is a fake platform with workers, and one or more nodes in this process.
 type site struct {
 	t       *testing.T
 	store   *fleetstore.Store
 	workers map[string]*fleetworker.Worker
 	node    *serving.Node
 	address string
-	// others are the nodes besides node.
+	// others holds the nodes besides node.
 	others []*otherNode
 	logs   *logBuffer
 	next   atomic.Int64
 }
 
-// logBuffer holds what the node logs.
+// logBuffer collects what the nodes log.
 type logBuffer struct {
 	mu      sync.Mutex
 	content bytes.Buffer
@@ -57,14 +57,14 @@
 	return b.content.Write(line)
 }
 
-// logText returns what the node has logged.
+// logText returns what the nodes have logged.
 func (s *site) logText() string {
 	s.logs.mu.Lock()
 	defer s.logs.mu.Unlock()
 	return s.logs.content.String()
 }
 
-// configuration is the operator's, with one route of each kind.
+// configuration returns the operator's configuration, with one route of each kind.
 func configuration(version int) map[string]any {
 	route := func(name, prefix, kind, service string, attempts int, resumable bool) map[string]any {
 		return map[string]any{
@@ -89,7 +89,7 @@
 	}
 }
 
-// freePort returns an address that is free for connections and for datagrams.
+// freePort returns an address that is free for TCP and for UDP.
 func freePort(t *testing.T) string {
 	t.Helper()
 	for range portCount {
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// isFree reports whether a port can be had for connections and for datagrams.
+// isFree reports whether an address is free for TCP and for UDP.
 func isFree(address string) bool {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -118,26 +118,25 @@
 	return true
 }
 
-// Nodes get ports below those that the kernel gives to whoever asks for any: a port of
-// those may be taken by another process between the look at it and the node's start. Each
-// test process begins elsewhere.
+// Ports for nodes are taken from below the kernel's ephemeral range, since another process
+// could get an ephemeral port between the check and the node's start. Each test process starts
+// at a different port.
 const (
 	firstPort       = 20_000
 	portCount       = 12_000
 	portsPerProcess = 211
 )
 
-// lastPort counts the ports given out by this process.
+// lastPort counts the ports that this process has tried.
 var lastPort atomic.Int64
 
-// start runs a site with a configuration and workers, and waits until its node is
-// ready.
+// start starts a site with a configuration and workers, and waits until its node is ready.
 func start(t *testing.T) *site {
 	t.Helper()
 	return startWith(t, func(*settings.Routed) {})
 }
 
-// startWith is start with settings changed.
+// startWith is like start but changes the node's settings first.
 func startWith(t *testing.T, change func(*settings.Routed)) *site {
 	t.Helper()
 	s := startUnconfiguredWith(t, change)
@@ -148,7 +147,7 @@
 	return s
 }
 
-// addWorkers adds engines in both stages and two other workers.
+// addWorkers adds prefill and decode engines and two plain workers.
 func (s *site) addWorkers() {
 	for _, options := range []fleetworker.Options{
 		{ID: "read-1", Service: llm, Stage: "prefill", CachedParts: map[string]int{"5c1e07a2": 800, "91bd3f06": 410}},
@@ -181,7 +180,7 @@
 	return s
 }
 
-// startNode starts a node of the site, and returns it and its callers' address.
+// startNode starts a node of the site and returns it with its address for callers.
 func (s *site) startNode(name string, change func(*settings.Routed)) (*serving.Node, string) {
 	s.t.Helper()
 	configured := settings.DefaultRouted()
@@ -202,13 +201,13 @@
 	return node, configured.Listen.Callers
 }
 
-// otherNode is a node besides the first.
+// otherNode is a node besides the first one.
 type otherNode struct {
 	node    *serving.Node
 	address string
 }
 
-// addNodes adds nodes to the site, and waits until they are ready.
+// addNodes adds nodes to the site and waits until they are ready.
 func (s *site) addNodes(names ...string) {
 	s.t.Helper()
 	for _, name := range names {
@@ -235,7 +234,7 @@
 	}
 }
 
-// runs returns all runs of a request over all workers.
+// runs returns all runs of a request at all workers.
 func (s *site) runs(id string) []fleetworker.Run {
 	var runs []fleetworker.Run
 	for _, worker := range s.workers {
@@ -270,10 +269,10 @@
 	return s.askAt(s.address, method, path, header, body)
 }
 
-// nextID returns the id of a new try.
+// nextID returns a new request id.
 func (s *site) nextID() string { return fmt.Sprintf("%016x", s.next.Add(1)) }
 
-// askAt sends a request to the node of an address.
+// askAt sends a request to the node at an address and reads its answer.
 func (s *site) askAt(address, method, path string, header map[string]string, body string) answer {
 	s.t.Helper()
 	id := s.nextID()
--- a/internal/lab/site/start_test.go
+++ b/internal/lab/site/start_test.go
@@ -10,7 +10,7 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// inZone puts a node in a zone, and has it start with all others for the first time.
+// inZone puts a node in a zone and sets that all nodes start for the first time.
 func inZone(zone string) func(*settings.Routed) {
 	return func(configured *settings.Routed) {
 		configured.Node.Zone = zone
@@ -18,7 +18,7 @@
 	}
 }
 
-// startTogether starts nodes in two zones, and waits until all serve and know each other.
+// startTogether starts nodes in two zones and waits until all are ready and know each other.
 func (s *site) startTogether(count int) []*serving.Node {
 	s.t.Helper()
 	var nodes []*serving.Node
@@ -34,8 +34,8 @@
 	return nodes
 }
 
-// TestTablesAreReadOnceAZone when many nodes start together: two nodes of each zone read
-// them at the store, and the others get them from these, however many they are.
+// TestTablesAreReadOnceAZone: if many nodes start together, at most two nodes of each zone read
+// a table from the store, and the others get it from them.
 func TestTablesAreReadOnceAZone(t *testing.T) {
 	for _, count := range []int{8, 16, 36} {
 		s := newSite(t)
@@ -51,7 +51,8 @@
 	}
 }
 
-// TestNodeStartsByItselfWhereItsNeighboursAreDead: the list of nodes names some that are gone.
+// TestNodeStartsByItselfWhereItsNeighboursAreDead: a node becomes ready although the node list
+// contains only nodes that are gone.
 func TestNodeStartsByItselfWhereItsNeighboursAreDead(t *testing.T) {
 	s := newSite(t)
 	s.addWorkers()
@@ -67,8 +68,8 @@
 	}
 }
 
-// TestLargeConfigurationIsReadByFew: one that fits no datagram reaches the nodes through each
-// other, where each read it at the store before.
+// TestLargeConfigurationIsReadByFew: nodes get a configuration that is too large for one
+// datagram from each other. Each used to read it from the store.
 func TestLargeConfigurationIsReadByFew(t *testing.T) {
 	s := newSite(t)
 	s.addWorkers()
@@ -80,14 +81,14 @@
 	for _, node := range nodes {
 		s.await("the configuration is in force", func() bool { return node.RoutesVersion() == 2 })
 	}
-	// Some of the calls are those by which the change is awaited.
+	// Some of these calls wait for the change.
 	if calls := s.store.Feeds("op") - feeds; calls > count/2 {
 		t.Errorf("%d calls for a change of which one node had to ask", calls)
 	}
 }
 
-// TestWorkersAreNotAskedAtTheFirstStart what they keep: nothing was asked of them before. A
-// node that starts later asks.
+// TestWorkersAreNotAskedAtTheFirstStart: at the first start of all nodes workers aren't asked
+// for their cache list, since no request has reached them yet. A node that starts later asks.
 func TestWorkersAreNotAskedAtTheFirstStart(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		s := startWith(t, func(configured *settings.Routed) { configured.Node.FirstStart = first })
@@ -106,8 +107,9 @@
 	}
 }
 
-// TestNodeIsListedAgainWhereItsRowIsTakenAway while it announces itself: another node may take
-// it for gone, or the store may lose the row.
+// TestNodeIsListedAgainWhereItsRowIsTakenAway: a node whose row in the node list is removed
+// while it announces itself writes it again. Another node may consider it gone, or the store
+// may lose the row.
 func TestNodeIsListedAgainWhereItsRowIsTakenAway(t *testing.T) {
 	s := newSite(t)
 	const key, times = "a/node-1", 2
--- a/internal/lab/site/store_test.go
+++ b/internal/lab/site/store_test.go
@@ -10,7 +10,8 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// TestNewConfigurationIsInForce, and a broken or older one changes nothing.
+// TestNewConfigurationIsInForce: a new configuration takes effect, and an invalid or older one
+// changes nothing.
 func TestNewConfigurationIsInForce(t *testing.T) {
 	s := start(t)
 	s.store.Put("op", "config", map[string]any{"Version": 2, "Routes": []any{map[string]any{"Name": "r", "PathPrefix": "no-slash"}}})
@@ -25,7 +26,7 @@
 	s.await("the route is gone", func() bool { return s.ask(http.MethodGet, "/board/1", nil, "").status == http.StatusNotFound })
 }
 
-// TestUnconfiguredNodeIsNotReady: it answers 503, never 404.
+// TestUnconfiguredNodeIsNotReady: a node without a configuration answers 503, never 404.
 func TestUnconfiguredNodeIsNotReady(t *testing.T) {
 	s := startUnconfigured(t)
 	if s.node.Ready() {
@@ -37,8 +38,8 @@
 	}
 }
 
-// TestServesWithoutTheStore: what is known is used while the store is away, and
-// the feed goes on afterwards, also over a forgotten history.
+// TestServesWithoutTheStore: a node goes on with what it knows while the store is unavailable,
+// and follows the changes afterwards even if the store has dropped its change history.
 func TestServesWithoutTheStore(t *testing.T) {
 	s := start(t)
 	for _, faults := range []fleetstore.Faults{{Down: true}, {Throttled: true}, {StaleReads: 1}} {
@@ -54,8 +55,8 @@
 	s.await("the removed worker is known", func() bool { return s.node.Workers() == len(s.workers)-1 })
 }
 
-// TestPlannedStopCutsNothing: a request that runs when the node is told to stop is
-// answered whole, and its connection is closed after it.
+// TestPlannedStopCutsNothing: a request that is running when the node is told to stop is
+// answered completely.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	s := start(t)
 	s.workers["write-1"].Close()
@@ -79,11 +80,11 @@
 	<-stopped
 }
 
-// TestStartingNodeAsksWhatWorkersKeep: a process that has just started, and has no
-// other node to ask, learns from the engines themselves what they keep.
+// TestStartingNodeAsksWhatWorkersKeep: a node that starts without another node to ask gets the
+// cache lists from the engines.
 func TestStartingNodeAsksWhatWorkersKeep(t *testing.T) {
 	s := newSite(t)
-	s.addWorkers() // a worker that the first list lacks has just started, and keeps nothing
+	s.addWorkers() // a worker missing from the first list would count as new, with an empty cache
 	s.store.Put("op", "config", configuration(1))
 	s.node, s.address = s.startNode("node-1", func(*settings.Routed) {})
 	s.await("each engine was asked", func() bool {
--- a/internal/lab/site/tenants_test.go
+++ b/internal/lab/site/tenants_test.go
@@ -11,14 +11,14 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetstore"
 )
 
-// Keys of the tests' tenants.
+// API keys of the tests' tenants.
 const (
 	portoKey = "porto-key"
 	bragaKey = "braga-key"
 	spareKey = "spare-key"
 )
 
-// withTenants is the operator's configuration with tenants and their keys.
+// withTenants returns the operator's configuration with tenants and their keys.
 func withTenants(version int, portoKeys ...string) map[string]any {
 	config := configuration(version)
 	config["Tenants"] = []any{
@@ -43,8 +43,8 @@
 	return s
 }
 
-// TestWorkersLearnTheTenantAndNeverTheKey: whatever a caller says of its tenant, and on
-// prompts that are read apart as well.
+// TestWorkersLearnTheTenantAndNeverTheKey: workers are told the tenant that belongs to the key,
+// whatever the caller states, and never the key. This includes disaggregated prefill.
 func TestWorkersLearnTheTenantAndNeverTheKey(t *testing.T) {
 	s := startWithTenants(t)
 	for _, path := range []string{"/board/1", "/submit/1", "/verdict/1", "/check/1"} {
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestUnknownKeysAreRefused: a wrong, missing or second key runs nothing.
+// TestUnknownKeysAreRefused: a request with a wrong key, no key or two keys isn't run.
 func TestUnknownKeysAreRefused(t *testing.T) {
 	s := startWithTenants(t)
 	for _, key := range []string{"", "porto-keY", " ", portoKey + bragaKey} {
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestPublicRoutesNeedNoKey: one that is given must be known all the same.
+// TestPublicRoutesNeedNoKey: a public route needs no key, but refuses an unknown one.
 func TestPublicRoutesNeedNoKey(t *testing.T) {
 	s := startWithTenants(t)
 	for key, want := range map[string]int{"": http.StatusOK, portoKey: http.StatusOK, "wrong": http.StatusUnauthorized} {
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestKeyIsHiddenInEachSpelling: other cases of its name, a trailer, and a header that
-// is said to belong to the connection.
+// TestKeyIsHiddenInEachSpelling: the key isn't forwarded if its header is spelled in another
+// case, sent as a trailer, or named in the Connection header.
 func TestKeyIsHiddenInEachSpelling(t *testing.T) {
 	s := startWithTenants(t)
 	requests := []string{
@@ -126,8 +126,8 @@
 	}
 }
 
-// raw sends a request as it stands, with host, id and deadline added, and returns the
-// status of its answer and its id.
+// raw sends a request as it is, with host, id and deadline added, and returns the status of its
+// answer and its id.
 func (s *site) raw(t *testing.T, request string) (status int, id string) {
 	t.Helper()
 	id = s.nextID()
@@ -149,8 +149,8 @@
 	return response.StatusCode, id
 }
 
-// TestKeyThatIsTakenAwayEnds: also on a connection that has used it, and it may come
-// back.
+// TestKeyThatIsTakenAwayEnds: a removed key is refused even on a connection that has used it,
+// and can be added again.
 func TestKeyThatIsTakenAwayEnds(t *testing.T) {
 	s := startWithTenants(t)
 	client := &http.Client{Transport: &http.Transport{}}
@@ -178,8 +178,8 @@
 	s.await("the key is taken again", func() bool { return ask() == http.StatusOK })
 }
 
-// TestOldConfigurationRefusesForGoodNothing: a node that has lost the store doesn't know
-// whether a newer version holds a key or a route.
+// TestOldConfigurationRefusesForGoodNothing: a node that can't reach the store doesn't know
+// whether a newer configuration has a key or route, so it answers 503 for unknown ones.
 func TestOldConfigurationRefusesForGoodNothing(t *testing.T) {
 	s := startWithTenants(t)
 	s.store.SetFaults(fleetstore.Faults{Down: true})
@@ -200,7 +200,7 @@
 	})
 }
 
-// TestTenantsPriorityGoesToTheWorker: it goes before the route's.
+// TestTenantsPriorityGoesToTheWorker: a tenant's priority takes precedence over the route's.
 func TestTenantsPriorityGoesToTheWorker(t *testing.T) {
 	s := startWithTenants(t)
 	for key, want := range map[string]string{portoKey: "2", bragaKey: "0"} {
@@ -213,7 +213,7 @@
 	}
 }
 
-// TestKeysStayOutOfTheLog: neither a good nor a wrong one is written down.
+// TestKeysStayOutOfTheLog: neither valid nor wrong keys are logged.
 func TestKeysStayOutOfTheLog(t *testing.T) {
 	s := startWithTenants(t)
 	s.ask(http.MethodGet, "/board/1", map[string]string{"X-Api-Key": portoKey}, "")
@@ -231,5 +231,5 @@
 	}
 }
 
-// logLag is more than a line takes to the log.
+// logLag is longer than a line takes to reach the log.
 const logLag = 50 * time.Millisecond
--- a/internal/lab/site/workers_test.go
+++ b/internal/lab/site/workers_test.go
@@ -8,8 +8,8 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// TestNoWorkerIsARefusal: a request that reached no worker is not run, and its
-// caller is told when to come back, at once.
+// TestNoWorkerIsARefusal: a request for which there is no worker is refused at once as not run,
+// and its caller is told when to come back.
 func TestNoWorkerIsARefusal(t *testing.T) {
 	s := start(t)
 	for id, worker := range s.workers {
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestOnlyWorkerIsTriedAgain: a failure of a request's own is tried again at the
-// same worker where no other is left.
+// TestOnlyWorkerIsTriedAgain: a failed request is retried at the same worker if there is no
+// other.
 func TestOnlyWorkerIsTriedAgain(t *testing.T) {
 	s := start(t)
 	s.store.Put("servers", "portal-2", s.workers["portal-2"].Entry("draining"))
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestFailureOfTheOnlyWorkerIsPassedOn: with no try left, the caller gets the
-// worker's own answer.
+// TestFailureOfTheOnlyWorkerIsPassedOn: once no attempt is left, the caller gets the worker's
+// own answer.
 func TestFailureOfTheOnlyWorkerIsPassedOn(t *testing.T) {
 	s := start(t)
 	s.setFaults("portal", fleetworker.Failing, -1)
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestVanishedEntriesDoNotStopService: the store may drop the entries of workers
-// that live, all at once.
+// TestVanishedEntriesDoNotStopService: requests are served although the store has dropped the
+// entries of all running workers at once.
 func TestVanishedEntriesDoNotStopService(t *testing.T) {
 	s := start(t)
 	for id := range s.workers {
@@ -79,8 +79,9 @@
 	}
 }
 
-// TestWorkerThatTakesNoConnectionIsNoAttempt: nothing left the node, so another
-// worker may get even a request that may be sent to one worker only.
+// TestWorkerThatTakesNoConnectionIsNoAttempt: a refused connection isn't an attempt, since no
+// request left the node. Even a request that may be sent to only one worker can then go to
+// another.
 func TestWorkerThatTakesNoConnectionIsNoAttempt(t *testing.T) {
 	s := start(t)
 	s.workers["portal-1"].Close()
@@ -92,8 +93,8 @@
 	}
 }
 
-// TestRejectingWorkerIsLeftAlone: a worker that runs nothing now looks idle, and must
-// not draw request after request.
+// TestRejectingWorkerIsLeftAlone: a worker that rejects requests looks idle but must not
+// attract request after request.
 func TestRejectingWorkerIsLeftAlone(t *testing.T) {
 	s := start(t)
 	s.workers["portal-1"].SetFault(fleetworker.Full, -1)
