--- a/internal/lab/site/configuration_test.go
+++ b/internal/lab/site/configuration_test.go
@@ -22,24 +22,24 @@
 	return large
 }
 
-// proxied is a node that reaches the store through its own proxy.
-type proxied struct {
+// proxiedNode is a node that reaches the store through its own proxy.
+type proxiedNode struct {
 	*serving.Node
 	store    *soak.Proxy
 	exchange string
 }
 
 // startProxied starts nodes in two zones, each with its own proxy to the store.
-func (s *site) startProxied(count int) []proxied {
+func (s *site) startProxied(count int) []proxiedNode {
 	s.t.Helper()
-	var nodes []proxied
+	var nodes []proxiedNode
 	for i := range count {
 		proxy, err := soak.StartProxy(s.store.Address())
 		if err != nil {
 			s.t.Fatal(err)
 		}
 		s.t.Cleanup(proxy.Close)
-		started := proxied{store: proxy}
+		started := proxiedNode{store: proxy}
 		started.Node, _ = s.startNode(fmt.Sprint("node-", i), func(configured *settings.Routed) {
 			inZone([]string{"a", "b"}[i%2])(configured)
 			configured.Store.Address = proxy.Address()
@@ -57,13 +57,13 @@
 
 // ranked returns the nodes in the order of their rank for reading the configuration for all
 // nodes.
-func ranked(nodes []proxied) []proxied {
-	hash := func(node proxied) uint64 { return rendezvous.Hash(node.exchange) }
+func ranked(nodes []proxiedNode) []proxiedNode {
+	hash := func(node proxiedNode) uint64 { return rendezvous.Hash(node.exchange) }
 	return rendezvous.Top(nodes, hash, rendezvous.Hash("table op"), len(nodes))
 }
 
 // TestNodesThatTheStoreTurnsAwayGetLargeConfigurations: nodes that can't reach the store get a
-// large configuration from the others, whatever rank the nodes with a connection have.
+// large configuration from the others, whatever their rank.
 func TestNodesThatTheStoreTurnsAwayGetLargeConfigurations(t *testing.T) {
 	s := newSite(t)
 	s.addWorkers()
@@ -71,7 +71,7 @@
 	nodes := ranked(s.startProxied(8))
 	version := 1
 	for _, mode := range []soak.Mode{soak.Reset, soak.Silent, soak.OneWay} {
-		for _, denied := range [][]proxied{nodes[:1], nodes[:4], nodes[1:], nodes[4:]} {
+		for _, denied := range [][]proxiedNode{nodes[:1], nodes[:4], nodes[1:], nodes[4:]} {
 			for _, node := range denied {
 				node.store.SetMode(mode)
 			}
--- a/internal/lab/site/crash_test.go
+++ b/internal/lab/site/crash_test.go
@@ -25,38 +25,38 @@
 	// arrivalsAllowed how many it may reach after that.
 	crashesNeeded   = 3
 	arrivalsAllowed = 3
-	// firstBirth is the first start time of workers that state one, in Unix milliseconds.
-	firstBirth = 1_764_731_647_000
+	// firstStartMillis is the first start time of workers that state one, in Unix milliseconds.
+	firstStartMillis = 1_764_731_647_000
 )
 
-// fragile manages workers that crash on requests with a poison body and restart at the same
-// address, each time with another id.
-type fragile struct {
+// crashingWorkers manages workers that crash on requests with a poison body and restart at the
+// same address, each time with another id.
+type crashingWorkers struct {
 	s  *site
 	mu sync.Mutex
-	// incarnations holds all workers started so far, and standing those that are running.
+	// incarnations holds all workers started so far, and running those that run now.
 	incarnations []*fleetworker.Worker
-	standing     map[string]*fleetworker.Worker
+	running      map[string]*fleetworker.Worker
 	crashes      int
-	// mended makes workers that restart no longer crash.
-	mended bool
-	// named makes workers restart with the id that they had, and state when they started.
-	named bool
-	// tries counts the requests sent by again.
-	tries int
+	// fixed makes workers that restart no longer crash.
+	fixed bool
+	// keepIDs makes workers restart with the id that they had, and state when they started.
+	keepIDs bool
+	// sent counts the requests sent by sendAgain.
+	sent int
 }
 
-// startFragile starts a site of three nodes with workers that poison requests crash.
-func startFragile(t *testing.T) (*site, *fragile) {
+// startCrashing starts a site of three nodes with workers that poison requests crash.
+func startCrashing(t *testing.T) (*site, *crashingWorkers) {
 	t.Helper()
-	return startFragileWith(t, func(*fragile) {})
+	return startCrashingWith(t, func(*crashingWorkers) {})
 }
 
-// startFragileWith is like startFragile but applies a change before any worker starts.
-func startFragileWith(t *testing.T, change func(*fragile)) (*site, *fragile) {
+// startCrashingWith is like startFragile but applies a change before any worker starts.
+func startCrashingWith(t *testing.T, change func(*crashingWorkers)) (*site, *crashingWorkers) {
 	t.Helper()
 	s := startUnconfigured(t)
-	f := &fragile{s: s, standing: make(map[string]*fleetworker.Worker)}
+	f := &crashingWorkers{s: s, running: make(map[string]*fleetworker.Worker)}
 	change(f)
 	f.add(fleetworker.Options{ID: "read-1", Service: llm, Stage: "prefill"})
 	for number := range 4 {
@@ -69,49 +69,49 @@
 	s.await("the first node is ready", s.node.Ready)
 	s.addNodes("node-2", "node-3")
 	s.awaitPeers()
-	f.awaitStanding()
+	f.awaitRunning()
 	return s, f
 }
 
 // add starts a worker.
-func (f *fragile) add(options fleetworker.Options) {
+func (f *crashingWorkers) add(options fleetworker.Options) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.start(options)
 }
 
 // start starts a worker. The caller holds the lock.
-func (f *fragile) start(options fleetworker.Options) {
-	if f.named && options.Born == 0 {
-		options.Born = firstBirth
+func (f *crashingWorkers) start(options fleetworker.Options) {
+	if f.keepIDs && options.Born == 0 {
+		options.Born = firstStartMillis
 	}
 	options.Zone, options.CrashOn, options.OnCrash = "a", poison, func(w *fleetworker.Worker) { f.crash(options, w) }
-	if f.mended {
+	if f.fixed {
 		options.CrashOn = ""
 	}
 	worker := fleetworker.Start(options)
 	f.s.t.Cleanup(worker.Close)
 	f.incarnations = append(f.incarnations, worker)
-	f.standing[options.ID] = worker
+	f.running[options.ID] = worker
 	f.s.store.Put("servers", options.ID, worker.Entry("ready"))
 }
 
 // crash records that a worker crashed and has it restarted.
-func (f *fragile) crash(options fleetworker.Options, crashed *fleetworker.Worker) {
+func (f *crashingWorkers) crash(options fleetworker.Options, crashed *fleetworker.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashes++
-	delete(f.standing, options.ID)
+	delete(f.running, options.ID)
 	go f.restart(options, crashed)
 }
 
 // restart restarts a crashed worker after restartAfter.
-func (f *fragile) restart(options fleetworker.Options, crashed *fleetworker.Worker) {
+func (f *crashingWorkers) restart(options fleetworker.Options, crashed *fleetworker.Worker) {
 	time.Sleep(restartAfter)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	options.Address = crashed.Address()
-	if f.named {
+	if f.keepIDs {
 		options.Born++
 	} else {
 		f.s.store.Put("servers", options.ID, nil)
@@ -120,25 +120,25 @@
 	f.start(options)
 }
 
-// mend makes running and restarted workers no longer crash.
-func (f *fragile) mend() {
+// fix makes running and restarted workers no longer crash.
+func (f *crashingWorkers) fix() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.mended = true
-	for _, worker := range f.standing {
+	f.fixed = true
+	for _, worker := range f.running {
 		worker.SetCrashOn("")
 	}
 }
 
 // crashed returns the number of crashes so far.
-func (f *fragile) crashed() int {
+func (f *crashingWorkers) crashed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashes
 }
 
 // arrivals counts the runs of requests whose body contains a text.
-func (f *fragile) arrivals(text string) int {
+func (f *crashingWorkers) arrivals(text string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -152,19 +152,19 @@
 	return count
 }
 
-// awaitStanding waits until all workers are running and known to all nodes.
-func (f *fragile) awaitStanding() {
+// awaitRunning waits until all workers are running and known to all nodes.
+func (f *crashingWorkers) awaitRunning() {
 	f.s.t.Helper()
 	f.s.await("all workers stand and are known", func() bool {
 		f.mu.Lock()
-		standing := len(f.standing)
+		running := len(f.running)
 		f.mu.Unlock()
 		for _, other := range f.s.others {
-			if other.node.Workers() != standing {
+			if other.node.Workers() != running {
 				return false
 			}
 		}
-		return standing == 8 && f.s.node.Workers() == standing
+		return running == 8 && f.s.node.Workers() == running
 	})
 }
 
@@ -190,31 +190,31 @@
 	return addresses
 }
 
-// again sends a request to the next node once all workers are running.
-func (f *fragile) again(path, body string) answer {
+// sendAgain sends a request to the next node once all workers are running.
+func (f *crashingWorkers) sendAgain(path, body string) answer {
 	f.s.t.Helper()
-	f.awaitStanding()
+	f.awaitRunning()
 	nodes := f.s.addresses()
-	f.tries++
-	return f.s.askAt(nodes[f.tries%len(nodes)], http.MethodPost, path, nil, body)
+	f.sent++
+	return f.s.askAt(nodes[f.sent%len(nodes)], http.MethodPost, path, nil, body)
 }
 
 // quarantine sends a poison request until it has crashed crashesNeeded workers.
-func (f *fragile) quarantine(path, body string) {
+func (f *crashingWorkers) quarantine(path, body string) {
 	f.s.t.Helper()
 	for before := f.crashed(); f.crashed() < before+crashesNeeded; {
-		f.again(path, body)
+		f.sendAgain(path, body)
 	}
 }
 
-// expectStopped sends a poison request repeatedly. It expects that at most arrivalsAllowed of
+// expectQuarantined sends a poison request repeatedly. It expects that at most arrivalsAllowed of
 // them reach a worker, and that the callers of the others are told at once that they weren't
 // run.
-func (f *fragile) expectStopped(path, body string) {
+func (f *crashingWorkers) expectQuarantined(path, body string) {
 	f.s.t.Helper()
 	before := f.arrivals(body)
 	for range 4 * len(f.s.addresses()) {
-		got := f.again(path, body)
+		got := f.sendAgain(path, body)
 		ran := len(f.runs(got.id))
 		refused := got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
 		if refused == (ran > 0) || got.status == http.StatusOK {
@@ -228,7 +228,7 @@
 }
 
 // runs returns all runs of a request at any incarnation of a worker.
-func (f *fragile) runs(id string) []fleetworker.Run {
+func (f *crashingWorkers) runs(id string) []fleetworker.Run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var runs []fleetworker.Run
@@ -243,9 +243,9 @@
 }
 
 // expectServed sends a request to each node and expects it to be served.
-func (f *fragile) expectServed(path, body string) {
+func (f *crashingWorkers) expectServed(path, body string) {
 	f.s.t.Helper()
-	f.awaitStanding()
+	f.awaitRunning()
 	for _, node := range f.s.addresses() {
 		if got := f.s.askAt(node, http.MethodPost, path, nil, body); got.status != http.StatusOK || got.readErr != nil {
 			f.s.t.Errorf("%s with body %q: status %d, %v, %s", path, body, got.status, got.readErr, got.body)
@@ -290,12 +290,12 @@
 // TestRequestThatCrashesWorkersIsStopped: a request that crashes workers is quarantined
 // although it comes each time with another id and at another node.
 func TestRequestThatCrashesWorkersIsStopped(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	nodes := s.addresses()
 	body := poison + " move"
 	try := 0
 	again := func() answer {
-		f.awaitStanding()
+		f.awaitRunning()
 		try++
 		return s.askAt(nodes[try%len(nodes)], http.MethodPost, "/check/same", nil, body)
 	}
@@ -324,9 +324,9 @@
 // TestWorkersThatKeepTheirNamesAreStoppedForToo: crashes count although each worker restarts
 // with the id that it had, before its list entry expires.
 func TestWorkersThatKeepTheirNamesAreStoppedForToo(t *testing.T) {
-	_, f := startFragileWith(t, func(f *fragile) { f.named = true })
+	_, f := startCrashingWith(t, func(f *crashingWorkers) { f.keepIDs = true })
 	f.quarantine("/check/same", poison)
-	f.expectStopped("/check/same", poison)
+	f.expectQuarantined("/check/same", poison)
 	f.expectServed("/check/same", "another move")
 }
 
@@ -334,9 +334,9 @@
 // never repeat a request, and on those of plain workers.
 func TestRoutesWithoutASecondRunAreStoppedToo(t *testing.T) {
 	for _, path := range []string{"/verdict/1", "/submit/1", "/board/1"} {
-		_, f := startFragile(t)
+		_, f := startCrashing(t)
 		f.quarantine(path, poison)
-		f.expectStopped(path, poison)
+		f.expectQuarantined(path, poison)
 		f.expectServed(path, "another")
 	}
 }
@@ -344,14 +344,14 @@
 // TestNeighboursOfAPoisonRequestAreServed: requests that run on the same workers as a poison
 // request, and are sent to other workers along with it, are not quarantined.
 func TestNeighboursOfAPoisonRequestAreServed(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	var neighbours []string
 	for number := range 9 {
 		neighbours = append(neighbours, fmt.Sprint("neighbour ", number))
 	}
 	nodes := s.addresses()
 	for range 3 {
-		f.awaitStanding()
+		f.awaitRunning()
 		var callers sync.WaitGroup
 		for number, body := range append([]string{poison}, neighbours...) {
 			callers.Go(func() {
@@ -365,7 +365,7 @@
 		}
 		callers.Wait()
 	}
-	f.expectStopped("/check/1", poison)
+	f.expectQuarantined("/check/1", poison)
 	for _, body := range neighbours {
 		f.expectServed("/check/1", body)
 	}
@@ -376,43 +376,43 @@
 
 // TestSeveralPoisonRequestsAreStopped: several poison requests at a time are told apart.
 func TestSeveralPoisonRequestsAreStopped(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	bodies := []string{poison + " 1", poison + " 2", poison + " 3"}
 	for len(s.quarantined()) < len(bodies) && f.crashed() < 20 {
 		for _, body := range bodies {
-			f.again("/check/1", body)
+			f.sendAgain("/check/1", body)
 		}
 	}
 	for _, body := range bodies {
-		f.expectStopped("/check/1", body)
+		f.expectQuarantined("/check/1", body)
 	}
 	f.expectServed("/check/1", "harmless")
 }
 
 // TestQuarantineOutlastsAllNodes: the quarantine is in the store and outlives the nodes.
 func TestQuarantineOutlastsAllNodes(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	f.quarantine("/check/1", poison)
 	s.await("the store holds it", func() bool { return len(s.storedQuarantine()) == 1 })
 	s.restartNodes()
-	f.expectStopped("/check/1", poison)
+	f.expectQuarantined("/check/1", poison)
 	f.expectServed("/check/1", "harmless")
 }
 
 func TestQuarantineOutlastsARestoreOfTheStore(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	copied := s.store.Version()
 	f.quarantine("/check/1", poison)
 	s.await("the store holds it", func() bool { return len(s.storedQuarantine()) == 1 })
 	s.store.Restore(copied)
 	s.await("the store holds it again", func() bool { return len(s.storedQuarantine()) == 1 })
-	f.expectStopped("/check/1", poison)
+	f.expectQuarantined("/check/1", poison)
 }
 
 // TestNodesTellEachOtherWhileTheStoreIsAway: nodes tell each other of crashes while the store
 // is unavailable.
 func TestNodesTellEachOtherWhileTheStoreIsAway(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	s.store.SetFaults(fleetstore.Faults{Down: true})
 	// Restarted workers aren't known while the store is unavailable. Of the four decode engines
 	// at the start, three crash and one must remain.
@@ -463,11 +463,11 @@
 // TestOperatorReleasesARequest: an operator releases a request by removing its row from the
 // quarantine table.
 func TestOperatorReleasesARequest(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	f.quarantine("/check/1", poison)
 	s.await("the store holds it", func() bool { return len(s.storedQuarantine()) == 1 })
-	f.awaitStanding()
-	f.mend()
+	f.awaitRunning()
+	f.fix()
 	if got := s.ask(http.MethodPost, "/check/1", nil, poison); got.status != http.StatusServiceUnavailable {
 		t.Errorf("before the release: status %d %s", got.status, got.body)
 	}
--- a/internal/lab/site/duties_test.go
+++ b/internal/lab/site/duties_test.go
@@ -38,7 +38,7 @@
 // reports are lost, and all reports of a window have the same counts.
 func TestUsageOfTenantsIsReported(t *testing.T) {
 	s, api := startWithAPI(t)
-	truth := make(map[string]int)
+	want := make(map[string]int)
 	for i := range 60 {
 		key, name := portoKey, "porto"
 		if i%3 == 0 {
@@ -46,7 +46,7 @@
 		}
 		path := []string{"/board/1", "/submit/1", "/verdict/1", "/check/1"}[i%4]
 		if got := s.ask(http.MethodPost, path, map[string]string{"X-Api-Key": key}, "x"); got.status == http.StatusOK {
-			truth[name]++
+			want[name]++
 		}
 		api.SetFaults(fleetapi.Faults{LoseAnswers: i%20 < 10})
 		time.Sleep(20 * time.Millisecond)
@@ -61,9 +61,9 @@
 		}
 		return sum
 	}
-	s.await("all requests are reported", func() bool { return maps.Equal(total(), truth) })
-	if problems := api.Violations(time.Minute); len(problems) > 0 {
-		t.Error(problems)
+	s.await("all requests are reported", func() bool { return maps.Equal(total(), want) })
+	if violations := api.Violations(time.Minute); len(violations) > 0 {
+		t.Error(violations)
 	}
 }
 
--- a/internal/lab/site/limit_test.go
+++ b/internal/lab/site/limit_test.go
@@ -17,26 +17,27 @@
 // Bounds for a worker that states how many requests per second it accepts.
 const (
 	// limitWindow is the time over which a worker's requests are counted. In it, a worker may
-	// get limitOver times its limit and limitSlack requests more.
+	// get limitFactor times its limit and limitSlack requests more.
 	limitWindow = 4 * time.Second
-	limitOver   = 1.5
+	limitFactor = 1.5
 	limitSlack  = 5
-	// limitKnown is how long after a worker's first answer with a limit requests begin to
+	// limitNoticeDelay is how long after a worker's first answer with a limit requests begin to
 	// count.
-	limitKnown = time.Second
-	// pressedFor is how long callers send requests, and pressEvery each one's pause after an
+	limitNoticeDelay = time.Second
+	// loadDuration is how long callers send requests, and loadPause each one's pause after an
 	// answer.
-	pressedFor = 8 * time.Second
-	pressEvery = 10 * time.Millisecond
+	loadDuration = 8 * time.Second
+	loadPause    = 10 * time.Millisecond
 )
 
-// most returns how many requests a worker with a limit may get in a window.
-func most(perSecond float64) int {
-	return int(limitOver*perSecond*limitWindow.Seconds() + limitSlack)
+// maxRequests returns how many requests a worker with a limit may get in a window.
+func maxRequests(perSecond float64) int {
+	return int(limitFactor*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// busiest returns the largest number of arrivals in one window, counting those from a time on.
-func busiest(arrivals []fleetworker.Arrival, from time.Time) int {
+// maxArrivals returns the largest number of arrivals in one window, counting those from a time
+// on.
+func maxArrivals(arrivals []fleetworker.Arrival, from time.Time) int {
 	var times []time.Time
 	for _, arrival := range arrivals {
 		if !arrival.At.Before(from) {
@@ -46,25 +47,25 @@
 	return fleetworker.MaxInWindow(times, limitWindow)
 }
 
-// pressed counts the answers to callers that send requests continuously.
-type pressed struct {
+// loadCounts counts the answers to callers that send requests continuously.
+type loadCounts struct {
 	served, refused atomic.Int64
-	// unpromising counts refusals without a valid Retry-After, and odd counts all other
-	// answers.
-	unpromising, odd atomic.Int64
+	// withoutRetryAfter counts refusals without a valid Retry-After, and unexpected counts all
+	// other answers.
+	withoutRetryAfter, unexpected atomic.Int64
 }
 
-// press runs callers at each node, which request the paths in turn until ctx is done, far more
-// often than a worker with a limit accepts. Callers that are refused wait for Retry-After.
-func (s *site) press(ctx context.Context, perNode int, paths ...string) *pressed {
-	seen := &pressed{}
+// sendLoad runs callers at each node, which request the paths in turn until ctx is done, far
+// more often than a worker with a limit accepts. Callers that are refused wait for Retry-After.
+func (s *site) sendLoad(ctx context.Context, perNode int, paths ...string) *loadCounts {
+	seen := &loadCounts{}
 	var callers sync.WaitGroup
 	for _, address := range s.addresses() {
 		for number := range perNode {
 			callers.Go(func() {
 				for count := number; ctx.Err() == nil; count++ {
 					seen.count(ctx, s.askAt(address, http.MethodPost, paths[count%len(paths)], nil, "x"))
-					time.Sleep(pressEvery)
+					time.Sleep(loadPause)
 				}
 			})
 		}
@@ -73,7 +74,7 @@
 	return seen
 }
 
-func (p *pressed) count(ctx context.Context, got answer) {
+func (p *loadCounts) count(ctx context.Context, got answer) {
 	switch got.status {
 	case http.StatusOK:
 		p.served.Add(1)
@@ -81,7 +82,7 @@
 		p.refused.Add(1)
 		wait, err := time.ParseDuration(got.header.Get("Retry-After") + "s")
 		if err != nil || wait <= 0 {
-			p.unpromising.Add(1)
+			p.withoutRetryAfter.Add(1)
 			return
 		}
 		select {
@@ -89,12 +90,12 @@
 		case <-ctx.Done():
 		}
 	default:
-		p.odd.Add(1)
+		p.unexpected.Add(1)
 	}
 }
 
-// startPressed starts a site of three nodes that know each other.
-func startPressed(t *testing.T) *site {
+// startThreeNodes starts a site of three nodes that know each other.
+func startThreeNodes(t *testing.T) *site {
 	t.Helper()
 	s := start(t)
 	s.addNodes("node-2", "node-3")
@@ -109,33 +110,33 @@
 // needs to fail for this to happen.
 func TestWorkersGetNoMoreThanTheyTake(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	limits := map[string]float64{"portal-1": 2.2, "write-1": 3.6, "read-1": 2.6}
 	for id, perSecond := range limits {
 		s.workers[id].SetLimit(fmt.Sprint(perSecond))
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), pressedFor)
+	ctx, cancel := context.WithTimeout(t.Context(), loadDuration)
 	defer cancel()
-	seen := s.press(ctx, 4, "/board/1", "/verdict/1", "/submit/1", "/check/1")
+	seen := s.sendLoad(ctx, 4, "/board/1", "/verdict/1", "/submit/1", "/check/1")
 	for id, perSecond := range limits {
 		arrivals := s.workers[id].Arrivals()
 		if len(arrivals) == 0 {
 			t.Errorf("%s got nothing: what it takes lay unused", id)
 			continue
 		}
-		if got := busiest(arrivals, arrivals[0].At.Add(limitKnown)); got > most(perSecond) {
-			t.Errorf("%s takes %v a second and got %d requests in %v, %d are allowed", id, perSecond, got, limitWindow, most(perSecond))
+		if got := maxArrivals(arrivals, arrivals[0].At.Add(limitNoticeDelay)); got > maxRequests(perSecond) {
+			t.Errorf("%s takes %v a second and got %d requests in %v, %d are allowed", id, perSecond, got, limitWindow, maxRequests(perSecond))
 		}
 	}
-	if seen.odd.Load()+seen.unpromising.Load()+seen.refused.Load() > 0 {
+	if seen.unexpected.Load()+seen.withoutRetryAfter.Load()+seen.refused.Load() > 0 {
 		t.Errorf("%d answers were neither served nor refused, %d refused, %d of them without a time to come back; other workers were free",
-			seen.odd.Load(), seen.refused.Load(), seen.unpromising.Load())
+			seen.unexpected.Load(), seen.refused.Load(), seen.withoutRetryAfter.Load())
 	}
 }
 
-// overLimit reports an error for each worker that got more than its limit, which it stated from
+// checkLimits reports an error for each worker that got more than its limit, which it stated from
 // its first request on.
-func (s *site) overLimit(perSecond float64, ids ...string) {
+func (s *site) checkLimits(perSecond float64, ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
 		arrivals := s.workers[id].Arrivals()
@@ -143,8 +144,8 @@
 			s.t.Errorf("%s got nothing", id)
 			continue
 		}
-		if got := busiest(arrivals, arrivals[0].At.Add(limitKnown)); got > most(perSecond) {
-			s.t.Errorf("%s takes %v a second and got %d requests in %v, %d are allowed", id, perSecond, got, limitWindow, most(perSecond))
+		if got := maxArrivals(arrivals, arrivals[0].At.Add(limitNoticeDelay)); got > maxRequests(perSecond) {
+			s.t.Errorf("%s takes %v a second and got %d requests in %v, %d are allowed", id, perSecond, got, limitWindow, maxRequests(perSecond))
 		}
 	}
 }
@@ -156,12 +157,12 @@
 	}
 }
 
-// pressFor runs press for a time.
-func (s *site) pressFor(span time.Duration, perNode int, path string) *pressed {
+// sendLoadFor runs sendLoad for a time.
+func (s *site) sendLoadFor(span time.Duration, perNode int, path string) *loadCounts {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), span)
 	defer cancel()
-	return s.press(ctx, perNode, path)
+	return s.sendLoad(ctx, perNode, path)
 }
 
 // TestWhatWorkersInNeedTakeIsUsed: if all workers state a limit, as many requests are served as
@@ -169,22 +170,22 @@
 // takes effect at once.
 func TestWhatWorkersInNeedTakeIsUsed(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	const perSecond = 3
 	s.setLimits(fmt.Sprint(perSecond), "portal-1", "portal-2")
-	seen := s.pressFor(pressedFor, 4, "/board/1")
-	s.overLimit(perSecond, "portal-1", "portal-2")
-	if least := int64(pressedFor.Seconds() * perSecond); seen.served.Load() < least {
+	seen := s.sendLoadFor(loadDuration, 4, "/board/1")
+	s.checkLimits(perSecond, "portal-1", "portal-2")
+	if least := int64(loadDuration.Seconds() * perSecond); seen.served.Load() < least {
 		t.Errorf("%d requests were served, two workers take %d each", seen.served.Load(), least)
 	}
-	if seen.odd.Load()+seen.unpromising.Load() > 0 {
-		t.Errorf("%d refused, %d of them without a time to come back, %d other answers", seen.refused.Load(), seen.unpromising.Load(), seen.odd.Load())
+	if seen.unexpected.Load()+seen.withoutRetryAfter.Load() > 0 {
+		t.Errorf("%d refused, %d of them without a time to come back, %d other answers", seen.refused.Load(), seen.withoutRetryAfter.Load(), seen.unexpected.Load())
 	}
 	s.setLimits("", "portal-1", "portal-2")
 	s.await("no limit holds any more", func() bool {
 		return s.ask(http.MethodPost, "/board/1", nil, "x").status == http.StatusOK && s.node.Limited() == 0
 	})
-	if seen = s.pressFor(time.Second, 1, "/board/1"); seen.refused.Load() > 0 {
+	if seen = s.sendLoadFor(time.Second, 1, "/board/1"); seen.refused.Load() > 0 {
 		t.Errorf("%d requests were refused after the need was over", seen.refused.Load())
 	}
 }
@@ -193,29 +194,29 @@
 // requests, and callers are refused at once.
 func TestWorkerThatTakesNothingGetsNextToNothing(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	s.setLimits("0", "portal-1", "portal-2")
-	seen := s.pressFor(pressedFor, 1, "/submit/1")
-	s.overLimit(0, "portal-1", "portal-2")
-	if seen.odd.Load()+seen.unpromising.Load() > 0 || seen.refused.Load() == 0 {
-		t.Errorf("%d refused, %d answers without a time to come back, %d odd ones", seen.refused.Load(), seen.unpromising.Load(), seen.odd.Load())
+	seen := s.sendLoadFor(loadDuration, 1, "/submit/1")
+	s.checkLimits(0, "portal-1", "portal-2")
+	if seen.unexpected.Load()+seen.withoutRetryAfter.Load() > 0 || seen.refused.Load() == 0 {
+		t.Errorf("%d refused, %d answers without a time to come back, %d odd ones", seen.refused.Load(), seen.withoutRetryAfter.Load(), seen.unexpected.Load())
 	}
 }
 
 // TestLimitOutlivesNodes: a limit holds while one node is killed and another one starts.
 func TestLimitOutlivesNodes(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	const perSecond = 2.2
 	s.setLimits(fmt.Sprint(perSecond), "portal-1", "portal-2", "write-1", "write-2")
 	killed := s.others[0]
 	s.others = s.others[1:]
-	time.AfterFunc(pressedFor/4, killed.node.Close)
-	time.AfterFunc(pressedFor/2, func() { s.startNode("node-4", func(*settings.Routed) {}) })
-	seen := s.pressFor(pressedFor, 1, "/board/1")
-	s.overLimit(perSecond, "portal-1", "portal-2")
-	if seen.served.Load() == 0 || seen.odd.Load() > 0 {
-		t.Errorf("%d served, %d odd answers", seen.served.Load(), seen.odd.Load())
+	time.AfterFunc(loadDuration/4, killed.node.Close)
+	time.AfterFunc(loadDuration/2, func() { s.startNode("node-4", func(*settings.Routed) {}) })
+	seen := s.sendLoadFor(loadDuration, 1, "/board/1")
+	s.checkLimits(perSecond, "portal-1", "portal-2")
+	if seen.served.Load() == 0 || seen.unexpected.Load() > 0 {
+		t.Errorf("%d served, %d odd answers", seen.served.Load(), seen.unexpected.Load())
 	}
 }
 
@@ -223,22 +224,22 @@
 // answer.
 func TestChangedLimitBinds(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	changing := make(chan struct{})
 	go func() {
 		defer close(changing)
 		for count := 0; ctx.Err() == nil; count++ {
 			s.setLimits([]string{"3", "2.5", "few", "2"}[count%4], "portal-1")
-			time.Sleep(pressEvery)
+			time.Sleep(loadPause)
 		}
 	}()
-	seen := s.pressFor(pressedFor, 1, "/board/1")
+	seen := s.sendLoadFor(loadDuration, 1, "/board/1")
 	cancel()
 	<-changing
-	s.overLimit(3, "portal-1")
-	if seen.refused.Load()+seen.odd.Load() > 0 {
-		t.Errorf("%d refused, %d odd answers; the other worker was free", seen.refused.Load(), seen.odd.Load())
+	s.checkLimits(3, "portal-1")
+	if seen.refused.Load()+seen.unexpected.Load() > 0 {
+		t.Errorf("%d refused, %d odd answers; the other worker was free", seen.refused.Load(), seen.unexpected.Load())
 	}
 	s.await("the limit that can't be read is logged", func() bool { return strings.Contains(s.logText(), "limit that can't be read") })
 }
@@ -292,7 +293,7 @@
 // address, does not.
 func TestRejectionsDoNotEndALimit(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	const perSecond = 2.2
 	s.setLimits(fmt.Sprint(perSecond), "portal-1", "portal-2")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -301,14 +302,14 @@
 		defer close(rejecting)
 		for ctx.Err() == nil {
 			s.setFaults("portal", fleetworker.Full, 1)
-			time.Sleep(pressEvery)
+			time.Sleep(loadPause)
 		}
 	}()
-	seen := s.pressFor(pressedFor, 1, "/board/1")
+	seen := s.sendLoadFor(loadDuration, 1, "/board/1")
 	cancel()
 	<-rejecting
-	s.overLimit(perSecond, "portal-1", "portal-2")
-	if seen.odd.Load()+seen.unpromising.Load() > 0 {
-		t.Errorf("%d answers without a time to come back, %d odd ones", seen.unpromising.Load(), seen.odd.Load())
+	s.checkLimits(perSecond, "portal-1", "portal-2")
+	if seen.unexpected.Load()+seen.withoutRetryAfter.Load() > 0 {
+		t.Errorf("%d answers without a time to come back, %d odd ones", seen.withoutRetryAfter.Load(), seen.unexpected.Load())
 	}
 }
--- a/internal/lab/site/notice_test.go
+++ b/internal/lab/site/notice_test.go
@@ -15,23 +15,23 @@
 // requests that reach the worker through this node.
 const drainBound = 2 * time.Second
 
-// asked is a request and its answer as the caller saw them.
-type asked struct {
+// observation is a request and its answer as the caller saw them.
+type observation struct {
 	node string
 	sent time.Time
 	answer
 }
 
-// pressing holds what callers saw that send requests continuously, by request id.
-type pressing struct {
+// loadAnswers holds what callers saw that send requests continuously, by request id.
+type loadAnswers struct {
 	mu   sync.Mutex
-	seen map[string]asked
+	seen map[string]observation
 }
 
-// pressNodes runs callers at each node, which request the paths in turn until ctx is done.
+// sendRecordedLoad runs callers at each node, which request the paths in turn until ctx is done.
 // Callers that are refused don't wait.
-func (s *site) pressNodes(ctx context.Context, perNode int, paths ...string) *pressing {
-	p := &pressing{seen: make(map[string]asked)}
+func (s *site) sendRecordedLoad(ctx context.Context, perNode int, paths ...string) *loadAnswers {
+	p := &loadAnswers{seen: make(map[string]observation)}
 	var callers sync.WaitGroup
 	for _, address := range s.addresses() {
 		for number := range perNode {
@@ -40,9 +40,9 @@
 					sent := time.Now()
 					got := s.askAt(address, http.MethodPost, paths[count%len(paths)], nil, "x")
 					p.mu.Lock()
-					p.seen[got.id] = asked{node: address, sent: sent, answer: got}
+					p.seen[got.id] = observation{node: address, sent: sent, answer: got}
 					p.mu.Unlock()
-					time.Sleep(pressEvery)
+					time.Sleep(loadPause)
 				}
 			})
 		}
@@ -52,7 +52,7 @@
 }
 
 // count returns how many requests were answered with a status.
-func (p *pressing) count(status int) int {
+func (p *loadAnswers) count(status int) int {
 	count := 0
 	for _, one := range p.seen {
 		if one.status == status {
@@ -64,17 +64,17 @@
 
 // sentTooLate counts the requests that reached a worker through a node although their callers
 // sent them more than drainBound after the worker announced its end to the node.
-func (p *pressing) sentTooLate(worker *fleetworker.Worker) int {
-	told := make(map[string]time.Time)
+func (p *loadAnswers) sentTooLate(worker *fleetworker.Worker) int {
+	toldAt := make(map[string]time.Time)
 	count := 0
 	for _, arrival := range worker.Arrivals() {
 		one := p.seen[arrival.ID]
-		since, isTold := told[one.node]
+		since, isTold := toldAt[one.node]
 		switch {
 		case isTold && one.sent.After(since.Add(drainBound)):
 			count++
 		case !isTold && arrival.Leaving:
-			told[one.node] = arrival.At
+			toldAt[one.node] = arrival.At
 		}
 	}
 	return count
@@ -84,14 +84,14 @@
 // requests although its list entry says that it is ready.
 func TestWorkerThatAnnouncesItsEndGetsNothingNew(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	leaving := []string{"portal-1", "read-1", "write-1"}
 	for _, id := range leaving {
 		s.workers[id].SetLeaving(true)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*drainBound)
 	defer cancel()
-	seen := s.pressNodes(ctx, 3, "/board/1", "/verdict/1", "/submit/1", "/check/1")
+	seen := s.sendRecordedLoad(ctx, 3, "/board/1", "/verdict/1", "/submit/1", "/check/1")
 	for _, id := range leaving {
 		if late := seen.sentTooLate(s.workers[id]); late > 0 {
 			t.Errorf("%s had said it is about to end; %d requests reached it that callers sent later than %v after", id, late, drainBound)
@@ -106,7 +106,7 @@
 // received, and so does a node that starts later.
 func TestAnnouncedEndIsKnownToAllNodes(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	s.workers["portal-1"].SetLeaving(true)
 	s.await("the worker's answer tells the first node", func() bool {
 		return s.ask(http.MethodPost, "/board/1", nil, "x").header.Get("Server-Leaving") != ""
--- a/internal/lab/site/pause_test.go
+++ b/internal/lab/site/pause_test.go
@@ -12,17 +12,17 @@
 
 // Bounds for a worker that asks a node for a backoff.
 const (
-	// pauseTold is how long after a worker asked a node for a backoff requests begin to count,
-	// and pauseSlack how many may reach it from that node until the backoff ends.
-	pauseTold  = 500 * time.Millisecond
-	pauseSlack = 2
-	// pauseSeconds is the backoff that workers in these tests ask for.
-	pauseSeconds = "6"
+	// backoffNoticeDelay is how long after a worker asked a node for a backoff requests begin
+	// to count, and backoffSlack how many may reach it from that node until the backoff ends.
+	backoffNoticeDelay = 500 * time.Millisecond
+	backoffSlack       = 2
+	// backoffSeconds is the backoff that workers in these tests ask for.
+	backoffSeconds = "6"
 )
 
-// mostInPause returns the largest number of requests that reached a worker from one node during
-// a backoff that it had asked that node for, from pauseTold on.
-func (p *pressing) mostInPause(worker *fleetworker.Worker) int {
+// mostInBackoff returns the largest number of requests that reached a worker from one node during
+// a backoff that it had asked that node for, from backoffNoticeDelay on.
+func (p *loadAnswers) mostInBackoff(worker *fleetworker.Worker) int {
 	byNode := make(map[string][]fleetworker.Arrival)
 	for _, arrival := range worker.Arrivals() {
 		node := p.seen[arrival.ID].node
@@ -34,7 +34,7 @@
 			count := 0
 			for _, arrival := range arrivals {
 				since := arrival.At.Sub(asking.At)
-				if asking.Backoff > 0 && since > pauseTold && since < asking.Backoff {
+				if asking.Backoff > 0 && since > backoffNoticeDelay && since < asking.Backoff {
 					count++
 				}
 			}
@@ -51,26 +51,26 @@
 	for _, pausing := range [][]string{{"portal-1", "write-1"}, {"read-1"}} {
 		t.Run(strings.Join(pausing, " "), func(t *testing.T) {
 			t.Parallel()
-			leaveAlone(t, pausing)
+			checkBackoff(t, pausing)
 		})
 	}
 }
 
-func leaveAlone(t *testing.T, pausing []string) {
-	s := startPressed(t)
-	s.setPauses(pauseSeconds, pausing...)
+func checkBackoff(t *testing.T, pausing []string) {
+	s := startThreeNodes(t)
+	s.setBackoffs(backoffSeconds, pausing...)
 	begun := time.Now()
-	ctx, cancel := context.WithTimeout(t.Context(), pressedFor)
+	ctx, cancel := context.WithTimeout(t.Context(), loadDuration)
 	defer cancel()
-	seen := s.pressNodes(ctx, 3, "/board/1", "/verdict/1", "/submit/1", "/check/1")
+	seen := s.sendRecordedLoad(ctx, 3, "/board/1", "/verdict/1", "/submit/1", "/check/1")
 	for _, id := range pausing {
-		if got := seen.mostInPause(s.workers[id]); got > pauseSlack {
-			t.Errorf("%s asked a node to be left alone for %s s and got %d requests from it, %d are allowed", id, pauseSeconds, got, pauseSlack)
+		if got := seen.mostInBackoff(s.workers[id]); got > backoffSlack {
+			t.Errorf("%s asked a node to be left alone for %s s and got %d requests from it, %d are allowed", id, backoffSeconds, got, backoffSlack)
 		}
 	}
 	refused := 0
 	for _, one := range seen.seen {
-		if one.status != http.StatusOK && one.sent.After(begun.Add(pauseTold)) {
+		if one.status != http.StatusOK && one.sent.After(begun.Add(backoffNoticeDelay)) {
 			refused++
 		}
 	}
@@ -83,11 +83,11 @@
 // ends before the deadline, callers wait for its end.
 func TestCallersWaitForAPauseThatEndsInTime(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	const pause = 400 * time.Millisecond
-	s.setPauses("0.4", "portal-1", "portal-2")
+	s.setBackoffs("0.4", "portal-1", "portal-2")
 	first := s.ask(http.MethodPost, "/board/1", nil, "x")
-	s.setPauses("", "portal-1", "portal-2")
+	s.setBackoffs("", "portal-1", "portal-2")
 	second := s.ask(http.MethodPost, "/board/1", nil, "x")
 	if first.status != http.StatusOK && first.status != http.StatusServiceUnavailable || second.status != http.StatusOK {
 		t.Errorf("the callers got %d and %d; the second one has time to wait", first.status, second.status)
@@ -106,8 +106,8 @@
 // callers are refused at once and told when it ends.
 func TestCallersAreRefusedAtOnceWhereAPauseIsTooLong(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
-	s.setPauses(pauseSeconds, "portal-1", "portal-2", "write-1", "write-2")
+	s := startThreeNodes(t)
+	s.setBackoffs(backoffSeconds, "portal-1", "portal-2", "write-1", "write-2")
 	for _, path := range []string{"/board/1", "/submit/1", "/verdict/1", "/check/1"} {
 		s.ask(http.MethodPost, path, nil, "x") // both workers of the service get a request and ask for the backoff
 		s.ask(http.MethodPost, path, nil, "x")
@@ -117,14 +117,14 @@
 		if got.status != http.StatusServiceUnavailable || err != nil || wait < 5*time.Second {
 			t.Errorf("%s: status %d with Retry-After %q; the pause of 6 s has just begun", path, got.status, got.header.Get("Retry-After"))
 		}
-		if took := time.Since(begun); took > pauseTold {
+		if took := time.Since(begun); took > backoffNoticeDelay {
 			t.Errorf("%s: refused after %v, at once is wanted", path, took)
 		}
 	}
 }
 
-// setPauses makes workers ask for a backoff.
-func (s *site) setPauses(seconds string, ids ...string) {
+// setBackoffs makes workers ask for a backoff.
+func (s *site) setBackoffs(seconds string, ids ...string) {
 	for _, id := range ids {
 		s.workers[id].SetBackoff(seconds)
 	}
--- a/internal/lab/site/quota_test.go
+++ b/internal/lab/site/quota_test.go
@@ -22,8 +22,8 @@
 	credit = slack / 8
 )
 
-// withQuota returns the operator's configuration with a quota for one tenant. The tests' rates
-// are so low that hardly any of it refills during a test.
+// withQuota returns the operator's configuration with a quota for one tenant. Most tests use a
+// rate so low that hardly any of it refills during a test.
 func withQuota(version int, limit map[string]any) map[string]any {
 	config := withTenants(version, portoKey, spareKey)
 	tenants := config["Tenants"].([]any)
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetReadDeadline(time.Now().Add(patient))
+	_ = conn.SetReadDeadline(time.Now().Add(awaitTimeout))
 	_, err = io.WriteString(conn, "POST /submit/1 HTTP/1.1\r\nHost: "+host+"\r\nX-Request-Id: 7\r\nX-Deadline-Ms: 7000\r\nX-Api-Key: "+portoKey+"\r\nContent-Length: 5000\r\n\r\n")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/site/restore_test.go
+++ b/internal/lab/site/restore_test.go
@@ -11,7 +11,7 @@
 
 // startRestorable starts a site with four nodes and a configuration of version 2. It returns a
 // version of the store from before that configuration, to which tests restore the store.
-func startRestorable(t *testing.T) (s *site, nodes []proxied, copied uint64) {
+func startRestorable(t *testing.T) (s *site, nodes []proxiedNode, copied uint64) {
 	t.Helper()
 	s = newSite(t)
 	s.addWorkers()
@@ -26,7 +26,7 @@
 	return s, nodes, copied
 }
 
-func (s *site) awaitVersion(nodes []proxied, version int) {
+func (s *site) awaitVersion(nodes []proxiedNode, version int) {
 	s.t.Helper()
 	for i, node := range nodes {
 		s.await(fmt.Sprintf("node %d has version %d", i, version), func() bool { return node.RoutesVersion() == uint64(version) })
@@ -70,7 +70,7 @@
 }
 
 // restore restores the store and waits until all nodes follow it.
-func (s *site) restore(nodes []proxied, copied uint64) {
+func (s *site) restore(nodes []proxiedNode, copied uint64) {
 	s.t.Helper()
 	s.store.Restore(copied)
 	version := s.store.Put("op", "marker", 1)
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -25,10 +25,10 @@
 )
 
 const (
-	host    = "portal.example"
-	llm     = "llm"
-	portal  = "portal"
-	patient = 20 * time.Second
+	host         = "portal.example"
+	llm          = "llm"
+	portal       = "portal"
+	awaitTimeout = 20 * time.Second
 )
 
 // site is a fake platform with workers, and one or more nodes in this process.
@@ -227,9 +227,9 @@
 
 func (s *site) await(what string, holds func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patient); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("not seen in %v: %s", patient, what)
+			s.t.Fatalf("not seen in %v: %s", awaitTimeout, what)
 		}
 	}
 }
--- a/internal/lab/site/store_test.go
+++ b/internal/lab/site/store_test.go
@@ -56,7 +56,7 @@
 }
 
 // TestPlannedStopCutsNothing: a request that is running when the node is told to stop is
-// answered completely.
+// answered completely; its connection is closed after that.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	s := start(t)
 	s.workers["write-1"].Close()
