--- a/internal/lab/site/crash_test.go
+++ b/internal/lab/site/crash_test.go
@@ -52,7 +52,7 @@
 	return startCrashingWith(t, func(*crashingWorkers) {})
 }
 
-// startCrashingWith is like startFragile but applies a change before any worker starts.
+// startCrashingWith is like startCrashing but applies a change before any worker starts.
 func startCrashingWith(t *testing.T, change func(*crashingWorkers)) (*site, *crashingWorkers) {
 	t.Helper()
 	s := startUnconfigured(t)
@@ -155,7 +155,7 @@
 // awaitRunning waits until all workers are running and known to all nodes.
 func (f *crashingWorkers) awaitRunning() {
 	f.s.t.Helper()
-	f.s.await("all workers stand and are known", func() bool {
+	f.s.await("all workers are running and known", func() bool {
 		f.mu.Lock()
 		running := len(f.running)
 		f.mu.Unlock()
@@ -207,8 +207,8 @@
 	}
 }
 
-// expectQuarantined sends a poison request repeatedly. It expects that at most arrivalsAllowed of
-// them reach a worker, and that the callers of the others are told at once that they weren't
+// expectQuarantined sends a poison request repeatedly. It expects that at most arrivalsAllowed
+// of them reach a worker, and that the callers of the others are told at once that they weren't
 // run.
 func (f *crashingWorkers) expectQuarantined(path, body string) {
 	f.s.t.Helper()
@@ -218,7 +218,7 @@
 		ran := len(f.runs(got.id))
 		refused := got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
 		if refused == (ran > 0) || got.status == http.StatusOK {
-			f.s.t.Errorf("it ran %d times: status %d, Retry-After %q, %s", ran, got.status, got.header.Get("Retry-After"), got.body)
+			f.s.t.Errorf("the request ran %d times: status %d, Retry-After %q, %s", ran, got.status, got.header.Get("Retry-After"), got.body)
 		}
 	}
 	if more := f.arrivals(body) - before; more > arrivalsAllowed {
@@ -306,14 +306,14 @@
 	for range 4 * len(nodes) {
 		got := again()
 		if got.status == http.StatusOK {
-			t.Errorf("it was answered: %q", got.body)
+			t.Errorf("the poison request was answered: %q", got.body)
 		}
 	}
 	if more := f.arrivals(poison) - before; more > arrivalsAllowed {
 		t.Errorf("after %d workers had ended under it, it reached workers %d times more, want %d at most; %d ended in all",
 			crashesNeeded, more, arrivalsAllowed, f.crashed())
 	}
-	t.Logf("%d workers ended in all", f.crashed())
+	t.Logf("%d workers crashed in all", f.crashed())
 	for _, node := range nodes {
 		if got := s.askAt(node, http.MethodPost, "/check/same", nil, "another move"); got.status != http.StatusOK {
 			t.Errorf("another request on the same path: status %d %s", got.status, got.body)
@@ -370,7 +370,7 @@
 		f.expectServed("/check/1", body)
 	}
 	if got := s.quarantined(); len(got) != 1 {
-		t.Errorf("%d requests were quarantined, want the poison one alone; %d workers ended", len(got), f.crashed())
+		t.Errorf("%d requests were quarantined, want the poison request alone; %d workers crashed", len(got), f.crashed())
 	}
 }
 
@@ -418,7 +418,7 @@
 	// at the start, three crash and one must remain.
 	nodes := s.addresses()
 	s.askAt(nodes[0], http.MethodPost, "/check/1", nil, poison)
-	s.await("the other nodes are told of two ends", func() bool {
+	s.await("the other nodes are told of two crashes", func() bool {
 		return strings.Count(s.logText(), `crashes=2`)-strings.Count(s.logText(), `msg=planned crashes=2`) >= len(nodes)
 	})
 	s.askAt(nodes[1], http.MethodPost, "/check/1", nil, poison)
@@ -426,11 +426,11 @@
 		s.askAt(nodes[try%len(nodes)], http.MethodPost, "/check/1", nil, poison)
 	}
 	if f.crashed() != crashesNeeded {
-		t.Errorf("%d workers ended, want %d", f.crashed(), crashesNeeded)
+		t.Errorf("%d workers crashed, want %d", f.crashed(), crashesNeeded)
 	}
 	for _, node := range nodes {
 		if got := s.askAt(node, http.MethodPost, "/check/1", nil, "harmless"); got.status != http.StatusOK {
-			t.Errorf("the engine that is left doesn't serve: status %d %s", got.status, got.body)
+			t.Errorf("the remaining engine doesn't serve: status %d %s", got.status, got.body)
 		}
 	}
 	if got := s.quarantined(); len(got) != 1 {
--- a/internal/lab/site/limit_test.go
+++ b/internal/lab/site/limit_test.go
@@ -121,7 +121,7 @@
 	for id, perSecond := range limits {
 		arrivals := s.workers[id].Arrivals()
 		if len(arrivals) == 0 {
-			t.Errorf("%s got nothing: what it takes lay unused", id)
+			t.Errorf("%s got no requests although its limit allows some", id)
 			continue
 		}
 		if got := maxArrivals(arrivals, arrivals[0].At.Add(limitNoticeDelay)); got > maxRequests(perSecond) {
@@ -129,19 +129,19 @@
 		}
 	}
 	if seen.unexpected.Load()+seen.withoutRetryAfter.Load()+seen.refused.Load() > 0 {
-		t.Errorf("%d answers were neither served nor refused, %d refused, %d of them without a time to come back; other workers were free",
+		t.Errorf("%d answers were neither served nor refused, %d refused, %d of them without Retry-After; other workers were free",
 			seen.unexpected.Load(), seen.refused.Load(), seen.withoutRetryAfter.Load())
 	}
 }
 
-// checkLimits reports an error for each worker that got more than its limit, which it stated from
-// its first request on.
+// checkLimits reports an error for each worker that got more than its limit, which it stated
+// from its first request on.
 func (s *site) checkLimits(perSecond float64, ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
 		arrivals := s.workers[id].Arrivals()
 		if len(arrivals) == 0 {
-			s.t.Errorf("%s got nothing", id)
+			s.t.Errorf("%s got no requests", id)
 			continue
 		}
 		if got := maxArrivals(arrivals, arrivals[0].At.Add(limitNoticeDelay)); got > maxRequests(perSecond) {
@@ -176,17 +176,17 @@
 	seen := s.sendLoadFor(loadDuration, 4, "/board/1")
 	s.checkLimits(perSecond, "portal-1", "portal-2")
 	if least := int64(loadDuration.Seconds() * perSecond); seen.served.Load() < least {
-		t.Errorf("%d requests were served, two workers take %d each", seen.served.Load(), least)
+		t.Errorf("%d requests were served, two workers accept %d each", seen.served.Load(), least)
 	}
 	if seen.unexpected.Load()+seen.withoutRetryAfter.Load() > 0 {
-		t.Errorf("%d refused, %d of them without a time to come back, %d other answers", seen.refused.Load(), seen.withoutRetryAfter.Load(), seen.unexpected.Load())
+		t.Errorf("%d refused, %d of them without Retry-After, %d unexpected answers", seen.refused.Load(), seen.withoutRetryAfter.Load(), seen.unexpected.Load())
 	}
 	s.setLimits("", "portal-1", "portal-2")
-	s.await("no limit holds any more", func() bool {
+	s.await("no limit is in force", func() bool {
 		return s.ask(http.MethodPost, "/board/1", nil, "x").status == http.StatusOK && s.node.Limited() == 0
 	})
 	if seen = s.sendLoadFor(time.Second, 1, "/board/1"); seen.refused.Load() > 0 {
-		t.Errorf("%d requests were refused after the need was over", seen.refused.Load())
+		t.Errorf("%d requests were refused after the limits ended", seen.refused.Load())
 	}
 }
 
@@ -199,7 +199,7 @@
 	seen := s.sendLoadFor(loadDuration, 1, "/submit/1")
 	s.checkLimits(0, "portal-1", "portal-2")
 	if seen.unexpected.Load()+seen.withoutRetryAfter.Load() > 0 || seen.refused.Load() == 0 {
-		t.Errorf("%d refused, %d answers without a time to come back, %d odd ones", seen.refused.Load(), seen.withoutRetryAfter.Load(), seen.unexpected.Load())
+		t.Errorf("%d refused, %d of them without Retry-After, %d unexpected answers", seen.refused.Load(), seen.withoutRetryAfter.Load(), seen.unexpected.Load())
 	}
 }
 
@@ -216,7 +216,7 @@
 	seen := s.sendLoadFor(loadDuration, 1, "/board/1")
 	s.checkLimits(perSecond, "portal-1", "portal-2")
 	if seen.served.Load() == 0 || seen.unexpected.Load() > 0 {
-		t.Errorf("%d served, %d odd answers", seen.served.Load(), seen.unexpected.Load())
+		t.Errorf("%d served, %d unexpected answers", seen.served.Load(), seen.unexpected.Load())
 	}
 }
 
@@ -239,7 +239,7 @@
 	<-changing
 	s.checkLimits(3, "portal-1")
 	if seen.refused.Load()+seen.unexpected.Load() > 0 {
-		t.Errorf("%d refused, %d odd answers; the other worker was free", seen.refused.Load(), seen.unexpected.Load())
+		t.Errorf("%d refused, %d unexpected answers; the other worker was free", seen.refused.Load(), seen.unexpected.Load())
 	}
 	s.await("the limit that can't be read is logged", func() bool { return strings.Contains(s.logText(), "limit that can't be read") })
 }
@@ -310,6 +310,6 @@
 	<-rejecting
 	s.checkLimits(perSecond, "portal-1", "portal-2")
 	if seen.unexpected.Load()+seen.withoutRetryAfter.Load() > 0 {
-		t.Errorf("%d answers without a time to come back, %d odd ones", seen.withoutRetryAfter.Load(), seen.unexpected.Load())
+		t.Errorf("%d refusals without Retry-After, %d unexpected answers", seen.withoutRetryAfter.Load(), seen.unexpected.Load())
 	}
 }
--- a/internal/lab/site/notice_test.go
+++ b/internal/lab/site/notice_test.go
@@ -65,16 +65,16 @@
 // sentTooLate counts the requests that reached a worker through a node although their callers
 // sent them more than drainBound after the worker announced its end to the node.
 func (p *loadAnswers) sentTooLate(worker *fleetworker.Worker) int {
-	toldAt := make(map[string]time.Time)
+	knownSince := make(map[string]time.Time)
 	count := 0
 	for _, arrival := range worker.Arrivals() {
 		one := p.seen[arrival.ID]
-		since, isTold := toldAt[one.node]
+		since, isKnown := knownSince[one.node]
 		switch {
-		case isTold && one.sent.After(since.Add(drainBound)):
+		case isKnown && one.sent.After(since.Add(drainBound)):
 			count++
-		case !isTold && arrival.Leaving:
-			toldAt[one.node] = arrival.At
+		case !isKnown && arrival.Leaving:
+			knownSince[one.node] = arrival.At
 		}
 	}
 	return count
@@ -94,11 +94,11 @@
 	seen := s.sendRecordedLoad(ctx, 3, "/board/1", "/verdict/1", "/submit/1", "/check/1")
 	for _, id := range leaving {
 		if late := seen.sentTooLate(s.workers[id]); late > 0 {
-			t.Errorf("%s had said it is about to end; %d requests reached it that callers sent later than %v after", id, late, drainBound)
+			t.Errorf("%s announced its end, but %d requests reached it that callers sent more than %v after that", id, late, drainBound)
 		}
 	}
 	if served := seen.count(http.StatusOK); served != len(seen.seen) {
-		t.Errorf("%d of %d requests were served; other workers stay", served, len(seen.seen))
+		t.Errorf("%d of %d requests were served; other workers remain", served, len(seen.seen))
 	}
 }
 
--- a/internal/lab/site/pause_test.go
+++ b/internal/lab/site/pause_test.go
@@ -20,8 +20,8 @@
 	backoffSeconds = "6"
 )
 
-// mostInBackoff returns the largest number of requests that reached a worker from one node during
-// a backoff that it had asked that node for, from backoffNoticeDelay on.
+// mostInBackoff returns the largest number of requests that reached a worker from one node
+// during a backoff that it had asked that node for, from backoffNoticeDelay on.
 func (p *loadAnswers) mostInBackoff(worker *fleetworker.Worker) int {
 	byNode := make(map[string][]fleetworker.Arrival)
 	for _, arrival := range worker.Arrivals() {
@@ -65,7 +65,7 @@
 	seen := s.sendRecordedLoad(ctx, 3, "/board/1", "/verdict/1", "/submit/1", "/check/1")
 	for _, id := range pausing {
 		if got := seen.mostInBackoff(s.workers[id]); got > backoffSlack {
-			t.Errorf("%s asked a node to be left alone for %s s and got %d requests from it, %d are allowed", id, backoffSeconds, got, backoffSlack)
+			t.Errorf("%s asked a node for a backoff of %s s and got %d requests from it, %d are allowed", id, backoffSeconds, got, backoffSlack)
 		}
 	}
 	refused := 0
@@ -75,7 +75,7 @@
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of %d requests weren't served although it was known who takes them", refused, len(seen.seen))
+		t.Errorf("%d of %d requests weren't served although other workers accept them", refused, len(seen.seen))
 	}
 }
 
@@ -96,7 +96,7 @@
 		arrivals := s.workers[id].Arrivals()
 		for _, arrival := range arrivals[1:] {
 			if since := arrival.At.Sub(arrivals[0].At); since < pause {
-				t.Errorf("%s got a request %v after it had asked for %v", id, since, pause)
+				t.Errorf("%s got a request %v after it asked for a backoff of %v", id, since, pause)
 			}
 		}
 	}
@@ -115,10 +115,10 @@
 		got := s.ask(http.MethodPost, path, nil, "x")
 		wait, err := time.ParseDuration(got.header.Get("Retry-After") + "s")
 		if got.status != http.StatusServiceUnavailable || err != nil || wait < 5*time.Second {
-			t.Errorf("%s: status %d with Retry-After %q; the pause of 6 s has just begun", path, got.status, got.header.Get("Retry-After"))
+			t.Errorf("%s: status %d with Retry-After %q; the backoff of 6 s has just begun", path, got.status, got.header.Get("Retry-After"))
 		}
 		if took := time.Since(begun); took > backoffNoticeDelay {
-			t.Errorf("%s: refused after %v, at once is wanted", path, took)
+			t.Errorf("%s: refused after %v, want at once", path, took)
 		}
 	}
 }
--- a/internal/lab/site/quota_test.go
+++ b/internal/lab/site/quota_test.go
@@ -18,7 +18,8 @@
 const (
 	slack = 160
 	burst = slack / 4
-	// credit is how much of its quota a tenant may use too early.
+	// credit is how many more requests a tenant gets because the last ones may come slightly
+	// too early.
 	credit = slack / 8
 )
 
@@ -129,7 +130,7 @@
 	s.setFaults("portal", fleetworker.Full, -1)
 	for i := range burst {
 		if got := s.askAs(portoKey, "/submit/1"); got.status != http.StatusServiceUnavailable {
-			t.Fatalf("try %d at workers that are full: status %d", i, got.status)
+			t.Fatalf("attempt %d at full workers: status %d", i, got.status)
 		}
 		if got := s.ask(http.MethodPost, "/submit/1", map[string]string{"X-Api-Key": portoKey}, strings.Repeat("x", 10_001)); got.status != http.StatusRequestEntityTooLarge {
 			t.Fatalf("a body that is too large: status %d", got.status)
@@ -174,6 +175,6 @@
 	s.store.Put("op", "config", withQuota(4, map[string]any{}))
 	s.await("no limit is in force", func() bool { return s.askAs(portoKey, "/submit/1").status == http.StatusOK })
 	if text := s.logText(); !strings.Contains(text, fmt.Sprintf("%q:%d", "decided_by_version", 3)) && !strings.Contains(text, "decided_by_version=3") {
-		t.Error("the log doesn't tell by which version was decided")
+		t.Error("the log doesn't have the version that the decision was made by")
 	}
 }
--- a/internal/lab/site/requests_test.go
+++ b/internal/lab/site/requests_test.go
@@ -71,7 +71,7 @@
 				t.Errorf("%s, %s: it ran and the answer is %d", fault, path, got.status)
 			}
 			if got.status == http.StatusOK && got.readErr == nil {
-				t.Errorf("%s, %s: a broken answer looks whole: %q", fault, path, got.body)
+				t.Errorf("%s, %s: an incomplete answer looks complete: %q", fault, path, got.body)
 			}
 		}
 	}
@@ -178,7 +178,7 @@
 	s.await("it runs", func() bool { return len(s.runs("leaver")) == 1 })
 	leave()
 	<-ended
-	s.await("the worker sees it leave", func() bool {
+	s.await("the worker sees that the caller is gone", func() bool {
 		return s.workers["portal-1"].CallersGone()+s.workers["portal-2"].CallersGone() == 1
 	})
 }
--- a/internal/lab/site/restore_test.go
+++ b/internal/lab/site/restore_test.go
@@ -88,7 +88,7 @@
 		node, _ := s.startNode(fmt.Sprint("late-", i), inZone([]string{"a", "b"}[i%2]))
 		s.await("the node has a configuration", func() bool { return node.RoutesVersion() != 0 })
 		if version := node.RoutesVersion(); version != 2 {
-			t.Errorf("node late-%d begins with version %d", i, version)
+			t.Errorf("node late-%d starts with version %d", i, version)
 		}
 	}
 }
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -229,7 +229,7 @@
 	s.t.Helper()
 	for end := time.Now().Add(awaitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("not seen in %v: %s", awaitTimeout, what)
+			s.t.Fatalf("condition not met within %v: %s", awaitTimeout, what)
 		}
 	}
 }
--- a/internal/lab/site/start_test.go
+++ b/internal/lab/site/start_test.go
@@ -83,7 +83,7 @@
 	}
 	// Some of these calls wait for the change.
 	if calls := s.store.Feeds("op") - feeds; calls > count/2 {
-		t.Errorf("%d calls for a change of which one node had to ask", calls)
+		t.Errorf("%d calls for a change that one node had to read", calls)
 	}
 }
 
@@ -96,12 +96,12 @@
 			s.await("the engines are asked", func() bool { return s.workers["read-1"].ListCalls() > 0 })
 			continue
 		}
-		s.await("what the engines keep counts as known", func() bool {
+		s.await("the engines' caches count as known", func() bool {
 			return s.ask(http.MethodPost, "/check/1", nil, "").status == http.StatusOK
 		})
 		for id, worker := range s.workers {
 			if worker.ListCalls() > 0 {
-				t.Errorf("%s was asked what it keeps", id)
+				t.Errorf("%s was asked for its cache list", id)
 			}
 		}
 	}
--- a/internal/lab/site/store_test.go
+++ b/internal/lab/site/store_test.go
@@ -91,7 +91,7 @@
 		return s.workers["read-1"].ListCalls() == 1 && s.workers["write-1"].ListCalls() == 1 && s.workers["write-2"].ListCalls() == 1
 	})
 	if lists := s.workers["portal-1"].ListCalls(); lists != 0 {
-		t.Errorf("a worker that is no engine was asked %d times", lists)
+		t.Errorf("a worker that isn't an engine was asked %d times", lists)
 	}
 	s.await("what it keeps is known", func() bool { return s.node.CachedTokens("read-1") == 1210 })
 }
--- a/internal/lab/site/tenants_test.go
+++ b/internal/lab/site/tenants_test.go
@@ -175,7 +175,7 @@
 	s.store.Put("op", "config", withTenants(3, portoKey))
 	s.await("the key is refused", func() bool { return ask() == http.StatusUnauthorized })
 	s.store.Put("op", "config", withTenants(4, portoKey, spareKey))
-	s.await("the key is taken again", func() bool { return ask() == http.StatusOK })
+	s.await("the key is accepted again", func() bool { return ask() == http.StatusOK })
 }
 
 // TestOldConfigurationRefusesForGoodNothing: a node that can't reach the store doesn't know
@@ -184,7 +184,7 @@
 	s := startWithTenants(t)
 	s.store.SetFaults(fleetstore.Faults{Down: true})
 	header := map[string]string{"X-Api-Key": "a key of a newer version"}
-	s.await("an unknown key may come back", func() bool {
+	s.await("an unknown key is refused for now", func() bool {
 		return s.ask(http.MethodGet, "/board/1", header, "").status == http.StatusServiceUnavailable
 	})
 	got := s.ask(http.MethodGet, "/a/newer/route/", map[string]string{"X-Api-Key": portoKey}, "")
