--- a/internal/lab/soak/notices.go
+++ b/internal/lab/soak/notices.go
@@ -119,8 +119,8 @@
 	count := 0
 	for _, arrival := range arrivals {
 		request := requests[arrival.ID]
-		since, isTold := knownSince[request.node]
-		if isTold && request.sent.After(since.Add(drainBound)) && !l.faultWithin(request.node, since, arrival.At) {
+		since, isKnown := knownSince[request.node]
+		if isKnown && request.sent.After(since.Add(drainBound)) && !l.faultWithin(request.node, since, arrival.At) {
 			count++
 		}
 	}
