--- a/internal/lab/fleetapi/api_test.go
+++ b/internal/lab/fleetapi/api_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestProblemsAreFound: the checks fail where promises are broken.
+// TestProblemsAreFound: Violations reports conflicting usage reports, a fencing token that two
+// holders use, and holders that alternate; and a stale token is refused.
 func TestProblemsAreFound(t *testing.T) {
 	report := func(a *API, holder string, fence, window, count int) int {
 		body := fmt.Sprintf(`{"Window":%d,"Counts":{"t":%d}}`, window, count)
@@ -31,26 +32,26 @@
 		broken bool
 	}{
 		{"one holder, the same counts twice", [][4]any{{"a", 1, 1, 5}, {"a", 1, 1, 5}}, false},
-		{"two truths", [][4]any{{"a", 1, 1, 5}, {"a", 1, 1, 6}}, true},
-		{"one fence of two holders", [][4]any{{"a", 1, 1, 5}, {"b", 1, 2, 5}}, true},
-		{"turns", [][4]any{{"a", 1, 1, 5}, {"b", 2, 2, 5}, {"a", 3, 3, 5}}, true},
+		{"one window with two counts", [][4]any{{"a", 1, 1, 5}, {"a", 1, 1, 6}}, true},
+		{"two holders with one token", [][4]any{{"a", 1, 1, 5}, {"b", 1, 2, 5}}, true},
+		{"alternating holders", [][4]any{{"a", 1, 1, 5}, {"b", 2, 2, 5}, {"a", 3, 3, 5}}, true},
 	} {
 		a := Start()
 		for _, call := range example.calls {
 			report(a, call[0].(string), call[1].(int), call[2].(int), call[3].(int))
 		}
-		if problems := a.Violations(time.Minute); (len(problems) > 0) != example.broken {
-			t.Errorf("%s: %v", example.name, problems)
+		if violations := a.Violations(time.Minute); (len(violations) > 0) != example.broken {
+			t.Errorf("%s: %v", example.name, violations)
 		}
 		if status := report(a, "old", 0, 9, 1); status != http.StatusConflict {
-			t.Errorf("%s: a lower fence is answered %d", example.name, status)
+			t.Errorf("%s: a stale fencing token was answered %d", example.name, status)
 		}
 		a.Close()
 	}
 }
 
-// TestUnfencedAPI: it carries a lower fence out, and remembers it as a broken promise, but
-// not of a call that came while the API was in trouble.
+// TestUnfencedAPI: the API carries out a call with a stale fencing token and reports it as a
+// violation, unless the call came while faults were injected.
 func TestUnfencedAPI(t *testing.T) {
 	for _, example := range []struct {
 		faults Faults
@@ -73,11 +74,11 @@
 			}
 			_ = response.Body.Close()
 			if response.StatusCode != http.StatusOK {
-				t.Errorf("fence %s: %d", fence, response.StatusCode)
+				t.Errorf("fencing token %s: status %d", fence, response.StatusCode)
 			}
 		}
-		if problems := a.Violations(time.Minute); len(problems) != example.broken || len(a.Reports()[1]) != 2 {
-			t.Errorf("%+v: %v; %d reports", example.faults, problems, len(a.Reports()[1]))
+		if violations := a.Violations(time.Minute); len(violations) != example.broken || len(a.Reports()[1]) != 2 {
+			t.Errorf("%+v: %v; %d reports", example.faults, violations, len(a.Reports()[1]))
 		}
 		a.Close()
 	}
--- a/internal/lab/fleetstore/store.go
+++ b/internal/lab/fleetstore/store.go
@@ -1,6 +1,6 @@
-// Package fleetstore is a stand-in for the store of the users' platform: rows in
-// tables under one rising version, changes as a feed, transactions under
-// conditions. It speaks the platform's protocol and can be told to fail.
+// Package fleetstore is a fake of the platform's store for tests. It keeps rows in tables under
+// a single increasing version, serves changes as a feed, and runs transactions that depend on
+// row versions. It speaks the platform's protocol and can inject faults.
 package fleetstore
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Row is a row as it goes over the wire.
+// Row is a row as encoded on the wire.
 type Row struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -27,51 +27,51 @@
 	Gone    bool   `json:"gone,omitempty"`
 }
 
-// Faults are what the store can be told to do.
+// Faults are the faults that the store injects.
 type Faults struct {
 	// Down refuses all calls with 503.
 	Down bool
 	// Throttled refuses all calls with 429.
 	Throttled bool
-	// LoseWrites carries writes out and does not answer them.
+	// LoseWrites commits transactions but breaks off their connections without an answer.
 	LoseWrites bool
-	// StaleReads answers reads as of this version, zero for the newest.
+	// StaleReads answers reads as of this version; zero means the newest.
 	StaleReads uint64
 }
 
-// mostRows is the most changed rows that the store gives at once.
-const mostRows = 500
+// maxRowsPerAnswer limits the changed rows in one response.
+const maxRowsPerAnswer = 500
 
-// Store is a running stand-in.
+// Store is a running fake store.
 type Store struct {
 	server *httptest.Server
 
 	mu      sync.Mutex
 	version uint64
-	// era rises each time the store comes back from a copy.
+	// era is the number of the store's history; it rises with each restore from a backup.
 	era     uint64
 	rows    map[string]Row
 	history []Row
-	// written are all rows that were ever written, in order.
+	// written holds all rows ever written, in order, except those that a restore lost.
 	written []Row
-	// forgotten is the version up to which the history is gone.
-	forgotten uint64
-	changed   chan struct{}
-	faults    Faults
-	// away breaks off all calls.
-	away  bool
-	calls int
-	// reads counts the calls that read rows, and feeds those for changes, by table.
+	// compactedTo is the version up to which the change history has been dropped.
+	compactedTo uint64
+	changed     chan struct{}
+	faults      Faults
+	// unreachable breaks off all calls without a response.
+	unreachable bool
+	calls       int
+	// reads counts the calls that read rows and feeds those that ask for changes, by table.
 	reads, feeds map[string]int
-	// onRead is told the table of each call that reads rows, before it does; it may be nil.
+	// onRead, if not nil, is called with the table before each call that reads rows.
 	onRead func(table string)
 }
 
-// Start runs a store on a port of its own.
+// Start starts a store on a free port.
 func Start() *Store {
 	s := &Store{rows: make(map[string]Row), reads: make(map[string]int), feeds: make(map[string]int), changed: make(chan struct{})}
 	router := chi.NewRouter()
-	router.Use(s.fail)
+	router.Use(s.injectFaults)
 	router.Get("/v1/rows-get", s.get)
 	router.Get("/v1/rows-feed", s.feed)
 	router.Post("/v1/rows-tx", s.transact)
@@ -79,42 +79,42 @@
 	return s
 }
 
-// Address returns IP:PORT.
+// Address returns the store's IP:PORT.
 func (s *Store) Address() string { return strings.TrimPrefix(s.server.URL, "http://") }
 
-// Close ends the store.
+// Close stops the store and closes its connections.
 func (s *Store) Close() {
 	s.server.CloseClientConnections()
 	s.server.Close()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls so far, failed ones included.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Reads returns the number of calls that read rows of a table, changes left out.
+// Reads returns the number of calls that read rows of a table; calls for changes don't count.
 func (s *Store) Reads(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads[table]
 }
 
-// OnRead has a function told the table of each call that reads rows, before it does. It may
-// call the store.
-func (s *Store) OnRead(told func(table string)) {
+// OnRead sets a function that is called with the table before each call that reads rows. The
+// function may call the store.
+func (s *Store) OnRead(callback func(table string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.onRead = told
+	s.onRead = callback
 }
 
 // Feeds returns the number of calls for changes of a table.
@@ -124,77 +124,80 @@
 	return s.feeds[table]
 }
 
-// Compact drops the history, as after a compaction.
+// Compact drops the change history, as a compaction does. A node that asks for changes since an
+// earlier version is then answered 410 Gone.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.forgotten = s.version
-	s.wake()
+	s.compactedTo = s.version
+	s.notifyFeeds()
 }
 
-// SetUnreachable has the store break off all calls, those under way too, or answer again.
-func (s *Store) SetUnreachable(away bool) {
+// SetUnreachable makes the store break off all calls, including those in flight, or answer
+// again.
+func (s *Store) SetUnreachable(unreachable bool) {
 	s.mu.Lock()
-	s.away = away
+	s.unreachable = unreachable
 	s.mu.Unlock()
-	if away {
+	if unreachable {
 		s.server.CloseClientConnections()
 	}
 }
 
-// Restore has the store come back from a copy: its rows, versions and history are those of a
-// version again, its era rises, and open connections are cut. It returns the last state of each
-// row that was lost.
+// Restore puts the store back to the state at a version, as a restore from a backup does: rows,
+// versions and history are those of then, the era rises, and open connections are cut. It
+// returns the last state of each row that was lost.
 func (s *Store) Restore(version uint64) (lost []Row) {
 	s.mu.Lock()
 	isLater := func(row Row) bool { return row.Version > version }
-	lost = newestOf(slices.DeleteFunc(slices.Clone(s.written), func(row Row) bool { return !isLater(row) }))
+	lost = lastStates(slices.DeleteFunc(slices.Clone(s.written), func(row Row) bool { return !isLater(row) }))
 	s.written = slices.DeleteFunc(s.written, isLater)
 	s.history = slices.DeleteFunc(s.history, isLater)
 	s.rows = make(map[string]Row)
 	for _, row := range s.written {
-		s.keep(row)
+		s.apply(row)
 	}
 	s.version = version
-	s.forgotten = min(s.forgotten, version)
+	s.compactedTo = min(s.compactedTo, version)
 	s.era++
-	s.wake()
+	s.notifyFeeds()
 	s.mu.Unlock()
 	s.server.CloseClientConnections()
 	return lost
 }
 
-// newestOf returns the last of the rows with each key.
-func newestOf(rows []Row) []Row {
+// lastStates returns the last row for each table and key.
+func lastStates(rows []Row) []Row {
 	byName := make(map[string]Row)
 	for _, row := range rows {
-		byName[row.name()] = row
+		byName[row.path()] = row
 	}
 	return slices.Collect(maps.Values(byName))
 }
 
-// RewriteLost writes a row that was lost, unless it was written since the store came back with a
-// version.
+// RewriteLost writes a row that a restore lost, unless it has been written since the store was
+// restored to the given version.
 func (s *Store) RewriteLost(lost Row, restored uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, row := range s.written {
-		if row.name() == lost.name() && row.Version > restored {
+		if row.path() == lost.path() && row.Version > restored {
 			return
 		}
 	}
 	s.write([]Row{lost})
 }
 
-// Era returns the number of the store's history.
+// Era returns the number of the store's history, which rises with each restore.
 func (s *Store) Era() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// Put writes a row as the operator or a worker does. A nil value removes it.
+// Put writes a row as the operator or a worker does, and returns its version. A nil value
+// removes the row.
 func (s *Store) Put(table, key string, value any) uint64 {
 	row := Row{Table: table, Key: key}
 	if value == nil {
@@ -208,14 +211,14 @@
 	return s.version
 }
 
-// Rows returns the rows of a table in order of their keys.
+// Rows returns the rows of a table, sorted by key.
 func (s *Store) Rows(table string) []Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.of(table)
+	return s.tableRows(table)
 }
 
-func (s *Store) of(table string) []Row {
+func (s *Store) tableRows(table string) []Row {
 	rows := []Row{}
 	for _, row := range s.rows {
 		if row.Table == table {
@@ -259,36 +262,36 @@
 	s.version++
 	for _, row := range rows {
 		row.Version = s.version
-		s.keep(row)
+		s.apply(row)
 		s.history = append(s.history, row)
 		s.written = append(s.written, row)
 	}
-	s.wake()
+	s.notifyFeeds()
 }
 
-// keep has a written row stand.
-func (s *Store) keep(row Row) {
+// apply applies a written row to the current rows.
+func (s *Store) apply(row Row) {
 	if row.Gone {
-		delete(s.rows, row.name())
+		delete(s.rows, row.path())
 	} else {
-		s.rows[row.name()] = row
+		s.rows[row.path()] = row
 	}
 }
 
-func (r Row) name() string { return r.Table + "/" + r.Key }
+func (r Row) path() string { return r.Table + "/" + r.Key }
 
-func (s *Store) wake() {
+func (s *Store) notifyFeeds() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) fail(next http.Handler) http.Handler {
+func (s *Store) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		s.mu.Lock()
 		s.calls++
-		faults, era, away := s.faults, s.era, s.away
+		faults, era, unreachable := s.faults, s.era, s.unreachable
 		s.mu.Unlock()
-		if away {
+		if unreachable {
 			panic(http.ErrAbortHandler)
 		}
 		writer.Header().Set("Store-Era", strconv.FormatUint(era, 10))
@@ -314,11 +317,11 @@
 	s.replyWith(writer, status, answer{Rows: rows, Version: version})
 }
 
-func (s *Store) replyWith(writer http.ResponseWriter, status int, told answer) {
-	told.Now = time.Now().UnixMilli()
+func (s *Store) replyWith(writer http.ResponseWriter, status int, response answer) {
+	response.Now = time.Now().UnixMilli()
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(told)
+	_ = json.NewEncoder(writer).Encode(response)
 }
 
 func (s *Store) get(writer http.ResponseWriter, request *http.Request) {
@@ -331,12 +334,12 @@
 	}
 	s.mu.Lock()
 	s.reads[query.Get("table")]++
-	rows, version := s.of(query.Get("table")), s.version
+	rows, version := s.tableRows(query.Get("table")), s.version
 	if s.faults.StaleReads > 0 {
 		version = min(s.faults.StaleReads, version)
 		rows = s.asOf(query.Get("table"), version)
 	}
-	rows = within(rows, query.Get("From"), query.Get("TargetVersion"))
+	rows = inKeyRange(rows, query.Get("From"), query.Get("TargetVersion"))
 	s.mu.Unlock()
 	limit, err := strconv.Atoi(query.Get("limit"))
 	more := err == nil && len(rows) > limit
@@ -346,9 +349,9 @@
 	s.replyWith(writer, http.StatusOK, answer{Rows: rows, More: more, Version: version})
 }
 
-// within returns the rows from one key up to another, which is left out, or to the end where
-// that is empty.
-func within(rows []Row, from, to string) []Row {
+// inKeyRange returns the rows with keys from from up to, but not including, to. An empty to
+// means no upper bound.
+func inKeyRange(rows []Row, from, to string) []Row {
 	return slices.DeleteFunc(rows, func(row Row) bool { return row.Key < from || to != "" && row.Key >= to })
 }
 
@@ -364,13 +367,13 @@
 	for {
 		s.mu.Lock()
 		rows, version, changed := s.since(query.Get("table"), after), s.version, s.changed
-		if len(rows) > mostRows {
-			rows = rows[:mostRows]
-			version = rows[mostRows-1].Version
+		if len(rows) > maxRowsPerAnswer {
+			rows = rows[:maxRowsPerAnswer]
+			version = rows[maxRowsPerAnswer-1].Version
 		}
-		gone := after < s.forgotten || after > s.version
+		compacted := after < s.compactedTo || after > s.version
 		s.mu.Unlock()
-		if gone {
+		if compacted {
 			writer.WriteHeader(http.StatusGone)
 			return
 		}
@@ -406,22 +409,22 @@
 }
 
 func (s *Store) transact(writer http.ResponseWriter, request *http.Request) {
-	var wanted transaction
-	if err := json.NewDecoder(request.Body).Decode(&wanted); err != nil {
+	var requested transaction
+	if err := json.NewDecoder(request.Body).Decode(&requested); err != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	if differing := s.differing(wanted.IfRevision); len(differing) > 0 {
+	if unmet := s.unmetConditions(requested.IfRevision); len(unmet) > 0 {
 		version := s.version
 		s.mu.Unlock()
-		s.reply(writer, http.StatusPreconditionFailed, differing, version)
+		s.reply(writer, http.StatusPreconditionFailed, unmet, version)
 		return
 	}
-	for i := range wanted.Remove {
-		wanted.Remove[i].Gone = true
+	for i := range requested.Remove {
+		requested.Remove[i].Gone = true
 	}
-	s.write(append(wanted.Put, wanted.Remove...))
+	s.write(append(requested.Put, requested.Remove...))
 	version, lose := s.version, s.faults.LoseWrites
 	s.mu.Unlock()
 	if lose {
@@ -430,15 +433,16 @@
 	s.reply(writer, http.StatusOK, nil, version)
 }
 
-// differing returns the rows of a condition that don't have the version wanted.
-func (s *Store) differing(conditions []Row) []Row {
-	var differing []Row
+// unmetConditions returns the current rows whose version isn't the one that a condition
+// requires.
+func (s *Store) unmetConditions(conditions []Row) []Row {
+	var unmet []Row
 	for _, condition := range conditions {
 		row, exists := s.rows[condition.Table+"/"+condition.Key]
 		if !exists && condition.Version != 0 || exists && row.Version != condition.Version {
 			row.Table, row.Key = condition.Table, condition.Key
-			differing = append(differing, row)
+			unmet = append(unmet, row)
 		}
 	}
-	return differing
+	return unmet
 }
--- a/internal/lab/fleetworker/order_test.go
+++ b/internal/lab/fleetworker/order_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestOrdersAreNoRequests: an order changes the stage that the entry shows, and isn't
+// TestOrdersAreNoRequests: an order changes the stage in the worker's list entry and isn't
 // counted as a request that ran.
 func TestOrdersAreNoRequests(t *testing.T) {
 	staged := 0
@@ -38,12 +38,12 @@
 		}
 	}
 	if w.Entry("ready")["Stage"] != "prefill" || staged != 1 || w.Orders() != 1 || len(w.Runs()) != 0 {
-		t.Errorf("stage %v, told %d times, %d orders, %d runs", w.Entry("ready")["Stage"], staged, w.Orders(), len(w.Runs()))
+		t.Errorf("stage %v, OnStageChange called %d times, %d orders, %d runs", w.Entry("ready")["Stage"], staged, w.Orders(), len(w.Runs()))
 	}
 }
 
-// TestLateOrderIsSeen: an order may be left unanswered and carried out later; behind a newer
-// holder's that breaks a promise.
+// TestLateOrderIsSeen: a late order is carried out without an answer, and one that is carried
+// out after a newer holder's order is a violation.
 func TestLateOrderIsSeen(t *testing.T) {
 	w := Start(Options{ID: "w", Stage: "decode"})
 	defer w.Close()
@@ -56,7 +56,7 @@
 	request.Header.Set("X-Expect-Instance", "w")
 	if response, err := http.DefaultClient.Do(request); err == nil {
 		_ = response.Body.Close()
-		t.Error("a late order is answered")
+		t.Error("a late order was answered")
 	}
 	if w.Orders() != 1 {
 		t.Errorf("%d orders carried out", w.Orders())
@@ -66,8 +66,8 @@
 		broken int
 	}{{3, 0}, {3, 0}, {2, 1}} {
 		w.carryOut(stageOrder{Stage: "decode", Fence: example.fence})
-		if problems := w.Fences().Violations(time.Minute); len(problems) != example.broken {
-			t.Errorf("fence %d: %v", example.fence, problems)
+		if violations := w.Fences().Violations(time.Minute); len(violations) != example.broken {
+			t.Errorf("fencing token %d: %v", example.fence, violations)
 		}
 	}
 }
--- a/internal/lab/site/crash_test.go
+++ b/internal/lab/site/crash_test.go
@@ -17,46 +17,46 @@
 )
 
 const (
-	// poison is in the body of requests that crash whoever runs them.
+	// poison is in the body of requests that crash each worker that runs them.
 	poison = "poison"
-	// restartAfter is how long a worker that has crashed is away.
+	// restartAfter is how long a crashed worker is down.
 	restartAfter = 200 * time.Millisecond
-	// crashesNeeded is how many workers may end under a request before it is known, and
-	// arrivalsAllowed how often it may reach others after that.
+	// crashesNeeded is how many workers may crash before a request is quarantined, and
+	// arrivalsAllowed how many it may reach after that.
 	crashesNeeded   = 3
 	arrivalsAllowed = 3
-	// firstBirth is when workers that tell it are born first, in Unix milliseconds.
-	firstBirth = 1_764_731_647_000
+	// firstStartMillis is the first start time of workers that state one, in Unix milliseconds.
+	firstStartMillis = 1_764_731_647_000
 )
 
-// fragile are workers that crash on requests with poison bodies, and come back, each time
-// under another id, at the same address.
-type fragile struct {
+// crashingWorkers manages workers that crash on requests with a poison body and restart at the
+// same address, each time with another id.
+type crashingWorkers struct {
 	s  *site
 	mu sync.Mutex
-	// incarnations are all that ran so far, and standing those that do.
+	// incarnations holds all workers started so far, and running those that run now.
 	incarnations []*fleetworker.Worker
-	standing     map[string]*fleetworker.Worker
+	running      map[string]*fleetworker.Worker
 	crashes      int
-	// mended workers crash no more when they come back.
-	mended bool
-	// named workers come back under the id that they had, and tell when they were born.
-	named bool
-	// tries counts the requests that were sent by again.
-	tries int
+	// fixed makes workers that restart no longer crash.
+	fixed bool
+	// keepIDs makes workers restart with the id that they had, and state when they started.
+	keepIDs bool
+	// sent counts the requests sent by sendAgain.
+	sent int
 }
 
-// startFragile runs a site of three nodes before engines that requests may crash.
-func startFragile(t *testing.T) (*site, *fragile) {
+// startCrashing starts a site of three nodes with workers that poison requests crash.
+func startCrashing(t *testing.T) (*site, *crashingWorkers) {
 	t.Helper()
-	return startFragileWith(t, func(*fragile) {})
+	return startCrashingWith(t, func(*crashingWorkers) {})
 }
 
-// startFragileWith is startFragile with a change before any worker starts.
-func startFragileWith(t *testing.T, change func(*fragile)) (*site, *fragile) {
+// startCrashingWith is like startCrashing but applies a change before any worker starts.
+func startCrashingWith(t *testing.T, change func(*crashingWorkers)) (*site, *crashingWorkers) {
 	t.Helper()
 	s := startUnconfigured(t)
-	f := &fragile{s: s, standing: make(map[string]*fleetworker.Worker)}
+	f := &crashingWorkers{s: s, running: make(map[string]*fleetworker.Worker)}
 	change(f)
 	f.add(fleetworker.Options{ID: "read-1", Service: llm, Stage: "prefill"})
 	for number := range 4 {
@@ -69,49 +69,49 @@
 	s.await("the first node is ready", s.node.Ready)
 	s.addNodes("node-2", "node-3")
 	s.awaitPeers()
-	f.awaitStanding()
+	f.awaitRunning()
 	return s, f
 }
 
 // add starts a worker.
-func (f *fragile) add(options fleetworker.Options) {
+func (f *crashingWorkers) add(options fleetworker.Options) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.start(options)
 }
 
-// start is add under the lock.
-func (f *fragile) start(options fleetworker.Options) {
-	if f.named && options.Born == 0 {
-		options.Born = firstBirth
+// start starts a worker. The caller holds the lock.
+func (f *crashingWorkers) start(options fleetworker.Options) {
+	if f.keepIDs && options.Born == 0 {
+		options.Born = firstStartMillis
 	}
 	options.Zone, options.CrashOn, options.OnCrash = "a", poison, func(w *fleetworker.Worker) { f.crash(options, w) }
-	if f.mended {
+	if f.fixed {
 		options.CrashOn = ""
 	}
 	worker := fleetworker.Start(options)
 	f.s.t.Cleanup(worker.Close)
 	f.incarnations = append(f.incarnations, worker)
-	f.standing[options.ID] = worker
+	f.running[options.ID] = worker
 	f.s.store.Put("servers", options.ID, worker.Entry("ready"))
 }
 
-// crash counts the end of a worker.
-func (f *fragile) crash(options fleetworker.Options, crashed *fleetworker.Worker) {
+// crash records that a worker crashed and has it restarted.
+func (f *crashingWorkers) crash(options fleetworker.Options, crashed *fleetworker.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashes++
-	delete(f.standing, options.ID)
+	delete(f.running, options.ID)
 	go f.restart(options, crashed)
 }
 
-// restart brings a worker that has crashed back under another id.
-func (f *fragile) restart(options fleetworker.Options, crashed *fleetworker.Worker) {
+// restart restarts a crashed worker after restartAfter.
+func (f *crashingWorkers) restart(options fleetworker.Options, crashed *fleetworker.Worker) {
 	time.Sleep(restartAfter)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	options.Address = crashed.Address()
-	if f.named {
+	if f.keepIDs {
 		options.Born++
 	} else {
 		f.s.store.Put("servers", options.ID, nil)
@@ -120,25 +120,25 @@
 	f.start(options)
 }
 
-// mend has workers that come back from now on, and those that stand, bear all requests.
-func (f *fragile) mend() {
+// fix makes running and restarted workers no longer crash.
+func (f *crashingWorkers) fix() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.mended = true
-	for _, worker := range f.standing {
+	f.fixed = true
+	for _, worker := range f.running {
 		worker.SetCrashOn("")
 	}
 }
 
-// crashed is the number of crashes so far.
-func (f *fragile) crashed() int {
+// crashed returns the number of crashes so far.
+func (f *crashingWorkers) crashed() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashes
 }
 
-// arrivals counts the runs of requests whose body holds a text.
-func (f *fragile) arrivals(text string) int {
+// arrivals counts the runs of requests whose body contains a text.
+func (f *crashingWorkers) arrivals(text string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -152,19 +152,19 @@
 	return count
 }
 
-// awaitStanding waits until all workers stand and all nodes know them.
-func (f *fragile) awaitStanding() {
+// awaitRunning waits until all workers are running and known to all nodes.
+func (f *crashingWorkers) awaitRunning() {
 	f.s.t.Helper()
-	f.s.await("all workers stand and are known", func() bool {
+	f.s.await("all workers are running and known", func() bool {
 		f.mu.Lock()
-		standing := len(f.standing)
+		running := len(f.running)
 		f.mu.Unlock()
 		for _, other := range f.s.others {
-			if other.node.Workers() != standing {
+			if other.node.Workers() != running {
 				return false
 			}
 		}
-		return standing == 8 && f.s.node.Workers() == standing
+		return running == 8 && f.s.node.Workers() == running
 	})
 }
 
@@ -181,7 +181,7 @@
 	})
 }
 
-// addresses are those of all nodes.
+// addresses returns the addresses for callers of all nodes.
 func (s *site) addresses() []string {
 	addresses := []string{s.address}
 	for _, other := range s.others {
@@ -190,34 +190,35 @@
 	return addresses
 }
 
-// again sends a request to the next node, once all workers stand.
-func (f *fragile) again(path, body string) answer {
+// sendAgain sends a request to the next node once all workers are running.
+func (f *crashingWorkers) sendAgain(path, body string) answer {
 	f.s.t.Helper()
-	f.awaitStanding()
+	f.awaitRunning()
 	nodes := f.s.addresses()
-	f.tries++
-	return f.s.askAt(nodes[f.tries%len(nodes)], http.MethodPost, path, nil, body)
+	f.sent++
+	return f.s.askAt(nodes[f.sent%len(nodes)], http.MethodPost, path, nil, body)
 }
 
-// quarantine sends a poison request until enough workers have ended under it.
-func (f *fragile) quarantine(path, body string) {
+// quarantine sends a poison request until it has crashed crashesNeeded workers.
+func (f *crashingWorkers) quarantine(path, body string) {
 	f.s.t.Helper()
 	for before := f.crashed(); f.crashed() < before+crashesNeeded; {
-		f.again(path, body)
+		f.sendAgain(path, body)
 	}
 }
 
-// expectStopped sends a poison request again and again, and expects that it reaches hardly
-// any worker, and that its callers are told at once that it has not run.
-func (f *fragile) expectStopped(path, body string) {
+// expectQuarantined sends a poison request repeatedly. It expects that at most arrivalsAllowed
+// of them reach a worker, and that the callers of the others are told at once that they weren't
+// run.
+func (f *crashingWorkers) expectQuarantined(path, body string) {
 	f.s.t.Helper()
 	before := f.arrivals(body)
 	for range 4 * len(f.s.addresses()) {
-		got := f.again(path, body)
+		got := f.sendAgain(path, body)
 		ran := len(f.runs(got.id))
 		refused := got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
 		if refused == (ran > 0) || got.status == http.StatusOK {
-			f.s.t.Errorf("it ran %d times: status %d, Retry-After %q, %s", ran, got.status, got.header.Get("Retry-After"), got.body)
+			f.s.t.Errorf("the request ran %d times: status %d, Retry-After %q, %s", ran, got.status, got.header.Get("Retry-After"), got.body)
 		}
 	}
 	if more := f.arrivals(body) - before; more > arrivalsAllowed {
@@ -227,7 +228,7 @@
 }
 
 // runs returns all runs of a request at any incarnation of a worker.
-func (f *fragile) runs(id string) []fleetworker.Run {
+func (f *crashingWorkers) runs(id string) []fleetworker.Run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var runs []fleetworker.Run
@@ -241,10 +242,10 @@
 	return runs
 }
 
-// expectServed sends a request to each node and expects an answer.
-func (f *fragile) expectServed(path, body string) {
+// expectServed sends a request to each node and expects it to be served.
+func (f *crashingWorkers) expectServed(path, body string) {
 	f.s.t.Helper()
-	f.awaitStanding()
+	f.awaitRunning()
 	for _, node := range f.s.addresses() {
 		if got := f.s.askAt(node, http.MethodPost, path, nil, body); got.status != http.StatusOK || got.readErr != nil {
 			f.s.t.Errorf("%s with body %q: status %d, %v, %s", path, body, got.status, got.readErr, got.body)
@@ -252,7 +253,7 @@
 	}
 }
 
-// quarantined returns the fingerprints that nodes have said to quarantine.
+// quarantined returns the fingerprints of the requests that nodes have logged as quarantined.
 func (s *site) quarantined() []string {
 	var fingerprints []string
 	for _, match := range quarantinedLine.FindAllStringSubmatch(s.logText(), -1) {
@@ -264,7 +265,7 @@
 
 var quarantinedLine = regexp.MustCompile(`msg="request quarantined".* fingerprint=([0-9a-f]+)`)
 
-// storedQuarantine are the fingerprints that the store holds.
+// storedQuarantine returns the fingerprints in the store's quarantine table.
 func (s *site) storedQuarantine() []string {
 	var keys []string
 	for _, row := range s.store.Rows("quarantine") {
@@ -273,7 +274,7 @@
 	return keys
 }
 
-// restartNodes ends all nodes at once and starts others.
+// restartNodes ends all nodes at once and starts new ones.
 func (s *site) restartNodes() {
 	s.t.Helper()
 	s.node.Close()
@@ -286,15 +287,15 @@
 	s.addNodes("node-2", "node-3")
 }
 
-// TestRequestThatCrashesWorkersIsStopped: the same request comes again and again, each time
-// under another id and at another node.
+// TestRequestThatCrashesWorkersIsStopped: a request that crashes workers is quarantined
+// although it comes each time with another id and at another node.
 func TestRequestThatCrashesWorkersIsStopped(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	nodes := s.addresses()
 	body := poison + " move"
 	try := 0
 	again := func() answer {
-		f.awaitStanding()
+		f.awaitRunning()
 		try++
 		return s.askAt(nodes[try%len(nodes)], http.MethodPost, "/check/same", nil, body)
 	}
@@ -305,14 +306,14 @@
 	for range 4 * len(nodes) {
 		got := again()
 		if got.status == http.StatusOK {
-			t.Errorf("it was answered: %q", got.body)
+			t.Errorf("the poison request was answered: %q", got.body)
 		}
 	}
 	if more := f.arrivals(poison) - before; more > arrivalsAllowed {
 		t.Errorf("after %d workers had ended under it, it reached workers %d times more, want %d at most; %d ended in all",
 			crashesNeeded, more, arrivalsAllowed, f.crashed())
 	}
-	t.Logf("%d workers ended in all", f.crashed())
+	t.Logf("%d workers crashed in all", f.crashed())
 	for _, node := range nodes {
 		if got := s.askAt(node, http.MethodPost, "/check/same", nil, "another move"); got.status != http.StatusOK {
 			t.Errorf("another request on the same path: status %d %s", got.status, got.body)
@@ -320,36 +321,37 @@
 	}
 }
 
-// TestWorkersThatKeepTheirNamesAreStoppedForToo: each is back under the id under which it
-// ended, before its entry lapses.
+// TestWorkersThatKeepTheirNamesAreStoppedForToo: crashes count although each worker restarts
+// with the id that it had, before its list entry expires.
 func TestWorkersThatKeepTheirNamesAreStoppedForToo(t *testing.T) {
-	_, f := startFragileWith(t, func(f *fragile) { f.named = true })
+	_, f := startCrashingWith(t, func(f *crashingWorkers) { f.keepIDs = true })
 	f.quarantine("/check/same", poison)
-	f.expectStopped("/check/same", poison)
+	f.expectQuarantined("/check/same", poison)
 	f.expectServed("/check/same", "another move")
 }
 
-// TestRoutesWithoutASecondRunAreStoppedToo, and plain services.
+// TestRoutesWithoutASecondRunAreStoppedToo: a poison request is also quarantined on routes that
+// never repeat a request, and on those of plain workers.
 func TestRoutesWithoutASecondRunAreStoppedToo(t *testing.T) {
 	for _, path := range []string{"/verdict/1", "/submit/1", "/board/1"} {
-		_, f := startFragile(t)
+		_, f := startCrashing(t)
 		f.quarantine(path, poison)
-		f.expectStopped(path, poison)
+		f.expectQuarantined(path, poison)
 		f.expectServed(path, "another")
 	}
 }
 
-// TestNeighboursOfAPoisonRequestAreServed: they end with the same workers, and are sent on
-// with it.
+// TestNeighboursOfAPoisonRequestAreServed: requests that run on the same workers as a poison
+// request, and are sent to other workers along with it, are not quarantined.
 func TestNeighboursOfAPoisonRequestAreServed(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	var neighbours []string
 	for number := range 9 {
 		neighbours = append(neighbours, fmt.Sprint("neighbour ", number))
 	}
 	nodes := s.addresses()
 	for range 3 {
-		f.awaitStanding()
+		f.awaitRunning()
 		var callers sync.WaitGroup
 		for number, body := range append([]string{poison}, neighbours...) {
 			callers.Go(func() {
@@ -363,59 +365,60 @@
 		}
 		callers.Wait()
 	}
-	f.expectStopped("/check/1", poison)
+	f.expectQuarantined("/check/1", poison)
 	for _, body := range neighbours {
 		f.expectServed("/check/1", body)
 	}
 	if got := s.quarantined(); len(got) != 1 {
-		t.Errorf("%d requests were quarantined, want the poison one alone; %d workers ended", len(got), f.crashed())
+		t.Errorf("%d requests were quarantined, want the poison request alone; %d workers crashed", len(got), f.crashed())
 	}
 }
 
-// TestSeveralPoisonRequestsAreStopped, each by itself.
+// TestSeveralPoisonRequestsAreStopped: several poison requests at a time are told apart.
 func TestSeveralPoisonRequestsAreStopped(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	bodies := []string{poison + " 1", poison + " 2", poison + " 3"}
 	for len(s.quarantined()) < len(bodies) && f.crashed() < 20 {
 		for _, body := range bodies {
-			f.again("/check/1", body)
+			f.sendAgain("/check/1", body)
 		}
 	}
 	for _, body := range bodies {
-		f.expectStopped("/check/1", body)
+		f.expectQuarantined("/check/1", body)
 	}
 	f.expectServed("/check/1", "harmless")
 }
 
-// TestQuarantineOutlastsAllNodes: what is known lies in the store.
+// TestQuarantineOutlastsAllNodes: the quarantine is in the store and outlives the nodes.
 func TestQuarantineOutlastsAllNodes(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	f.quarantine("/check/1", poison)
 	s.await("the store holds it", func() bool { return len(s.storedQuarantine()) == 1 })
 	s.restartNodes()
-	f.expectStopped("/check/1", poison)
+	f.expectQuarantined("/check/1", poison)
 	f.expectServed("/check/1", "harmless")
 }
 
 func TestQuarantineOutlastsARestoreOfTheStore(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	copied := s.store.Version()
 	f.quarantine("/check/1", poison)
 	s.await("the store holds it", func() bool { return len(s.storedQuarantine()) == 1 })
 	s.store.Restore(copied)
 	s.await("the store holds it again", func() bool { return len(s.storedQuarantine()) == 1 })
-	f.expectStopped("/check/1", poison)
+	f.expectQuarantined("/check/1", poison)
 }
 
-// TestNodesTellEachOtherWhileTheStoreIsAway what each has seen.
+// TestNodesTellEachOtherWhileTheStoreIsAway: nodes tell each other of crashes while the store
+// is unavailable.
 func TestNodesTellEachOtherWhileTheStoreIsAway(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	s.store.SetFaults(fleetstore.Faults{Down: true})
-	// Workers that come back aren't known while the store is away: four engines write at
-	// first, and one must be left.
+	// Restarted workers aren't known while the store is unavailable. Of the four decode engines
+	// at the start, three crash and one must remain.
 	nodes := s.addresses()
 	s.askAt(nodes[0], http.MethodPost, "/check/1", nil, poison)
-	s.await("the other nodes are told of two ends", func() bool {
+	s.await("the other nodes are told of two crashes", func() bool {
 		return strings.Count(s.logText(), `crashes=2`)-strings.Count(s.logText(), `msg=planned crashes=2`) >= len(nodes)
 	})
 	s.askAt(nodes[1], http.MethodPost, "/check/1", nil, poison)
@@ -423,11 +426,11 @@
 		s.askAt(nodes[try%len(nodes)], http.MethodPost, "/check/1", nil, poison)
 	}
 	if f.crashed() != crashesNeeded {
-		t.Errorf("%d workers ended, want %d", f.crashed(), crashesNeeded)
+		t.Errorf("%d workers crashed, want %d", f.crashed(), crashesNeeded)
 	}
 	for _, node := range nodes {
 		if got := s.askAt(node, http.MethodPost, "/check/1", nil, "harmless"); got.status != http.StatusOK {
-			t.Errorf("the engine that is left doesn't serve: status %d %s", got.status, got.body)
+			t.Errorf("the remaining engine doesn't serve: status %d %s", got.status, got.body)
 		}
 	}
 	if got := s.quarantined(); len(got) != 1 {
@@ -435,7 +438,8 @@
 	}
 }
 
-// TestLostAnswersAreNoCrashes: workers that break answers off and live.
+// TestLostAnswersAreNoCrashes: a worker that breaks off answers but goes on running hasn't
+// crashed.
 func TestLostAnswersAreNoCrashes(t *testing.T) {
 	s := start(t)
 	s.setFaults("portal", fleetworker.CutEarly, -1)
@@ -456,13 +460,14 @@
 	}
 }
 
-// TestOperatorReleasesARequest by taking its row away.
+// TestOperatorReleasesARequest: an operator releases a request by removing its row from the
+// quarantine table.
 func TestOperatorReleasesARequest(t *testing.T) {
-	s, f := startFragile(t)
+	s, f := startCrashing(t)
 	f.quarantine("/check/1", poison)
 	s.await("the store holds it", func() bool { return len(s.storedQuarantine()) == 1 })
-	f.awaitStanding()
-	f.mend()
+	f.awaitRunning()
+	f.fix()
 	if got := s.ask(http.MethodPost, "/check/1", nil, poison); got.status != http.StatusServiceUnavailable {
 		t.Errorf("before the release: status %d %s", got.status, got.body)
 	}
--- a/internal/lab/site/duties_test.go
+++ b/internal/lab/site/duties_test.go
@@ -10,11 +10,11 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// usageWindow is the length of the tests' windows of usage.
+// usageWindow is the length of a usage window in these tests.
 const usageWindow = 500 * time.Millisecond
 
-// startWithAPI runs a site with tenants, whose platform wants usage reported and takes
-// orders for workers.
+// startWithAPI starts a site with tenants whose platform receives usage reports and scaling
+// orders.
 func startWithAPI(t *testing.T) (*site, *fleetapi.API) {
 	t.Helper()
 	api := fleetapi.Start()
@@ -34,11 +34,11 @@
 	return s, api
 }
 
-// TestUsageOfTenantsIsReported: each request that ran, once, whatever becomes of the
-// reports' answers; and of each window one truth.
+// TestUsageOfTenantsIsReported: each request that ran is reported once, even if answers to
+// reports are lost, and all reports of a window have the same counts.
 func TestUsageOfTenantsIsReported(t *testing.T) {
 	s, api := startWithAPI(t)
-	truth := make(map[string]int)
+	want := make(map[string]int)
 	for i := range 60 {
 		key, name := portoKey, "porto"
 		if i%3 == 0 {
@@ -46,7 +46,7 @@
 		}
 		path := []string{"/board/1", "/submit/1", "/verdict/1", "/check/1"}[i%4]
 		if got := s.ask(http.MethodPost, path, map[string]string{"X-Api-Key": key}, "x"); got.status == http.StatusOK {
-			truth[name]++
+			want[name]++
 		}
 		api.SetFaults(fleetapi.Faults{LoseAnswers: i%20 < 10})
 		time.Sleep(20 * time.Millisecond)
@@ -61,13 +61,13 @@
 		}
 		return sum
 	}
-	s.await("all requests are reported", func() bool { return maps.Equal(total(), truth) })
-	if problems := api.Violations(time.Minute); len(problems) > 0 {
-		t.Error(problems)
+	s.await("all requests are reported", func() bool { return maps.Equal(total(), want) })
+	if violations := api.Violations(time.Minute); len(violations) > 0 {
+		t.Error(violations)
 	}
 }
 
-// TestWorkersAreOrdered: cheap ones in place of those that stand.
+// TestWorkersAreOrdered: cheaper spot workers are ordered in place of the running ones.
 func TestWorkersAreOrdered(t *testing.T) {
 	s, api := startWithAPI(t)
 	s.await("spot workers are ordered", func() bool {
--- a/internal/lab/site/limit_test.go
+++ b/internal/lab/site/limit_test.go
@@ -14,28 +14,30 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// The promise to a worker that names the requests a second which it takes.
+// Bounds for a worker that states how many requests per second it accepts.
 const (
-	// limitWindow is the time over which what a worker gets is counted, limitOver how many
-	// times its limit it may get in it, and limitSlack how many requests besides.
+	// limitWindow is the time over which a worker's requests are counted. In it, a worker may
+	// get limitFactor times its limit and limitSlack requests more.
 	limitWindow = 4 * time.Second
-	limitOver   = 1.5
+	limitFactor = 1.5
 	limitSlack  = 5
-	// limitKnown is how long after its first answer that names a limit a worker's requests
+	// limitNoticeDelay is how long after a worker's first answer with a limit requests begin to
 	// count.
-	limitKnown = time.Second
-	// pressedFor is how long callers press, and pressEvery the pause of each after an answer.
-	pressedFor = 8 * time.Second
-	pressEvery = 10 * time.Millisecond
+	limitNoticeDelay = time.Second
+	// loadDuration is how long callers send requests, and loadPause each one's pause after an
+	// answer.
+	loadDuration = 8 * time.Second
+	loadPause    = 10 * time.Millisecond
 )
 
-// most is how many requests a worker with a limit may get in a window.
-func most(perSecond float64) int {
-	return int(limitOver*perSecond*limitWindow.Seconds() + limitSlack)
+// maxRequests returns how many requests a worker with a limit may get in a window.
+func maxRequests(perSecond float64) int {
+	return int(limitFactor*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// busiest returns the most requests that came in a window, of those from a time on.
-func busiest(arrivals []fleetworker.Arrival, from time.Time) int {
+// maxArrivals returns the largest number of arrivals in one window, counting those from a time
+// on.
+func maxArrivals(arrivals []fleetworker.Arrival, from time.Time) int {
 	var times []time.Time
 	for _, arrival := range arrivals {
 		if !arrival.At.Before(from) {
@@ -45,25 +47,25 @@
 	return fleetworker.MaxInWindow(times, limitWindow)
 }
 
-// pressed is what callers saw who ask again and again.
-type pressed struct {
+// loadCounts counts the answers to callers that send requests continuously.
+type loadCounts struct {
 	served, refused atomic.Int64
-	// unpromising counts the refusals that don't say when to come back, and odd all other
-	// answers.
-	unpromising, odd atomic.Int64
+	// withoutRetryAfter counts refusals without a valid Retry-After, and unexpected counts all
+	// other answers.
+	withoutRetryAfter, unexpected atomic.Int64
 }
 
-// press has callers at each node ask for paths in turn until ctx ends, much more than a worker
-// with a limit takes; those who are refused come back when they are told to.
-func (s *site) press(ctx context.Context, perNode int, paths ...string) *pressed {
-	seen := &pressed{}
+// sendLoad runs callers at each node, which request the paths in turn until ctx is done, far
+// more often than a worker with a limit accepts. Callers that are refused wait for Retry-After.
+func (s *site) sendLoad(ctx context.Context, perNode int, paths ...string) *loadCounts {
+	seen := &loadCounts{}
 	var callers sync.WaitGroup
 	for _, address := range s.addresses() {
 		for number := range perNode {
 			callers.Go(func() {
 				for count := number; ctx.Err() == nil; count++ {
 					seen.count(ctx, s.askAt(address, http.MethodPost, paths[count%len(paths)], nil, "x"))
-					time.Sleep(pressEvery)
+					time.Sleep(loadPause)
 				}
 			})
 		}
@@ -72,7 +74,7 @@
 	return seen
 }
 
-func (p *pressed) count(ctx context.Context, got answer) {
+func (p *loadCounts) count(ctx context.Context, got answer) {
 	switch got.status {
 	case http.StatusOK:
 		p.served.Add(1)
@@ -80,7 +82,7 @@
 		p.refused.Add(1)
 		wait, err := time.ParseDuration(got.header.Get("Retry-After") + "s")
 		if err != nil || wait <= 0 {
-			p.unpromising.Add(1)
+			p.withoutRetryAfter.Add(1)
 			return
 		}
 		select {
@@ -88,12 +90,12 @@
 		case <-ctx.Done():
 		}
 	default:
-		p.odd.Add(1)
+		p.unexpected.Add(1)
 	}
 }
 
-// startPressed starts a site of three nodes that know each other.
-func startPressed(t *testing.T) *site {
+// startThreeNodes starts a site of three nodes that know each other.
+func startThreeNodes(t *testing.T) *site {
 	t.Helper()
 	s := start(t)
 	s.addNodes("node-2", "node-3")
@@ -101,149 +103,149 @@
 	return s
 }
 
-// TestWorkersGetNoMoreThanTheyTake: on the users' days engines in need were kept as busy as
-// before. Two of them began to say in each answer how many requests a second they take from all
-// nodes together; six nodes passed these answers on and went on sending, 10 to 19 a second to one
-// that takes 3.6, for as long as it said so. The cause: what a worker says of the whole fleet's
-// part in it was nobody's to keep. No node read it, and had each node kept to it alone, six would
-// have sent six times as much. The evidence: one node alone sent more than the whole limit, no
-// event of a node or worker came in between, and here, where nothing else is wrong, the same
-// happens; with the statement read, told on and counted by one keeper, it doesn't.
+// TestWorkersGetNoMoreThanTheyTake: a worker's limit holds for all nodes together. Six nodes
+// once forwarded answers with a limit of 3.6 requests per second and went on sending 10 to 19
+// per second to that worker: no node read the limit. Had each node kept to it alone, six would
+// still have sent six times as much, so one node must count the requests of all. Nothing else
+// needs to fail for this to happen.
 func TestWorkersGetNoMoreThanTheyTake(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	limits := map[string]float64{"portal-1": 2.2, "write-1": 3.6, "read-1": 2.6}
 	for id, perSecond := range limits {
 		s.workers[id].SetLimit(fmt.Sprint(perSecond))
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), pressedFor)
+	ctx, cancel := context.WithTimeout(t.Context(), loadDuration)
 	defer cancel()
-	seen := s.press(ctx, 4, "/board/1", "/verdict/1", "/submit/1", "/check/1")
+	seen := s.sendLoad(ctx, 4, "/board/1", "/verdict/1", "/submit/1", "/check/1")
 	for id, perSecond := range limits {
 		arrivals := s.workers[id].Arrivals()
 		if len(arrivals) == 0 {
-			t.Errorf("%s got nothing: what it takes lay unused", id)
+			t.Errorf("%s got no requests although its limit allows some", id)
 			continue
 		}
-		if got := busiest(arrivals, arrivals[0].At.Add(limitKnown)); got > most(perSecond) {
-			t.Errorf("%s takes %v a second and got %d requests in %v, %d are allowed", id, perSecond, got, limitWindow, most(perSecond))
+		if got := maxArrivals(arrivals, arrivals[0].At.Add(limitNoticeDelay)); got > maxRequests(perSecond) {
+			t.Errorf("%s takes %v a second and got %d requests in %v, %d are allowed", id, perSecond, got, limitWindow, maxRequests(perSecond))
 		}
 	}
-	if seen.odd.Load()+seen.unpromising.Load()+seen.refused.Load() > 0 {
-		t.Errorf("%d answers were neither served nor refused, %d refused, %d of them without a time to come back; other workers were free",
-			seen.odd.Load(), seen.refused.Load(), seen.unpromising.Load())
+	if seen.unexpected.Load()+seen.withoutRetryAfter.Load()+seen.refused.Load() > 0 {
+		t.Errorf("%d answers were neither served nor refused, %d refused, %d of them without Retry-After; other workers were free",
+			seen.unexpected.Load(), seen.refused.Load(), seen.withoutRetryAfter.Load())
 	}
 }
 
-// overLimit tells which workers got more than they take, of those that named a limit from their
-// first request on.
-func (s *site) overLimit(perSecond float64, ids ...string) {
+// checkLimits reports an error for each worker that got more than its limit, which it stated
+// from its first request on.
+func (s *site) checkLimits(perSecond float64, ids ...string) {
 	s.t.Helper()
 	for _, id := range ids {
 		arrivals := s.workers[id].Arrivals()
 		if len(arrivals) == 0 {
-			s.t.Errorf("%s got nothing", id)
+			s.t.Errorf("%s got no requests", id)
 			continue
 		}
-		if got := busiest(arrivals, arrivals[0].At.Add(limitKnown)); got > most(perSecond) {
-			s.t.Errorf("%s takes %v a second and got %d requests in %v, %d are allowed", id, perSecond, got, limitWindow, most(perSecond))
+		if got := maxArrivals(arrivals, arrivals[0].At.Add(limitNoticeDelay)); got > maxRequests(perSecond) {
+			s.t.Errorf("%s takes %v a second and got %d requests in %v, %d are allowed", id, perSecond, got, limitWindow, maxRequests(perSecond))
 		}
 	}
 }
 
-// setLimits has workers name a limit.
+// setLimits makes workers state a limit.
 func (s *site) setLimits(limit string, ids ...string) {
 	for _, id := range ids {
 		s.workers[id].SetLimit(limit)
 	}
 }
 
-// pressFor is press for a time, at the nodes of these addresses.
-func (s *site) pressFor(span time.Duration, perNode int, path string) *pressed {
+// sendLoadFor runs sendLoad for a time.
+func (s *site) sendLoadFor(span time.Duration, perNode int, path string) *loadCounts {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), span)
 	defer cancel()
-	return s.press(ctx, perNode, path)
+	return s.sendLoad(ctx, perNode, path)
 }
 
-// TestWhatWorkersInNeedTakeIsUsed where no other is left: as many are served as they take, others
-// wait for their turn or are told when to come back, and the end of the need is seen at once.
+// TestWhatWorkersInNeedTakeIsUsed: if all workers state a limit, as many requests are served as
+// they accept; the others wait for their turn or are told when to come back. The end of a limit
+// takes effect at once.
 func TestWhatWorkersInNeedTakeIsUsed(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	const perSecond = 3
 	s.setLimits(fmt.Sprint(perSecond), "portal-1", "portal-2")
-	seen := s.pressFor(pressedFor, 4, "/board/1")
-	s.overLimit(perSecond, "portal-1", "portal-2")
-	if least := int64(pressedFor.Seconds() * perSecond); seen.served.Load() < least {
-		t.Errorf("%d requests were served, two workers take %d each", seen.served.Load(), least)
+	seen := s.sendLoadFor(loadDuration, 4, "/board/1")
+	s.checkLimits(perSecond, "portal-1", "portal-2")
+	if least := int64(loadDuration.Seconds() * perSecond); seen.served.Load() < least {
+		t.Errorf("%d requests were served, two workers accept %d each", seen.served.Load(), least)
 	}
-	if seen.odd.Load()+seen.unpromising.Load() > 0 {
-		t.Errorf("%d refused, %d of them without a time to come back, %d other answers", seen.refused.Load(), seen.unpromising.Load(), seen.odd.Load())
+	if seen.unexpected.Load()+seen.withoutRetryAfter.Load() > 0 {
+		t.Errorf("%d refused, %d of them without Retry-After, %d unexpected answers", seen.refused.Load(), seen.withoutRetryAfter.Load(), seen.unexpected.Load())
 	}
 	s.setLimits("", "portal-1", "portal-2")
-	s.await("no limit holds any more", func() bool {
+	s.await("no limit is in force", func() bool {
 		return s.ask(http.MethodPost, "/board/1", nil, "x").status == http.StatusOK && s.node.Limited() == 0
 	})
-	if seen = s.pressFor(time.Second, 1, "/board/1"); seen.refused.Load() > 0 {
-		t.Errorf("%d requests were refused after the need was over", seen.refused.Load())
+	if seen = s.sendLoadFor(time.Second, 1, "/board/1"); seen.refused.Load() > 0 {
+		t.Errorf("%d requests were refused after the limits ended", seen.refused.Load())
 	}
 }
 
-// TestWorkerThatTakesNothingGetsNextToNothing, and callers are refused at once.
+// TestWorkerThatTakesNothingGetsNextToNothing: workers with a limit of zero get almost no
+// requests, and callers are refused at once.
 func TestWorkerThatTakesNothingGetsNextToNothing(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	s.setLimits("0", "portal-1", "portal-2")
-	seen := s.pressFor(pressedFor, 1, "/submit/1")
-	s.overLimit(0, "portal-1", "portal-2")
-	if seen.odd.Load()+seen.unpromising.Load() > 0 || seen.refused.Load() == 0 {
-		t.Errorf("%d refused, %d answers without a time to come back, %d odd ones", seen.refused.Load(), seen.unpromising.Load(), seen.odd.Load())
+	seen := s.sendLoadFor(loadDuration, 1, "/submit/1")
+	s.checkLimits(0, "portal-1", "portal-2")
+	if seen.unexpected.Load()+seen.withoutRetryAfter.Load() > 0 || seen.refused.Load() == 0 {
+		t.Errorf("%d refused, %d of them without Retry-After, %d unexpected answers", seen.refused.Load(), seen.withoutRetryAfter.Load(), seen.unexpected.Load())
 	}
 }
 
-// TestLimitOutlivesNodes: one that counts the requests is killed, and another one starts.
+// TestLimitOutlivesNodes: a limit holds while one node is killed and another one starts.
 func TestLimitOutlivesNodes(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	const perSecond = 2.2
 	s.setLimits(fmt.Sprint(perSecond), "portal-1", "portal-2", "write-1", "write-2")
 	killed := s.others[0]
 	s.others = s.others[1:]
-	time.AfterFunc(pressedFor/4, killed.node.Close)
-	time.AfterFunc(pressedFor/2, func() { s.startNode("node-4", func(*settings.Routed) {}) })
-	seen := s.pressFor(pressedFor, 1, "/board/1")
-	s.overLimit(perSecond, "portal-1", "portal-2")
-	if seen.served.Load() == 0 || seen.odd.Load() > 0 {
-		t.Errorf("%d served, %d odd answers", seen.served.Load(), seen.odd.Load())
+	time.AfterFunc(loadDuration/4, killed.node.Close)
+	time.AfterFunc(loadDuration/2, func() { s.startNode("node-4", func(*settings.Routed) {}) })
+	seen := s.sendLoadFor(loadDuration, 1, "/board/1")
+	s.checkLimits(perSecond, "portal-1", "portal-2")
+	if seen.served.Load() == 0 || seen.unexpected.Load() > 0 {
+		t.Errorf("%d served, %d unexpected answers", seen.served.Load(), seen.unexpected.Load())
 	}
 }
 
-// TestChangedLimitBinds: it is another one in each answer.
+// TestChangedLimitBinds: a limit holds although it changes, and is invalid at times, in each
+// answer.
 func TestChangedLimitBinds(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	changing := make(chan struct{})
 	go func() {
 		defer close(changing)
 		for count := 0; ctx.Err() == nil; count++ {
 			s.setLimits([]string{"3", "2.5", "few", "2"}[count%4], "portal-1")
-			time.Sleep(pressEvery)
+			time.Sleep(loadPause)
 		}
 	}()
-	seen := s.pressFor(pressedFor, 1, "/board/1")
+	seen := s.sendLoadFor(loadDuration, 1, "/board/1")
 	cancel()
 	<-changing
-	s.overLimit(3, "portal-1")
-	if seen.refused.Load()+seen.odd.Load() > 0 {
-		t.Errorf("%d refused, %d odd answers; the other worker was free", seen.refused.Load(), seen.odd.Load())
+	s.checkLimits(3, "portal-1")
+	if seen.refused.Load()+seen.unexpected.Load() > 0 {
+		t.Errorf("%d refused, %d unexpected answers; the other worker was free", seen.refused.Load(), seen.unexpected.Load())
 	}
 	s.await("the limit that can't be read is logged", func() bool { return strings.Contains(s.logText(), "limit that can't be read") })
 }
 
-// TestLimitEndsWithoutRequests: nobody asks the engine for anything any more, and it would be
-// counted as one in need for ever.
+// TestLimitEndsWithoutRequests: a limit ends although no requests are sent. Otherwise the
+// engine would count as limited forever.
 func TestLimitEndsWithoutRequests(t *testing.T) {
 	t.Parallel()
 	s := start(t)
@@ -255,12 +257,13 @@
 	s.await("no limit is known", func() bool { return s.node.Limited() == 0 })
 }
 
-// TestCallerThatLeavesGivesItsTurnBack: others are served in its place.
+// TestCallerThatLeavesGivesItsTurnBack: other requests are served in place of one whose caller
+// disconnects while it waits.
 func TestCallerThatLeavesGivesItsTurnBack(t *testing.T) {
 	t.Parallel()
 	s := start(t)
 	s.setLimits("0.5", "portal-1", "portal-2")
-	for range 6 { // what the workers take at once
+	for range 6 { // what the workers accept at once
 		s.ask(http.MethodPost, "/board/1", nil, "x")
 	}
 	before := len(s.workers["portal-1"].Arrivals()) + len(s.workers["portal-2"].Arrivals())
@@ -285,11 +288,12 @@
 	}
 }
 
-// TestRejectionsDoNotEndALimit: only an answer to a request that was run says what its worker
-// takes; one of the way to it, or of another worker at its address, says nothing of it.
+// TestRejectionsDoNotEndALimit: only the answer to a request that was run states or ends a
+// limit. A rejection that comes from something in between, or from another worker at the
+// address, does not.
 func TestRejectionsDoNotEndALimit(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	const perSecond = 2.2
 	s.setLimits(fmt.Sprint(perSecond), "portal-1", "portal-2")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -298,14 +302,14 @@
 		defer close(rejecting)
 		for ctx.Err() == nil {
 			s.setFaults("portal", fleetworker.Full, 1)
-			time.Sleep(pressEvery)
+			time.Sleep(loadPause)
 		}
 	}()
-	seen := s.pressFor(pressedFor, 1, "/board/1")
+	seen := s.sendLoadFor(loadDuration, 1, "/board/1")
 	cancel()
 	<-rejecting
-	s.overLimit(perSecond, "portal-1", "portal-2")
-	if seen.odd.Load()+seen.unpromising.Load() > 0 {
-		t.Errorf("%d answers without a time to come back, %d odd ones", seen.unpromising.Load(), seen.odd.Load())
+	s.checkLimits(perSecond, "portal-1", "portal-2")
+	if seen.unexpected.Load()+seen.withoutRetryAfter.Load() > 0 {
+		t.Errorf("%d refusals without Retry-After, %d unexpected answers", seen.withoutRetryAfter.Load(), seen.unexpected.Load())
 	}
 }
--- a/internal/lab/site/notice_test.go
+++ b/internal/lab/site/notice_test.go
@@ -11,27 +11,27 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// drainBound is how long after a worker has told a node that it is about to end a caller may
-// send the last request that reaches the worker from there.
+// drainBound is how long after a worker announced its end to a node callers may still send
+// requests that reach the worker through this node.
 const drainBound = 2 * time.Second
 
-// asked is a request as its caller saw it.
-type asked struct {
+// observation is a request and its answer as the caller saw them.
+type observation struct {
 	node string
 	sent time.Time
 	answer
 }
 
-// pressing is what callers saw who ask all nodes again and again, by the id of the request.
-type pressing struct {
+// loadAnswers holds what callers saw that send requests continuously, by request id.
+type loadAnswers struct {
 	mu   sync.Mutex
-	seen map[string]asked
+	seen map[string]observation
 }
 
-// pressNodes has callers at each node ask for paths in turn until ctx ends. They come back at
-// once when they are refused.
-func (s *site) pressNodes(ctx context.Context, perNode int, paths ...string) *pressing {
-	p := &pressing{seen: make(map[string]asked)}
+// sendRecordedLoad runs callers at each node, which request the paths in turn until ctx is done.
+// Callers that are refused don't wait.
+func (s *site) sendRecordedLoad(ctx context.Context, perNode int, paths ...string) *loadAnswers {
+	p := &loadAnswers{seen: make(map[string]observation)}
 	var callers sync.WaitGroup
 	for _, address := range s.addresses() {
 		for number := range perNode {
@@ -40,9 +40,9 @@
 					sent := time.Now()
 					got := s.askAt(address, http.MethodPost, paths[count%len(paths)], nil, "x")
 					p.mu.Lock()
-					p.seen[got.id] = asked{node: address, sent: sent, answer: got}
+					p.seen[got.id] = observation{node: address, sent: sent, answer: got}
 					p.mu.Unlock()
-					time.Sleep(pressEvery)
+					time.Sleep(loadPause)
 				}
 			})
 		}
@@ -51,8 +51,8 @@
 	return p
 }
 
-// count returns how many requests had a status.
-func (p *pressing) count(status int) int {
+// count returns how many requests were answered with a status.
+func (p *loadAnswers) count(status int) int {
 	count := 0
 	for _, one := range p.seen {
 		if one.status == status {
@@ -62,49 +62,51 @@
 	return count
 }
 
-// sentTooLate counts the requests that reached a worker from a node although their callers had
-// sent them later than drainBound after the worker told the node that it is about to end.
-func (p *pressing) sentTooLate(worker *fleetworker.Worker) int {
-	told := make(map[string]time.Time)
+// sentTooLate counts the requests that reached a worker through a node although their callers
+// sent them more than drainBound after the worker announced its end to the node.
+func (p *loadAnswers) sentTooLate(worker *fleetworker.Worker) int {
+	knownSince := make(map[string]time.Time)
 	count := 0
 	for _, arrival := range worker.Arrivals() {
 		one := p.seen[arrival.ID]
-		since, isTold := told[one.node]
+		since, isKnown := knownSince[one.node]
 		switch {
-		case isTold && one.sent.After(since.Add(drainBound)):
+		case isKnown && one.sent.After(since.Add(drainBound)):
 			count++
-		case !isTold && arrival.Leaving:
-			told[one.node] = arrival.At
+		case !isKnown && arrival.Leaving:
+			knownSince[one.node] = arrival.At
 		}
 	}
 	return count
 }
 
-// TestWorkerThatAnnouncesItsEndGetsNothingNew: its entry says that it is ready all the time.
+// TestWorkerThatAnnouncesItsEndGetsNothingNew: a worker that announces its end gets no new
+// requests although its list entry says that it is ready.
 func TestWorkerThatAnnouncesItsEndGetsNothingNew(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	leaving := []string{"portal-1", "read-1", "write-1"}
 	for _, id := range leaving {
 		s.workers[id].SetLeaving(true)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 2*drainBound)
 	defer cancel()
-	seen := s.pressNodes(ctx, 3, "/board/1", "/verdict/1", "/submit/1", "/check/1")
+	seen := s.sendRecordedLoad(ctx, 3, "/board/1", "/verdict/1", "/submit/1", "/check/1")
 	for _, id := range leaving {
 		if late := seen.sentTooLate(s.workers[id]); late > 0 {
-			t.Errorf("%s had said it is about to end; %d requests reached it that callers sent later than %v after", id, late, drainBound)
+			t.Errorf("%s announced its end, but %d requests reached it that callers sent more than %v after that", id, late, drainBound)
 		}
 	}
 	if served := seen.count(http.StatusOK); served != len(seen.seen) {
-		t.Errorf("%d of %d requests were served; other workers stay", served, len(seen.seen))
+		t.Errorf("%d of %d requests were served; other workers remain", served, len(seen.seen))
 	}
 }
 
-// TestAnnouncedEndIsKnownToAllNodes: one node's caller brought the answer.
+// TestAnnouncedEndIsKnownToAllNodes: all nodes learn of an announcement that only one node
+// received, and so does a node that starts later.
 func TestAnnouncedEndIsKnownToAllNodes(t *testing.T) {
 	t.Parallel()
-	s := startPressed(t)
+	s := startThreeNodes(t)
 	s.workers["portal-1"].SetLeaving(true)
 	s.await("the worker's answer tells the first node", func() bool {
 		return s.ask(http.MethodPost, "/board/1", nil, "x").header.Get("Server-Leaving") != ""
--- a/internal/lab/site/restore_test.go
+++ b/internal/lab/site/restore_test.go
@@ -9,9 +9,9 @@
 	"github.com/tinarch/tinarch/internal/tablefeed"
 )
 
-// startRestorable runs a site with four nodes and a configuration of version 2, of which a copy
-// of the store lacks what was written after the version returned.
-func startRestorable(t *testing.T) (s *site, nodes []proxied, copied uint64) {
+// startRestorable starts a site with four nodes and a configuration of version 2. It returns a
+// version of the store from before that configuration, to which tests restore the store.
+func startRestorable(t *testing.T) (s *site, nodes []proxiedNode, copied uint64) {
 	t.Helper()
 	s = newSite(t)
 	s.addWorkers()
@@ -26,7 +26,7 @@
 	return s, nodes, copied
 }
 
-func (s *site) awaitVersion(nodes []proxied, version int) {
+func (s *site) awaitVersion(nodes []proxiedNode, version int) {
 	s.t.Helper()
 	for i, node := range nodes {
 		s.await(fmt.Sprintf("node %d has version %d", i, version), func() bool { return node.RoutesVersion() == uint64(version) })
@@ -41,7 +41,8 @@
 	s.awaitVersion(nodes, 3)
 }
 
-// TestRestoredStoreIsNoContinuation where its versions have passed those that were lost.
+// TestRestoredStoreIsNoContinuation: nodes recognize a restored store although its version
+// numbers have already passed the lost ones.
 func TestRestoredStoreIsNoContinuation(t *testing.T) {
 	s, nodes, copied := startRestorable(t)
 	lost := s.store.Version()
@@ -68,8 +69,8 @@
 	}
 }
 
-// restore has the store come back from a copy, and waits until all nodes follow it.
-func (s *site) restore(nodes []proxied, copied uint64) {
+// restore restores the store and waits until all nodes follow it.
+func (s *site) restore(nodes []proxiedNode, copied uint64) {
 	s.t.Helper()
 	s.store.Restore(copied)
 	version := s.store.Put("op", "marker", 1)
@@ -87,7 +88,7 @@
 		node, _ := s.startNode(fmt.Sprint("late-", i), inZone([]string{"a", "b"}[i%2]))
 		s.await("the node has a configuration", func() bool { return node.RoutesVersion() != 0 })
 		if version := node.RoutesVersion(); version != 2 {
-			t.Errorf("node late-%d begins with version %d", i, version)
+			t.Errorf("node late-%d starts with version %d", i, version)
 		}
 	}
 }
--- a/internal/lab/soak/harm.go
+++ b/internal/lab/soak/harm.go
@@ -12,40 +12,41 @@
 	"github.com/tinarch/tinarch/internal/lab/process"
 )
 
-// The figures of the faults.
+// Durations of the injected faults.
 const (
-	betweenFaults = 400 * time.Millisecond
-	shortestFault = 200 * time.Millisecond
-	longestFault  = 2500 * time.Millisecond
+	meanFaultPause = 400 * time.Millisecond
+	minFault       = 200 * time.Millisecond
+	maxFault       = 2500 * time.Millisecond
 )
 
-// harm brings faults until the time is over, and mends all of them.
-func (s *site) harm(ctx context.Context) {
+// injectFaults injects faults for Options.Length and then ends all of them.
+func (s *site) injectFaults(ctx context.Context) {
 	end := time.Now().Add(s.options.Length)
 	kinds := []func(context.Context, time.Duration) string{
-		s.killNode, s.pauseNode, s.stopNode, s.killAll, s.harmWorkerWay, s.harmWorkerWay, s.harmStoreWay, s.harmStore, s.failWorker, s.failWorker, s.drainWorker, s.vanish, s.configure, s.harmAPI,
+		s.killNode, s.pauseNode, s.stopNode, s.killAll, s.faultWorkerConnections, s.faultWorkerConnections, s.faultStoreConnections, s.faultStore, s.failWorker, s.failWorker, s.drainWorker, s.removeEntries, s.configure, s.faultAPI,
 	}
 	if s.options.Storms {
 		stormCtx, endStorm := context.WithCancel(ctx)
 		ended := make(chan struct{})
 		go func() { defer close(ended); s.runStorm(stormCtx) }()
-		defer s.mend() // after the storm, which changes ways to the store too
+		defer s.endFaults() // after the storm, which also changes the proxies to the store
 		defer func() { endStorm(); <-ended }()
-		// Faults of the whole store would leave no node that knows of a change.
-		kinds = []func(context.Context, time.Duration) string{s.killNode, s.pauseNode, s.stopNode, s.startStale, s.harmWorkerWay, s.failWorker}
+		// A fault of the whole store would leave no node that could tell the others of a
+		// change.
+		kinds = []func(context.Context, time.Duration) string{s.killNode, s.pauseNode, s.stopNode, s.restartWithStaleReads, s.faultWorkerConnections, s.failWorker}
 	}
 	if s.options.Restores {
 		restoreCtx, endRestores := context.WithCancel(ctx)
 		ended := make(chan struct{})
-		go func() { defer close(ended); s.restoreOften(restoreCtx) }()
-		defer s.mend()
+		go func() { defer close(ended); s.restoreRepeatedly(restoreCtx) }()
+		defer s.endFaults()
 		defer func() { endRestores(); <-ended }()
 	}
 	if s.options.Limits {
-		kinds = append(kinds, s.nameLimit, s.nameLimit, s.nameLimit, s.nameLimit)
+		kinds = append(kinds, s.changeLimit, s.changeLimit, s.changeLimit, s.changeLimit)
 	}
 	if s.options.Notices {
-		kinds = append(kinds, s.announceEnd, s.announceEnd, s.askForPause, s.askForPause, s.askForPause)
+		kinds = append(kinds, s.announceEnd, s.announceEnd, s.askForBackoff, s.askForBackoff, s.askForBackoff)
 	}
 	if s.options.Earlier != "" {
 		kinds = append(kinds, s.rollNode, s.rollNode, s.rollNode)
@@ -54,24 +55,24 @@
 		kinds = append(kinds, s.lateOrders, s.lateAPI, s.pauseNode)
 	}
 	for ctx.Err() == nil && time.Now().Before(end) {
-		length := shortestFault + time.Duration(s.random.Int64N(int64(longestFault-shortestFault)))
+		length := minFault + time.Duration(s.random.Int64N(int64(maxFault-minFault)))
 		fault := kinds[s.random.IntN(len(kinds))]
 		what := fault(ctx, length)
 		_, _ = fmt.Fprintf(s.options.Out, "%7.2f s  %s\n", time.Since(s.started).Seconds(), what)
-		sleep(ctx, time.Duration(s.random.Int64N(int64(2*betweenFaults))))
+		sleep(ctx, time.Duration(s.random.Int64N(int64(2*meanFaultPause))))
 	}
-	s.mend()
+	s.endFaults()
 }
 
-// mend ends all faults.
-func (s *site) mend() {
+// endFaults ends all faults and starts nodes that aren't running.
+func (s *site) endFaults() {
 	s.endLimits()
 	s.store.SetFaults(fleetstore.Faults{})
 	s.api.SetFaults(fleetapi.Faults{})
-	for _, proxy := range s.toStore {
+	for _, proxy := range s.storeProxies {
 		proxy.SetMode(Pass)
 	}
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		worker.SetLateOrders(0)
 		worker.proxy.SetMode(Pass)
 		worker.SetFault(fleetworker.NoFault, 0)
@@ -79,7 +80,7 @@
 		s.list(worker, "ready")
 	}
 	for _, node := range s.nodes {
-		s.thaw(node)
+		s.resume(node)
 		_ = node.Start()
 	}
 }
@@ -90,7 +91,7 @@
 	node.Kill()
 	sleep(ctx, length/4)
 	_ = node.Start()
-	s.limits.harm(node.Name, begun, time.Now())
+	s.limits.recordFault(node.Name, begun, time.Now())
 	return "killed " + node.Name
 }
 
@@ -105,7 +106,7 @@
 	sleep(ctx, length/4)
 	for _, node := range s.nodes {
 		_ = node.Start()
-		s.limits.harm(node.Name, begun, time.Now())
+		s.limits.recordFault(node.Name, begun, time.Now())
 	}
 	return "killed all nodes"
 }
@@ -115,23 +116,23 @@
 	begun := time.Now()
 	node.Signal(syscall.SIGSTOP)
 	sleep(ctx, length)
-	s.thaw(node)
-	s.limits.harm(node.Name, begun, time.Now())
+	s.resume(node)
+	s.limits.recordFault(node.Name, begun, time.Now())
 	return fmt.Sprintf("paused %s for %v", node.Name, length.Round(time.Millisecond))
 }
 
-// thaw lets a paused node go on. What it sends at once doesn't count; engines know holders by
-// names that aren't known here.
-func (s *site) thaw(node *process.Node) {
-	until := time.Now().Add(thawSlack)
+// resume resumes a paused node. The API ignores its calls for resumeSlack. Engines ignore all
+// calls for that time, since they know lease holders by ids that the run doesn't know.
+func (s *site) resume(node *process.Node) {
+	until := time.Now().Add(resumeSlack)
 	s.api.Fences().IgnoreUntil(node.Name, until)
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		worker.Fences().IgnoreAllUntil(until)
 	}
 	node.Signal(syscall.SIGCONT)
 }
 
-// rollNode has a node start again with one of the two builds, which may be the one it ran.
+// rollNode restarts a node with one of the two builds, possibly the one that it ran.
 func (s *site) rollNode(ctx context.Context, _ time.Duration) string {
 	node := s.nodes[s.random.IntN(len(s.nodes))]
 	build := []string{s.options.Program, s.options.Earlier}[s.random.IntN(2)]
@@ -139,12 +140,12 @@
 	return s.restart(ctx, node) + " with the build " + build
 }
 
-// stopNode ends a node as planned and starts it again.
+// stopNode shuts a node down gracefully and starts it again.
 func (s *site) stopNode(ctx context.Context, _ time.Duration) string {
 	return s.restart(ctx, s.nodes[s.random.IntN(len(s.nodes))])
 }
 
-// restart ends a node as planned and starts it again.
+// restart shuts a node down gracefully, kills it if that takes too long, and starts it again.
 func (s *site) restart(ctx context.Context, node *process.Node) string {
 	node.Signal(syscall.SIGTERM)
 	stopCtx, cancel := context.WithTimeout(ctx, stopMillis*time.Millisecond)
@@ -154,67 +155,68 @@
 		node.Kill()
 	}
 	_ = node.Start()
-	s.limits.harm(node.Name, begun, time.Now())
+	s.limits.recordFault(node.Name, begun, time.Now())
 	return fmt.Sprintf("stopped %s in %v", node.Name, time.Since(begun).Round(time.Millisecond))
 }
 
-func (s *site) harmWorkerWay(ctx context.Context, length time.Duration) string {
-	worker := s.anyWorker()
+func (s *site) faultWorkerConnections(ctx context.Context, length time.Duration) string {
+	worker := s.randomWorker()
 	mode := []Mode{Slow, Reset, Silent, OneWay}[s.random.IntN(4)]
 	begun := time.Now()
 	worker.proxy.SetMode(mode)
 	sleep(ctx, length)
-	s.limits.harm(worker.ID(), begun, time.Now())
-	worker.Fences().IgnoreAllUntil(time.Now().Add(thawSlack)) // the proxy sends on what it holds
+	s.limits.recordFault(worker.ID(), begun, time.Now())
+	worker.Fences().IgnoreAllUntil(time.Now().Add(resumeSlack)) // the proxy forwards what it held
 	worker.proxy.SetMode(Pass)
-	return fmt.Sprintf("the way to %s was %s for %v", worker.ID(), mode, length.Round(time.Millisecond))
+	return fmt.Sprintf("connections to %s were %s for %v", worker.ID(), mode, length.Round(time.Millisecond))
 }
 
-// harmStoreWay harms one node's way to the store, while the others reach it.
-func (s *site) harmStoreWay(ctx context.Context, length time.Duration) string {
-	number := s.random.IntN(len(s.toStore))
+// faultStoreConnections injects a fault into one node's connections to the store; the others
+// still reach it.
+func (s *site) faultStoreConnections(ctx context.Context, length time.Duration) string {
+	number := s.random.IntN(len(s.storeProxies))
 	mode := []Mode{Slow, Reset, Silent, OneWay}[s.random.IntN(4)]
-	s.toStore[number].SetMode(mode)
+	s.storeProxies[number].SetMode(mode)
 	sleep(ctx, length)
-	s.toStore[number].SetMode(Pass)
-	return fmt.Sprintf("the way of %s to the store was %s for %v", s.nodes[number].Name, mode, length.Round(time.Millisecond))
+	s.storeProxies[number].SetMode(Pass)
+	return fmt.Sprintf("connections of %s to the store were %s for %v", s.nodes[number].Name, mode, length.Round(time.Millisecond))
 }
 
-func (s *site) harmStore(ctx context.Context, length time.Duration) string {
+func (s *site) faultStore(ctx context.Context, length time.Duration) string {
 	faults := []fleetstore.Faults{{Down: true}, {Throttled: true}, {LoseWrites: true}, {StaleReads: 1}}[s.random.IntN(4)]
 	s.store.SetFaults(faults)
 	sleep(ctx, length)
 	s.store.Compact()
 	s.store.SetFaults(fleetstore.Faults{})
-	return fmt.Sprintf("the store was %+v for %v and forgot its history", faults, length.Round(time.Millisecond))
+	return fmt.Sprintf("the store had the faults %+v for %v and then dropped its change history", faults, length.Round(time.Millisecond))
 }
 
-// slowAPI is how long a call to a slow API takes: well below what a lease has left after
-// its holder's last act.
+// slowAPI is the duration of a call to a slow API. It is well below the time that remains of a
+// lease after its holder's last operation.
 const slowAPI = 200 * time.Millisecond
 
-// harmAPI has the platform's API refuse calls, lose answers or be slow.
-func (s *site) harmAPI(ctx context.Context, length time.Duration) string {
+// faultAPI makes the platform's API refuse calls, lose answers or be slow.
+func (s *site) faultAPI(ctx context.Context, length time.Duration) string {
 	faults := []fleetapi.Faults{{Down: true}, {LoseAnswers: true}, {Delay: slowAPI}}[s.random.IntN(3)]
 	s.api.SetFaults(faults)
 	sleep(ctx, length)
 	s.api.SetFaults(fleetapi.Faults{})
-	return fmt.Sprintf("the API was %+v for %v", faults, length.Round(time.Millisecond))
+	return fmt.Sprintf("the API had the faults %+v for %v", faults, length.Round(time.Millisecond))
 }
 
-// lateOrders has all engines leave orders unanswered, and carry them out later.
+// lateOrders makes all engines leave orders unanswered and carry them out later.
 func (s *site) lateOrders(ctx context.Context, length time.Duration) string {
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		worker.SetLateOrders(length)
 	}
 	sleep(ctx, length)
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		worker.SetLateOrders(0)
 	}
 	return fmt.Sprintf("orders were carried out %v late", length.Round(time.Millisecond))
 }
 
-// lateAPI has the platform's API leave calls unanswered and carry them out later.
+// lateAPI makes the platform's API leave calls unanswered and carry them out later.
 func (s *site) lateAPI(ctx context.Context, length time.Duration) string {
 	s.api.SetFaults(fleetapi.Faults{Late: length})
 	sleep(ctx, length)
@@ -222,45 +224,46 @@
 	return fmt.Sprintf("the API carried calls out %v late", length.Round(time.Millisecond))
 }
 
-// orderProblems are the promises that the orders to engines broke, where these don't compare
-// fences.
-func (s *site) orderProblems() []string {
+// orderViolations returns the violations found in the orders to engines. They are checked only
+// in unfenced runs.
+func (s *site) orderViolations() []string {
 	if !s.options.Unfenced {
 		return nil
 	}
-	var problems []string
-	for _, worker := range s.everyWorker() {
-		problems = append(problems, worker.Fences().Violations(configuredLease)...)
+	var violations []string
+	for _, worker := range s.allWorkers() {
+		violations = append(violations, worker.Fences().Violations(configuredLease)...)
 	}
-	return problems
+	return violations
 }
 
 func (s *site) failWorker(_ context.Context, _ time.Duration) string {
-	worker := s.anyWorker()
+	worker := s.randomWorker()
 	fault := []fleetworker.Fault{
 		fleetworker.Full, fleetworker.Failing, fleetworker.CutEarly, fleetworker.CutMidway, fleetworker.Hanging, fleetworker.LosesHandles,
 	}[s.random.IntN(6)]
 	count := 1 + s.random.IntN(6)
 	worker.SetFault(fault, count)
-	return fmt.Sprintf("%s is %s for %d requests", worker.ID(), fault, count)
+	return fmt.Sprintf("%s has the fault %s for %d requests", worker.ID(), fault, count)
 }
 
 func (s *site) drainWorker(ctx context.Context, length time.Duration) string {
-	worker := s.anyWorker()
+	worker := s.randomWorker()
 	s.list(worker, "draining")
 	sleep(ctx, length)
 	s.list(worker, "ready")
 	return fmt.Sprintf("%s drained for %v", worker.ID(), length.Round(time.Millisecond))
 }
 
-// vanish drops all entries, as a store may after an outage, and lists them again.
-func (s *site) vanish(ctx context.Context, length time.Duration) string {
-	for _, worker := range s.standing() {
+// removeEntries removes all entries from the worker list, as a store may after an outage, and
+// writes them again.
+func (s *site) removeEntries(ctx context.Context, length time.Duration) string {
+	for _, worker := range s.runningWorkers() {
 		s.store.Put("servers", worker.ID(), nil)
 	}
 	sleep(ctx, length/2)
-	for _, worker := range s.standing() {
+	for _, worker := range s.runningWorkers() {
 		s.list(worker, "ready")
 	}
-	return fmt.Sprintf("all entries vanished for %v", (length / 2).Round(time.Millisecond))
+	return fmt.Sprintf("all worker list entries were removed for %v", (length / 2).Round(time.Millisecond))
 }
--- a/internal/lab/soak/load.go
+++ b/internal/lab/soak/load.go
@@ -15,7 +15,7 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// class is a sort of request.
+// class is a kind of request.
 type class struct {
 	name, prefix, routeKind, service string
 	resumable                        bool
@@ -30,47 +30,47 @@
 	{"check", "/check/", "streaming", engines, true},
 }
 
-// The figures of the load.
+// Sizes and durations of the load.
 const (
 	callerCount   = 12
 	callerPause   = 60 * time.Millisecond
 	deadlineMs    = 4000
 	clientTimeout = 9 * time.Second
-	leaveShare    = 20
+	abandonOneIn  = 20
 )
 
-// seen is what a caller saw of one request.
-type seen struct {
-	id     string
-	class  class
-	sent   time.Time
-	status int
-	header http.Header
-	body   string
-	err    error
-	left   bool
-	// tenant is the caller's, and key its API key.
+// observation is what a caller saw of one request.
+type observation struct {
+	id        string
+	class     class
+	sent      time.Time
+	status    int
+	header    http.Header
+	body      string
+	err       error
+	abandoned bool
+	// tenant is the caller's tenant, and key its API key.
 	tenant, key string
-	// node is the one that was asked, and answered when the head of its answer came.
+	// node is the node that the caller asked; answered is when the head of the answer arrived.
 	node     string
 	answered time.Time
-	// probe tells that the request only tests which configuration is in force.
+	// probe marks requests that only test which configuration is in force.
 	probe bool
-	// patience is for how long the caller waits, and prompt names the parts of its
-	// prompt, empty where there is none.
-	patience time.Duration
-	prompt   string
-	// target is what the path has after the class's prefix, the id where it is empty.
+	// timeout is the caller's timeout, and prompt the parts of its prompt; empty if there is
+	// none.
+	timeout time.Duration
+	prompt  string
+	// target is the rest of the path after the class's prefix; empty means the id.
 	target string
 }
 
-// load sends requests and remembers what came.
+// load sends requests and records what callers see.
 type load struct {
 	site *site
 
-	mu         sync.Mutex
-	seen       []seen
-	quietSince time.Time
+	mu           sync.Mutex
+	observations []observation
+	quietSince   time.Time
 }
 
 func newLoad(s *site) *load { return &load{site: s} }
@@ -97,25 +97,25 @@
 	callers.Wait()
 }
 
-// call is one caller, with connections of its own.
+// call runs one caller, which has its own connections.
 func (l *load) call(ctx context.Context, number int, random *rand.Rand) {
 	transport := &http.Transport{DisableCompression: true, DisableKeepAlives: number%2 == 0}
 	defer transport.CloseIdleConnections()
 	for count := 0; ctx.Err() == nil; count++ {
-		got := l.one(transport, random, number, fmt.Sprintf("%04x%012x", number, count))
+		got := l.sendOne(transport, random, number, fmt.Sprintf("%04x%012x", number, count))
 		l.mu.Lock()
-		l.seen = append(l.seen, got)
+		l.observations = append(l.observations, got)
 		l.mu.Unlock()
 		sleep(ctx, time.Duration(random.Int64N(int64(2*callerPause))))
 	}
 }
 
-func (l *load) one(transport *http.Transport, random *rand.Rand, number int, id string) seen {
-	got := seen{id: id, class: classes[random.IntN(len(classes))], sent: time.Now(), tenant: tenantOf(number), key: keyOf(number)}
-	got.patience = clientTimeout
-	if random.IntN(leaveShare) == 0 {
-		got.left = true
-		got.patience = time.Duration(random.IntN(100)) * time.Millisecond
+func (l *load) sendOne(transport *http.Transport, random *rand.Rand, number int, id string) observation {
+	got := observation{id: id, class: classes[random.IntN(len(classes))], sent: time.Now(), tenant: tenantOf(number), key: keyOf(number)}
+	got.timeout = clientTimeout
+	if random.IntN(abandonOneIn) == 0 {
+		got.abandoned = true
+		got.timeout = time.Duration(random.IntN(100)) * time.Millisecond
 	}
 	address := l.site.callers[random.IntN(len(l.site.callers))]
 	body := strings.Repeat("b", random.IntN(6000))
@@ -125,9 +125,9 @@
 	return l.send(transport, address, got, body)
 }
 
-// send makes a request, and returns what was seen of it.
-func (l *load) send(transport *http.Transport, address string, got seen, body string) seen {
-	ctx, cancel := context.WithTimeout(context.Background(), max(got.patience, 0))
+// send sends a request and returns what the caller saw of it.
+func (l *load) send(transport *http.Transport, address string, got observation, body string) observation {
+	ctx, cancel := context.WithTimeout(context.Background(), max(got.timeout, 0))
 	defer cancel()
 	path := got.class.prefix + cmp.Or(got.target, got.id)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(body))
@@ -135,7 +135,7 @@
 		got.err = err
 		return got
 	}
-	request.GetBody = nil // the transport must not send it again by itself
+	request.GetBody = nil // the transport must not resend it on its own
 	request.Host = host
 	request.Header.Set("X-Request-Id", got.id)
 	request.Header.Set("X-Deadline-Ms", fmt.Sprint(deadlineMs))
@@ -159,10 +159,10 @@
 	return got
 }
 
-// nameOf is the name of the node at a callers' address.
+// nameOf returns the name of the node that serves callers at an address.
 func (s *site) nameOf(address string) string {
 	return s.nodes[slices.Index(s.callers, address)].Name
 }
 
-// whole is the answer that a worker gives to a request.
-func whole(id string) string { return fleetworker.Body(id, eventCount, 0) }
+// completeAnswer returns the complete answer of a worker to a request.
+func completeAnswer(id string) string { return fleetworker.Body(id, eventCount, 0) }
--- a/internal/lab/soak/poison_test.go
+++ b/internal/lab/soak/poison_test.go
@@ -9,10 +9,10 @@
 	"github.com/tinarch/tinarch/internal/lab/fleetworker"
 )
 
-// TestPoisonCheckerFinds shows that each check of the poison request can fail.
+// TestPoisonCheckerFinds: each check of the poison request can fail.
 func TestPoisonCheckerFinds(t *testing.T) {
 	quietSince := time.Unix(1000, 0)
-	calm := quietSince.Add(quiet)
+	calm := quietSince.Add(quietPeriod)
 	for _, example := range []struct {
 		name    string
 		status  int
@@ -21,16 +21,16 @@
 		broken  int
 	}{
 		{"stopped", http.StatusBadGateway, 3, 0, 0},
-		{"stopped within the promise", http.StatusBadGateway, 3, 3, 0},
-		{"not known before", http.StatusBadGateway, 2, 4, 0},
+		{"stopped within the bound", http.StatusBadGateway, 3, 3, 0},
+		{"not recognized before", http.StatusBadGateway, 2, 4, 0},
 		{"not stopped", http.StatusBadGateway, 3, 4, 1},
 		{"answered", http.StatusOK, 1, 0, 1},
-		{"called not run", http.StatusServiceUnavailable, 1, 0, 1},
+		{"answered as not run", http.StatusServiceUnavailable, 1, 0, 1},
 	} {
 		d := &poison{quietSince: quietSince}
 		var runs []fleetworker.Run
 		for number := range example.before + example.quietly {
-			got := seen{id: fmt.Sprint(number), status: example.status}
+			got := observation{id: fmt.Sprint(number), status: example.status}
 			d.add(got)
 			run := fleetworker.Run{ID: got.id, At: quietSince}
 			if number >= example.before {
@@ -38,7 +38,7 @@
 			}
 			runs = append(runs, run)
 		}
-		if got := d.problems(runs); len(got) != example.broken {
+		if got := d.violations(runs); len(got) != example.broken {
 			t.Errorf("%s: %q", example.name, got)
 		}
 	}
--- a/internal/lab/soak/proxy_test.go
+++ b/internal/lab/soak/proxy_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// echoServer answers each byte with itself.
+// echoServer starts a server that echoes what it receives, and returns its address.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return c
 }
 
-// echoed reports whether a byte comes back within a time.
+// echoed reports whether a byte is echoed within a time.
 func echoed(c net.Conn, within time.Duration) bool {
 	if _, err := c.Write([]byte("x")); err != nil {
 		return false
@@ -56,29 +56,29 @@
 	c := dialProxy(t, p)
 	const long, short = 20 * time.Second, 50 * time.Millisecond
 	if !echoed(c, long) {
-		t.Fatal("nothing passes")
+		t.Fatal("no data is forwarded")
 	}
 	for _, mode := range []Mode{Silent, OneWay} {
 		p.SetMode(mode)
 		if echoed(c, short) {
-			t.Errorf("%s: an answer came", mode)
+			t.Errorf("%s: an answer was forwarded", mode)
 		}
 		p.SetMode(Pass)
 		_ = c.SetReadDeadline(time.Now().Add(long))
 		if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
-			t.Errorf("%s: what was held back is lost: %v", mode, err)
+			t.Errorf("%s: data that was held back is lost: %v", mode, err)
 		}
 	}
 	p.SetMode(Slow)
 	if !echoed(c, long) {
-		t.Error("nothing passes slowly")
+		t.Error("slow mode forwards no data")
 	}
 	p.SetMode(Reset)
 	if echoed(c, long) {
-		t.Error("a reset connection goes on")
+		t.Error("a reset connection still works")
 	}
 	p.SetMode(Pass)
 	if !echoed(dialProxy(t, p), long) {
-		t.Error("nothing passes after a reset")
+		t.Error("no data is forwarded after a reset")
 	}
 }
--- a/internal/lab/soak/quota.go
+++ b/internal/lab/soak/quota.go
@@ -9,27 +9,27 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// limitedTenant has a limit where quotas are played: about half of what its four callers ask
-// for without one (58 requests ran in 8 s, seed 1796241653594264864).
+// limitedTenant is the tenant with a quota in runs with Options.Quotas. The quota is about half
+// of what its four callers send without one (58 requests ran in 8 s, seed 1796241653594264864).
 const limitedTenant = 1
 
-// The limit and by how much all nodes together may exceed it.
+// The quota, and by how much all nodes together may exceed it.
 var (
 	tenantLimit    = quota.Limit{Rate: 3, Burst: 4, Unit: quota.Requests}
 	quotaTolerance = quota.Tolerance{Window: 8 * time.Second, Overshoot: 0.1, Slack: 4}
 )
 
-// allRuns are the requests that workers began.
+// allRuns returns the requests that workers began to run.
 func (s *site) allRuns() []fleetworker.Run {
 	var runs []fleetworker.Run
-	for _, worker := range s.everyWorker() {
+	for _, worker := range s.allWorkers() {
 		runs = append(runs, worker.Runs()...)
 	}
 	return runs
 }
 
-// overQuota tells of the window in which workers began most requests of a tenant, if these are
-// more than it may use.
+// overQuota returns a violation if, in some window, workers began more requests of a tenant
+// than its quota and tolerance allow.
 func overQuota(runs []fleetworker.Run, tenant string, limit quota.Limit, tolerance quota.Tolerance) []string {
 	var began []time.Time
 	for _, run := range runs {
@@ -40,7 +40,7 @@
 	slices.SortFunc(began, time.Time.Compare)
 	most := limit.Rate*tolerance.Window.Seconds() + limit.Burst + tolerance.MaxExcess(limit)
 	if count := fleetworker.MaxInWindow(began, tolerance.Window); float64(count) > most {
-		return []string{fmt.Sprintf("%s ran %d requests in %v, and may run %.1f", tenant, count, tolerance.Window, most)}
+		return []string{fmt.Sprintf("%s ran %d requests in %v, %.1f are allowed", tenant, count, tolerance.Window, most)}
 	}
 	return nil
 }
--- a/internal/lab/soak/quota_test.go
+++ b/internal/lab/soak/quota_test.go
@@ -9,10 +9,11 @@
 	"github.com/tinarch/tinarch/internal/quota"
 )
 
-// TestOverQuotaIsFound: in any window, of the tenant alone.
+// TestOverQuotaIsFound: an excess is found in any window, and only requests of the tenant
+// count.
 func TestOverQuotaIsFound(t *testing.T) {
 	limit := quota.Limit{Rate: 2, Burst: 3, Unit: quota.Requests}
-	tolerance := quota.Tolerance{Window: 2 * time.Second, Overshoot: 0, Slack: 1} // eight in two seconds
+	tolerance := quota.Tolerance{Window: 2 * time.Second, Overshoot: 0, Slack: 1} // allows eight requests in two seconds
 	begin := func(count int, tenant string, from, pause time.Duration) []fleetworker.Run {
 		var runs []fleetworker.Run
 		for number := range count {
@@ -26,15 +27,15 @@
 		runs   []fleetworker.Run
 		broken bool
 	}{
-		{"as many as may run", begin(8, "a", 0, time.Millisecond), false},
+		{"as many as allowed", begin(8, "a", 0, time.Millisecond), false},
 		{"one more", begin(9, "a", 0, time.Millisecond), true},
 		{"one more, later", append(begin(8, "a", time.Second, time.Millisecond), begin(1, "a", 2900*time.Millisecond, 0)...), true},
 		{"the same from two workers, out of order", append(begin(1, "a", 2900*time.Millisecond, 0), begin(8, "a", time.Second, time.Millisecond)...), true},
 		{"one more in the next window", append(begin(8, "a", 0, time.Millisecond), begin(1, "a", 2*time.Second+10*time.Millisecond, 0)...), false},
 		{"of another tenant", begin(20, "b", 0, time.Millisecond), false},
 	} {
-		if problems := overQuota(example.runs, "a", limit, tolerance); (len(problems) > 0) != example.broken {
-			t.Errorf("%s: %v", example.name, problems)
+		if violations := overQuota(example.runs, "a", limit, tolerance); (len(violations) > 0) != example.broken {
+			t.Errorf("%s: %v", example.name, violations)
 		}
 	}
 }
