--- a/internal/lab/virtual/claims.go
+++ b/internal/lab/virtual/claims.go
@@ -13,32 +13,33 @@
 	"github.com/tinarch/tinarch/internal/replica"
 )
 
-// Guard is a part of the protocol that a run may leave out, to show that the
-// checkers then report.
+// Guard names a safety mechanism of the protocol that a run can leave out, to show that the
+// checks then report a violation.
 type Guard string
 
-// The guards.
+// The mechanisms that a run can leave out.
 const (
 	NoGuard Guard = ""
-	// GuardPromise: followers keep their promise to a leader.
+	// GuardPromise is the followers' promise to the leader not to vote for another member while
+	// its lease runs.
 	GuardPromise Guard = "promise"
-	// GuardClaim: the ledger does not grant a key twice.
+	// GuardClaim is the ledger's rule that a key is granted to one attempt only.
 	GuardClaim Guard = "claim"
 )
 
-// Outcome is what a schedule showed.
+// Outcome is the result of one schedule.
 type Outcome struct {
 	Seed    uint64
 	Claims  int
 	Granted int
 	Unknown int
-	// Trace lists the failures of the schedule.
+	// Trace lists the faults that the schedule injected, with their times.
 	Trace []string
-	// Problem is the first broken guarantee, empty when all held.
+	// Problem describes the first violated guarantee; it is empty if all held.
 	Problem string
 }
 
-// String renders a failed schedule for a reader.
+// String formats a failed schedule with its faults.
 func (o Outcome) String() string {
 	text := fmt.Sprintf("seed %d\n", o.Seed)
 	for _, line := range o.Trace {
@@ -47,10 +48,10 @@
 	return text + "  PROBLEM: " + o.Problem + "\n"
 }
 
-// greedyLedger grants every claim.
+// greedyLedger grants every claim, also of a key that is already granted.
 type greedyLedger struct{ *ledger.Ledger }
 
-// Apply implements Machine.
+// Apply implements StateMachine.
 func (g greedyLedger) Apply(data []byte) any {
 	outcome := g.Ledger.Apply(data)
 	var command ledger.Command
@@ -61,9 +62,10 @@
 	return outcome
 }
 
+// plainLedger is the ledger as it is, with the methods of a StateMachine.
 type plainLedger struct{ *ledger.Ledger }
 
-// Apply implements Machine.
+// Apply implements StateMachine.
 func (p plainLedger) Apply(data []byte) any { return p.Ledger.Apply(data) }
 
 type claimInput struct {
@@ -71,8 +73,8 @@
 	attempt engine.Identifier
 }
 
-// claimModel is the sequential specification: the first claim of a key wins, and
-// all see it. An empty output is one that the caller never learned.
+// claimModel is the sequential specification: the first claim of a key wins, and every later
+// claim returns the winner. An empty output means that the caller never learned the result.
 var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -107,8 +109,9 @@
 	healTime      = 8 * time.Second
 )
 
-// RunClaims runs one schedule of failures while clients race for keys, and checks
-// leases, agreement, and that claims are linearizable.
+// RunClaims runs one schedule of random faults while clients claim the same keys. It checks
+// that at most one member holds the lease, that all members apply the same commands, and that
+// the claims are linearizable.
 func RunClaims(seed uint64, without Guard) Outcome {
 	settings := replica.DefaultSettings()
 	settings.MaxLog = 16
@@ -117,7 +120,9 @@
 		settingsOf = func(i int) replica.Settings {
 			own := settings
 			if i > 0 {
-				// A follower that forgets its promise at once.
+				// As a follower its promise lasts for 1 ms. As a leader it holds the lease
+				// for about as long as the others: the negative margin makes up for the
+				// short lease.
 				own.Lease = time.Millisecond
 				own.DriftMargin = -settings.Lease
 			}
@@ -195,7 +200,7 @@
 	r.outcome.Trace = append(r.outcome.Trace, fmt.Sprintf("%8v  %s", r.cluster.Now, what))
 }
 
-// claim lets a client claim some key.
+// claim proposes a claim of a random key. It reports whether a leader accepted the proposal.
 func (r *claimRun) claim() bool {
 	input := claimInput{key: fmt.Sprint("key-", r.random.IntN(claimKeys)), attempt: engine.Identifier(fmt.Sprint("attempt-", r.outcome.Claims))}
 	data, err := json.Marshal(ledger.Command{
--- a/internal/lab/virtual/cluster.go
+++ b/internal/lab/virtual/cluster.go
@@ -1,6 +1,6 @@
-// Package virtual runs replica groups in virtual time, over a network that
-// delays, drops, repeats and reorders, with members that pause, are cut off and
-// have clocks of different rates. A run is a function of its seed.
+// Package virtual simulates a replica group in virtual time. The network delays, drops,
+// duplicates and reorders messages; members can be paused or partitioned, and their clocks run
+// at different rates. A run depends on its seed only.
 package virtual
 
 import (
@@ -19,15 +19,17 @@
 	Restore(data []byte) error
 }
 
-// Node is a member with its state machine and its own clock.
+// Node is a member with its state machine and its clock.
 type Node struct {
 	ID      replica.MemberID
 	Member  *replica.Member
 	Machine StateMachine
 	Paused  bool
-	Cut     bool
+	// Cut puts the member on the other side of a network partition: messages pass
+	// only between members with the same value.
+	Cut bool
 
-	// rate and offset make the member's clock from the true time.
+	// The member's clock shows offset + rate * true time.
 	rate    float64
 	offset  time.Duration
 	waiting map[uint64]waiter
@@ -39,7 +41,7 @@
 	done func(result any, committed bool)
 }
 
-// Clock returns the member's time at a true time.
+// Clock returns what the member's clock shows at the true time now.
 func (n *Node) Clock(now time.Duration) time.Duration {
 	return n.offset + time.Duration(float64(now)*n.rate)
 }
@@ -49,20 +51,22 @@
 	message replica.Message
 }
 
-// Cluster is a group in virtual time.
+// Cluster is a replica group in virtual time.
 type Cluster struct {
 	Now   time.Duration
 	Nodes []*Node
-	// Loss is the share of messages that are lost, and that are repeated.
+	// Loss is the probability that a message is dropped and, of those that are not, that a
+	// message is delivered twice.
 	Loss float64
 
 	random  *rand.Rand
 	network []delayed
-	// history is the longest applied sequence; all others must be its prefixes.
+	// history is the longest sequence of commands that a member has applied; what the others
+	// have applied must be a prefix of it.
 	history [][]byte
 }
 
-// MemberCount is the number of members.
+// MemberCount is the number of members of a group.
 const MemberCount = 3
 
 const (
@@ -70,8 +74,9 @@
 	longestTrip = 30 * time.Millisecond
 )
 
-// NewCluster returns a group whose clocks drift by half the margin. settingsOf
-// may give members settings of their own; nil means the same for all.
+// NewCluster returns a group whose fastest and slowest clocks differ from true time by half the
+// drift margin over one lease. settingsOf returns the settings of each member; nil gives all
+// the same.
 func NewCluster(seed uint64, settings replica.Settings, machine func() StateMachine, settingsOf func(int) replica.Settings) *Cluster {
 	c := &Cluster{random: rand.New(rand.NewPCG(seed, 1))}
 	config := replica.Config{Group: "g", Epoch: 1}
@@ -96,8 +101,8 @@
 	return c
 }
 
-// snapshot keeps the applied commands beside the machine's state, for the
-// comparison of histories.
+// snapshot returns the applied commands and the state machine's snapshot. The commands are
+// included so that Check can still compare them after a member has restored a snapshot.
 func (n *Node) snapshot() []byte {
 	return append(append(bytes.Join(n.applied, []byte("\n")), 0), n.Machine.Snapshot()...)
 }
@@ -109,11 +114,12 @@
 		n.applied = bytes.Split(commands, []byte("\n"))
 	}
 	if err := n.Machine.Restore(state); err != nil {
-		panic(err) // the state was made by Snapshot
+		panic(err) // the data comes from snapshot
 	}
 }
 
-// ProcessReady does what a member wants done.
+// ProcessReady carries out what the member asks for in its Ready: restores a snapshot, applies
+// committed commands and sends messages.
 func (c *Cluster) ProcessReady(n *Node) {
 	ready := n.Member.Ready()
 	if ready.Restore != nil {
@@ -159,7 +165,8 @@
 	return nil
 }
 
-// Step lets a short time pass.
+// Step advances the time by stepLength, delivers the messages that are due and ticks the
+// members.
 func (c *Cluster) Step() {
 	c.Now += stepLength
 	arrived := c.network
@@ -185,8 +192,9 @@
 	}
 }
 
-// LeaseHolders returns the members whose lease holds now. A paused member counts too:
-// it would look at its lease when it wakes, at this very time.
+// LeaseHolders returns the members that hold an unexpired lease by their own clocks. Paused
+// members count too: one that resumed now would check its lease at this time and go on as
+// leader.
 func (c *Cluster) LeaseHolders() []*Node {
 	var holders []*Node
 	for _, n := range c.Nodes {
@@ -197,7 +205,7 @@
 	return holders
 }
 
-// Leader returns the only holder of a lease, nil when there is none.
+// Leader returns the member that holds the lease, or nil if there is none or more than one.
 func (c *Cluster) Leader() *Node {
 	if holders := c.LeaseHolders(); len(holders) == 1 {
 		return holders[0]
@@ -205,8 +213,10 @@
 	return nil
 }
 
-// Propose gives a command to the awake leader. done is called when its fate at
-// that member is known. It reports false when there is no leader.
+// Propose proposes a command at the first running member that accepts it as leader. done is
+// called with the result when that member has applied an entry at the command's index;
+// committed tells whether that entry is the command. Propose reports false if no member accepts
+// it.
 func (c *Cluster) Propose(data []byte, done func(result any, committed bool)) bool {
 	for _, n := range c.Nodes {
 		if n.Paused {
@@ -221,7 +231,7 @@
 	return false
 }
 
-// Check returns a description of a broken guarantee, empty when all hold.
+// Check describes the first violated guarantee; it returns an empty string if all hold.
 func (c *Cluster) Check() string {
 	if holders := c.LeaseHolders(); len(holders) > 1 {
 		return fmt.Sprintf("%s and %s hold the lease at the same time", holders[0].ID, holders[1].ID)
@@ -239,13 +249,14 @@
 	return ""
 }
 
-// Committed returns the number of commands that some member has applied.
+// Committed returns the largest number of commands that a member had applied at the last Check.
 func (c *Cluster) Committed() int { return len(c.history) }
 
-// Applied returns the number of commands that a member has applied.
+// Applied returns the number of commands that the member has applied.
 func (n *Node) Applied() int { return len(n.applied) }
 
-// Run lets time pass, and returns the first broken guarantee.
+// Run advances the time by length. It stops at the first violated guarantee and returns it as
+// an error.
 func (c *Cluster) Run(length time.Duration) error {
 	for end := c.Now + length; c.Now < end; {
 		c.Step()
@@ -256,7 +267,7 @@
 	return nil
 }
 
-// Heal ends all failures.
+// Heal resumes paused members and ends the partition and the message loss.
 func (c *Cluster) Heal() {
 	for _, n := range c.Nodes {
 		n.Paused, n.Cut = false, false
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -12,7 +12,8 @@
 	}
 }
 
-// TestCheckersReportRemovedGuards shows that the checkers can fail.
+// TestCheckersReportRemovedGuards shows that each check fails when the mechanism that it checks
+// is left out.
 func TestCheckersReportRemovedGuards(t *testing.T) {
 	for _, guard := range []Guard{GuardPromise, GuardClaim} {
 		reported := false
