--- a/internal/lab/virtual/claims.go
+++ b/internal/lab/virtual/claims.go
@@ -105,8 +105,8 @@
 const (
 	claimKeys     = 6
 	scheduleSteps = 30
-	longestPause  = 1500
-	healTime      = 8 * time.Second
+	maxStepMillis = 1500
+	recoveryTime  = 8 * time.Second
 )
 
 // RunClaims runs one schedule of random faults while clients claim the same keys. It checks
@@ -115,9 +115,9 @@
 func RunClaims(seed uint64, without Guard) Outcome {
 	settings := replica.DefaultSettings()
 	settings.MaxLog = 16
-	var settingsOf func(int) replica.Settings
+	var settingsFor func(int) replica.Settings
 	if without == GuardPromise {
-		settingsOf = func(i int) replica.Settings {
+		settingsFor = func(i int) replica.Settings {
 			own := settings
 			if i > 0 {
 				// As a follower its promise lasts for 1 ms. As a leader it holds the lease
@@ -129,16 +129,16 @@
 			return own
 		}
 	}
-	machine := func() StateMachine { return plainLedger{ledger.New()} }
+	newMachine := func() StateMachine { return plainLedger{ledger.New()} }
 	if without == GuardClaim {
-		machine = func() StateMachine { return greedyLedger{ledger.New()} }
+		newMachine = func() StateMachine { return greedyLedger{ledger.New()} }
 	}
 	r := &claimRun{
-		cluster: NewCluster(seed, settings, machine, settingsOf),
+		cluster: NewCluster(seed, settings, newMachine, settingsFor),
 		random:  rand.New(rand.NewPCG(seed, 0xc1a1)),
 		outcome: Outcome{Seed: seed},
 	}
-	r.play()
+	r.run()
 	return r.outcome
 }
 
@@ -149,21 +149,21 @@
 	history []porcupine.Operation
 }
 
-func (r *claimRun) play() {
+func (r *claimRun) run() {
 	r.cluster.Loss = r.random.Float64() * 0.3
 	for range scheduleSteps {
-		r.fail()
+		r.injectFault()
 		for range 3 {
 			r.claim()
 		}
-		length := time.Duration(10+r.random.IntN(longestPause)) * time.Millisecond
+		length := time.Duration(10+r.random.IntN(maxStepMillis)) * time.Millisecond
 		if err := r.cluster.Run(length); err != nil {
 			r.outcome.Problem = err.Error()
 			return
 		}
 	}
 	r.cluster.Heal()
-	if err := r.cluster.Run(healTime); err != nil {
+	if err := r.cluster.Run(recoveryTime); err != nil {
 		r.outcome.Problem = err.Error()
 		return
 	}
@@ -180,7 +180,7 @@
 	}
 }
 
-func (r *claimRun) fail() {
+func (r *claimRun) injectFault() {
 	n := r.cluster.Nodes[r.random.IntN(MemberCount)]
 	var what string
 	switch r.random.IntN(5) {
--- a/internal/lab/virtual/cluster.go
+++ b/internal/lab/virtual/cluster.go
@@ -46,7 +46,7 @@
 	return n.offset + time.Duration(float64(now)*n.rate)
 }
 
-type delayed struct {
+type delayedMessage struct {
 	at      time.Duration
 	message replica.Message
 }
@@ -60,7 +60,7 @@
 	Loss float64
 
 	random  *rand.Rand
-	network []delayed
+	network []delayedMessage
 	// history is the longest sequence of commands that a member has applied; what the others
 	// have applied must be a prefix of it.
 	history [][]byte
@@ -70,14 +70,14 @@
 const MemberCount = 3
 
 const (
-	stepLength  = 10 * time.Millisecond
-	longestTrip = 30 * time.Millisecond
+	stepLength      = 10 * time.Millisecond
+	maxNetworkDelay = 30 * time.Millisecond
 )
 
 // NewCluster returns a group whose fastest and slowest clocks differ from true time by half the
-// drift margin over one lease. settingsOf returns the settings of each member; nil gives all
+// drift margin over one lease. settingsFor returns the settings of each member; nil gives all
 // the same.
-func NewCluster(seed uint64, settings replica.Settings, machine func() StateMachine, settingsOf func(int) replica.Settings) *Cluster {
+func NewCluster(seed uint64, settings replica.Settings, newMachine func() StateMachine, settingsFor func(int) replica.Settings) *Cluster {
 	c := &Cluster{random: rand.New(rand.NewPCG(seed, 1))}
 	config := replica.Config{Group: "g", Epoch: 1}
 	for i := range MemberCount {
@@ -86,11 +86,11 @@
 	drift := float64(settings.DriftMargin) / float64(settings.Lease) / 2
 	for i, id := range config.Members {
 		own := settings
-		if settingsOf != nil {
-			own = settingsOf(i)
+		if settingsFor != nil {
+			own = settingsFor(i)
 		}
 		n := &Node{
-			ID: id, Machine: machine(), rate: 1 + drift*float64(i-1), offset: time.Duration(i) * time.Hour,
+			ID: id, Machine: newMachine(), rate: 1 + drift*float64(i-1), offset: time.Duration(i) * time.Hour,
 			waiting: map[uint64]waiter{},
 		}
 		random := rand.New(rand.NewPCG(seed, uint64(i)+2))
@@ -138,11 +138,11 @@
 	}
 	n.Member.Compact()
 	for _, message := range ready.Messages {
-		c.post(message)
+		c.send(message)
 	}
 }
 
-func (c *Cluster) post(message replica.Message) {
+func (c *Cluster) send(message replica.Message) {
 	if c.random.Float64() < c.Loss {
 		return
 	}
@@ -151,8 +151,8 @@
 		copies = 2
 	}
 	for range copies {
-		at := c.Now + time.Duration(c.random.Int64N(int64(longestTrip)))
-		c.network = append(c.network, delayed{at, message})
+		at := c.Now + time.Duration(c.random.Int64N(int64(maxNetworkDelay)))
+		c.network = append(c.network, delayedMessage{at, message})
 	}
 }
 
@@ -171,7 +171,7 @@
 	c.Now += stepLength
 	arrived := c.network
 	c.network = nil
-	var later []delayed
+	var later []delayedMessage
 	for _, d := range arrived {
 		from, to := c.node(d.message.From), c.node(d.message.To)
 		switch {
