--- a/internal/lab/virtual/claims.go
+++ b/internal/lab/virtual/claims.go
@@ -168,7 +168,7 @@
 		return
 	}
 	if !r.claim() {
-		r.outcome.Problem = "the group did not recover"
+		r.outcome.Problem = "no member accepts a claim after all faults have ended"
 		return
 	}
 	if err := r.cluster.Run(time.Second); err != nil {
@@ -176,7 +176,7 @@
 		return
 	}
 	if !porcupine.CheckOperations(claimModel, r.history) {
-		r.outcome.Problem = "the claims are not linearizable: a key was granted twice, or forgotten"
+		r.outcome.Problem = "the claims are not linearizable: a key was granted twice or a grant was lost"
 	}
 }
 
@@ -189,11 +189,11 @@
 		what = fmt.Sprintf("%s paused: %v", n.ID, n.Paused)
 	case 1:
 		n.Cut = !n.Cut
-		what = fmt.Sprintf("%s cut off: %v", n.ID, n.Cut)
+		what = fmt.Sprintf("%s partitioned: %v", n.ID, n.Cut)
 	case 2:
 		n.Member.HandOver(n.Clock(r.cluster.Now))
 		r.cluster.ProcessReady(n)
-		what = fmt.Sprintf("%s hands its lease over", n.ID)
+		what = fmt.Sprintf("%s transfers leadership", n.ID)
 	default:
 		return
 	}
--- a/internal/lab/virtual/cluster.go
+++ b/internal/lab/virtual/cluster.go
@@ -239,7 +239,7 @@
 	for _, n := range c.Nodes {
 		for i, command := range n.applied[:min(len(n.applied), len(c.history))] {
 			if !bytes.Equal(command, c.history[i]) {
-				return fmt.Sprintf("%s applied %s as number %d, another member applied %s", n.ID, command, i, c.history[i])
+				return fmt.Sprintf("%s applied %s at position %d, another member applied %s", n.ID, command, i, c.history[i])
 			}
 		}
 		if len(n.applied) > len(c.history) {
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -21,7 +21,7 @@
 			reported = RunClaims(seed, guard).Problem != ""
 		}
 		if !reported {
-			t.Errorf("50 schedules without guard %q, and no checker reported", guard)
+			t.Errorf("no violation found in 50 schedules without guard %q", guard)
 		}
 	}
 }
