--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,5 +1,5 @@
-// Package scale measures how a node's costs grow: many hollow nodes, which have
-// no callers, share a process and a table that is throttled.
+// Package scale measures how the costs of a node grow with the number of nodes. All nodes run
+// in one process, serve no callers and share a throttled table.
 package scale
 
 import (
@@ -20,19 +20,19 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// NodeCosts is what hollow nodes cost, each.
+// NodeCosts holds the costs of nodes that serve no callers.
 type NodeCosts struct {
 	Count int `json:"nodes"`
-	// ProcessorPercent is the share of one core that a node takes.
+	// ProcessorPercent is the CPU time of a node in percent of one core.
 	ProcessorPercent float64 `json:"processor_percent_per_node"`
 	SentBytes        float64 `json:"sent_bytes_per_second_per_node"`
 	ReceivedBytes    float64 `json:"received_bytes_per_second_per_node"`
 	MemoryMegabytes  float64 `json:"heap_mb_per_node"`
 	TableRequests    float64 `json:"table_requests_per_second"`
-	// Rollouts are the times until a revision was in force at all nodes that ran
-	// all the time, in seconds.
+	// Rollouts are the times in seconds until a revision was in force at all nodes that were
+	// not restarted.
 	Rollouts []float64 `json:"rollout_seconds"`
-	// Restarted counts the nodes that were restarted meanwhile.
+	// Restarted is the number of nodes that were replaced during the rollouts.
 	Restarted int `json:"restarted"`
 }
 
@@ -49,8 +49,9 @@
 	restartWindow = 20 * time.Second
 )
 
-// MeasureNodeCosts runs count hollow nodes, measures them at rest, then applies
-// revisions while one node in ten is restarted.
+// MeasureNodeCosts starts count nodes and measures their costs while they are idle. Then it
+// applies revisions and measures how long they take to reach all nodes while one node in ten is
+// replaced.
 func MeasureNodeCosts(ctx context.Context, count int, show func(string)) (NodeCosts, error) {
 	c, err := cluster.Start(cluster.Options{Name: "scale", Zones: zones(19), LedgerGroups: max(1, count/24)})
 	if err != nil {
@@ -66,7 +67,7 @@
 	if err := applyOnce(ctx, c, 0); err != nil {
 		return measured, err
 	}
-	// The news of so many joins spreads on for a while after all are known.
+	// News of the joins goes on spreading for a while after all nodes are known.
 	sleep(ctx, 5*time.Second+time.Duration(count)*settlePerNode)
 	measureRest(ctx, c, &measured)
 	show(fmt.Sprintf("at rest: %.2f %% of a core, %.0f B/s sent, %.1f MB a node", measured.ProcessorPercent, measured.SentBytes, measured.MemoryMegabytes))
@@ -88,7 +89,7 @@
 	}
 }
 
-// join starts the nodes and waits until each knows all.
+// join starts the nodes and waits until each node knows all others.
 func join(ctx context.Context, c *cluster.Cluster, count int) error {
 	joinCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -138,7 +139,7 @@
 	measured.MemoryMegabytes = float64(memory.HeapInuse+memory.StackInuse) / (1 << 20) / count
 }
 
-// measureRollouts applies revisions while nodes are restarted.
+// measureRollouts times the rollouts of several revisions while nodes are replaced.
 func measureRollouts(ctx context.Context, c *cluster.Cluster, measured *NodeCosts) error {
 	restarting := make(chan error, 1)
 	steady := slices.Clone(c.Nodes)
@@ -165,8 +166,8 @@
 	return <-restarting
 }
 
-// restart replaces the first nodes by new processes of other names, one after
-// the other.
+// restart stops the first nodes, one after the other, and starts a node of a new name in place
+// of each.
 func restart(ctx context.Context, c *cluster.Cluster, victims int) error {
 	if victims == 0 {
 		return nil
@@ -195,7 +196,7 @@
 	return time.Since(began).Seconds(), err
 }
 
-// applyOnce makes one small change at the last node.
+// applyOnce applies a change of one tenant at the last node.
 func applyOnce(ctx context.Context, c *cluster.Cluster, number int) error {
 	last := c.Nodes[len(c.Nodes)-1]
 	request := &tinarchv1.ApplyRequest{
@@ -207,8 +208,8 @@
 	}
 	var err error
 	for range applyTries {
-		// The throttled table may refuse; the same operation is sent again, as an
-		// operator would.
+		// The throttled table may refuse the write. The retry has the same operation ID, as an
+		// operator's would, so that the change is applied once.
 		if _, err = c.Catalog(last).Apply(ctx, connect.NewRequest(request)); err == nil {
 			return nil
 		}
