--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -37,16 +37,16 @@
 }
 
 const (
-	tableRate     = 10
-	startBatch    = 20
-	quietTime     = 12 * time.Second
-	settlePerNode = 150 * time.Millisecond
-	rollouts      = 5
-	joinTimeout   = 4 * time.Minute
-	restartShare  = 10
-	applyTries    = 5
-	rolloutLimit  = 30 * time.Second
-	restartWindow = 20 * time.Second
+	tableRequestsPerSecond = 10
+	startBatchSize         = 20
+	idleTime               = 12 * time.Second
+	settleTimePerNode      = 150 * time.Millisecond
+	rolloutCount           = 5
+	joinTimeout            = 4 * time.Minute
+	nodesPerRestart        = 10
+	maxApplyAttempts       = 5
+	rolloutTimeout         = 30 * time.Second
+	replacementWindow      = 20 * time.Second
 )
 
 // MeasureNodeCosts starts count nodes and measures their costs while they are idle. Then it
@@ -62,14 +62,14 @@
 		return NodeCosts{}, err
 	}
 	show(fmt.Sprintf("%d nodes know each other", count))
-	c.Table.SetFaults(platform.Faults{RequestsPerSecond: tableRate})
+	c.Table.SetFaults(platform.Faults{RequestsPerSecond: tableRequestsPerSecond})
 	measured := NodeCosts{Count: count}
 	if err := applyOnce(ctx, c, 0); err != nil {
 		return measured, err
 	}
 	// News of the joins goes on spreading for a while after all nodes are known.
-	sleep(ctx, 5*time.Second+time.Duration(count)*settlePerNode)
-	measureRest(ctx, c, &measured)
+	sleep(ctx, 5*time.Second+time.Duration(count)*settleTimePerNode)
+	measureIdle(ctx, c, &measured)
 	show(fmt.Sprintf("at rest: %.2f %% of a core, %.0f B/s sent, %.1f MB a node", measured.ProcessorPercent, measured.SentBytes, measured.MemoryMegabytes))
 	return measured, measureRollouts(ctx, c, &measured)
 }
@@ -97,7 +97,7 @@
 		if _, err := c.AddNode(); err != nil {
 			return err
 		}
-		if i%startBatch == 0 {
+		if i%startBatchSize == 0 {
 			sleep(joinCtx, 200*time.Millisecond)
 		}
 	}
@@ -121,12 +121,12 @@
 	return sent, received
 }
 
-func measureRest(ctx context.Context, c *cluster.Cluster, measured *NodeCosts) {
+func measureIdle(ctx context.Context, c *cluster.Cluster, measured *NodeCosts) {
 	usedBefore := processorTime()
 	sentBefore, receivedBefore := traffic(c)
 	tableBefore := c.Table.Requests()
 	began := time.Now()
-	sleep(ctx, quietTime)
+	sleep(ctx, idleTime)
 	seconds, count := time.Since(began).Seconds(), float64(measured.Count)
 	sent, received := traffic(c)
 	measured.ProcessorPercent = 100 * (processorTime() - usedBefore).Seconds() / seconds / count
@@ -141,15 +141,15 @@
 
 // measureRollouts times the rollouts of several revisions while nodes are replaced.
 func measureRollouts(ctx context.Context, c *cluster.Cluster, measured *NodeCosts) error {
-	restarting := make(chan error, 1)
-	steady := slices.Clone(c.Nodes)
-	victims := len(c.Nodes) / restartShare
-	go func() { restarting <- restart(ctx, c, victims) }()
-	steady = steady[victims:]
-	for number := 1; number <= rollouts; number++ {
+	replaced := make(chan error, 1)
+	kept := slices.Clone(c.Nodes)
+	replacedCount := len(c.Nodes) / nodesPerRestart
+	go func() { replaced <- replaceNodes(ctx, c, replacedCount) }()
+	kept = kept[replacedCount:]
+	for number := 1; number <= rolloutCount; number++ {
 		seconds, err := timeRollout(ctx, c, number, func() bool {
 			revision := c.Nodes[len(c.Nodes)-1].Revision()
-			for _, n := range steady {
+			for _, n := range kept {
 				if n.Revision() < max(revision, uint64(number+1)) {
 					return false
 				}
@@ -160,20 +160,20 @@
 			return err
 		}
 		measured.Rollouts = append(measured.Rollouts, seconds)
-		sleep(ctx, restartWindow/rollouts)
+		sleep(ctx, replacementWindow/rolloutCount)
 	}
-	measured.Restarted = victims
-	return <-restarting
+	measured.Restarted = replacedCount
+	return <-replaced
 }
 
-// restart stops the first nodes, one after the other, and starts a node of a new name in place
-// of each.
-func restart(ctx context.Context, c *cluster.Cluster, victims int) error {
-	if victims == 0 {
+// replaceNodes stops the first nodes, one after the other, and starts a node of a new name in
+// place of each.
+func replaceNodes(ctx context.Context, c *cluster.Cluster, count int) error {
+	if count == 0 {
 		return nil
 	}
-	pause := restartWindow / time.Duration(victims)
-	for i := range victims {
+	pause := replacementWindow / time.Duration(count)
+	for i := range count {
 		c.Nodes[i].Close()
 		replacement, err := c.StartNode(fmt.Sprintf("replacement-%d", i), "zone-01")
 		if err != nil {
@@ -190,7 +190,7 @@
 	if err := applyOnce(ctx, c, number); err != nil {
 		return 0, err
 	}
-	waitCtx, cancel := context.WithTimeout(ctx, rolloutLimit)
+	waitCtx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
 	err := c.Await(waitCtx, "the revision everywhere", everywhere)
 	return time.Since(began).Seconds(), err
@@ -207,7 +207,7 @@
 		},
 	}
 	var err error
-	for range applyTries {
+	for range maxApplyAttempts {
 		// The throttled table may refuse the write. The retry has the same operation ID, as an
 		// operator's would, so that the change is applied once.
 		if _, err = c.Catalog(last).Apply(ctx, connect.NewRequest(request)); err == nil {
