--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -70,7 +70,7 @@
 	// News of the joins goes on spreading for a while after all nodes are known.
 	sleep(ctx, 5*time.Second+time.Duration(count)*settleTimePerNode)
 	measureIdle(ctx, c, &measured)
-	show(fmt.Sprintf("at rest: %.2f %% of a core, %.0f B/s sent, %.1f MB a node", measured.ProcessorPercent, measured.SentBytes, measured.MemoryMegabytes))
+	show(fmt.Sprintf("idle: %.2f %% of a core, %.0f B/s sent, %.1f MB a node", measured.ProcessorPercent, measured.SentBytes, measured.MemoryMegabytes))
 	return measured, measureRollouts(ctx, c, &measured)
 }
 
@@ -192,7 +192,7 @@
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
-	err := c.Await(waitCtx, "the revision everywhere", everywhere)
+	err := c.Await(waitCtx, "the revision to be in force at all nodes", everywhere)
 	return time.Since(began).Seconds(), err
 }
 
