--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs a deployment of the lab under its workload and shows what
-// callers saw, with one placement policy or several side by side.
+// Package demo runs a lab deployment under its workload, with one or several placement
+// policies, and prints the results that callers saw.
 package demo
 
 import (
@@ -18,12 +18,12 @@
 	labengine "github.com/tinarch/tinarch/internal/lab/engine"
 )
 
-// Options steer a demo.
+// Options configure a demo.
 type Options struct {
 	Deployment cluster.Deployment
-	// Policies are run one after the other, under the same arrivals.
+	// Policies are run one after the other, each with the same request arrivals.
 	Policies []placement.Policy
-	// Seconds replaces the workload's length, zero leaves it.
+	// Seconds replaces the workload's length; zero keeps it.
 	Seconds float64
 	// Rate multiplies all arrival rates.
 	Rate float64
@@ -33,18 +33,19 @@
 	Out        io.Writer
 }
 
-// Run is the outcome of one policy.
+// Run holds the results of one run.
 type Run struct {
 	Policy     placement.Policy   `json:"policy"`
 	StoresDown bool               `json:"stores_down"`
 	Report     *load.Report       `json:"report"`
 	Counters   labengine.Counters `json:"engines"`
+	// Doubled is the number of requests that must run at most once and ran more often.
 	Doubled    int                `json:"doubled"`
 }
 
 const startTimeout = 2 * time.Minute
 
-// Execute runs the demo.
+// Execute runs the demo and returns the runs that were completed, also if one fails.
 func Execute(ctx context.Context, options Options) ([]Run, error) {
 	workload, err := load.ReadWorkload(options.Deployment.WorkloadPath())
 	if err != nil {
@@ -55,7 +56,7 @@
 	for number, policy := range options.Policies {
 		for _, storesDown := range []bool{false, true} {
 			if storesDown && (!options.StoresDown || number > 0) {
-				continue // the first policy is enough
+				continue // only the first policy is also run without the stores
 			}
 			run, err := executeOne(ctx, options, workload, policy, storesDown)
 			if err != nil {
@@ -102,7 +103,7 @@
 	return run, nil
 }
 
-// configure applies the deployment's catalog and waits for its engines.
+// configure applies the deployment's catalog and waits until its engines are ready.
 func configure(ctx context.Context, options Options, running *cluster.Cluster) error {
 	put, err := catalog.ReadFile(options.Deployment.CatalogPath())
 	if err != nil {
@@ -128,7 +129,8 @@
 	return string(r.Policy)
 }
 
-// Summary compares runs.
+// Summary prints the goodput of each stream by run. It returns an error if a run had wrong
+// answers or ran requests twice that must run at most once.
 func Summary(out io.Writer, runs []Run) error {
 	if len(runs) == 0 {
 		return result.New(result.Internal, "no run was completed")
