--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -40,7 +40,7 @@
 	Report     *load.Report       `json:"report"`
 	Counters   labengine.Counters `json:"engines"`
 	// Doubled is the number of requests that must run at most once and ran more often.
-	Doubled    int                `json:"doubled"`
+	Doubled int `json:"doubled"`
 }
 
 const startTimeout = 2 * time.Minute
@@ -58,7 +58,7 @@
 			if storesDown && (!options.StoresDown || number > 0) {
 				continue // only the first policy is also run without the stores
 			}
-			run, err := executeOne(ctx, options, workload, policy, storesDown)
+			run, err := executePolicy(ctx, options, workload, policy, storesDown)
 			if err != nil {
 				return runs, err
 			}
@@ -68,25 +68,25 @@
 	return runs, nil
 }
 
-func executeOne(ctx context.Context, options Options, workload load.Workload, policy placement.Policy, storesDown bool) (Run, error) {
+func executePolicy(ctx context.Context, options Options, workload load.Workload, policy placement.Policy, storesDown bool) (Run, error) {
 	clusterOptions := options.Deployment.Options()
 	clusterOptions.Policy = policy
 	fmt.Fprintf(options.Out, "\n== placement policy %s: starting %d nodes and %d engines\n", policy, options.Deployment.Nodes, options.Deployment.EngineCount())
-	running, err := cluster.Start(clusterOptions)
+	lab, err := cluster.Start(clusterOptions)
 	if err != nil {
 		return Run{}, err
 	}
-	defer running.Close()
-	if err := configure(ctx, options, running); err != nil {
+	defer lab.Close()
+	if err := configure(ctx, options, lab); err != nil {
 		return Run{}, err
 	}
 	if storesDown {
-		running.Table.SetFaults(platform.Faults{Down: true})
-		running.Objects.SetFaults(platform.Faults{Down: true})
+		lab.Table.SetFaults(platform.Faults{Down: true})
+		lab.Objects.SetFaults(platform.Faults{Down: true})
 		fmt.Fprintln(options.Out, "   table service and object store are down from now on")
 	}
 	var addresses []string
-	for _, node := range running.Nodes {
+	for _, node := range lab.Nodes {
 		addresses = append(addresses, node.CallersAddress())
 	}
 	report := load.Run(ctx, workload, load.Options{
@@ -96,7 +96,7 @@
 		},
 	})
 	fmt.Fprintln(options.Out)
-	run := Run{Policy: policy, StoresDown: storesDown, Report: report, Counters: running.Counters(), Doubled: report.Doubled(running.Runs())}
+	run := Run{Policy: policy, StoresDown: storesDown, Report: report, Counters: lab.Counters(), Doubled: report.Doubled(lab.Runs())}
 	report.Print(options.Out)
 	fmt.Fprintf(options.Out, "answers lost, cut or crossed: %d; requests run twice that must not be: %d; goodput: %.2f %%\n",
 		report.Wrong(), run.Doubled, 100*report.Goodput())
@@ -104,25 +104,25 @@
 }
 
 // configure applies the deployment's catalog and waits until its engines are ready.
-func configure(ctx context.Context, options Options, running *cluster.Cluster) error {
-	put, err := catalog.ReadFile(options.Deployment.CatalogPath())
+func configure(ctx context.Context, options Options, lab *cluster.Cluster) error {
+	deployed, err := catalog.ReadFile(options.Deployment.CatalogPath())
 	if err != nil {
 		return err
 	}
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := running.Await(startCtx, "nodes that have caught up", func() bool { return running.CaughtUp() }); err != nil {
+	if err := lab.Await(startCtx, "nodes that have caught up", func() bool { return lab.CaughtUp() }); err != nil {
 		return err
 	}
-	revision, err := running.Apply(startCtx, put)
+	revision, err := lab.Apply(startCtx, deployed)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(options.Out, "   revision %d in force at all nodes; engines load their models\n", revision)
-	return running.AwaitEngines(startCtx, options.Deployment.EngineCount())
+	return lab.AwaitEngines(startCtx, options.Deployment.EngineCount())
 }
 
-func (r Run) label() string {
+func (r Run) columnLabel() string {
 	if r.StoresDown {
 		return "stores down"
 	}
@@ -139,7 +139,7 @@
 		fmt.Fprintln(out, "\n== goodput by stream, same arrivals")
 		fmt.Fprintf(out, "%-18s", "stream")
 		for _, run := range runs {
-			fmt.Fprintf(out, "%14s", run.label())
+			fmt.Fprintf(out, "%14s", run.columnLabel())
 		}
 		fmt.Fprintln(out)
 		for i, stream := range runs[0].Report.Streams {
