--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -111,7 +111,7 @@
 	}
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := lab.Await(startCtx, "nodes that have caught up", func() bool { return lab.CaughtUp() }); err != nil {
+	if err := lab.Await(startCtx, "all nodes to know each other and the current revision", func() bool { return lab.CaughtUp() }); err != nil {
 		return err
 	}
 	revision, err := lab.Apply(startCtx, deployed)
@@ -136,7 +136,7 @@
 		return result.New(result.Internal, "no run was completed")
 	}
 	if len(runs) > 1 {
-		fmt.Fprintln(out, "\n== goodput by stream, same arrivals")
+		fmt.Fprintln(out, "\n== goodput by stream, with the same arrivals")
 		fmt.Fprintf(out, "%-18s", "stream")
 		for _, run := range runs {
 			fmt.Fprintf(out, "%14s", run.columnLabel())
