--- a/internal/lab/sim/events.go
+++ b/internal/lab/sim/events.go
@@ -1,6 +1,6 @@
-// Package sim runs a deployment in virtual time: the same admission, placement and
-// cell code as a node, over the emulator's batches, driven by discrete events. A
-// run is a function of its workload and seed.
+// Package sim is a discrete-event simulation of a deployment in virtual time. It runs the
+// admission, placement and cell code of a node, and the batching code of the engine emulator. A
+// run depends on its workload and seed only.
 package sim
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// event is something that happens at a moment.
+// event is a function to be called at a virtual time.
 type event struct {
 	at     time.Duration
-	number uint64 // events of one moment happen in the order of their making
+	number uint64 // events of the same time run in the order in which they were scheduled
 	do     func()
 }
 
@@ -38,20 +38,20 @@
 	return popped
 }
 
-// clock is the virtual time with what is to come.
+// clock is the virtual time and the queue of events still to run.
 type clock struct {
 	now    time.Duration
 	events eventHeap
 	made   uint64
 }
 
-// after makes something happen later.
+// after schedules do to be called after delay.
 func (c *clock) after(delay time.Duration, do func()) {
 	c.made++
 	heap.Push(&c.events, event{at: c.now + delay, number: c.made, do: do})
 }
 
-// run lets everything happen up to the end.
+// run runs all events up to and including the time end.
 func (c *clock) run(end time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		next := heap.Pop(&c.events).(event)
--- a/internal/lab/sim/experiment.go
+++ b/internal/lab/sim/experiment.go
@@ -8,16 +8,17 @@
 	"github.com/tinarch/tinarch/internal/placement"
 )
 
-// Outcome is one policy over all seeds.
+// Outcome holds the results of one policy over all seeds.
 type Outcome struct {
 	Policy placement.Policy `json:"policy"`
-	// Goodputs are those of the seeds, in rising order.
+	// Goodputs are the goodputs of the seeds, in increasing order.
 	Goodputs []float64       `json:"goodput_sorted"`
 	Median   float64         `json:"goodput_median"`
 	Streams  []StreamOutcome `json:"streams"`
 }
 
-// StreamOutcome is one stream of one policy: medians over the seeds.
+// StreamOutcome holds the results of one stream under one policy. The values are medians over
+// the seeds, except LowestGoodput.
 type StreamOutcome struct {
 	Name             string  `json:"name"`
 	Goodput          float64 `json:"goodput_median"`
@@ -26,7 +27,8 @@
 	GapMillis        float64 `json:"between_tokens_ms_p95_median"`
 }
 
-// Compare runs each policy under the same arrivals, for each seed.
+// Compare runs every policy with each seed, all policies with the same arrivals. At most
+// parallel simulations run at a time.
 func Compare(options Options, policies []placement.Policy, seeds, parallel int) ([]Outcome, error) {
 	outcomes := make([]Outcome, len(policies))
 	for i, policy := range policies {
@@ -81,7 +83,7 @@
 	return outcome
 }
 
-// collect returns a figure of all reports, in rising order.
+// collect returns one value of each report, in increasing order.
 func collect(reports []*Report, figure func(*Report) float64) []float64 {
 	values := make([]float64, len(reports))
 	for i, report := range reports {
@@ -93,7 +95,7 @@
 
 func middle(sorted []float64) float64 { return sorted[len(sorted)/2] }
 
-// SimulationCost is the cost of simulating a number of engines.
+// SimulationCost is the time that it takes to simulate a deployment of a given size.
 type SimulationCost struct {
 	Engines       int     `json:"engines"`
 	Requests      int     `json:"requests"`
@@ -103,7 +105,8 @@
 	Goodput       float64 `json:"goodput"`
 }
 
-// MeasureSimulationCost simulates the deployment several times over, on one core.
+// MeasureSimulationCost simulates the deployment and its workload, both replicated fleets
+// times, on one core.
 func MeasureSimulationCost(options Options, fleets int) (SimulationCost, error) {
 	options.Fleets = fleets
 	engines := 0
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -20,26 +20,28 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Pool is a set of like engines.
+// Pool is a set of engines with the same model of performance.
 type Pool struct {
 	Name  string
 	Count int
 	Model labengine.Model
 }
 
-// Options describe a simulation.
+// Options configure a simulation.
 type Options struct {
 	Pools    []Pool
 	Zones    []string
 	Catalog  *tinarchv1.Catalog
 	Workload load.Workload
 	Policy   placement.Policy
-	// Fleets repeats the whole deployment, each with the workload's rates of its
-	// own: it is how the cost of size is measured.
+	// Fleets is the number of copies of the deployment, each with the full rates of the
+	// workload. It is used to measure how the cost of a simulation grows with its size.
 	Fleets int
 }
 
-// The modelled network: gateway to leader and back, and gateway to engine.
+// Requests and reports are delayed by the trips between gateway and leader and between gateway
+// and engine, each in one direction. Engine statuses are polled and expired requests removed at
+// fixed intervals. The simulation goes on for drainTime after the last arrivals.
 const (
 	tripToLeader = 500 * time.Microsecond
 	tripToEngine = 500 * time.Microsecond
@@ -48,7 +50,7 @@
 	drainTime    = 60 * time.Second
 )
 
-// Stream is what callers of one stream saw.
+// Stream holds what the callers of one stream saw.
 type Stream struct {
 	Name       string
 	Sent       int
@@ -59,17 +61,17 @@
 	gaps       *hdrhistogram.Histogram
 }
 
-// Report is the outcome of a simulation.
+// Report holds the results of a simulation.
 type Report struct {
 	Streams      []*Stream
 	PromptTokens int64
 	CachedTokens int64
 	OutputTokens int64
-	// Events counts the simulated events.
+	// Events is the number of events that were scheduled.
 	Events uint64
 }
 
-// Goodput returns the share of requests answered within their deadline.
+// Goodput returns the share of all requests that were answered within their deadline.
 func (r *Report) Goodput() float64 {
 	sent, good := 0, 0
 	for _, s := range r.Streams {
@@ -79,20 +81,20 @@
 	return float64(good) / float64(max(sent, 1))
 }
 
-// Goodput returns the goodput of one stream.
+// Goodput returns the share of the stream's requests that were answered within their deadline.
 func (s *Stream) Goodput() float64 { return float64(s.InDeadline) / float64(max(s.Sent, 1)) }
 
-// FirstTokenMillis returns a quantile of the time to the first token.
+// FirstTokenMillis returns a percentile (0 to 100) of the time to the first token.
 func (s *Stream) FirstTokenMillis(quantile float64) float64 {
 	return float64(s.firstToken.ValueAtQuantile(quantile)) / 1000
 }
 
-// GapMillis returns a quantile of the time between tokens.
+// GapMillis returns a percentile (0 to 100) of the time between tokens.
 func (s *Stream) GapMillis(quantile float64) float64 {
 	return float64(s.gaps.ValueAtQuantile(quantile)) / 1000
 }
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
 	clock
 	options  Options
@@ -163,7 +165,8 @@
 	}
 }
 
-// addCell makes a cell whose engines are claimed and serve what is asked for.
+// addCell adds a cell with count engines of the pool and brings the engines to the deployments
+// that the cell wants.
 func (s *simulation) addCell(fleet int, pool Pool, first, count int) {
 	c := &simCell{
 		sim: s, engines: map[string]*simEngine{},
@@ -187,7 +190,8 @@
 	s.after(expireEvery, c.expire)
 }
 
-// settle brings the engines to what is asked for before the simulation begins.
+// settle lets the cell claim its engines and deploy models to them before the simulation
+// begins, in a fixed number of rounds of status reports and orders.
 func (c *simCell) settle() {
 	const rounds = 8
 	for range rounds {
@@ -251,7 +255,7 @@
 	s.report.Streams[r.stream].Refused[result.CodeOf(err).Entry().Name]++
 }
 
-// scheduleArrivals puts a fleet's arrivals into the clock.
+// scheduleArrivals schedules the arrivals of one fleet, with a seed of its own.
 func (s *simulation) scheduleArrivals(fleet int) {
 	workload := s.options.Workload
 	workload.Seed += uint64(fleet) * 1_000_003
@@ -298,8 +302,8 @@
 	return tenant.GetName()
 }
 
-// prompt returns the prefix identifiers and the length of a prompt, without
-// writing its text.
+// prompt returns the prefix hashes and the length in tokens of a prompt without generating its
+// text.
 func (s *simulation) prompt(fleet int, stream load.Stream, arrival load.Arrival) ([]prefix.Hash, int) {
 	shared := 0
 	if arrival.Text >= 0 {
@@ -318,7 +322,7 @@
 	return chain, tokens
 }
 
-// accept gives an attempt to the engine.
+// accept starts an attempt at the engine.
 func (e *simEngine) accept(placed cell.Placed, r *request) {
 	shared := len(r.chain)
 	e.virtual.Accept(labengine.VirtualRequest{
@@ -331,7 +335,7 @@
 	}
 }
 
-// iterate runs one iteration after the other while there is work.
+// iterate schedules the end of the next batch iteration, and goes on until the engine is idle.
 func (e *simEngine) iterate() {
 	e.cell.sim.after(e.virtual.Begin(), func() {
 		for _, p := range e.virtual.Finish() {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestPrefixAffinityBeatsBlindPlacement holds the default policy against the
-// baselines under the same arrivals.
+// TestPrefixAffinityBeatsBlindPlacement checks that the default policy has a higher goodput
+// than the baselines with the same arrivals.
 func TestPrefixAffinityBeatsBlindPlacement(t *testing.T) {
 	ours := run(t, options(t, placement.PolicyPredicted)).Goodput()
 	for _, baseline := range []placement.Policy{placement.PolicyRoundRobin, placement.PolicyLeastLoaded} {
