--- a/internal/lab/sim/events.go
+++ b/internal/lab/sim/events.go
@@ -10,9 +10,9 @@
 
 // event is a function to be called at a virtual time.
 type event struct {
-	at     time.Duration
-	number uint64 // events of the same time run in the order in which they were scheduled
-	do     func()
+	at       time.Duration
+	sequence uint64 // events of the same time run in the order in which they were scheduled
+	do       func()
 }
 
 type eventHeap []event
@@ -23,7 +23,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].number < h[j].number
+	return h[i].sequence < h[j].sequence
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
@@ -40,15 +40,15 @@
 
 // clock is the virtual time and the queue of events still to run.
 type clock struct {
-	now    time.Duration
-	events eventHeap
-	made   uint64
+	now       time.Duration
+	events    eventHeap
+	scheduled uint64
 }
 
 // after schedules do to be called after delay.
 func (c *clock) after(delay time.Duration, do func()) {
-	c.made++
-	heap.Push(&c.events, event{at: c.now + delay, number: c.made, do: do})
+	c.scheduled++
+	heap.Push(&c.events, event{at: c.now + delay, sequence: c.scheduled, do: do})
 }
 
 // run runs all events up to and including the time end.
--- a/internal/lab/sim/experiment.go
+++ b/internal/lab/sim/experiment.go
@@ -69,15 +69,15 @@
 
 func summarize(policy placement.Policy, reports []*Report) Outcome {
 	outcome := Outcome{Policy: policy, Goodputs: collect(reports, (*Report).Goodput)}
-	outcome.Median = middle(outcome.Goodputs)
-	for number, stream := range reports[0].Streams {
-		goodputs := collect(reports, func(r *Report) float64 { return r.Streams[number].Goodput() })
+	outcome.Median = median(outcome.Goodputs)
+	for i, stream := range reports[0].Streams {
+		goodputs := collect(reports, func(r *Report) float64 { return r.Streams[i].Goodput() })
 		outcome.Streams = append(outcome.Streams, StreamOutcome{
 			Name:             stream.Name,
-			Goodput:          middle(goodputs),
+			Goodput:          median(goodputs),
 			LowestGoodput:    goodputs[0],
-			FirstTokenMillis: middle(collect(reports, func(r *Report) float64 { return r.Streams[number].FirstTokenMillis(95) })),
-			GapMillis:        middle(collect(reports, func(r *Report) float64 { return r.Streams[number].GapMillis(95) })),
+			FirstTokenMillis: median(collect(reports, func(r *Report) float64 { return r.Streams[i].FirstTokenMillis(95) })),
+			GapMillis:        median(collect(reports, func(r *Report) float64 { return r.Streams[i].GapMillis(95) })),
 		})
 	}
 	return outcome
@@ -93,7 +93,8 @@
 	return values
 }
 
-func middle(sorted []float64) float64 { return sorted[len(sorted)/2] }
+// median returns the middle value, or the upper of the two middle values.
+func median(sorted []float64) float64 { return sorted[len(sorted)/2] }
 
 // SimulationCost is the time that it takes to simulate a deployment of a given size.
 type SimulationCost struct {
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -39,15 +39,16 @@
 	Fleets int
 }
 
-// Requests and reports are delayed by the trips between gateway and leader and between gateway
-// and engine, each in one direction. Engine statuses are polled and expired requests removed at
-// fixed intervals. The simulation goes on for drainTime after the last arrivals.
+// leaderDelay and engineDelay are the network delays in one direction, between gateway and
+// leader and between gateway and engine. Engine statuses are polled and expired requests
+// removed at fixed intervals. The simulation runs on for drainTime after the end of the
+// workload.
 const (
-	tripToLeader = 500 * time.Microsecond
-	tripToEngine = 500 * time.Microsecond
-	statusEvery  = time.Second
-	expireEvery  = 50 * time.Millisecond
-	drainTime    = 60 * time.Second
+	leaderDelay    = 500 * time.Microsecond
+	engineDelay    = 500 * time.Microsecond
+	statusInterval = time.Second
+	expireInterval = 50 * time.Millisecond
+	drainTime      = 60 * time.Second
 )
 
 // Stream holds what the callers of one stream saw.
@@ -121,12 +122,12 @@
 }
 
 type request struct {
-	arrival  load.Arrival
-	stream   int
-	cell     *simCell
-	chain    []prefix.Hash
-	deadline time.Duration
-	lastAt   time.Duration
+	arrival     load.Arrival
+	stream      int
+	cell        *simCell
+	chain       []prefix.Hash
+	deadline    time.Duration
+	lastTokenAt time.Duration // time of the last token, or of the arrival before the first
 }
 
 // Run simulates a deployment under its workload.
@@ -153,7 +154,7 @@
 		s.scheduleArrivals(fleet)
 	}
 	s.clock.run(time.Duration(options.Workload.Seconds*float64(time.Second)) + drainTime)
-	s.report.Events = s.made
+	s.report.Events = s.scheduled
 	return s.report, nil
 }
 
@@ -186,8 +187,8 @@
 	c.settle()
 	s.cells = append(s.cells, c)
 	s.byPool[pool.Name] = append(s.byPool[pool.Name], c)
-	s.after(statusEvery, c.pollStatus)
-	s.after(expireEvery, c.expire)
+	s.after(statusInterval, c.pollStatus)
+	s.after(expireInterval, c.expire)
 }
 
 // settle lets the cell claim its engines and deploy models to them before the simulation
@@ -201,13 +202,13 @@
 		}
 		for _, instruction := range c.state.Reconcile(c.sim.now) {
 			e := c.engines[instruction.Engine]
-			e.obey(instruction.Order)
+			e.applyOrder(instruction.Order)
 			c.state.HandleOrderResult(c.sim.now, instruction, e.status, nil)
 		}
 	}
 }
 
-func (e *simEngine) obey(order engine.Order) {
+func (e *simEngine) applyOrder(order engine.Order) {
 	e.status.Fence, e.status.LastOrder = order.Fence, order.ID
 	switch order.Type {
 	case engine.OrderDrain:
@@ -226,18 +227,18 @@
 		c.state.ObserveStatus(c.sim.now, e.name, e.status)
 		c.state.ObserveCacheEvents(c.sim.now, e.name, engine.CacheEvents{Incarnation: e.status.Incarnation, Events: e.virtual.CacheEvents()})
 	}
-	c.sim.after(statusEvery, c.pollStatus)
+	c.sim.after(statusInterval, c.pollStatus)
 }
 
 func (c *simCell) expire() {
 	c.refuse(c.state.Expire(c.sim.now))
 	c.dispatch()
-	c.sim.after(expireEvery, c.expire)
+	c.sim.after(expireInterval, c.expire)
 }
 
 func (c *simCell) refuse(refused []cell.Refused) {
 	for _, r := range refused {
-		c.sim.refused(r.Attempt, r.Err)
+		c.sim.recordRefusal(r.Attempt, r.Err)
 	}
 }
 
@@ -245,11 +246,11 @@
 	for _, placed := range c.state.Dispatch(c.sim.now) {
 		r := c.sim.requests[placed.Attempt]
 		e := c.engines[placed.Ticket.Engine]
-		c.sim.after(tripToLeader+tripToEngine, func() { e.accept(placed, r) })
+		c.sim.after(leaderDelay+engineDelay, func() { e.accept(placed, r) })
 	}
 }
 
-func (s *simulation) refused(attempt engine.Identifier, err error) {
+func (s *simulation) recordRefusal(attempt engine.Identifier, err error) {
 	r := s.requests[attempt]
 	delete(s.requests, attempt)
 	s.report.Streams[r.stream].Refused[result.CodeOf(err).Entry().Name]++
@@ -276,18 +277,18 @@
 	}
 	r := &request{
 		arrival: arrival, stream: arrival.Stream, cell: cells[number%len(cells)], chain: chain,
-		deadline: s.now + time.Duration(stream.DeadlineMillis)*time.Millisecond, lastAt: s.now,
+		deadline: s.now + time.Duration(stream.DeadlineMillis)*time.Millisecond, lastTokenAt: s.now,
 	}
 	s.requests[attempt] = r
 	s.report.Streams[arrival.Stream].Sent++
-	s.after(tripToLeader, func() {
+	s.after(leaderDelay, func() {
 		shed, err := r.cell.state.Enqueue(s.now, cell.PlaceRequest{
 			Attempt: attempt, Tenant: s.tenantOf(arrival.Key), Kind: stream.Kind, PromptTokens: promptTokens, OutputTokens: arrival.OutputTokens,
 			Prefix: chain, DeadlineMillis: (r.deadline - s.now).Milliseconds(),
 		})
 		r.cell.refuse(shed)
 		if err != nil {
-			s.refused(attempt, err)
+			s.recordRefusal(attempt, err)
 			return
 		}
 		r.cell.dispatch()
@@ -353,25 +354,25 @@
 	s := e.cell.sim
 	r := s.requests[p.Attempt]
 	stream := s.report.Streams[r.stream]
-	since := (s.now - r.lastAt).Microseconds()
-	r.lastAt = s.now
+	since := (s.now - r.lastTokenAt).Microseconds()
+	r.lastTokenAt = s.now
 	s.report.OutputTokens++
 	if p.Written == 1 {
 		_ = stream.firstToken.RecordValue(max(since, 1))
-		s.after(tripToEngine+tripToLeader, func() { e.cell.report(cell.Progress{Attempt: p.Attempt, Type: cell.ProgressFirstToken}) })
+		s.after(engineDelay+leaderDelay, func() { e.cell.report(cell.Progress{Attempt: p.Attempt, Type: cell.ProgressFirstToken}) })
 	} else {
 		_ = stream.gaps.RecordValue(max(since, 1))
 	}
 	if !p.Done {
 		return
 	}
-	if s.now+tripToEngine <= r.deadline {
+	if s.now+engineDelay <= r.deadline {
 		stream.InDeadline++
 	} else {
 		stream.Late++
 	}
 	delete(s.requests, p.Attempt)
-	s.after(tripToEngine+tripToLeader, func() { e.cell.report(cell.Progress{Attempt: p.Attempt, Type: cell.ProgressDone}) })
+	s.after(engineDelay+leaderDelay, func() { e.cell.report(cell.Progress{Attempt: p.Attempt, Type: cell.ProgressDone}) })
 }
 
 func (c *simCell) report(progress cell.Progress) {
