--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -77,7 +77,7 @@
 	report := run(t, o)
 	for _, stream := range report.Streams {
 		if stream.Name == "report-status" && stream.Goodput() < 0.999 {
-			t.Errorf("portal requests in time: %.4f", stream.Goodput())
+			t.Errorf("share of portal requests answered within the deadline: %.4f, want at least 0.999", stream.Goodput())
 		}
 	}
 }
