--- a/internal/lab/platform/faults.go
+++ b/internal/lab/platform/faults.go
@@ -1,8 +1,7 @@
-// Package platform holds stand-ins for the users' services: a table that speaks
-// the DynamoDB JSON API, an object store that speaks the S3 API, and a machine
-// list. They speak enough of each protocol for the stock clients, and fail on
-// command: down, slow, throttled, or with answers lost after the write took
-// effect.
+// Package platform holds fakes of the services that operators provide: a table with the
+// DynamoDB JSON API, an object store with the S3 API, and a machine list. They implement the
+// part of each protocol that the standard clients use, and inject faults: unavailable, slow,
+// throttled, or with the answer to a write lost after it was applied.
 package platform
 
 import (
@@ -16,19 +15,20 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Faults are the faults of one stand-in.
+// Faults are the faults that a fake injects.
 type Faults struct {
-	// Down drops every connection.
+	// Down breaks off every request without an answer.
 	Down bool
-	// Delay holds each request back.
+	// Delay is added to each request.
 	Delay time.Duration
-	// RequestsPerSecond throttles; zero means no limit.
+	// RequestsPerSecond is the rate above which requests are throttled; zero means no limit.
 	RequestsPerSecond float64
-	// LoseAnswers drops the answers of this many writes after they took effect.
+	// LoseAnswers is the number of writes that are applied and then broken off without an
+	// answer.
 	LoseAnswers int
 }
 
-// faultState applies faults to requests.
+// faultState holds the current faults and injects them into requests.
 type faultState struct {
 	mu       sync.Mutex
 	faults   Faults
@@ -36,7 +36,7 @@
 	requests int
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (s *faultState) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,15 +47,15 @@
 	}
 }
 
-// Requests returns the number of requests seen.
+// Requests returns the number of requests received so far.
 func (s *faultState) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
 }
 
-// before applies the faults that come before the effect. It reports whether the
-// request is throttled.
+// before is called before a request is handled. It counts the request, breaks it off or delays
+// it, and reports whether it is throttled.
 func (s *faultState) before() (throttled bool) {
 	s.mu.Lock()
 	s.requests++
@@ -68,7 +68,7 @@
 	return limiter != nil && !limiter.Allow()
 }
 
-// after loses the answer of a write where that is asked for.
+// after is called after a write was applied, and breaks it off if its answer is to be lost.
 func (s *faultState) after() {
 	s.mu.Lock()
 	lose := s.faults.LoseAnswers > 0
@@ -81,7 +81,7 @@
 	}
 }
 
-// service is an HTTP server of a stand-in.
+// service is the HTTP server of a fake.
 type service struct {
 	address string
 	server  *http.Server
@@ -105,10 +105,10 @@
 	return s, nil
 }
 
-// URL returns the address of the stand-in.
+// URL returns the base URL of the fake.
 func (s *service) URL() string { return "http://" + s.address }
 
-// Close stops the stand-in.
+// Close stops the fake.
 func (s *service) Close() {
 	_ = s.server.Close()
 	<-s.done
@@ -123,7 +123,8 @@
 	return listener, nil
 }
 
-// FreeAddresses returns addresses on which nothing listens now.
+// FreeAddresses returns loopback addresses with ports that were free during the call. Another
+// process may take one before the caller listens on it.
 func FreeAddresses(count int) ([]string, error) {
 	addresses := make([]string, 0, count)
 	for range count {
--- a/internal/lab/platform/machines.go
+++ b/internal/lab/platform/machines.go
@@ -8,7 +8,7 @@
 	"github.com/tinarch/tinarch/internal/platform/machines"
 )
 
-// Machines is a stand-in for the machine list. It shows changes with a lag.
+// Machines is a fake machine list. A change becomes visible after a lag.
 type Machines struct {
 	*service
 	faultState
@@ -23,7 +23,7 @@
 	list []machines.Machine
 }
 
-// StartMachines runs a machine list on the address.
+// StartMachines serves a machine list at the address.
 func StartMachines(address string, lag time.Duration) (*Machines, error) {
 	m := &Machines{lag: lag}
 	server, err := startService(address, http.HandlerFunc(m.serve))
@@ -31,7 +31,7 @@
 	return m, err
 }
 
-// Set replaces the list. The first list shows at once.
+// Set replaces the list. The first list is visible at once, later ones after the lag.
 func (m *Machines) Set(list []machines.Machine) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -42,7 +42,7 @@
 	m.versions = append(m.versions, listVersion{at: at, list: append([]machines.Machine(nil), list...)})
 }
 
-// Current returns the list as it is, without lag.
+// Current returns the list that was set last, also if it isn't visible yet.
 func (m *Machines) Current() []machines.Machine {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/platform/objects.go
+++ b/internal/lab/platform/objects.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Objects is a stand-in for the object store.
+// Objects is a fake of the object store.
 type Objects struct {
 	*service
 	faultState
@@ -16,7 +16,7 @@
 	content map[string][]byte
 }
 
-// StartObjects runs an object store on the address.
+// StartObjects serves an object store at the address.
 func StartObjects(address string) (*Objects, error) {
 	o := &Objects{content: map[string][]byte{}}
 	server, err := startService(address, http.HandlerFunc(o.serve))
--- a/internal/lab/platform/platform_test.go
+++ b/internal/lab/platform/platform_test.go
@@ -75,7 +75,7 @@
 		t.Errorf("all answers lost: %v", err)
 	}
 	standIn.SetFaults(Faults{RequestsPerSecond: 0.001})
-	_, _ = client.Get(context.Background(), key) // uses up the burst
+	_, _ = client.Get(context.Background(), key) // uses up the limiter's burst
 	err = client.Transact(context.Background(), "t2", write(2, 1, "two"))
 	if result.CodeOf(err) != result.TableUnavailable {
 		t.Errorf("throttled: %v", err)
--- a/internal/lab/platform/table.go
+++ b/internal/lab/platform/table.go
@@ -8,20 +8,21 @@
 	"sync"
 )
 
-// Table is a stand-in for the table service.
+// Table is a fake of the table service.
 type Table struct {
 	*service
 	faultState
 	mu    sync.Mutex
 	items map[string]map[string]attributes // partition, sort key
-	// tokens remembers transactions by their ClientRequestToken.
+	// tokens maps the ClientRequestToken of each applied transaction to its items as JSON. A
+	// transaction that is sent again is not applied again.
 	tokens map[string]string
 }
 
-// attributes is an item in the DynamoDB JSON form: name, type, value.
+// attributes is an item in the JSON form of DynamoDB: attribute name, then type, then value.
 type attributes map[string]map[string]string
 
-// StartTable runs a table on the address.
+// StartTable serves a table at the address.
 func StartTable(address string) (*Table, error) {
 	t := &Table{items: map[string]map[string]attributes{}, tokens: map[string]string{}}
 	server, err := startService(address, http.HandlerFunc(t.serve))
