--- a/internal/lab/platform/faults.go
+++ b/internal/lab/platform/faults.go
@@ -54,9 +54,9 @@
 	return s.requests
 }
 
-// before is called before a request is handled. It counts the request, breaks it off or delays
+// beforeRequest is called beforeRequest a request is handled. It counts the request, breaks it off or delays
 // it, and reports whether it is throttled.
-func (s *faultState) before() (throttled bool) {
+func (s *faultState) beforeRequest() (throttled bool) {
 	s.mu.Lock()
 	s.requests++
 	faults, limiter := s.faults, s.limiter
@@ -68,8 +68,8 @@
 	return limiter != nil && !limiter.Allow()
 }
 
-// after is called after a write was applied, and breaks it off if its answer is to be lost.
-func (s *faultState) after() {
+// afterWrite is called afterWrite a write was applied, and breaks it off if its answer is to be lost.
+func (s *faultState) afterWrite() {
 	s.mu.Lock()
 	lose := s.faults.LoseAnswers > 0
 	if lose {
--- a/internal/lab/platform/machines.go
+++ b/internal/lab/platform/machines.go
@@ -52,7 +52,7 @@
 	return append([]machines.Machine(nil), m.versions[len(m.versions)-1].list...)
 }
 
-func (m *Machines) shown() []machines.Machine {
+func (m *Machines) visibleList() []machines.Machine {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	visible := time.Now().Add(-m.lag)
@@ -66,11 +66,11 @@
 }
 
 func (m *Machines) serve(w http.ResponseWriter, _ *http.Request) {
-	if m.before() {
+	if m.beforeRequest() {
 		http.Error(w, "throttled", http.StatusTooManyRequests)
 		return
 	}
-	content, err := machines.Render(m.shown())
+	content, err := machines.Render(m.visibleList())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/lab/platform/objects.go
+++ b/internal/lab/platform/objects.go
@@ -30,15 +30,15 @@
 	Message string
 }
 
-func refuseS3(w http.ResponseWriter, status int, code string) {
+func writeS3Error(w http.ResponseWriter, status int, code string) {
 	w.Header().Set("Content-Type", "application/xml")
 	w.WriteHeader(status)
 	_ = xml.NewEncoder(w).Encode(s3Error{Code: code, Message: code})
 }
 
 func (o *Objects) serve(w http.ResponseWriter, r *http.Request) {
-	if o.before() {
-		refuseS3(w, http.StatusServiceUnavailable, "SlowDown")
+	if o.beforeRequest() {
+		writeS3Error(w, http.StatusServiceUnavailable, "SlowDown")
 		return
 	}
 	switch r.Method {
@@ -50,18 +50,18 @@
 		o.mu.Lock()
 		o.content[r.URL.Path] = content
 		o.mu.Unlock()
-		o.after()
+		o.afterWrite()
 	case http.MethodGet:
 		o.mu.Lock()
 		content, exists := o.content[r.URL.Path]
 		o.mu.Unlock()
 		if !exists {
-			refuseS3(w, http.StatusNotFound, "NoSuchKey")
+			writeS3Error(w, http.StatusNotFound, "NoSuchKey")
 			return
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(content)))
 		_, _ = w.Write(content)
 	default:
-		refuseS3(w, http.StatusNotImplemented, "NotImplemented")
+		writeS3Error(w, http.StatusNotImplemented, "NotImplemented")
 	}
 }
--- a/internal/lab/platform/platform_test.go
+++ b/internal/lab/platform/platform_test.go
@@ -16,13 +16,13 @@
 
 func startTable(t *testing.T, total time.Duration) (*Table, *table.Client) {
 	t.Helper()
-	standIn, err := StartTable("127.0.0.1:0")
+	fake, err := StartTable("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(standIn.Close)
-	return standIn, table.New(table.Settings{
-		Endpoint: standIn.URL(), Region: "local", Table: "tinarch", AccessKey: "a", SecretKey: "s",
+	t.Cleanup(fake.Close)
+	return fake, table.New(table.Settings{
+		Endpoint: fake.URL(), Region: "local", Table: "tinarch", AccessKey: "a", SecretKey: "s",
 		RequestsPerSecond: 1000, Total: total,
 	})
 }
@@ -56,8 +56,8 @@
 }
 
 func TestTableAdapterSurvivesLostAnswers(t *testing.T) {
-	standIn, client := startTable(t, 5*time.Second)
-	standIn.SetFaults(Faults{LoseAnswers: 2})
+	fake, client := startTable(t, 5*time.Second)
+	fake.SetFaults(Faults{LoseAnswers: 2})
 	if err := client.Transact(context.Background(), "t1", write(1, 0, "one")); err != nil {
 		t.Fatalf("the answer was lost, the write was not: %v", err)
 	}
@@ -68,13 +68,13 @@
 }
 
 func TestTableAdapterTellsNotDoneFromUnknown(t *testing.T) {
-	standIn, client := startTable(t, 300*time.Millisecond)
-	standIn.SetFaults(Faults{LoseAnswers: 1000})
+	fake, client := startTable(t, 300*time.Millisecond)
+	fake.SetFaults(Faults{LoseAnswers: 1000})
 	err := client.Transact(context.Background(), "t1", write(1, 0, "one"))
 	if result.CodeOf(err) != result.ApplyUnknown {
 		t.Errorf("all answers lost: %v", err)
 	}
-	standIn.SetFaults(Faults{RequestsPerSecond: 0.001})
+	fake.SetFaults(Faults{RequestsPerSecond: 0.001})
 	_, _ = client.Get(context.Background(), key) // uses up the limiter's burst
 	err = client.Transact(context.Background(), "t2", write(2, 1, "two"))
 	if result.CodeOf(err) != result.TableUnavailable {
@@ -83,17 +83,17 @@
 }
 
 func TestObjectAdapter(t *testing.T) {
-	standIn, err := StartObjects("127.0.0.1:0")
+	fake, err := StartObjects("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer standIn.Close()
-	client := objects.New(objects.Settings{Endpoint: standIn.URL(), Region: "local", Bucket: "b", AccessKey: "a", SecretKey: "s", RequestsPerSecond: 1000})
+	defer fake.Close()
+	client := objects.New(objects.Settings{Endpoint: fake.URL(), Region: "local", Bucket: "b", AccessKey: "a", SecretKey: "s", RequestsPerSecond: 1000})
 	ctx := context.Background()
 	if _, err := client.Get(ctx, "x"); !errors.Is(err, objects.ErrNotFound) {
 		t.Errorf("missing object: %v", err)
 	}
-	standIn.SetFaults(Faults{LoseAnswers: 1})
+	fake.SetFaults(Faults{LoseAnswers: 1})
 	if err := client.Put(ctx, "x", []byte("content")); err != nil {
 		t.Fatal(err)
 	}
@@ -104,15 +104,15 @@
 }
 
 func TestMachineListAdapter(t *testing.T) {
-	standIn, err := StartMachines("127.0.0.1:0", time.Hour)
+	fake, err := StartMachines("127.0.0.1:0", time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer standIn.Close()
+	defer fake.Close()
 	first := []machines.Machine{{Kind: machines.KindEngine, Name: "e1", Address: "127.0.0.1:1", Pool: "p", Zone: "z"}}
-	standIn.Set(first)
-	standIn.Set([]machines.Machine{{Kind: machines.KindEngine, Name: "e1", Address: "127.0.0.1:1", Leaving: true}})
-	list, err := machines.New(standIn.URL()).List(context.Background())
+	fake.Set(first)
+	fake.Set([]machines.Machine{{Kind: machines.KindEngine, Name: "e1", Address: "127.0.0.1:1", Leaving: true}})
+	list, err := machines.New(fake.URL()).List(context.Background())
 	if diff := cmp.Diff(first, list); err != nil || diff != "" {
 		t.Errorf("the list does not lag: %v\n%s", err, diff)
 	}
--- a/internal/lab/platform/table.go
+++ b/internal/lab/platform/table.go
@@ -64,13 +64,13 @@
 }
 
 func (t *Table) serve(w http.ResponseWriter, r *http.Request) {
-	if t.before() {
-		refuseDynamo(w, dynamoError{Type: "ProvisionedThroughputExceededException", Message: "throttled"})
+	if t.beforeRequest() {
+		writeDynamoError(w, dynamoError{Type: "ProvisionedThroughputExceededException", Message: "throttled"})
 		return
 	}
 	var request tableRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
-		refuseDynamo(w, dynamoError{Type: "ValidationException", Message: err.Error()})
+		writeDynamoError(w, dynamoError{Type: "ValidationException", Message: err.Error()})
 		return
 	}
 	switch strings.TrimPrefix(r.Header.Get("X-Amz-Target"), dynamoTarget) {
@@ -81,16 +81,16 @@
 	case "TransactWriteItems":
 		t.transact(w, request)
 	default:
-		refuseDynamo(w, dynamoError{Type: "ValidationException", Message: "operation not supported by this stand-in"})
+		writeDynamoError(w, dynamoError{Type: "ValidationException", Message: "operation not supported by this stand-in"})
 	}
 }
 
-func replyDynamo(w http.ResponseWriter, value any) {
+func writeDynamoReply(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/x-amz-json-1.0")
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func refuseDynamo(w http.ResponseWriter, failure dynamoError) {
+func writeDynamoError(w http.ResponseWriter, failure dynamoError) {
 	failure.Type = dynamoErrorPrefix + failure.Type
 	w.Header().Set("Content-Type", "application/x-amz-json-1.0")
 	w.WriteHeader(http.StatusBadRequest)
@@ -102,10 +102,10 @@
 	defer t.mu.Unlock()
 	item := t.items[request.Key["pk"]["S"]][request.Key["sk"]["S"]]
 	if item == nil {
-		replyDynamo(w, struct{}{})
+		writeDynamoReply(w, struct{}{})
 		return
 	}
-	replyDynamo(w, struct{ Item attributes }{item})
+	writeDynamoReply(w, struct{ Item attributes }{item})
 }
 
 func (t *Table) query(w http.ResponseWriter, request tableRequest) {
@@ -126,7 +126,7 @@
 	for _, key := range keys {
 		found = append(found, partition[key])
 	}
-	replyDynamo(w, struct {
+	writeDynamoReply(w, struct {
 		Items []attributes
 		Count int
 	}{found, len(found)})
@@ -137,17 +137,17 @@
 	failure := t.apply(request)
 	t.mu.Unlock()
 	if failure != nil {
-		refuseDynamo(w, *failure)
+		writeDynamoError(w, *failure)
 		return
 	}
-	t.after()
-	replyDynamo(w, struct{}{})
+	t.afterWrite()
+	writeDynamoReply(w, struct{}{})
 }
 
 func (t *Table) apply(request tableRequest) *dynamoError {
 	fingerprint, _ := json.Marshal(request.TransactItems)
-	if before, seen := t.tokens[request.Token]; seen && request.Token != "" {
-		if before != string(fingerprint) {
+	if earlier, seen := t.tokens[request.Token]; seen && request.Token != "" {
+		if earlier != string(fingerprint) {
 			return &dynamoError{Type: "IdempotentParameterMismatchException", Message: "the token was used for another transaction"}
 		}
 		return nil
@@ -156,7 +156,7 @@
 	failed := false
 	for i, entry := range request.TransactItems {
 		reasons[i].Code = "None"
-		if entry.Put == nil || !t.holds(entry.Put) {
+		if entry.Put == nil || !t.conditionHolds(entry.Put) {
 			reasons[i].Code = "ConditionalCheckFailed"
 			failed = true
 		}
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (t *Table) holds(put *putEntry) bool {
+func (t *Table) conditionHolds(put *putEntry) bool {
 	stored := t.items[put.Item["pk"]["S"]][put.Item["sk"]["S"]]
 	switch put.Condition {
 	case "":
