--- a/internal/lab/platform/platform_test.go
+++ b/internal/lab/platform/platform_test.go
@@ -59,7 +59,7 @@
 	fake, client := startTable(t, 5*time.Second)
 	fake.SetFaults(Faults{LoseAnswers: 2})
 	if err := client.Transact(context.Background(), "t1", write(1, 0, "one")); err != nil {
-		t.Fatalf("the answer was lost, the write was not: %v", err)
+		t.Fatalf("write whose answer was lost twice: %v", err)
 	}
 	item, err := client.Get(context.Background(), key)
 	if err != nil || item.Revision != 1 {
@@ -114,7 +114,7 @@
 	fake.Set([]machines.Machine{{Kind: machines.KindEngine, Name: "e1", Address: "127.0.0.1:1", Leaving: true}})
 	list, err := machines.New(fake.URL()).List(context.Background())
 	if diff := cmp.Diff(first, list); err != nil || diff != "" {
-		t.Errorf("the list does not lag: %v\n%s", err, diff)
+		t.Errorf("list before the lag has passed: %v\n%s", err, diff)
 	}
 }
 
