--- a/internal/lab/platform/faults.go
+++ b/internal/lab/platform/faults.go
@@ -54,7 +54,7 @@
 	return s.requests
 }
 
-// beforeRequest is called beforeRequest a request is handled. It counts the request, breaks it off or delays
+// beforeRequest is called before a request is handled. It counts the request, breaks it off or delays
 // it, and reports whether it is throttled.
 func (s *faultState) beforeRequest() (throttled bool) {
 	s.mu.Lock()
@@ -68,7 +68,7 @@
 	return limiter != nil && !limiter.Allow()
 }
 
-// afterWrite is called afterWrite a write was applied, and breaks it off if its answer is to be lost.
+// afterWrite is called after a write was applied, and breaks it off if its answer is to be lost.
 func (s *faultState) afterWrite() {
 	s.mu.Lock()
 	lose := s.faults.LoseAnswers > 0
