--- a/internal/lab/faults/callers.go
+++ b/internal/lab/faults/callers.go
@@ -11,7 +11,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// call is one request of a caller with its last answer.
+// call is a request of a caller with its last answer.
 type call struct {
 	keyed  bool
 	seed   uint64
@@ -20,9 +20,9 @@
 	right  bool
 }
 
-// callers send requests, and do what a careful client does: where the connection
-// breaks, or the answer says that the same request may be sent again, it goes to
-// another node, with its key.
+// callers send requests and retry as a careful client does: if the connection breaks, or the
+// answer allows a repetition, they send the same request with the same idempotency key to
+// another node.
 type callers struct {
 	owner  *run
 	sender *load.Sender
@@ -46,7 +46,8 @@
 	callTimeout = 35 * time.Second
 )
 
-// send sends at a steady rate for a time and waits for the answers.
+// send sends requests at random intervals with a constant mean rate for the given time, and
+// waits for all answers.
 func (c *callers) send(ctx context.Context, length time.Duration) {
 	began := time.Now()
 	var sending sync.WaitGroup
@@ -94,8 +95,8 @@
 	c.calls = append(c.calls, made)
 }
 
-// again reports whether a careful client sends the request once more. With a key
-// it always may: the key is what makes that safe.
+// again reports whether the request is to be sent again. A request with an idempotency key may
+// also be sent again if its outcome is unknown, since the key prevents a second run.
 func again(answer load.Answer, keyed bool) bool {
 	switch {
 	case answer.Code == result.OK:
@@ -108,7 +109,7 @@
 	return answer.Code.Entry().Repeat
 }
 
-// check judges the answers by what engines saw.
+// check compares the answers with the runs that the engines recorded.
 func (c *callers) check() {
 	runs := c.owner.lab.Runs()
 	c.mu.Lock()
--- a/internal/lab/faults/checks.go
+++ b/internal/lab/faults/checks.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// leavingGrace is how long after the mark an engine may still accept work: the
-// list's lag, its reading, and two seconds.
+// leavingGrace is the time for which an engine may still accept work after it was marked
+// leaving: the lag of the machine list, 500 ms until nodes have read it, and two seconds.
 const leavingGrace = listLag + 500*time.Millisecond + 2*time.Second
 
 func (r *run) markLeaving(engine int, leaving bool) {
@@ -20,8 +20,8 @@
 	}
 }
 
-// checkLeaving looks whether a leaving engine got work after its grace. While the
-// machine list can't be read, the mark is not known.
+// checkLeaving checks that a leaving engine got no work after leavingGrace. It checks nothing
+// if the machine list was unavailable, since nodes don't know the mark then.
 func (r *run) checkLeaving(engine int) {
 	r.mu.Lock()
 	since := r.leavingSince[engine]
@@ -35,7 +35,8 @@
 	}
 }
 
-// listWasDown reports whether the schedule has the machine list down in a time.
+// listWasDown reports whether the schedule has the machine list down at any time, provided that
+// to is after from.
 func (r *run) listWasDown(from, to time.Time) bool {
 	for _, event := range r.trace {
 		if event.Action == ListDown && to.After(from) {
@@ -45,7 +46,7 @@
 	return false
 }
 
-// checkEngines judges what engines saw.
+// checkEngines checks the violations that the engines counted.
 func (r *run) checkEngines() {
 	total := r.lab.Counters()
 	if total.UnfencedOrders > 0 {
@@ -59,8 +60,8 @@
 	}
 }
 
-// checkRecovery waits until all nodes serve the same revision and all engines are
-// ready again, after the last failure.
+// checkRecovery checks that, within settleTime after the last fault, all nodes serve the same
+// revision and all engines are ready.
 func (r *run) checkRecovery(ctx context.Context) {
 	settleCtx, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
--- a/internal/lab/faults/node.go
+++ b/internal/lab/faults/node.go
@@ -5,7 +5,7 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// nodeProcess is a node that runs as a process, with the settings it is started with.
+// nodeProcess is a node in a process of its own, with the settings that it is started with.
 type nodeProcess struct {
 	*process.Node
 	settings *settings.Settings
--- a/internal/lab/faults/operators.go
+++ b/internal/lab/faults/operators.go
@@ -44,8 +44,8 @@
 	return response.Msg.GetRevision(), response.Msg.GetCatalog(), nil
 }
 
-// raceOperators lets two operators change the same revision at two nodes. At most
-// one of them may be told that it was accepted.
+// raceOperators sends two changes of the same revision to two nodes at once. It is a problem if
+// both are accepted.
 func (r *run) raceOperators(ctx context.Context, event Event) {
 	expected, _, err := r.revision(ctx, event.Target)
 	if err != nil || expected == 0 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// servingEngines returns the number of ready engines as a leader sees them.
+// servingEngines returns the number of ready engines by the first node that knows any engine.
 func (r *run) servingEngines(ctx context.Context) int {
 	for node := range r.nodes {
 		callCtx, cancel := context.WithTimeout(ctx, operatorTimeout)
@@ -99,8 +99,8 @@
 	return 0
 }
 
-// revisionWatch reads the revision at each node again and again. Within one
-// process it must never fall.
+// revisionWatch polls the revision of each node and checks that it never decreases while the
+// process runs.
 type revisionWatch struct {
 	owner *run
 	done  chan struct{}
--- a/internal/lab/faults/run.go
+++ b/internal/lab/faults/run.go
@@ -17,11 +17,11 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Options steer a run.
+// Options configure a run.
 type Options struct {
 	Seed    uint64
 	Program string
-	// Directory takes settings and logs of the nodes.
+	// Directory is where the nodes' settings and logs are written.
 	Directory string
 	Length    time.Duration
 	Events    int
@@ -32,14 +32,15 @@
 	engineCount = 5
 	callerKey   = "member"
 	callerRate  = 40
-	// settleTime is the quiet time at the end, in which all must recover.
+	// settleTime is the time without faults at the end of a run, within which everything must
+	// recover.
 	settleTime   = 12 * time.Second
 	startTimeout = 20 * time.Second
 	startTries   = 3
 	listLag      = 500 * time.Millisecond
 )
 
-// Outcome is what a run showed.
+// Outcome is the result of a run.
 type Outcome struct {
 	Seed     uint64   `json:"seed"`
 	Events   []string `json:"events"`
@@ -60,11 +61,11 @@
 
 	mu       sync.Mutex
 	problems []string
-	// leavingSince notes when engines were marked leaving.
+	// leavingSince holds the times at which engines were marked leaving.
 	leavingSince map[int]time.Time
 }
 
-// Execute runs one schedule.
+// Execute runs the schedule of one seed.
 func Execute(ctx context.Context, options Options) (Outcome, error) {
 	r := &run{options: options, leavingSince: map[int]time.Time{}}
 	r.trace = NewSchedule(options.Seed, options.Length, options.Events, nodeCount, engineCount)
@@ -73,7 +74,7 @@
 	}
 	var err error
 	for range startTries {
-		// A port that was free may be taken by the time a node listens on it.
+		// Another process may have taken a free port before a node listens on it.
 		if err = r.start(ctx); err == nil {
 			defer r.close()
 			return r.drive(ctx)
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// drive sends load while the schedule runs, lets all settle, and checks.
+// drive sends requests while the schedule runs, waits for the recovery and does the checks.
 func (r *run) drive(ctx context.Context) (Outcome, error) {
 	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -179,7 +180,7 @@
 	return outcome, nil
 }
 
-// playSchedule plays the events and waits for the last to end.
+// playSchedule injects the faults at their times and waits until the last has ended.
 func (r *run) playSchedule(ctx context.Context) {
 	began := time.Now()
 	var playing sync.WaitGroup
@@ -306,7 +307,7 @@
 	}
 }
 
-// Trace renders a failed run for a reader.
+// Trace formats a failed run with its faults and problems.
 func (o Outcome) Trace() string {
 	text := fmt.Sprintf("seed %d\n", o.Seed)
 	for _, event := range o.Events {
@@ -318,12 +319,12 @@
 	return text
 }
 
-// DirectoryFor returns the directory of a seed's logs.
+// DirectoryFor returns the directory for the files of the seed's run.
 func DirectoryFor(base string, seed uint64) string {
 	return filepath.Join(base, fmt.Sprintf("seed-%d", seed))
 }
 
-// textOf is the answer that engines write to a prompt.
+// textOf returns the answer that engines generate for the prompt, and the seed of that text.
 func textOf(prompt string, tokens int) (string, uint64) {
 	seed := labengine.TextSeed("model", "v", "", prompt)
 	return labengine.Text(seed, tokens), seed
--- a/internal/lab/faults/schedule.go
+++ b/internal/lab/faults/schedule.go
@@ -1,5 +1,5 @@
-// Package faults runs nodes as processes of their own under seeded schedules of
-// failures, and checks what callers and engines saw against what must always hold.
+// Package faults runs each node in a process of its own, injects faults by a schedule drawn
+// from a seed, and checks that what callers and engines saw violates no guarantee.
 package faults
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Action is a sort of failure.
+// Action is a kind of fault.
 type Action string
 
-// The failures.
+// The faults, with the names that traces show.
 const (
 	KillNode         Action = "kill node"
 	PauseNode        Action = "pause node"
@@ -36,22 +36,23 @@
 	CrashEngine, CrashEngine, LoseOrderAnswers, LoseAccepts, BreakStreams, EngineLeaves, DrainEngine, RaceOperators,
 }
 
-// Event is one failure of a schedule.
+// Event is one fault of a schedule.
 type Event struct {
 	At     time.Duration
 	Action Action
-	// Target is the number of the node or engine.
+	// Target is the index of the node or engine. Actions that concern neither ignore it.
 	Target int
-	// Length is how long the failure lasts, where it lasts.
+	// Length is how long a fault lasts; faults without a duration ignore it.
 	Length time.Duration
 }
 
-// String renders the event for a trace.
+// String formats the event for a trace.
 func (e Event) String() string {
 	return fmt.Sprintf("%6.2f s  %s %d for %.2f s", e.At.Seconds(), e.Action, e.Target+1, e.Length.Seconds())
 }
 
-// NewSchedule draws the failures of a seed over a time.
+// NewSchedule draws count faults at random times within length. The schedule depends on its
+// arguments only.
 func NewSchedule(seed uint64, length time.Duration, count, nodes, engines int) []Event {
 	random := rand.New(rand.NewPCG(seed, 0xfa17))
 	schedule := make([]Event, 0, count)
