--- a/internal/lab/platform/faults.go
+++ b/internal/lab/platform/faults.go
@@ -54,8 +54,8 @@
 	return s.requests
 }
 
-// beforeRequest is called before a request is handled. It counts the request, breaks it off or delays
-// it, and reports whether it is throttled.
+// beforeRequest is called before a request is handled. It counts the request, breaks it off or
+// delays it, and reports whether it is throttled.
 func (s *faultState) beforeRequest() (throttled bool) {
 	s.mu.Lock()
 	s.requests++
