--- a/internal/lab/faults/callers.go
+++ b/internal/lab/faults/callers.go
@@ -24,7 +24,7 @@
 // answer allows a repetition, they send the same request with the same idempotency key to
 // another node.
 type callers struct {
-	owner  *run
+	parent *run
 	sender *load.Sender
 	random *rand.Rand
 
@@ -37,13 +37,13 @@
 	for i, n := range r.nodes {
 		addresses[i] = n.callers()
 	}
-	return &callers{owner: r, sender: load.NewSender(addresses), random: rand.New(rand.NewPCG(r.options.Seed, 0xca11))}
+	return &callers{parent: r, sender: load.NewSender(addresses), random: rand.New(rand.NewPCG(r.options.Seed, 0xca11))}
 }
 
 const (
-	callTries   = 12
-	callPause   = 300 * time.Millisecond
-	callTimeout = 35 * time.Second
+	maxCallAttempts = 12
+	retryDelay      = 300 * time.Millisecond
+	callTimeout     = 35 * time.Second
 )
 
 // send sends requests at random intervals with a constant mean rate for the given time, and
@@ -54,40 +54,40 @@
 	for number := 0; time.Since(began) < length; number++ {
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(c.random.ExpFloat64() / callerRate * float64(time.Second))):
+		case <-time.After(time.Duration(c.random.ExpFloat64() / requestsPerSecond * float64(time.Second))):
 		}
 		keyed, tokens := c.random.IntN(2) == 0, 20+c.random.IntN(150)
 		sending.Add(1)
 		go func() {
 			defer sending.Done()
-			c.one(ctx, number, keyed, tokens)
+			c.sendOne(ctx, number, keyed, tokens)
 		}()
 	}
 	sending.Wait()
 	c.sender.Close()
 }
 
-func (c *callers) one(ctx context.Context, number int, keyed bool, tokens int) {
+func (c *callers) sendOne(ctx context.Context, number int, keyed bool, tokens int) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	stream := load.Stream{Model: "model", Kind: "screen", Whole: number%3 == 0}
 	key := ""
 	if keyed {
 		stream.Kind = "verdict"
-		key = fmt.Sprintf("key-%d-%d", c.owner.options.Seed, number)
+		key = fmt.Sprintf("key-%d-%d", c.parent.options.Seed, number)
 	}
-	prompt := fmt.Sprintf("request %d of seed %d", number, c.owner.options.Seed)
-	want, seed := textOf(prompt, tokens)
+	prompt := fmt.Sprintf("request %d of seed %d", number, c.parent.options.Seed)
+	want, seed := expectedText(prompt, tokens)
 	made := call{keyed: keyed, seed: seed, number: number}
-	for try := range callTries {
+	for try := range maxCallAttempts {
 		made.answer = c.sender.Send(callCtx, number+try, stream, load.Arrival{OutputTokens: tokens, Key: callerKey}, prompt, key)
 		made.right = made.answer.Text == want
-		if !again(made.answer, keyed) || callCtx.Err() != nil {
+		if !shouldRetry(made.answer, keyed) || callCtx.Err() != nil {
 			break
 		}
 		select {
 		case <-callCtx.Done():
-		case <-time.After(callPause):
+		case <-time.After(retryDelay):
 		}
 	}
 	c.mu.Lock()
@@ -95,9 +95,9 @@
 	c.calls = append(c.calls, made)
 }
 
-// again reports whether the request is to be sent again. A request with an idempotency key may
-// also be sent again if its outcome is unknown, since the key prevents a second run.
-func again(answer load.Answer, keyed bool) bool {
+// shouldRetry reports whether the request is to be sent again. A request with an idempotency
+// key may also be sent again if its outcome is unknown, since the key prevents a second run.
+func shouldRetry(answer load.Answer, keyed bool) bool {
 	switch {
 	case answer.Code == result.OK:
 		return !answer.Whole
@@ -111,25 +111,25 @@
 
 // check compares the answers with the runs that the engines recorded.
 func (c *callers) check() {
-	runs := c.owner.lab.Runs()
+	runs := c.parent.lab.Runs()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, made := range c.calls {
 		if made.answer.Code == result.OK && made.answer.Whole && !made.right {
-			c.owner.problem("request %d got an answer that is not its own or not whole", made.number)
+			c.parent.addProblem("request %d got an answer that is not its own or not whole", made.number)
 		}
 		if made.keyed && runs[made.seed] > 1 {
-			c.owner.problem("request %d must run at most once and ran %d times", made.number, runs[made.seed])
+			c.parent.addProblem("request %d must run at most once and ran %d times", made.number, runs[made.seed])
 		}
 		notRun := made.answer.Code != result.OK && made.answer.CodeName != "connection" && made.answer.CodeName != "cut" &&
 			made.answer.Code.Entry().Outcome == result.DidNotRun
 		if made.keyed && notRun && runs[made.seed] > 0 {
-			c.owner.problem("request %d was refused as not run (%s) and ran", made.number, made.answer.Code)
+			c.parent.addProblem("request %d was refused as not run (%s) and ran", made.number, made.answer.Code)
 		}
 	}
 }
 
-func (c *callers) fill(outcome *Outcome) {
+func (c *callers) addTo(outcome *Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	outcome.Requests = len(c.calls)
--- a/internal/lab/faults/checks.go
+++ b/internal/lab/faults/checks.go
@@ -31,14 +31,14 @@
 		return
 	}
 	if late := last.Sub(since); late > leavingGrace {
-		r.problem("engine %d accepted work %v after it was marked leaving", engine+1, late)
+		r.addProblem("engine %d accepted work %v after it was marked leaving", engine+1, late)
 	}
 }
 
 // listWasDown reports whether the schedule has the machine list down at any time, provided that
 // to is after from.
 func (r *run) listWasDown(from, to time.Time) bool {
-	for _, event := range r.trace {
+	for _, event := range r.schedule {
 		if event.Action == ListDown && to.After(from) {
 			return true
 		}
@@ -50,13 +50,13 @@
 func (r *run) checkEngines() {
 	total := r.lab.Counters()
 	if total.UnfencedOrders > 0 {
-		r.problem("%d orders took effect under a lower fence than a claim before them", total.UnfencedOrders)
+		r.addProblem("%d orders took effect under a lower fence than a claim before them", total.UnfencedOrders)
 	}
 	if total.UnclaimedOrders > 0 {
-		r.problem("%d orders took effect in an incarnation that their leader had not claimed", total.UnclaimedOrders)
+		r.addProblem("%d orders took effect in an incarnation that their leader had not claimed", total.UnclaimedOrders)
 	}
 	if total.CutByOrder > 0 {
-		r.problem("%d attempts were cut by orders", total.CutByOrder)
+		r.addProblem("%d attempts were cut by orders", total.CutByOrder)
 	}
 }
 
@@ -77,6 +77,6 @@
 		return r.servingEngines(settleCtx) == engineCount
 	})
 	if err != nil {
-		r.problem("%v after the last failure, nodes disagree on the revision or not all engines are ready", settleTime)
+		r.addProblem("%v after the last failure, nodes disagree on the revision or not all engines are ready", settleTime)
 	}
 }
--- a/internal/lab/faults/node.go
+++ b/internal/lab/faults/node.go
@@ -11,13 +11,13 @@
 	settings *settings.Settings
 }
 
-func newNodeProcess(program, directory string, configured settings.Settings) *nodeProcess {
-	kept := &configured
+func newNodeProcess(program, directory string, nodeSettings settings.Settings) *nodeProcess {
+	kept := &nodeSettings
 	return &nodeProcess{
 		settings: kept,
 		Node: &process.Node{
-			Program: program, Directory: directory, Name: configured.Node.Name, Settings: kept,
-			ReadyURL: "http://" + configured.Listen.Callers + "/readyz",
+			Program: program, Directory: directory, Name: nodeSettings.Node.Name, Settings: kept,
+			ReadyURL: "http://" + nodeSettings.Listen.Callers + "/readyz",
 		},
 	}
 }
--- a/internal/lab/faults/operators.go
+++ b/internal/lab/faults/operators.go
@@ -64,7 +64,7 @@
 	}
 	group.Wait()
 	if accepted[0] && accepted[1] {
-		r.problem("two operators' changes of revision %d were both accepted", expected)
+		r.addProblem("two operators' changes of revision %d were both accepted", expected)
 	}
 }
 
@@ -102,38 +102,38 @@
 // revisionWatch polls the revision of each node and checks that it never decreases while the
 // process runs.
 type revisionWatch struct {
-	owner *run
-	done  chan struct{}
-	quit  chan struct{}
-
-	mu    sync.Mutex
-	seen  []uint64
-	start []int
-	top   uint64
+	parent *run
+	done   chan struct{}
+	quit   chan struct{}
+
+	mu              sync.Mutex
+	lastRevision    []uint64
+	lastStart       []int
+	highestRevision uint64
 }
 
 func newRevisionWatch(r *run) *revisionWatch {
-	return &revisionWatch{owner: r, done: make(chan struct{}), quit: make(chan struct{}), seen: make([]uint64, nodeCount), start: make([]int, nodeCount)}
+	return &revisionWatch{parent: r, done: make(chan struct{}), quit: make(chan struct{}), lastRevision: make([]uint64, nodeCount), lastStart: make([]int, nodeCount)}
 }
 
-func (w *revisionWatch) look(ctx context.Context, node int) {
-	n := w.owner.nodes[node]
+func (w *revisionWatch) poll(ctx context.Context, node int) {
+	n := w.parent.nodes[node]
 	before := n.Starts()
 	if !n.Ready(ctx) {
 		return
 	}
-	revision, _, err := w.owner.revision(ctx, node)
+	revision, _, err := w.parent.revision(ctx, node)
 	after := n.Starts()
 	if err != nil || before != after {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.start[node] == after && revision < w.seen[node] {
-		w.owner.problem("node %d went from revision %d to %d", node+1, w.seen[node], revision)
+	if w.lastStart[node] == after && revision < w.lastRevision[node] {
+		w.parent.addProblem("node %d went from revision %d to %d", node+1, w.lastRevision[node], revision)
 	}
-	w.start[node], w.seen[node] = after, revision
-	w.top = max(w.top, revision)
+	w.lastStart[node], w.lastRevision[node] = after, revision
+	w.highestRevision = max(w.highestRevision, revision)
 }
 
 func (w *revisionWatch) watch(ctx context.Context) {
@@ -148,8 +148,8 @@
 			return
 		case <-ticker.C:
 		}
-		for node := range w.owner.nodes {
-			w.look(ctx, node)
+		for node := range w.parent.nodes {
+			w.poll(ctx, node)
 		}
 	}
 }
@@ -162,5 +162,5 @@
 func (w *revisionWatch) highest() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.top
+	return w.highestRevision
 }
--- a/internal/lab/faults/run.go
+++ b/internal/lab/faults/run.go
@@ -28,16 +28,16 @@
 }
 
 const (
-	nodeCount   = 4
-	engineCount = 5
-	callerKey   = "member"
-	callerRate  = 40
+	nodeCount         = 4
+	engineCount       = 5
+	callerKey         = "member"
+	requestsPerSecond = 40
 	// settleTime is the time without faults at the end of a run, within which everything must
 	// recover.
-	settleTime   = 12 * time.Second
-	startTimeout = 20 * time.Second
-	startTries   = 3
-	listLag      = 500 * time.Millisecond
+	settleTime       = 12 * time.Second
+	startTimeout     = 20 * time.Second
+	maxStartAttempts = 3
+	listLag          = 500 * time.Millisecond
 )
 
 // Outcome is the result of a run.
@@ -54,10 +54,10 @@
 }
 
 type run struct {
-	options Options
-	lab     *cluster.Cluster
-	nodes   []*nodeProcess
-	trace   []Event
+	options  Options
+	lab      *cluster.Cluster
+	nodes    []*nodeProcess
+	schedule []Event
 
 	mu       sync.Mutex
 	problems []string
@@ -68,12 +68,12 @@
 // Execute runs the schedule of one seed.
 func Execute(ctx context.Context, options Options) (Outcome, error) {
 	r := &run{options: options, leavingSince: map[int]time.Time{}}
-	r.trace = NewSchedule(options.Seed, options.Length, options.Events, nodeCount, engineCount)
+	r.schedule = NewSchedule(options.Seed, options.Length, options.Events, nodeCount, engineCount)
 	if err := os.MkdirAll(options.Directory, 0o755); err != nil {
 		return Outcome{}, result.Wrap(err, result.Internal, "making %s", options.Directory)
 	}
 	var err error
-	for range startTries {
+	for range maxStartAttempts {
 		// Another process may have taken a free port before a node listens on it.
 		if err = r.start(ctx); err == nil {
 			defer r.close()
@@ -109,7 +109,7 @@
 		return err
 	}
 	r.lab = lab
-	if err := r.makeNodes(); err != nil {
+	if err := r.configureNodes(); err != nil {
 		return err
 	}
 	for _, n := range r.nodes {
@@ -132,7 +132,7 @@
 	})
 }
 
-func (r *run) makeNodes() error {
+func (r *run) configureNodes() error {
 	var seeds []string
 	for i := range nodeCount {
 		configured := r.lab.NodeSettings(fmt.Sprintf("node-%d", i+1), string(rune('a'+i%3)))
@@ -163,28 +163,28 @@
 		defer sending.Done()
 		callers.send(runCtx, r.options.Length)
 	}()
-	r.playSchedule(runCtx)
+	r.injectSchedule(runCtx)
 	sending.Wait()
 	r.checkRecovery(ctx)
 	watch.stop()
 	r.checkEngines()
 	callers.check()
 	outcome := Outcome{Seed: r.options.Seed, Problems: r.problems, Revision: watch.highest()}
-	for _, event := range r.trace {
+	for _, event := range r.schedule {
 		outcome.Events = append(outcome.Events, event.String())
 	}
 	for _, n := range r.nodes {
 		outcome.Starts += n.Starts()
 	}
-	callers.fill(&outcome)
+	callers.addTo(&outcome)
 	return outcome, nil
 }
 
-// playSchedule injects the faults at their times and waits until the last has ended.
-func (r *run) playSchedule(ctx context.Context) {
+// injectSchedule injects the faults at their times and waits until the last has ended.
+func (r *run) injectSchedule(ctx context.Context) {
 	began := time.Now()
 	var playing sync.WaitGroup
-	for _, event := range r.trace {
+	for _, event := range r.schedule {
 		select {
 		case <-ctx.Done():
 			return
@@ -193,7 +193,7 @@
 		playing.Add(1)
 		go func() {
 			defer playing.Done()
-			r.play(ctx, event)
+			r.inject(ctx, event)
 		}()
 	}
 	playing.Wait()
@@ -203,7 +203,7 @@
 	}
 }
 
-func (r *run) play(ctx context.Context, event Event) {
+func (r *run) inject(ctx context.Context, event Event) {
 	pause := func() {
 		select {
 		case <-ctx.Done():
@@ -212,17 +212,17 @@
 	}
 	switch event.Action {
 	case KillNode, PauseNode, StopNode:
-		r.playNode(ctx, event, pause)
+		r.injectNodeFault(ctx, event, pause)
 	case TableDown, TableSlow, TableLosesAnswer, ObjectsDown, ListDown:
-		r.playPlatform(event, pause)
+		r.injectPlatformFault(event, pause)
 	case RaceOperators:
 		r.raceOperators(ctx, event)
 	default:
-		r.playEngine(ctx, event, pause)
+		r.injectEngineFault(ctx, event, pause)
 	}
 }
 
-func (r *run) playNode(ctx context.Context, event Event, pause func()) {
+func (r *run) injectNodeFault(ctx context.Context, event Event, pause func()) {
 	n := r.nodes[event.Target]
 	switch event.Action {
 	case PauseNode:
@@ -239,11 +239,11 @@
 	}
 	pause()
 	if err := n.Start(); err != nil {
-		r.problem("node %d could not be started again: %v", event.Target+1, err)
+		r.addProblem("node %d could not be started again: %v", event.Target+1, err)
 	}
 }
 
-func (r *run) playPlatform(event Event, pause func()) {
+func (r *run) injectPlatformFault(event Event, pause func()) {
 	switch event.Action {
 	case TableDown:
 		r.lab.Table.SetFaults(platform.Faults{Down: true})
@@ -267,7 +267,7 @@
 	}
 }
 
-func (r *run) playEngine(ctx context.Context, event Event, pause func()) {
+func (r *run) injectEngineFault(ctx context.Context, event Event, pause func()) {
 	e := r.lab.Engines[event.Target]
 	switch event.Action {
 	case CrashEngine:
@@ -292,7 +292,7 @@
 	}
 }
 
-func (r *run) problem(format string, arguments ...any) {
+func (r *run) addProblem(format string, arguments ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.problems = append(r.problems, fmt.Sprintf(format, arguments...))
@@ -324,8 +324,9 @@
 	return filepath.Join(base, fmt.Sprintf("seed-%d", seed))
 }
 
-// textOf returns the answer that engines generate for the prompt, and the seed of that text.
-func textOf(prompt string, tokens int) (string, uint64) {
+// expectedText returns the answer that engines generate for the prompt, and the seed of that
+// text.
+func expectedText(prompt string, tokens int) (string, uint64) {
 	seed := labengine.TextSeed("model", "v", "", prompt)
 	return labengine.Text(seed, tokens), seed
 }
