--- a/internal/lab/faults/callers.go
+++ b/internal/lab/faults/callers.go
@@ -116,15 +116,15 @@
 	defer c.mu.Unlock()
 	for _, made := range c.calls {
 		if made.answer.Code == result.OK && made.answer.Whole && !made.right {
-			c.parent.addProblem("request %d got an answer that is not its own or not whole", made.number)
+			c.parent.addProblem("request %d got an answer that is incomplete or belongs to another request", made.number)
 		}
 		if made.keyed && runs[made.seed] > 1 {
-			c.parent.addProblem("request %d must run at most once and ran %d times", made.number, runs[made.seed])
+			c.parent.addProblem("request %d with an idempotency key ran %d times", made.number, runs[made.seed])
 		}
 		notRun := made.answer.Code != result.OK && made.answer.CodeName != "connection" && made.answer.CodeName != "cut" &&
 			made.answer.Code.Entry().Outcome == result.DidNotRun
 		if made.keyed && notRun && runs[made.seed] > 0 {
-			c.parent.addProblem("request %d was refused as not run (%s) and ran", made.number, made.answer.Code)
+			c.parent.addProblem("request %d was refused as not run (%s) but ran", made.number, made.answer.Code)
 		}
 	}
 }
--- a/internal/lab/faults/checks.go
+++ b/internal/lab/faults/checks.go
@@ -50,13 +50,13 @@
 func (r *run) checkEngines() {
 	total := r.lab.Counters()
 	if total.UnfencedOrders > 0 {
-		r.addProblem("%d orders took effect under a lower fence than a claim before them", total.UnfencedOrders)
+		r.addProblem("%d orders took effect with a lower fencing token than that of an earlier claim", total.UnfencedOrders)
 	}
 	if total.UnclaimedOrders > 0 {
 		r.addProblem("%d orders took effect in an incarnation that their leader had not claimed", total.UnclaimedOrders)
 	}
 	if total.CutByOrder > 0 {
-		r.addProblem("%d attempts were cut by orders", total.CutByOrder)
+		r.addProblem("%d attempts were aborted by orders", total.CutByOrder)
 	}
 }
 
@@ -77,6 +77,6 @@
 		return r.servingEngines(settleCtx) == engineCount
 	})
 	if err != nil {
-		r.addProblem("%v after the last failure, nodes disagree on the revision or not all engines are ready", settleTime)
+		r.addProblem("%v after the last fault, nodes disagree on the revision, a node is not ready or not all engines are ready", settleTime)
 	}
 }
--- a/internal/lab/faults/operators.go
+++ b/internal/lab/faults/operators.go
@@ -130,7 +130,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.lastStart[node] == after && revision < w.lastRevision[node] {
-		w.parent.addProblem("node %d went from revision %d to %d", node+1, w.lastRevision[node], revision)
+		w.parent.addProblem("node %d went back from revision %d to %d without a restart", node+1, w.lastRevision[node], revision)
 	}
 	w.lastStart[node], w.lastRevision[node] = after, revision
 	w.highestRevision = max(w.highestRevision, revision)
--- a/internal/lab/faults/run.go
+++ b/internal/lab/faults/run.go
@@ -239,7 +239,7 @@
 	}
 	pause()
 	if err := n.Start(); err != nil {
-		r.addProblem("node %d could not be started again: %v", event.Target+1, err)
+		r.addProblem("node %d could not be restarted: %v", event.Target+1, err)
 	}
 }
 
