--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -13,23 +13,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms hold microseconds up to ten minutes with three significant digits.
+// The histograms hold microseconds, up to ten minutes, with three significant digits.
 const (
 	lowestMicros  = 1
 	highestMicros = 600_000_000
 	digits        = 3
 )
 
-// StreamReport is what callers of one stream saw.
+// StreamReport holds what the callers of one stream saw.
 type StreamReport struct {
 	Name       string
 	Sent       int
 	Whole      int
 	InDeadline int
-	// Wrong counts answers that were said to be whole and were not what the
-	// engine writes to the prompt: crossed, cut or mixed.
+	// Wrong counts answers that didn't fail but are incomplete or differ from the text that the
+	// engine generates for the prompt, such as an answer to another request.
 	Wrong int
-	// Cut counts streams that broke off without an error.
+	// Cut counts answers that ended early without an error message.
 	Cut          int
 	Refused      map[string]int
 	PromptTokens int64
@@ -40,38 +40,40 @@
 	total        *hdrhistogram.Histogram
 }
 
-// Report is what callers saw of a run.
+// Report holds what the callers of a run saw.
 type Report struct {
 	mu      sync.Mutex
 	Streams []*StreamReport
-	// NotSent counts arrivals that the load tool itself could not send.
+	// NotSent counts arrivals that the load tool could not send: there were too many requests
+	// in progress, or the run had ended.
 	NotSent int
-	// OnceSeeds are the seeds of answers to requests that must run at most once.
+	// OnceSeeds are the text seeds of the requests that must run at most once, by which engines
+	// count their runs.
 	OnceSeeds []uint64
-	// Findings describe the first answers that were lost, cut or crossed.
+	// Findings describe the first answers that Wrong or Cut counts, at most maxFindings.
 	Findings []Finding
 	workload Workload
 	sent     int
 	ended    int
 }
 
-// Finding describes an answer that was lost, cut or crossed, so that it can be
-// looked up in the logs of nodes and engines.
+// Finding describes an answer that was wrong or cut, so that it can be looked up in the logs of
+// nodes and engines.
 type Finding struct {
 	Stream string `json:"stream"`
 	Number int    `json:"number"`
-	// Attempt is the id that the node gave to the request, empty where it gave none.
+	// Attempt is the ID that the node gave the request; it is empty if there is none.
 	Attempt string `json:"attempt"`
 	Message string `json:"message"`
-	// Got and Want are lengths of texts, and CommonPrefix that of their common
-	// beginning.
+	// Got and Want are the lengths of the received and the expected text, and CommonPrefix is
+	// the length of their common prefix, all in bytes.
 	Got          int           `json:"got"`
 	Want         int           `json:"want"`
 	CommonPrefix int           `json:"common_prefix"`
 	After        time.Duration `json:"after_ns"`
 }
 
-// maxFindings bounds the findings that a report keeps.
+// maxFindings limits the findings that a report holds.
 const maxFindings = 20
 
 func newFinding(stream Stream, arrival Arrival, answer Answer, want string) Finding {
@@ -117,7 +119,7 @@
 	r.sent++
 }
 
-// Progress returns how many requests were sent, and how many have ended.
+// Progress returns the number of requests sent and of requests that have ended.
 func (r *Report) Progress() (sent, ended int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,8 +171,8 @@
 	_ = histogram.RecordValue(min(max(value.Microseconds(), lowestMicros), highestMicros))
 }
 
-// Goodput returns the share of all requests that were answered whole, right and
-// in time.
+// Goodput returns the share of all arrivals, sent or not, that were answered completely,
+// correctly and within their deadline.
 func (r *Report) Goodput() float64 {
 	sent, good := r.NotSent, 0
 	for _, s := range r.Streams {
@@ -183,7 +185,7 @@
 	return float64(good) / float64(sent)
 }
 
-// GoodputOf returns the goodput of one stream.
+// GoodputOf returns the goodput of the stream's requests that were sent.
 func (s *StreamReport) GoodputOf() float64 {
 	if s.Sent == 0 {
 		return 0
@@ -191,8 +193,7 @@
 	return float64(s.InDeadline) / float64(s.Sent)
 }
 
-// Wrong returns the number of answers that were lost without a word, cut or
-// crossed.
+// Wrong returns the number of answers of all streams that were wrong or cut.
 func (r *Report) Wrong() int {
 	total := 0
 	for _, s := range r.Streams {
@@ -201,8 +202,8 @@
 	return total
 }
 
-// Doubled counts the requests that had to run at most once and did not, by what
-// engines accepted.
+// Doubled returns the number of requests that must run at most once and ran more often. runs
+// holds the number of runs that the engines accepted, by text seed.
 func (r *Report) Doubled(runs map[uint64]int) int {
 	doubled := 0
 	for _, seed := range r.OnceSeeds {
@@ -217,7 +218,7 @@
 	return float64(histogram.ValueAtQuantile(quantile)) / 1000
 }
 
-// Print writes the report as a table.
+// Print writes the report as a table, followed by the findings.
 func (r *Report) Print(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "stream\tsent\twhole\tin time\tgoodput\twrong\tcut\tfirst token p50/p95/p99 ms\tbetween tokens p50/p95/p99 ms\tcached\trefused")
@@ -252,7 +253,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// streamSummary is the stored form of a stream's report.
+// streamSummary is the JSON form of a StreamReport.
 type streamSummary struct {
 	Name              string         `json:"name"`
 	Sent              int            `json:"sent"`
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -9,20 +9,21 @@
 	labengine "github.com/tinarch/tinarch/internal/lab/engine"
 )
 
-// Options steer a run.
+// Options configure a run.
 type Options struct {
-	// Addresses are the callers' ports of nodes, used in turn.
+	// Addresses are the nodes' addresses for callers. Requests go to them in turn.
 	Addresses []string
 	// Progress is called about once a second.
 	Progress func(elapsed time.Duration, sent, ended int)
-	// MaxActive bounds the requests in progress; arrivals beyond it are counted
-	// as not sent, and never silently.
+	// MaxActive limits the requests in progress. Arrivals above the limit are not sent, and the
+	// report counts them. Zero means 10,000.
 	MaxActive int
-	// Grace is how long the run waits for answers after the last arrival.
+	// Grace is how long the run waits for answers after the end of the workload. Zero means 60
+	// s.
 	Grace time.Duration
 }
 
-// Run sends the whole schedule and reports what callers saw.
+// Run sends the requests of the workload's schedule and reports what callers saw.
 func Run(ctx context.Context, workload Workload, options Options) *Report {
 	if options.MaxActive == 0 {
 		options.MaxActive = 10_000
@@ -90,7 +91,7 @@
 	}
 }
 
-// one sends a request and judges its answer.
+// one sends a request and compares its answer with the expected text.
 func (r *run) one(ctx context.Context, number int, arrival Arrival) {
 	stream := r.workload.Streams[arrival.Stream]
 	prompt := r.texts.Prompt(arrival)
--- a/internal/lab/load/sender.go
+++ b/internal/lab/load/sender.go
@@ -15,10 +15,10 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Answer is what a caller saw of one request.
+// Answer is what a caller saw of a request.
 type Answer struct {
 	Text string
-	// Whole tells that the answer came with its end.
+	// Whole tells that the answer arrived completely, with its end marker if streamed.
 	Whole      bool
 	Code       result.Code
 	CodeName   string
@@ -27,23 +27,23 @@
 	Gaps       []time.Duration
 	Total      time.Duration
 	Usage      *openai.Usage
-	// Attempt is the node's id for the request.
+	// Attempt is the ID that the node gave the request.
 	Attempt string
 }
 
-// Sender sends requests to one or several nodes in turn.
+// Sender sends requests to nodes.
 type Sender struct {
 	client    *http.Client
 	addresses []string
 }
 
-// NewSender returns a sender.
+// NewSender returns a sender to the nodes at the addresses.
 func NewSender(addresses []string) *Sender {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1024, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
 	return &Sender{client: &http.Client{Transport: transport}, addresses: addresses}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (s *Sender) Close() { s.client.CloseIdleConnections() }
 
 type sentRequest struct {
@@ -58,7 +58,8 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Send sends one request to the node with the given number, and reads its answer.
+// Send sends a request and reads its answer. number, modulo the number of addresses, selects
+// the node.
 func (s *Sender) Send(ctx context.Context, number int, stream Stream, arrival Arrival, prompt, idempotencyKey string) Answer {
 	began := time.Now()
 	body, err := json.Marshal(sentRequest{
@@ -157,7 +158,8 @@
 	return answer
 }
 
-// appendChunk reports whether the chunk held text.
+// appendChunk adds a chunk of a stream to the answer. It reports whether the chunk contained
+// text.
 func appendChunk(answer *Answer, text *strings.Builder, data []byte) bool {
 	var chunk openai.Answer
 	if json.Unmarshal(data, &chunk) != nil {
--- a/internal/lab/load/text.go
+++ b/internal/lab/load/text.go
@@ -10,19 +10,20 @@
 	"github.com/tinarch/tinarch/internal/prefix"
 )
 
-// words make up generated texts.
+// words is the vocabulary of the generated texts.
 var words = strings.Fields(`the a of and to in is that for with as on by this from which be an or are
 study method result theory section chapter author source citation reference analysis evidence measure
 argument claim survey sample figure table model series value term case field group order system
 river harbour winter siege longship market tower council border valley shield archer mason smith`)
 
-// Texts generates the texts of a workload.
+// Texts generates the prompts of a workload.
 type Texts struct {
 	workload Workload
 	shared   map[string][]string
 }
 
-// NewTexts generates the shared texts.
+// NewTexts generates the texts of the workload's corpora and returns a generator of its
+// prompts.
 func NewTexts(workload Workload) *Texts {
 	t := &Texts{workload: workload, shared: map[string][]string{}}
 	for i, corpus := range workload.Corpora {
@@ -34,7 +35,7 @@
 	return t
 }
 
-// generate writes a text of the given length in tokens.
+// generate returns a random text of the given length in tokens.
 func generate(random *rand.Rand, tokens int) string {
 	length := tokens * prefix.BytesPerToken
 	var text strings.Builder
@@ -46,8 +47,8 @@
 	return text.String()[:length]
 }
 
-// Prompt returns the prompt of an arrival. Each is unique by its number, so that
-// an answer to another prompt is never right.
+// Prompt returns the prompt of an arrival. Each prompt contains the name of its stream and its
+// number: as no two prompts are alike, an answer to another prompt is detected by its text.
 func (t *Texts) Prompt(arrival Arrival) string {
 	stream := t.workload.Streams[arrival.Stream]
 	random := rand.New(rand.NewPCG(t.workload.Seed^0x9a17, uint64(arrival.Stream)<<32|uint64(arrival.Number)))
--- a/internal/lab/load/workload.go
+++ b/internal/lab/load/workload.go
@@ -1,6 +1,6 @@
-// Package load sends an open-loop workload to nodes and checks every answer by
-// its content. Arrivals do not wait for answers, so a slow system is not spared
-// (Schroeder et al., "Open Versus Closed", NSDI 2006).
+// Package load sends an open-loop workload to nodes and checks the text of every answer.
+// Arrivals don't wait for answers, so a slow system gets no less load (Schroeder et al., "Open
+// Versus Closed", NSDI 2006).
 package load
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Workload is a workload file.
+// Workload is the content of a workload file.
 type Workload struct {
 	Name    string   `yaml:"name"`
 	Seed    uint64   `yaml:"seed"`
@@ -25,40 +25,40 @@
 	Streams []Stream `yaml:"streams"`
 }
 
-// Corpus is a set of long texts that prompts share as their beginning.
+// Corpus is a set of long texts that prompts share as a prefix.
 type Corpus struct {
 	Name   string `yaml:"name"`
 	Texts  int    `yaml:"texts"`
 	Tokens int    `yaml:"tokens"`
 }
 
-// Stream is a sort of request with its arrivals.
+// Stream is a series of requests of one kind and the distribution of their arrivals.
 type Stream struct {
 	Name string `yaml:"name"`
 	Kind string `yaml:"kind"`
-	// Model, Version and Adapter are what the kind is served by; the expected text
-	// depends on them.
+	// Model, Version and Adapter are what serves the kind. The expected text depends on them.
 	Model   string `yaml:"model"`
 	Version string `yaml:"version"`
 	Adapter string `yaml:"adapter"`
-	// Keys are the API keys of the tenants that send, each an equal part.
+	// Keys are the API keys of the tenants that send the requests. Each request uses one of
+	// them, drawn with equal probability.
 	Keys []string `yaml:"keys"`
-	// Rate is the number of arrivals a second over time, joined by straight lines.
+	// Rate gives the arrival rate at some times; it is interpolated linearly between them.
 	Rate []RatePoint `yaml:"rate"`
-	// Corpus names shared beginnings; empty means none.
+	// Corpus is the name of the corpus whose texts the prompts begin with; empty means none.
 	Corpus string `yaml:"corpus"`
-	// Prompt is the length of the prompt without the shared beginning.
+	// Prompt is the length of the prompt without the shared prefix.
 	Prompt Length `yaml:"prompt"`
 	Output Length `yaml:"output"`
-	// DeadlineMillis is the deadline that goodput counts.
+	// DeadlineMillis is the time within which an answer counts for goodput.
 	DeadlineMillis int `yaml:"deadline_ms"`
-	// Keyed sends an idempotency key with each request.
+	// Keyed sends an idempotency key with each request, which then must run at most once.
 	Keyed bool `yaml:"keyed"`
-	// Whole asks for whole answers instead of streams.
+	// Whole requests answers in one piece instead of streams.
 	Whole bool `yaml:"whole"`
 }
 
-// RatePoint is the rate of arrivals at one moment.
+// RatePoint is the arrival rate at a time.
 type RatePoint struct {
 	AtSeconds float64 `yaml:"at"`
 	PerSecond float64 `yaml:"per_second"`
@@ -67,7 +67,7 @@
 // Length is a log-normal distribution of token counts.
 type Length struct {
 	Median int `yaml:"median"`
-	// Spread is the standard deviation of the logarithm.
+	// Spread is the standard deviation of the natural logarithm.
 	Spread float64 `yaml:"spread"`
 	Most   int     `yaml:"most"`
 }
@@ -77,7 +77,7 @@
 	return max(1, min(tokens, l.Most))
 }
 
-// ReadWorkload reads and checks a workload file.
+// ReadWorkload reads and validates a workload file.
 func ReadWorkload(path string) (Workload, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// Scaled returns the workload with all rates multiplied and, where seconds is not
-// zero, stretched or cut to that length.
+// Scaled returns the workload with all rates multiplied by rate and, if seconds isn't zero,
+// with its times scaled to that length.
 func (w Workload) Scaled(rate, seconds float64) Workload {
 	if seconds == 0 {
 		seconds = w.Seconds
@@ -147,7 +147,7 @@
 	return scaled
 }
 
-// rateAt returns the rate at a moment, by linear interpolation.
+// rateAt returns the arrival rate at a time, by linear interpolation.
 func (s Stream) rateAt(seconds float64) float64 {
 	points := s.Rate
 	if seconds <= points[0].AtSeconds {
@@ -175,16 +175,15 @@
 type Arrival struct {
 	At     time.Duration
 	Stream int
-	// Number is the arrival's number in its stream.
+	// Number is the index of the arrival in its stream.
 	Number       int
-	Text         int // number of the shared text, -1 for none
+	Text         int // index of the shared text, -1 for none
 	PromptTokens int // without the shared text
 	OutputTokens int
 	Key          string
 }
 
-// Schedule returns all arrivals in order of time. It depends on nothing but the
-// workload.
+// Schedule returns all arrivals in order of time. It depends on the workload only.
 func (w Workload) Schedule() []Arrival {
 	var schedule []Arrival
 	for i, stream := range w.Streams {
@@ -195,8 +194,8 @@
 	return schedule
 }
 
-// arrivalsOf draws a Poisson process of varying rate by thinning (Lewis and
-// Shedler, 1979).
+// arrivalsOf draws the arrivals of a stream, a Poisson process of varying rate, by thinning
+// (Lewis and Shedler, 1979).
 func (w Workload) arrivalsOf(index int, stream Stream, random *rand.Rand) []Arrival {
 	highest := stream.highestRate()
 	if highest <= 0 {
@@ -226,8 +225,8 @@
 	return arrivals
 }
 
-// skewed draws a number below count; low ones are likelier: some reference texts
-// are in far wider use than others.
+// skewed draws a number below count. Low numbers are more likely, as some reference texts are
+// used far more than others: the number is the square of a uniform variable, times count.
 func skewed(random *rand.Rand, count int) int {
 	uniform := random.Float64()
 	return int(uniform * uniform * float64(count))
