--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -62,7 +62,7 @@
 	workload.Streams[0].Corpus = "none"
 	workload.Streams[1].Keys = nil
 	workload.Seconds = 0
-	err := workload.check("w.yaml")
+	err := workload.validate("w.yaml")
 	if err == nil {
 		t.Fatal("a wrong workload passed")
 	}
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -13,11 +13,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The histograms hold microseconds, up to ten minutes, with three significant digits.
+// The histograms hold microseconds, up to ten minutes, with three significant significantDigits.
 const (
-	lowestMicros  = 1
-	highestMicros = 600_000_000
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = 600_000_000
+	significantDigits = 3
 )
 
 // StreamReport holds what the callers of one stream saw.
@@ -87,7 +87,7 @@
 	}
 }
 
-func (r *Report) keep(finding Finding) {
+func (r *Report) addFinding(finding Finding) {
 	if len(r.Findings) < maxFindings {
 		r.Findings = append(r.Findings, finding)
 	}
@@ -99,21 +99,21 @@
 		r.Streams = append(r.Streams, &StreamReport{
 			Name:       stream.Name,
 			Refused:    map[string]int{},
-			firstToken: hdrhistogram.New(lowestMicros, highestMicros, digits),
-			gaps:       hdrhistogram.New(lowestMicros, highestMicros, digits),
-			total:      hdrhistogram.New(lowestMicros, highestMicros, digits),
+			firstToken: hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
+			gaps:       hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
+			total:      hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
 		})
 	}
 	return r
 }
 
-func (r *Report) notSent(count int) {
+func (r *Report) countNotSent(count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.NotSent += count
 }
 
-func (r *Report) sending() {
+func (r *Report) countSent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent++
@@ -126,7 +126,7 @@
 	return r.sent, r.ended
 }
 
-func (r *Report) add(arrival Arrival, answer Answer, want string, seed uint64) {
+func (r *Report) addAnswer(arrival Arrival, answer Answer, want string, seed uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ended++
@@ -139,14 +139,14 @@
 	switch {
 	case answer.Code != 0 && answer.CodeName == "cut":
 		s.Cut++
-		r.keep(newFinding(stream, arrival, answer, want))
+		r.addFinding(newFinding(stream, arrival, answer, want))
 		return
 	case answer.Code != 0:
 		s.Refused[answer.CodeName]++
 		return
 	case !answer.Whole || answer.Text != want:
 		s.Wrong++
-		r.keep(newFinding(stream, arrival, answer, want))
+		r.addFinding(newFinding(stream, arrival, answer, want))
 		return
 	}
 	s.Whole++
@@ -214,8 +214,8 @@
 	return doubled
 }
 
-func millis(histogram *hdrhistogram.Histogram, quantile float64) float64 {
-	return float64(histogram.ValueAtQuantile(quantile)) / 1000
+func percentileMillis(histogram *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(histogram.ValueAtQuantile(percentile)) / 1000
 }
 
 // Print writes the report as a table, followed by the findings.
@@ -229,8 +229,8 @@
 		}
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%.1f %%\t%d\t%d\t%.0f / %.0f / %.0f\t%.1f / %.1f / %.1f\t%.0f %%\t%s\n",
 			s.Name, s.Sent, s.Whole, s.InDeadline, 100*s.GoodputOf(), s.Wrong, s.Cut,
-			millis(s.firstToken, 50), millis(s.firstToken, 95), millis(s.firstToken, 99),
-			millis(s.gaps, 50), millis(s.gaps, 95), millis(s.gaps, 99), cached, refusals(s.Refused))
+			percentileMillis(s.firstToken, 50), percentileMillis(s.firstToken, 95), percentileMillis(s.firstToken, 99),
+			percentileMillis(s.gaps, 50), percentileMillis(s.gaps, 95), percentileMillis(s.gaps, 99), cached, refusals(s.Refused))
 	}
 	_ = table.Flush()
 	for _, finding := range r.Findings {
@@ -271,8 +271,8 @@
 	OutputTokensWhole int64          `json:"output_tokens"`
 }
 
-func quantiles(h *hdrhistogram.Histogram) [3]float64 {
-	return [3]float64{millis(h, 50), millis(h, 95), millis(h, 99)}
+func percentiles(h *hdrhistogram.Histogram) [3]float64 {
+	return [3]float64{percentileMillis(h, 50), percentileMillis(h, 95), percentileMillis(h, 99)}
 }
 
 // MarshalJSON implements json.Marshaler.
@@ -282,7 +282,7 @@
 		summaries[i] = streamSummary{
 			Name: s.Name, Sent: s.Sent, Whole: s.Whole, InDeadline: s.InDeadline, Goodput: s.GoodputOf(),
 			Wrong: s.Wrong, Cut: s.Cut, Refused: s.Refused,
-			FirstTokenMillis: quantiles(s.firstToken), BetweenTokens: quantiles(s.gaps), TotalMillis: quantiles(s.total),
+			FirstTokenMillis: percentiles(s.firstToken), BetweenTokens: percentiles(s.gaps), TotalMillis: percentiles(s.total),
 			PromptTokens: s.PromptTokens, CachedTokens: s.CachedTokens, OutputTokensWhole: s.OutputTokens,
 		}
 	}
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -37,7 +37,7 @@
 		slots: make(chan struct{}, options.MaxActive),
 	}
 	defer runner.sender.Close()
-	runner.all(ctx)
+	runner.sendAll(ctx)
 	return runner.report
 }
 
@@ -50,7 +50,7 @@
 	slots    chan struct{}
 }
 
-func (r *run) all(ctx context.Context) {
+func (r *run) sendAll(ctx context.Context) {
 	schedule := r.workload.Schedule()
 	last := time.Duration(r.workload.Seconds * float64(time.Second))
 	runCtx, cancel := context.WithTimeout(ctx, last+r.options.Grace)
@@ -61,20 +61,20 @@
 	var active sync.WaitGroup
 	for number, arrival := range schedule {
 		if !waitUntil(runCtx, began.Add(arrival.At)) {
-			r.report.notSent(len(schedule) - number)
+			r.report.countNotSent(len(schedule) - number)
 			break
 		}
 		select {
 		case r.slots <- struct{}{}:
 		default:
-			r.report.notSent(1)
+			r.report.countNotSent(1)
 			continue
 		}
 		active.Add(1)
 		go func() {
 			defer active.Done()
 			defer func() { <-r.slots }()
-			r.one(runCtx, number, arrival)
+			r.sendOne(runCtx, number, arrival)
 		}()
 	}
 	active.Wait()
@@ -91,18 +91,18 @@
 	}
 }
 
-// one sends a request and compares its answer with the expected text.
-func (r *run) one(ctx context.Context, number int, arrival Arrival) {
+// sendOne sends a request and compares its answer with the expected text.
+func (r *run) sendOne(ctx context.Context, number int, arrival Arrival) {
 	stream := r.workload.Streams[arrival.Stream]
 	prompt := r.texts.Prompt(arrival)
-	r.report.sending()
+	r.report.countSent()
 	key := ""
 	if stream.Keyed {
 		key = fmt.Sprintf("%s-%d-%s-%d", r.workload.Name, r.workload.Seed, stream.Name, arrival.Number)
 	}
 	answer := r.sender.Send(ctx, number, stream, arrival, prompt, key)
 	seed := labengine.TextSeed(stream.Model, stream.Version, stream.Adapter, prompt)
-	r.report.add(arrival, answer, labengine.Text(seed, arrival.OutputTokens), seed)
+	r.report.addAnswer(arrival, answer, labengine.Text(seed, arrival.OutputTokens), seed)
 }
 
 func (r *run) showProgress(began time.Time) (stop func()) {
--- a/internal/lab/load/sender.go
+++ b/internal/lab/load/sender.go
@@ -46,7 +46,7 @@
 // Close closes idle connections.
 func (s *Sender) Close() { s.client.CloseIdleConnections() }
 
-type sentRequest struct {
+type completionRequest struct {
 	Model         string         `json:"model"`
 	Prompt        string         `json:"prompt"`
 	MaxTokens     int            `json:"max_tokens"`
@@ -62,8 +62,8 @@
 // the node.
 func (s *Sender) Send(ctx context.Context, number int, stream Stream, arrival Arrival, prompt, idempotencyKey string) Answer {
 	began := time.Now()
-	body, err := json.Marshal(sentRequest{
-		Model: stream.Model, Prompt: prompt, MaxTokens: arrival.OutputTokens, Stream: !stream.Whole, StreamOptions: usageWanted(!stream.Whole),
+	body, err := json.Marshal(completionRequest{
+		Model: stream.Model, Prompt: prompt, MaxTokens: arrival.OutputTokens, Stream: !stream.Whole, StreamOptions: streamOptionsFor(!stream.Whole),
 	})
 	if err != nil {
 		return Answer{Code: result.Internal, Message: err.Error()}
@@ -84,23 +84,23 @@
 		return Answer{Code: result.PeerUnavailable, CodeName: "connection", Message: err.Error(), Total: time.Since(began)}
 	}
 	defer response.Body.Close()
-	answer := read(response, began)
+	answer := readAnswer(response, began)
 	answer.Total = time.Since(began)
 	answer.Attempt = response.Header.Get("Tinarch-Attempt")
 	return answer
 }
 
-func usageWanted(streamed bool) *streamOptions {
+func streamOptionsFor(streamed bool) *streamOptions {
 	if !streamed {
 		return nil
 	}
 	return &streamOptions{IncludeUsage: true}
 }
 
-func read(response *http.Response, began time.Time) Answer {
+func readAnswer(response *http.Response, began time.Time) Answer {
 	if response.StatusCode != http.StatusOK {
 		content, _ := io.ReadAll(io.LimitReader(response.Body, 1<<20))
-		return refusal(content, response.StatusCode)
+		return parseError(content, response.StatusCode)
 	}
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
 		return readStream(response.Body, began)
@@ -112,7 +112,7 @@
 	return Answer{Text: *whole.Choices[0].Text, Whole: true, Usage: whole.Usage, FirstToken: time.Since(began)}
 }
 
-func refusal(content []byte, status int) Answer {
+func parseError(content []byte, status int) Answer {
 	var body openai.ErrorBody
 	if json.Unmarshal(content, &body) != nil || body.Error.Number == 0 {
 		return Answer{Code: result.Internal, CodeName: fmt.Sprint("status ", status), Message: string(content)}
@@ -140,7 +140,7 @@
 			break
 		}
 		if bytes.HasPrefix(data, []byte(`{"error"`)) {
-			answer = refusal(data, http.StatusOK)
+			answer = parseError(data, http.StatusOK)
 			break
 		}
 		now := time.Now()
--- a/internal/lab/load/workload.go
+++ b/internal/lab/load/workload.go
@@ -88,13 +88,13 @@
 	if err := decoder.Decode(&workload); err != nil {
 		return Workload{}, result.New(result.SettingsInvalid, "%s: %v", path, err)
 	}
-	return workload, workload.check(path)
+	return workload, workload.validate(path)
 }
 
-func (w Workload) check(path string) error {
-	var mistakes []string
+func (w Workload) validate(path string) error {
+	var problems []string
 	add := func(format string, arguments ...any) {
-		mistakes = append(mistakes, path+": "+fmt.Sprintf(format, arguments...))
+		problems = append(problems, path+": "+fmt.Sprintf(format, arguments...))
 	}
 	if w.Seconds <= 0 || w.Seconds > 24*3600 {
 		add("seconds: %v is out of range; use more than 0 and at most a day", w.Seconds)
@@ -120,8 +120,8 @@
 			add("streams: %s: deadline_ms must be at least 1", stream.Name)
 		}
 	}
-	if len(mistakes) > 0 {
-		return result.New(result.SettingsInvalid, "%s", strings.Join(mistakes, "\n"))
+	if len(problems) > 0 {
+		return result.New(result.SettingsInvalid, "%s", strings.Join(problems, "\n"))
 	}
 	return nil
 }
@@ -163,7 +163,7 @@
 	return points[len(points)-1].PerSecond
 }
 
-func (s Stream) highestRate() float64 {
+func (s Stream) maxRate() float64 {
 	highest := 0.0
 	for _, point := range s.Rate {
 		highest = max(highest, point.PerSecond)
@@ -197,12 +197,12 @@
 // arrivalsOf draws the arrivals of a stream, a Poisson process of varying rate, by thinning
 // (Lewis and Shedler, 1979).
 func (w Workload) arrivalsOf(index int, stream Stream, random *rand.Rand) []Arrival {
-	highest := stream.highestRate()
+	highest := stream.maxRate()
 	if highest <= 0 {
 		return nil
 	}
 	var arrivals []Arrival
-	texts := w.textsOf(stream.Corpus)
+	texts := w.textCount(stream.Corpus)
 	for at := random.ExpFloat64() / highest; at < w.Seconds; at += random.ExpFloat64() / highest {
 		accepted := random.Float64()*highest < stream.rateAt(at)
 		if !accepted {
@@ -218,21 +218,21 @@
 			Key:          stream.Keys[random.IntN(len(stream.Keys))],
 		}
 		if texts > 0 {
-			arrival.Text = skewed(random, texts)
+			arrival.Text = drawSkewed(random, texts)
 		}
 		arrivals = append(arrivals, arrival)
 	}
 	return arrivals
 }
 
-// skewed draws a number below count. Low numbers are more likely, as some reference texts are
+// drawSkewed draws a number below count. Low numbers are more likely, as some reference texts are
 // used far more than others: the number is the square of a uniform variable, times count.
-func skewed(random *rand.Rand, count int) int {
+func drawSkewed(random *rand.Rand, count int) int {
 	uniform := random.Float64()
 	return int(uniform * uniform * float64(count))
 }
 
-func (w Workload) textsOf(name string) int {
+func (w Workload) textCount(name string) int {
 	for _, corpus := range w.Corpora {
 		if corpus.Name == name {
 			return corpus.Texts
