--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -51,7 +51,7 @@
 	for _, arrival := range workload.Schedule() {
 		prompt := texts.Prompt(arrival)
 		if seen[prompt] {
-			t.Fatalf("the prompt of %+v came before", arrival)
+			t.Fatalf("the prompt of %+v is the same as an earlier one", arrival)
 		}
 		seen[prompt] = true
 	}
@@ -64,6 +64,6 @@
 	workload.Seconds = 0
 	err := workload.validate("w.yaml")
 	if err == nil {
-		t.Fatal("a wrong workload passed")
+		t.Fatal("a workload with three errors was accepted")
 	}
 }
