--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The histograms hold microseconds, up to ten minutes, with three significant significantDigits.
+// The histograms hold microseconds, up to ten minutes, with three significant digits.
 const (
 	lowestMicros      = 1
 	highestMicros     = 600_000_000
