--- a/internal/lab/engine/batch.go
+++ b/internal/lab/engine/batch.go
@@ -9,7 +9,7 @@
 	"github.com/tinarch/tinarch/internal/prefix"
 )
 
-// sequence is one attempt inside the batch.
+// sequence is an attempt in the batch or waiting for it.
 type sequence struct {
 	attempt      engine.Identifier
 	priority     int32
@@ -17,13 +17,13 @@
 	chain        []prefix.Hash
 	promptTokens int
 	outputTokens int
-	// read counts the prompt tokens in memory, cached ones included.
+	// read is the number of prompt tokens in the KV cache, prefilled or found in the prefix
+	// cache.
 	read    int
 	written int
 	cached  int
-	// matched tells that the prefix cache was looked at, which happens when the
-	// sequence first gets a part of an iteration: by then, what earlier sequences
-	// have read is cached.
+	// matched tells that the prefix cache was searched. This happens when the sequence first
+	// gets a part of an iteration: what earlier sequences have prefilled by then is cached.
 	matched bool
 }
 
@@ -31,23 +31,23 @@
 
 func (s *sequence) memory() int { return s.promptTokens + s.outputTokens }
 
-// progress reports one iteration's effect on a sequence.
+// progress is the result of an iteration for a sequence.
 type progress struct {
 	attempt engine.Identifier
 	written int
 	done    bool
 }
 
-// batch is the scheduler of an engine: pure state without clock or I/O.
+// batch is the scheduler of an engine. It has no clock and does no I/O.
 type batch struct {
 	model    Model
 	cache    *cache
 	waiting  []*sequence
 	running  []*sequence
 	arrivals uint64
-	// reserved counts the KV memory promised to running sequences, in tokens.
+	// reserved is the KV memory reserved for running sequences, in tokens.
 	reserved int
-	// chunk holds the prompt tokens each sequence reads in this iteration.
+	// chunk holds the number of prompt tokens that each sequence prefills in this iteration.
 	chunk map[*sequence]int
 	step  time.Duration
 }
@@ -66,7 +66,7 @@
 	slices.SortStableFunc(b.waiting, byPriority)
 }
 
-// byPriority puts higher priorities first, then earlier arrivals.
+// byPriority orders sequences by descending priority, then by arrival.
 func byPriority(left, right *sequence) int {
 	if order := cmp.Compare(right.priority, left.priority); order != 0 {
 		return order
@@ -74,7 +74,7 @@
 	return cmp.Compare(left.arrival, right.arrival)
 }
 
-// remove takes an attempt out of the batch.
+// remove removes an attempt, waiting or running.
 func (b *batch) remove(attempt engine.Identifier) {
 	matches := func(s *sequence) bool { return s.attempt == attempt }
 	b.waiting = slices.DeleteFunc(b.waiting, matches)
@@ -85,7 +85,7 @@
 	}
 }
 
-// begin admits waiting sequences, plans one iteration and returns its length.
+// begin admits waiting sequences, plans an iteration and returns its duration.
 func (b *batch) begin() time.Duration {
 	b.admit()
 	clear(b.chunk)
@@ -122,15 +122,15 @@
 	}
 }
 
-// matchCache skips the part of a prompt that is cached. At least one token is
-// read, to write the first one.
+// matchCache skips the cached prefix of a prompt. At least one token is prefilled, since the
+// first output token depends on it.
 func (b *batch) matchCache(s *sequence) {
 	s.matched = true
 	s.cached = min(b.cache.match(s.chain)*prefix.BlockTokens, max(s.promptTokens-1, 0))
 	s.read = s.cached
 }
 
-// finish applies the iteration that begin planned.
+// finish completes the iteration that begin planned.
 func (b *batch) finish() []progress {
 	var report []progress
 	keep := b.running[:0]
@@ -140,7 +140,7 @@
 			s.read += part
 			b.cache.store(s.chain[:min(s.read/prefix.BlockTokens, len(s.chain))])
 		}
-		// The iteration that reads the last of the prompt writes the first token.
+		// The iteration that completes the prefill also generates the first token.
 		if s.decoding() && (!reading || part > 0) {
 			s.written++
 			report = append(report, progress{attempt: s.attempt, written: s.written, done: s.written >= s.outputTokens})
@@ -155,7 +155,7 @@
 	return report
 }
 
-// pendingPromptTokens counts the prompt tokens accepted and not read.
+// pendingPromptTokens returns the number of accepted prompt tokens still to be prefilled.
 func (b *batch) pendingPromptTokens() int {
 	total := 0
 	for _, s := range b.waiting {
--- a/internal/lab/engine/batch_test.go
+++ b/internal/lab/engine/batch_test.go
@@ -13,7 +13,7 @@
 	return newBatch(model, func(engine.CacheEventType, prefix.Hash) {})
 }
 
-// run drives the batch to its end and returns the time each attempt finished.
+// run runs the batch until it is idle and returns the time at which each attempt finished.
 func run(b *batch) map[engine.Identifier]time.Duration {
 	finished := map[engine.Identifier]time.Duration{}
 	var now time.Duration
--- a/internal/lab/engine/cache.go
+++ b/internal/lab/engine/cache.go
@@ -7,7 +7,7 @@
 	"github.com/tinarch/tinarch/internal/prefix"
 )
 
-// cache is a prefix cache that evicts the blocks least recently used.
+// cache is a prefix cache with least-recently-used eviction.
 type cache struct {
 	capacity int // blocks
 	order    *list.List
@@ -19,7 +19,7 @@
 	return &cache{capacity: capacity, order: list.New(), blocks: map[prefix.Hash]*list.Element{}, onChange: onChange}
 }
 
-// match returns how many leading blocks are cached, and marks them as used.
+// match returns the number of leading blocks that are cached, and marks them as used.
 func (c *cache) match(chain []prefix.Hash) int {
 	matched := 0
 	for _, block := range chain {
@@ -33,7 +33,8 @@
 	return matched
 }
 
-// store adds the blocks of a prompt.
+// store adds blocks, marks those already cached as used, and evicts others if the cache is
+// full.
 func (c *cache) store(chain []prefix.Hash) {
 	for _, block := range chain {
 		if element, ok := c.blocks[block]; ok {
--- a/internal/lab/engine/guards_test.go
+++ b/internal/lab/engine/guards_test.go
@@ -30,8 +30,8 @@
 	return engine.Order{ID: engine.NewIdentifier(), Type: kind, Fence: fence, Sequence: sequence, Incarnation: incarnation}
 }
 
-// stale sends a claim of a new leader and then an order of the old one, and
-// returns the latter's code.
+// stale sends a claim with a fence and then an order with a lower one, and returns the code of
+// the answer to the order.
 func stale(t *testing.T, e *Engine, client *engine.Client, incarnation engine.Identifier) result.Code {
 	t.Helper()
 	ctx := context.Background()
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestCheckerSeesOrdersWithoutAuthority shows that the counters which fault runs
-// judge by do count once the engine's guards are removed.
+// TestCheckerSeesOrdersWithoutAuthority shows that the counters of orders that must never take
+// effect count them when the engine's checks are disabled.
 func TestCheckerSeesOrdersWithoutAuthority(t *testing.T) {
 	e, client, status := startEngine(t, Guards{Fence: true})
 	stale(t, e, client, status.Incarnation)
@@ -133,7 +133,7 @@
 	if reply, err := client.RefuseUnseen(ctx, e.Address(), status.Incarnation, ticket.Attempt); err != nil || !reply.Seen {
 		t.Errorf("an accepted attempt: reply %+v, error %v", reply, err)
 	}
-	// Once the stream is dropped, that the attempt ran must still be known: else a
+	// After the stream is removed, the engine must still know that the attempt ran: otherwise a
 	// retry with the same key would run again.
 	for e.Counters().Finished == 0 {
 		time.Sleep(time.Millisecond)
--- a/internal/lab/engine/handlers.go
+++ b/internal/lab/engine/handlers.go
@@ -64,8 +64,8 @@
 	_ = json.NewEncoder(w).Encode(failure)
 }
 
-// ticketOf reads the ticket of a request. A request without one comes from a
-// caller that talks to the engine directly.
+// ticketOf returns the ticket in the headers of a request. A request without a ticket comes
+// from a client that calls the engine directly; it gets one with a new attempt ID.
 func ticketOf(r *http.Request) (ticket engine.Ticket, present bool) {
 	header := r.Header
 	attempt := header.Get(engine.HeaderAttempt)
@@ -88,7 +88,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 		if err != nil {
-			return // the body never came whole: nothing was accepted
+			return // nothing was accepted, as the body is incomplete
 		}
 		request, err := openai.Parse(endpoint, body)
 		if err != nil {
@@ -115,14 +115,15 @@
 	}
 }
 
-// crashesOn reports whether a prompt crashes the engine.
+// crashesOn reports whether the current faults make the prompt crash the engine.
 func (e *Engine) crashesOn(prompt string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.CrashOn != "" && strings.Contains(prompt, e.faults.CrashOn)
 }
 
-// accept checks the ticket and puts the attempt into the batch.
+// accept checks the ticket and adds the attempt to the batch. It also reports whether the reply
+// is to be lost.
 func (e *Engine) accept(endpoint openai.Endpoint, request *openai.Request, ticket engine.Ticket, present bool) (*stream, bool, error) {
 	prompt := request.PromptText()
 	e.mu.Lock()
@@ -171,8 +172,8 @@
 	return s, lose, nil
 }
 
-// checkTicket refuses what is not meant for this engine as it is now. Each
-// refusal proves that the attempt did not run by this ticket.
+// checkTicket refuses a ticket that doesn't match the engine's current state. Unless the code
+// is OutcomeUnknown, the refusal proves that the attempt did not run by this ticket.
 func (e *Engine) checkTicket(ticket engine.Ticket) error {
 	if e.faults.RefuseRequests > 0 {
 		e.faults.RefuseRequests--
@@ -185,7 +186,7 @@
 		return result.New(result.TicketRefused, "attempt %s was cancelled before it arrived", ticket.Attempt)
 	}
 	if _, twice := e.accepted[ticket.Attempt]; twice {
-		// Another copy of the attempt was accepted: this refusal proves nothing.
+		// This only proves that another copy of the request was accepted: the attempt may run.
 		return result.New(result.OutcomeUnknown, "attempt %s was accepted before", ticket.Attempt)
 	}
 	if e.draining || e.changing != nil {
@@ -227,7 +228,7 @@
 	e.sendStream(w, r, s, from)
 }
 
-// sendStream writes the events from number first on as they come.
+// sendStream sends the events from number first on, each as soon as it is generated.
 func (e *Engine) sendStream(w http.ResponseWriter, r *http.Request, s *stream, first int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -298,14 +299,15 @@
 	reply(w, engine.CancelReply{Incarnation: e.incarnation, Seen: seen})
 }
 
-// cancel stops an attempt.
+// cancel cancels an attempt.
 func (e *Engine) cancel(attempt engine.Identifier) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cancelLocked(attempt)
 }
 
-// cancelLocked stops an attempt and leaves a tombstone, even for one never seen.
+// cancelLocked cancels an attempt. It leaves a tombstone, so that an attempt that arrives only
+// later is refused.
 func (e *Engine) cancelLocked(attempt engine.Identifier) {
 	e.tombstones[attempt] = true
 	s := e.streams[attempt]
--- a/internal/lab/engine/kv_test.go
+++ b/internal/lab/engine/kv_test.go
@@ -11,7 +11,7 @@
 	"github.com/tinarch/tinarch/internal/openai"
 )
 
-// answer runs a prompt on an engine without a ticket and returns its usage.
+// answer runs a prompt directly on an engine, without a ticket, and returns the usage.
 func answer(t *testing.T, e *Engine, client *engine.Client, attempt engine.Identifier, incarnation engine.Identifier, prompt string) engine.Usage {
 	t.Helper()
 	body, err := json.Marshal(openai.Request{Model: "m", Prompt: &prompt, MaxTokens: 3, Stream: true})
--- a/internal/lab/engine/logs.go
+++ b/internal/lab/engine/logs.go
@@ -18,7 +18,8 @@
 	at    time.Time
 }
 
-// eventLog publishes cache events late and with gaps.
+// eventLog holds cache events. It publishes them after a lag, and drops some if dropEvery is
+// set.
 type eventLog struct {
 	lag       time.Duration
 	dropEvery uint64
@@ -58,7 +59,7 @@
 	at   time.Time
 }
 
-// reportLog publishes load reports with a lag.
+// reportLog holds load reports and publishes them after a lag.
 type reportLog struct {
 	lag     time.Duration
 	reports []loggedReport
--- a/internal/lab/engine/model.go
+++ b/internal/lab/engine/model.go
@@ -1,7 +1,7 @@
-// Package engine emulates a language-model engine: continuous batching with
-// chunked prefill, a prefix cache with limited memory, fenced orders, resumable
-// streams, and the faults of real ones. Time and work are modelled; the text is
-// a function of the request, so that a crossed or cut answer is seen by content.
+// Package engine emulates a language-model engine: continuous batching with chunked prefill, a
+// prefix cache of limited size, orders with fencing tokens, resumable streams, and faults. The
+// time that work takes is modelled. The text of an answer depends on the request only, so an
+// incomplete answer or one to another request is detected by its text.
 package engine
 
 import (
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Model holds the constants of the iteration-time model. An iteration reads a
-// chunk of prompt tokens and writes one token for each decoding sequence.
+// Model holds the constants of the iteration-time model. An iteration prefills a chunk of
+// prompt tokens and generates one token for each decoding sequence.
 //
 // The default constants are a roofline estimate (Pope et al., "Efficiently
 // Scaling Transformer Inference", 2022) for a dense model of 70 G parameters in
@@ -27,27 +27,28 @@
 // a full chunk takes 7.5 + 512 * 0.071 = 44 ms, which keeps the time between
 // tokens below 57 ms.
 type Model struct {
-	// StepBase is the time of an iteration without any prompt token.
+	// StepBase is the time of an iteration that prefills nothing, without CachedToken's part.
 	StepBase time.Duration
-	// PrefillToken is the added time of each prompt token.
+	// PrefillToken is the time that each prefilled prompt token adds to an iteration.
 	PrefillToken time.Duration
-	// CachedToken is the added time of each cached token of decoding sequences.
+	// CachedToken is the time that each token in the KV cache of a decoding sequence adds to an
+	// iteration.
 	CachedToken time.Duration
-	// ChunkTokens is the most prompt tokens in one iteration.
+	// ChunkTokens is the maximum number of prompt tokens that an iteration prefills.
 	ChunkTokens int
-	// MaxSequences is the most sequences running at once.
+	// MaxSequences is the maximum number of sequences in the batch.
 	MaxSequences int
-	// MemoryTokens is the size of the KV memory.
+	// MemoryTokens is the capacity of the KV cache in tokens.
 	MemoryTokens int
-	// BytesPerCachedToken is the size of one token in the KV memory.
+	// BytesPerCachedToken is the size of a token in the KV cache.
 	BytesPerCachedToken uint64
-	// WeightBytesPerSecond is the speed of the weight store for one engine.
+	// WeightBytesPerSecond is the rate at which an engine loads weights from the weight store.
 	WeightBytesPerSecond float64
-	// RoleChange is the time that a role change takes without loading weights.
+	// RoleChange is the time that a change of role takes, besides loading weights.
 	RoleChange time.Duration
 }
 
-// LargeModel returns the constants derived above.
+// LargeModel returns the constants derived at Model.
 func LargeModel() Model {
 	return Model{
 		StepBase:             7500 * time.Microsecond,
@@ -79,14 +80,14 @@
 	}
 }
 
-// iterationTime returns how long an iteration takes.
+// iterationTime returns the duration of an iteration.
 func (m Model) iterationTime(prefillTokens int, cachedTokens int) time.Duration {
 	return m.StepBase +
 		time.Duration(prefillTokens)*m.PrefillToken +
 		time.Duration(cachedTokens)*m.CachedToken
 }
 
-// loadTime returns how long the weights take to arrive.
+// loadTime returns the time that it takes to load weights of the given size.
 func (m Model) loadTime(sizeBytes uint64) time.Duration {
 	seconds := float64(sizeBytes) / m.WeightBytesPerSecond
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
--- a/internal/lab/engine/orders.go
+++ b/internal/lab/engine/orders.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// obey checks an order's authority and starts it.
+// obey checks the incarnation, fence and sequence of an order and carries it out or starts to.
 func (e *Engine) obey(order engine.Order) error {
 	if order.Incarnation != e.incarnation && !e.options.Without.Incarnation {
 		e.counters.StaleOrders++
@@ -68,7 +68,7 @@
 		return result.New(result.FenceStale, "the order has fence %d, the highest seen is %d", order.Fence, e.fence)
 	}
 	if order.ID == e.lastOrder || (e.changing != nil && e.changing.ID == order.ID) {
-		return nil // the same order again
+		return nil // the same order was sent again
 	}
 	if order.Fence == e.fence && order.Sequence <= e.sequence {
 		e.counters.StaleOrders++
@@ -95,7 +95,8 @@
 	return nil
 }
 
-// judge counts what must never happen. It looks at more than an engine knows.
+// judge counts orders that must never take effect. It uses claims of earlier incarnations,
+// which a real engine would not know.
 func (e *Engine) judge(order engine.Order) {
 	if order.Fence < e.claimedFence {
 		e.counters.UnfencedOrders++
@@ -108,7 +109,8 @@
 	}
 }
 
-// startDeploy loads weights and changes the role. It refuses to cut attempts.
+// startDeploy starts to load weights and to change the role. It refuses while attempts are
+// running, so that a deployment never aborts one.
 func (e *Engine) startDeploy(order engine.Order) error {
 	if order.Target == nil {
 		return result.New(result.InvalidRequest, "a deploy order needs a target")
@@ -133,7 +135,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.incarnation != incarnation {
-		return // crashed in the middle
+		return // the engine has crashed during the deployment
 	}
 	e.changing = nil
 	e.lastOrder = order.ID
--- a/internal/lab/engine/server.go
+++ b/internal/lab/engine/server.go
@@ -16,31 +16,31 @@
 type Options struct {
 	Name  string
 	Model Model
-	// TimeScale multiplies every modelled duration; 0.1 runs ten times faster.
+	// TimeScale multiplies all modelled durations: at 0.1 the engine runs ten times as fast.
 	TimeScale float64
-	// ReportLag is the age of load reports and cache events.
+	// ReportLag is the age at which load reports and cache events are published.
 	ReportLag time.Duration
-	// DropCacheEvents loses every n-th cache event. Zero loses none.
+	// DropCacheEvents drops every n-th cache event; zero drops none.
 	DropCacheEvents uint64
-	// Retention is how long a finished stream can be resumed.
+	// Retention is how long a finished stream can be resumed; zero means 30 s.
 	Retention time.Duration
-	// Deployment is what the engine serves at its first start. Its zero value
-	// makes an engine that must be told.
+	// Deployment is what the engine serves at its first start. An engine with the zero value
+	// serves nothing until it gets a deploy order.
 	Deployment engine.Deployment
-	// Without removes guards, to show that checkers then report.
+	// Without disables guards, to show that the checks then report violations.
 	Without Guards
 }
 
-// Guards are the checks of an engine that can be left out.
+// Guards selects checks of an engine that can be disabled.
 type Guards struct {
-	// Fence is the refusal of lower fences.
+	// Fence is the check that refuses orders with a lower fence than one seen before.
 	Fence bool
-	// Incarnation is the refusal of orders for another incarnation.
+	// Incarnation is the check that refuses orders for another incarnation.
 	Incarnation bool
 }
 
-// Counters count what the engine did, over all incarnations. Checkers read
-// them: they are what the engine saw, not what nodes claim.
+// Counters counts what the engine did in all its incarnations. Tests check them, as they show
+// what engines saw and not what nodes report.
 type Counters struct {
 	Accepted       int            `json:"accepted"`
 	Finished       int            `json:"finished"`
@@ -54,33 +54,32 @@
 	CachedTokens   int64          `json:"cached_tokens"`
 	OutputTokens   int64          `json:"output_tokens"`
 	RoleChanges    int            `json:"role_changes"`
-	// UnfencedOrders counts orders that took effect under a lower fence than one
-	// that had claimed the engine before, in any incarnation. It must stay zero.
+	// UnfencedOrders counts orders that took effect with a lower fence than an earlier claim of
+	// the engine, in any incarnation. It must stay zero.
 	UnfencedOrders int `json:"unfenced_orders"`
-	// UnclaimedOrders counts orders that took effect in an incarnation that their
-	// leader had not claimed. It must stay zero.
+	// UnclaimedOrders counts orders that took effect in an incarnation that the sender's fence
+	// had not claimed. It must stay zero.
 	UnclaimedOrders int `json:"unclaimed_orders"`
 }
 
-// Faults are the faults that a test or experiment asks for.
+// Faults are the faults that an engine injects.
 type Faults struct {
-	// BreakAfter cuts the connection of each stream once, after this many events.
+	// BreakAfter breaks the connection of each stream once, after this many events.
 	BreakAfter int `json:"break_after"`
-	// CrossEvents puts an event of another attempt before each event number
-	// that it divides.
+	// CrossEvents sends an event of another attempt before each event whose number is a
+	// multiple of it.
 	CrossEvents int `json:"cross_events"`
-	// RepeatEvents sends each event number that it divides twice.
+	// RepeatEvents sends each event twice whose number is a multiple of it.
 	RepeatEvents int `json:"repeat_events"`
-	// LoseOrderReplies drops the answers of this many orders after they took
-	// effect.
+	// LoseOrderReplies is the number of orders that take effect but get no answer.
 	LoseOrderReplies int `json:"lose_order_replies"`
-	// LoseAcceptReplies drops the connection of this many requests after they
-	// were accepted, before the first byte.
+	// LoseAcceptReplies is the number of requests that are accepted and then lose their
+	// connection before the first byte of the answer.
 	LoseAcceptReplies int `json:"lose_accept_replies"`
-	// CrashOn has the engine crash as soon as it has accepted a request whose prompt holds
-	// this text; it is back at once, as another incarnation.
+	// CrashOn crashes the engine when it has accepted a request whose prompt contains this
+	// text. The engine is available again at once, as another incarnation.
 	CrashOn string `json:"crash_on"`
-	// RefuseRequests refuses this many requests as if their ticket were wrong.
+	// RefuseRequests is the number of requests that are refused like ones with a wrong ticket.
 	RefuseRequests int `json:"refuse_requests"`
 }
 
@@ -101,27 +100,28 @@
 	down        bool
 	batch       *batch
 	streams     map[engine.Identifier]*stream
-	// accepted remembers attempts longer than their streams, and tombstones those
-	// to refuse, for the whole incarnation.
+	// accepted holds the attempts accepted by this incarnation, for engine.AttemptRetention,
+	// which is longer than their streams are kept. tombstones holds the attempts to be refused,
+	// for the whole incarnation.
 	accepted   map[engine.Identifier]time.Time
 	tombstones map[engine.Identifier]bool
 	events     eventLog
 	reports    reportLog
 	counters   Counters
 	faults     Faults
-	// claimedFence is the highest fence that ever claimed the engine, and claims
-	// holds those that claimed this incarnation. Only checkers read them.
+	// claimedFence is the highest fence that claimed the engine in any incarnation, and claims
+	// holds the fences that claimed this one. They serve only the counters that must stay zero.
 	claimedFence engine.Fence
 	claims       map[engine.Fence]bool
 	lastAccepted time.Time
-	// runs counts the attempts accepted for each answer, over all incarnations.
+	// runs counts the accepted attempts by text seed, over all incarnations.
 	runs     map[uint64]int
 	wake     chan struct{}
 	stop     context.CancelFunc
 	finished sync.WaitGroup
 }
 
-// Start runs an emulated engine on the address, which may have port zero.
+// Start starts an emulated engine that listens on the address; port zero selects a free port.
 func Start(address string, options Options) (*Engine, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -166,7 +166,7 @@
 	e.finished.Wait()
 }
 
-// Counters returns what the engine did so far.
+// Counters returns a copy of the engine's counters.
 func (e *Engine) Counters() Counters {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -185,8 +185,7 @@
 	return e.lastAccepted
 }
 
-// Runs adds, for each answer by its seed, the number of attempts that the engine
-// accepted to total.
+// Runs adds the number of attempts that the engine accepted to total, by text seed.
 func (e *Engine) Runs(total map[uint64]int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -195,15 +194,15 @@
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (e *Engine) SetFaults(faults Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = faults
 }
 
-// Crash loses all state and connections. After downtime the engine answers
-// again, as a new incarnation in an unknown state.
+// Crash drops the engine's state and connections. After downtime the engine answers again, as a
+// new incarnation without a deployment or with the one that was being loaded.
 func (e *Engine) Crash(downtime time.Duration) {
 	e.mu.Lock()
 	for _, s := range e.streams {
@@ -215,7 +214,8 @@
 	half := e.changing
 	e.deployment = engine.Deployment{}
 	if half != nil && half.Target != nil && time.Now().UnixNano()%2 == 0 {
-		// A crash in the middle of a load may come back with either state.
+		// After a crash while weights were loading, the engine may have the new deployment or
+		// none.
 		e.deployment = *half.Target
 	}
 	e.reset()
@@ -252,7 +252,7 @@
 	return time.Duration(float64(modelled) * e.options.TimeScale)
 }
 
-// loop runs one iteration after the other while there is work.
+// loop runs iterations while there is work, and removes expired streams while there is none.
 func (e *Engine) loop(ctx context.Context) {
 	next := time.Now()
 	for ctx.Err() == nil {
@@ -267,8 +267,9 @@
 			next = time.Now()
 			continue
 		}
-		// The end of the iteration is computed, not measured, so that a late
-		// timer does not slow the modelled engine down.
+		// The end of the iteration is computed, not measured, so that late timers don't slow
+		// down the modelled engine. If it is more than 50 ms late, the computation goes on from
+		// the current time.
 		next = next.Add(e.scaled(step))
 		if lag := time.Since(next); lag > 50*time.Millisecond {
 			next = time.Now()
@@ -292,7 +293,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if current != e.batch {
-		return // the engine crashed meanwhile
+		return // the engine has crashed during the iteration
 	}
 	for _, p := range current.finish() {
 		s := e.streams[p.attempt]
@@ -323,7 +324,8 @@
 	}
 }
 
-// expire forgets streams past their retention, and accepted attempts long after.
+// expire removes streams after their retention, and accepted attempts after theirs, which is
+// longer.
 func (e *Engine) expire(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -339,7 +341,7 @@
 	}
 }
 
-// Add adds the counters of another engine.
+// Add adds the counters of another engine to c.
 func (c *Counters) Add(other Counters) {
 	c.Accepted += other.Accepted
 	c.Finished += other.Finished
--- a/internal/lab/engine/stream.go
+++ b/internal/lab/engine/stream.go
@@ -9,8 +9,8 @@
 	"github.com/tinarch/tinarch/internal/prefix"
 )
 
-// stream is the answer of one attempt. Its text is computed from the seed, so
-// any part of it can be sent again.
+// stream is the answer to an attempt. Its text is computed from the seed, so any part of it can
+// be sent again.
 type stream struct {
 	attempt  engine.Identifier
 	endpoint openai.Endpoint
@@ -58,14 +58,14 @@
 	return s.done || s.aborted
 }
 
-// snapshot returns the stream's progress and a channel closed at the next one.
+// snapshot returns the stream's state and a channel that is closed when it changes.
 func (s *stream) snapshot() (written int, done, aborted bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.written, s.done, s.aborted, s.changed
 }
 
-// breakOnce reports true the first time.
+// breakOnce returns true at the first call only.
 func (s *stream) breakOnce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/engine/text.go
+++ b/internal/lab/engine/text.go
@@ -6,7 +6,7 @@
 
 const syllables = "babebibobudadedidodufafefifofugagegigogukakekikokulalelilolumamemimomunanenino"
 
-// TextSeed identifies the answer to a prompt by a model version and adapter.
+// TextSeed returns the seed of the answer to a prompt by a model version with an adapter.
 func TextSeed(model, version, adapter, prompt string) uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{model, version, adapter, prompt} {
@@ -16,8 +16,8 @@
 	return digest.Sum64()
 }
 
-// AppendToken appends token number (counted from one) of the answer with the
-// given seed. The mixing function is SplitMix64 (Steele et al., 2014).
+// AppendToken appends a token of the answer with the given seed; the first has number 1. The
+// mixing function is SplitMix64 (Steele et al., 2014).
 func AppendToken(buffer []byte, seed uint64, number int) []byte {
 	value := seed + uint64(number)*0x9e3779b97f4a7c15
 	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
@@ -31,7 +31,7 @@
 	return append(buffer, ' ')
 }
 
-// Text returns the whole answer of the given length in tokens.
+// Text returns the text of an answer with the given number of tokens.
 func Text(seed uint64, tokens int) string {
 	var buffer []byte
 	for number := 1; number <= tokens; number++ {
--- a/internal/lab/engine/virtual.go
+++ b/internal/lab/engine/virtual.go
@@ -7,8 +7,8 @@
 	"github.com/tinarch/tinarch/internal/prefix"
 )
 
-// Virtual is an engine without clock and network, for simulations: the batch of
-// the emulator, driven by whoever keeps the time.
+// Virtual is an engine without clock and network, for simulations. It is the emulator's batch;
+// the caller advances the time.
 type Virtual struct {
 	model  Model
 	batch  *batch
@@ -16,14 +16,14 @@
 	next   uint64
 }
 
-// VirtualProgress is what an iteration did for one attempt.
+// VirtualProgress is the result of an iteration for an attempt.
 type VirtualProgress struct {
 	Attempt engine.Identifier
 	Written int
 	Done    bool
 }
 
-// VirtualRequest is an attempt given to a Virtual engine.
+// VirtualRequest is an attempt to be run by a Virtual.
 type VirtualRequest struct {
 	Attempt      engine.Identifier
 	Priority     int32
@@ -42,7 +42,7 @@
 	return v
 }
 
-// Accept puts an attempt into the batch.
+// Accept adds an attempt.
 func (v *Virtual) Accept(request VirtualRequest) {
 	v.batch.add(&sequence{
 		attempt: request.Attempt, priority: request.Priority, chain: request.Chain,
@@ -50,13 +50,13 @@
 	})
 }
 
-// Idle reports whether there is nothing to do.
+// Idle reports whether no attempt is waiting or running.
 func (v *Virtual) Idle() bool { return v.batch.idle() }
 
-// Begin plans an iteration and returns its length.
+// Begin plans an iteration and returns its duration.
 func (v *Virtual) Begin() time.Duration { return v.batch.begin() }
 
-// Finish ends the iteration that Begin planned.
+// Finish completes the iteration that Begin planned.
 func (v *Virtual) Finish() []VirtualProgress {
 	report := v.batch.finish()
 	progress := make([]VirtualProgress, len(report))
@@ -73,7 +73,7 @@
 	return events
 }
 
-// Load returns what the engine reports of itself.
+// Load returns the engine's load report.
 func (v *Virtual) Load() engine.Load {
 	mixedStep := v.model.iterationTime(v.model.ChunkTokens, 0)
 	return engine.Load{
@@ -88,5 +88,5 @@
 	}
 }
 
-// Running returns the number of attempts accepted and not finished.
+// Running returns the number of accepted attempts that haven't finished.
 func (v *Virtual) Running() int { return len(v.batch.running) + len(v.batch.waiting) }
