--- a/internal/lab/engine/batch.go
+++ b/internal/lab/engine/batch.go
@@ -17,25 +17,25 @@
 	chain        []prefix.Hash
 	promptTokens int
 	outputTokens int
-	// read is the number of prompt tokens in the KV cache, prefilled or found in the prefix
+	// prefilled is the number of prompt tokens in the KV cache, computed or found in the prefix
 	// cache.
-	read    int
-	written int
-	cached  int
+	prefilled    int
+	generated    int
+	cachedTokens int
 	// matched tells that the prefix cache was searched. This happens when the sequence first
 	// gets a part of an iteration: what earlier sequences have prefilled by then is cached.
 	matched bool
 }
 
-func (s *sequence) decoding() bool { return s.read >= s.promptTokens }
+func (s *sequence) decoding() bool { return s.prefilled >= s.promptTokens }
 
 func (s *sequence) memory() int { return s.promptTokens + s.outputTokens }
 
 // progress is the result of an iteration for a sequence.
 type progress struct {
-	attempt engine.Identifier
-	written int
-	done    bool
+	attempt   engine.Identifier
+	generated int
+	done      bool
 }
 
 // batch is the scheduler of an engine. It has no clock and does no I/O.
@@ -94,13 +94,13 @@
 	slices.SortStableFunc(b.running, byPriority)
 	for _, s := range b.running {
 		if s.decoding() {
-			cachedTokens += s.read + s.written
+			cachedTokens += s.prefilled + s.generated
 			continue
 		}
 		if budget > 0 && !s.matched {
 			b.matchCache(s)
 		}
-		part := min(budget, s.promptTokens-s.read)
+		part := min(budget, s.promptTokens-s.prefilled)
 		b.chunk[s] = part
 		budget -= part
 		prefillTokens += part
@@ -126,8 +126,8 @@
 // first output token depends on it.
 func (b *batch) matchCache(s *sequence) {
 	s.matched = true
-	s.cached = min(b.cache.match(s.chain)*prefix.BlockTokens, max(s.promptTokens-1, 0))
-	s.read = s.cached
+	s.cachedTokens = min(b.cache.match(s.chain)*prefix.BlockTokens, max(s.promptTokens-1, 0))
+	s.prefilled = s.cachedTokens
 }
 
 // finish completes the iteration that begin planned.
@@ -135,17 +135,17 @@
 	var report []progress
 	keep := b.running[:0]
 	for _, s := range b.running {
-		part, reading := b.chunk[s]
-		if reading {
-			s.read += part
-			b.cache.store(s.chain[:min(s.read/prefix.BlockTokens, len(s.chain))])
+		part, prefilling := b.chunk[s]
+		if prefilling {
+			s.prefilled += part
+			b.cache.store(s.chain[:min(s.prefilled/prefix.BlockTokens, len(s.chain))])
 		}
 		// The iteration that completes the prefill also generates the first token.
-		if s.decoding() && (!reading || part > 0) {
-			s.written++
-			report = append(report, progress{attempt: s.attempt, written: s.written, done: s.written >= s.outputTokens})
+		if s.decoding() && (!prefilling || part > 0) {
+			s.generated++
+			report = append(report, progress{attempt: s.attempt, generated: s.generated, done: s.generated >= s.outputTokens})
 		}
-		if s.written >= s.outputTokens {
+		if s.generated >= s.outputTokens {
 			b.reserved -= s.memory()
 			continue
 		}
@@ -162,7 +162,7 @@
 		total += s.promptTokens
 	}
 	for _, s := range b.running {
-		total += s.promptTokens - s.read
+		total += s.promptTokens - s.prefilled
 	}
 	return total
 }
--- a/internal/lab/engine/guards_test.go
+++ b/internal/lab/engine/guards_test.go
@@ -30,9 +30,9 @@
 	return engine.Order{ID: engine.NewIdentifier(), Type: kind, Fence: fence, Sequence: sequence, Incarnation: incarnation}
 }
 
-// stale sends a claim with a fence and then an order with a lower one, and returns the code of
-// the answer to the order.
-func stale(t *testing.T, e *Engine, client *engine.Client, incarnation engine.Identifier) result.Code {
+// sendStaleOrder sends a claim with a fence and then an order with a lower one, and returns the
+// code of the answer to the order.
+func sendStaleOrder(t *testing.T, e *Engine, client *engine.Client, incarnation engine.Identifier) result.Code {
 	t.Helper()
 	ctx := context.Background()
 	if _, err := client.Order(ctx, e.Address(), order(engine.OrderClaim, 9, 1, incarnation)); err != nil {
@@ -44,7 +44,7 @@
 
 func TestStaleFenceIsRefused(t *testing.T) {
 	e, client, status := startEngine(t, Guards{})
-	if code := stale(t, e, client, status.Incarnation); code != result.FenceStale {
+	if code := sendStaleOrder(t, e, client, status.Incarnation); code != result.FenceStale {
 		t.Errorf("code %s", code)
 	}
 	if e.Counters().UnfencedOrders != 0 {
@@ -56,7 +56,7 @@
 // effect count them when the engine's checks are disabled.
 func TestCheckerSeesOrdersWithoutAuthority(t *testing.T) {
 	e, client, status := startEngine(t, Guards{Fence: true})
-	stale(t, e, client, status.Incarnation)
+	sendStaleOrder(t, e, client, status.Incarnation)
 	if counters := e.Counters(); counters.UnfencedOrders != 1 || counters.UnclaimedOrders != 1 {
 		t.Errorf("without the fence: %+v", counters)
 	}
--- a/internal/lab/engine/handlers.go
+++ b/internal/lab/engine/handlers.go
@@ -33,7 +33,7 @@
 	router.Get("/engine/v1/cache-events", e.getCacheEvents)
 	router.Get("/engine/v1/kv/{attempt}", e.exportKV)
 	router.Post("/engine/v1/kv", e.importKV)
-	router.Get("/lab/v1/counters", func(w http.ResponseWriter, _ *http.Request) { reply(w, e.Counters()) })
+	router.Get("/lab/v1/counters", func(w http.ResponseWriter, _ *http.Request) { writeReply(w, e.Counters()) })
 	router.Post("/lab/v1/faults", e.postFaults)
 	router.Post("/lab/v1/crash", e.postCrash)
 	return router
@@ -51,12 +51,12 @@
 	})
 }
 
-func reply(w http.ResponseWriter, value any) {
+func writeReply(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func refuse(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	failure := result.From(err)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(engine.HeaderCode, strconv.Itoa(int(failure.Code)))
@@ -92,13 +92,13 @@
 		}
 		request, err := openai.Parse(endpoint, body)
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 		ticket, present := ticketOf(r)
 		s, lose, err := e.accept(endpoint, request, ticket, present)
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 		if e.crashesOn(request.PromptText()) {
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func (e *Engine) lookup(r *http.Request) (*stream, error) {
+func (e *Engine) findStream(r *http.Request) (*stream, error) {
 	attempt := engine.Identifier(chi.URLParam(r, "attempt"))
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -217,12 +217,12 @@
 func (e *Engine) resumeStream(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil || from < 1 {
-		refuse(w, result.New(result.InvalidRequest, "from must be a positive number"))
+		writeError(w, result.New(result.InvalidRequest, "from must be a positive number"))
 		return
 	}
-	s, err := e.lookup(r)
+	s, err := e.findStream(r)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	e.sendStream(w, r, s, from)
@@ -289,14 +289,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if asked != e.incarnation {
-		refuse(w, result.New(result.IncarnationMismatch, "the message is for incarnation %s, this is %s", asked, e.incarnation))
+		writeError(w, result.New(result.IncarnationMismatch, "the message is for incarnation %s, this is %s", asked, e.incarnation))
 		return
 	}
 	_, seen := e.accepted[attempt]
 	if !seen || !onlyUnseen {
 		e.cancelLocked(attempt)
 	}
-	reply(w, engine.CancelReply{Incarnation: e.incarnation, Seen: seen})
+	writeReply(w, engine.CancelReply{Incarnation: e.incarnation, Seen: seen})
 }
 
 // cancel cancels an attempt.
@@ -323,50 +323,50 @@
 func (e *Engine) getCacheEvents(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		refuse(w, result.New(result.InvalidRequest, "from must be a number"))
+		writeError(w, result.New(result.InvalidRequest, "from must be a number"))
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	events, next := e.events.page(from)
-	reply(w, engine.CacheEvents{Incarnation: e.incarnation, Events: events, Next: next})
+	writeReply(w, engine.CacheEvents{Incarnation: e.incarnation, Events: events, Next: next})
 }
 
 func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
-	s, err := e.lookup(r)
+	s, err := e.findStream(r)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(w, s.export(e.incarnation, e.options.Model.BytesPerCachedToken))
+	writeReply(w, s.export(e.incarnation, e.options.Model.BytesPerCachedToken))
 }
 
 func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
 	var export engine.KVExport
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&export); err != nil {
-		refuse(w, result.New(result.InvalidRequest, "the KV export can't be read: %v", err))
+		writeError(w, result.New(result.InvalidRequest, "the KV export can't be read: %v", err))
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.cache.store(export.Blocks)
-	reply(w, struct{}{})
+	writeReply(w, struct{}{})
 }
 
 func (e *Engine) postFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
-		refuse(w, result.New(result.InvalidRequest, "the faults can't be read: %v", err))
+		writeError(w, result.New(result.InvalidRequest, "the faults can't be read: %v", err))
 		return
 	}
 	e.SetFaults(faults)
-	reply(w, struct{}{})
+	writeReply(w, struct{}{})
 }
 
 func (e *Engine) postCrash(w http.ResponseWriter, r *http.Request) {
 	millis, _ := strconv.Atoi(r.URL.Query().Get("down_ms"))
 	e.Crash(time.Duration(millis) * time.Millisecond)
-	reply(w, struct{}{})
+	writeReply(w, struct{}{})
 }
--- a/internal/lab/engine/kv_test.go
+++ b/internal/lab/engine/kv_test.go
@@ -11,8 +11,8 @@
 	"github.com/tinarch/tinarch/internal/openai"
 )
 
-// answer runs a prompt directly on an engine, without a ticket, and returns the usage.
-func answer(t *testing.T, e *Engine, client *engine.Client, attempt engine.Identifier, incarnation engine.Identifier, prompt string) engine.Usage {
+// runPrompt runs a prompt directly on an engine, without a ticket, and returns the usage.
+func runPrompt(t *testing.T, e *Engine, client *engine.Client, attempt engine.Identifier, incarnation engine.Identifier, prompt string) engine.Usage {
 	t.Helper()
 	body, err := json.Marshal(openai.Request{Model: "m", Prompt: &prompt, MaxTokens: 3, Stream: true})
 	if err != nil {
@@ -40,7 +40,7 @@
 	return reader.Usage()
 }
 
-func deployed(t *testing.T) (*Engine, *engine.Client, engine.Identifier) {
+func startDeployed(t *testing.T) (*Engine, *engine.Client, engine.Identifier) {
 	t.Helper()
 	e, err := Start("127.0.0.1:0", Options{
 		Name: "e", Model: SmallModel(), TimeScale: 0.01,
@@ -60,11 +60,11 @@
 }
 
 func TestImportedCacheIsUsed(t *testing.T) {
-	first, client, firstIncarnation := deployed(t)
-	second, _, secondIncarnation := deployed(t)
+	first, client, firstIncarnation := startDeployed(t)
+	second, _, secondIncarnation := startDeployed(t)
 	prompt := strings.Repeat("a long shared prompt ", 400)
 	attempt := engine.NewIdentifier()
-	if usage := answer(t, first, client, attempt, firstIncarnation, prompt); usage.CachedTokens != 0 {
+	if usage := runPrompt(t, first, client, attempt, firstIncarnation, prompt); usage.CachedTokens != 0 {
 		t.Errorf("a cold engine had %d tokens cached", usage.CachedTokens)
 	}
 	export, err := client.ExportKV(context.Background(), first.Address(), firstIncarnation, attempt)
@@ -74,7 +74,7 @@
 	if err := client.ImportKV(context.Background(), second.Address(), export); err != nil {
 		t.Fatal(err)
 	}
-	if usage := answer(t, second, client, engine.NewIdentifier(), secondIncarnation, prompt); usage.CachedTokens < 1024 {
+	if usage := runPrompt(t, second, client, engine.NewIdentifier(), secondIncarnation, prompt); usage.CachedTokens < 1024 {
 		t.Errorf("only %d tokens cached after the import", usage.CachedTokens)
 	}
 }
--- a/internal/lab/engine/logs.go
+++ b/internal/lab/engine/logs.go
@@ -39,13 +39,13 @@
 }
 
 func (l *eventLog) page(from uint64) (page []engine.CacheEvent, next uint64) {
-	published := time.Now().Add(-l.lag)
+	publishedBefore := time.Now().Add(-l.lag)
 	next = from
 	for _, logged := range l.events {
 		if logged.event.Sequence < from {
 			continue
 		}
-		if logged.at.After(published) || len(page) == maxEventsPerPage {
+		if logged.at.After(publishedBefore) || len(page) == maxEventsPerPage {
 			break
 		}
 		page = append(page, logged.event)
--- a/internal/lab/engine/orders.go
+++ b/internal/lab/engine/orders.go
@@ -30,17 +30,17 @@
 func (e *Engine) getStatus(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(w, e.status())
+	writeReply(w, e.status())
 }
 
 func (e *Engine) postOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 1<<20)).Decode(&order); err != nil {
-		refuse(w, result.New(result.InvalidRequest, "the order can't be read: %v", err))
+		writeError(w, result.New(result.InvalidRequest, "the order can't be read: %v", err))
 		return
 	}
 	e.mu.Lock()
-	err := e.obey(order)
+	err := e.applyOrder(order)
 	status := e.status()
 	lose := err == nil && e.faults.LoseOrderReplies > 0
 	if lose {
@@ -51,14 +51,15 @@
 	case lose:
 		panic(http.ErrAbortHandler)
 	case err != nil:
-		refuse(w, err)
+		writeError(w, err)
 	default:
-		reply(w, status)
+		writeReply(w, status)
 	}
 }
 
-// obey checks the incarnation, fence and sequence of an order and carries it out or starts to.
-func (e *Engine) obey(order engine.Order) error {
+// applyOrder checks the incarnation, fence and sequence of an order and carries it out or
+// starts to.
+func (e *Engine) applyOrder(order engine.Order) error {
 	if order.Incarnation != e.incarnation && !e.options.Without.Incarnation {
 		e.counters.StaleOrders++
 		return result.New(result.IncarnationMismatch, "the order is for incarnation %s, this is %s", order.Incarnation, e.incarnation)
@@ -79,7 +80,7 @@
 	}
 	e.fence, e.sequence = order.Fence, order.Sequence
 	e.counters.Orders[string(order.Type)]++
-	e.judge(order)
+	e.countViolations(order)
 	switch order.Type {
 	case engine.OrderClaim:
 	case engine.OrderDrain:
@@ -95,16 +96,16 @@
 	return nil
 }
 
-// judge counts orders that must never take effect. It uses claims of earlier incarnations,
-// which a real engine would not know.
-func (e *Engine) judge(order engine.Order) {
+// countViolations counts orders that must never take effect. It uses claims of earlier
+// incarnations, which a real engine would not know.
+func (e *Engine) countViolations(order engine.Order) {
 	if order.Fence < e.claimedFence {
 		e.counters.UnfencedOrders++
 	}
 	if order.Type == engine.OrderClaim {
-		e.claims[order.Fence] = true
+		e.incarnationClaims[order.Fence] = true
 		e.claimedFence = max(e.claimedFence, order.Fence)
-	} else if !e.claims[order.Fence] {
+	} else if !e.incarnationClaims[order.Fence] {
 		e.counters.UnclaimedOrders++
 	}
 }
@@ -127,7 +128,7 @@
 	}
 	e.changing = &order
 	incarnation := e.incarnation
-	time.AfterFunc(e.scaled(duration), func() { e.finishDeploy(incarnation, order) })
+	time.AfterFunc(e.scaleTime(duration), func() { e.finishDeploy(incarnation, order) })
 	return nil
 }
 
--- a/internal/lab/engine/server.go
+++ b/internal/lab/engine/server.go
@@ -111,9 +111,9 @@
 	faults     Faults
 	// claimedFence is the highest fence that claimed the engine in any incarnation, and claims
 	// holds the fences that claimed this one. They serve only the counters that must stay zero.
-	claimedFence engine.Fence
-	claims       map[engine.Fence]bool
-	lastAccepted time.Time
+	claimedFence      engine.Fence
+	incarnationClaims map[engine.Fence]bool
+	lastAccepted      time.Time
 	// runs counts the accepted attempts by text seed, over all incarnations.
 	runs     map[uint64]int
 	wake     chan struct{}
@@ -211,12 +211,12 @@
 		}
 		s.abort()
 	}
-	half := e.changing
+	interrupted := e.changing
 	e.deployment = engine.Deployment{}
-	if half != nil && half.Target != nil && time.Now().UnixNano()%2 == 0 {
+	if interrupted != nil && interrupted.Target != nil && time.Now().UnixNano()%2 == 0 {
 		// After a crash while weights were loading, the engine may have the new deployment or
 		// none.
-		e.deployment = *half.Target
+		e.deployment = *interrupted.Target
 	}
 	e.reset()
 	e.down = downtime > 0
@@ -235,7 +235,7 @@
 	e.incarnation = engine.NewIdentifier()
 	e.draining = false
 	e.fence, e.sequence = 0, 0
-	e.claims = map[engine.Fence]bool{}
+	e.incarnationClaims = map[engine.Fence]bool{}
 	e.changing = nil
 	e.lastOrder = ""
 	e.streams = map[engine.Identifier]*stream{}
@@ -248,7 +248,7 @@
 	})
 }
 
-func (e *Engine) scaled(modelled time.Duration) time.Duration {
+func (e *Engine) scaleTime(modelled time.Duration) time.Duration {
 	return time.Duration(float64(modelled) * e.options.TimeScale)
 }
 
@@ -270,7 +270,7 @@
 		// The end of the iteration is computed, not measured, so that late timers don't slow
 		// down the modelled engine. If it is more than 50 ms late, the computation goes on from
 		// the current time.
-		next = next.Add(e.scaled(step))
+		next = next.Add(e.scaleTime(step))
 		if lag := time.Since(next); lag > 50*time.Millisecond {
 			next = time.Now()
 		}
@@ -305,7 +305,7 @@
 			e.counters.Finished++
 			s.finishedAt = time.Now()
 		}
-		s.advance(p.written, p.done)
+		s.advance(p.generated, p.done)
 	}
 }
 
@@ -318,9 +318,9 @@
 		PendingPromptTokens:    int64(e.batch.pendingPromptTokens()),
 		MemoryUsedTokens:       int64(e.batch.reserved),
 		MemoryTotalTokens:      int64(model.MemoryTokens),
-		PrefillTokensPerSecond: float64(model.ChunkTokens) / e.scaled(mixedStep).Seconds(),
-		DecodeStepMillis:       e.scaled(model.StepBase).Seconds() * 1000,
-		MixedStepMillis:        e.scaled(mixedStep).Seconds() * 1000,
+		PrefillTokensPerSecond: float64(model.ChunkTokens) / e.scaleTime(mixedStep).Seconds(),
+		DecodeStepMillis:       e.scaleTime(model.StepBase).Seconds() * 1000,
+		MixedStepMillis:        e.scaleTime(mixedStep).Seconds() * 1000,
 	}
 }
 
--- a/internal/lab/engine/stream.go
+++ b/internal/lab/engine/stream.go
@@ -21,7 +21,7 @@
 	kvSeed   string
 
 	mu         sync.Mutex
-	written    int
+	generated  int
 	done       bool
 	aborted    bool
 	broken     bool
@@ -34,10 +34,10 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) advance(written int, done bool) {
+func (s *stream) advance(generated int, done bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.written = written
+	s.generated = generated
 	s.done = done
 	s.notify()
 }
@@ -59,10 +59,10 @@
 }
 
 // snapshot returns the stream's state and a channel that is closed when it changes.
-func (s *stream) snapshot() (written int, done, aborted bool, changed <-chan struct{}) {
+func (s *stream) snapshot() (generated int, done, aborted bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.written, s.done, s.aborted, s.changed
+	return s.generated, s.done, s.aborted, s.changed
 }
 
 // breakOnce returns true at the first call only.
@@ -78,7 +78,7 @@
 	return engine.Usage{
 		OutputTokens: s.sequence.outputTokens,
 		PromptTokens: s.sequence.promptTokens,
-		CachedTokens: s.sequence.cached,
+		CachedTokens: s.sequence.cachedTokens,
 	}
 }
 
--- a/internal/lab/engine/virtual.go
+++ b/internal/lab/engine/virtual.go
@@ -61,7 +61,7 @@
 	report := v.batch.finish()
 	progress := make([]VirtualProgress, len(report))
 	for i, p := range report {
-		progress[i] = VirtualProgress{Attempt: p.attempt, Written: p.written, Done: p.done}
+		progress[i] = VirtualProgress{Attempt: p.attempt, Written: p.generated, Done: p.done}
 	}
 	return progress
 }
