--- a/internal/lab/engine/batch_test.go
+++ b/internal/lab/engine/batch_test.go
@@ -37,7 +37,7 @@
 		written += len(b.finish())
 	}
 	if written != 7 {
-		t.Errorf("wrote %d tokens, want 7", written)
+		t.Errorf("generated %d tokens, want 7", written)
 	}
 	if b.reserved != 0 {
 		t.Errorf("%d tokens of memory still reserved", b.reserved)
@@ -63,7 +63,7 @@
 	cold := run(b)["cold"]
 	b.add(&sequence{attempt: "warm", chain: chain, promptTokens: 2100, outputTokens: 1})
 	if warm := run(b)["warm"]; warm*2 > cold {
-		t.Errorf("warm took %v, cold %v", warm, cold)
+		t.Errorf("a cached prompt took %v, the same prompt without cache %v", warm, cold)
 	}
 }
 
--- a/internal/lab/engine/guards_test.go
+++ b/internal/lab/engine/guards_test.go
@@ -45,7 +45,7 @@
 func TestStaleFenceIsRefused(t *testing.T) {
 	e, client, status := startEngine(t, Guards{})
 	if code := sendStaleOrder(t, e, client, status.Incarnation); code != result.FenceStale {
-		t.Errorf("code %s", code)
+		t.Errorf("order with a lower fence than a claim: code %s", code)
 	}
 	if e.Counters().UnfencedOrders != 0 {
 		t.Error("a refused order counts as one that took effect")
@@ -58,7 +58,7 @@
 	e, client, status := startEngine(t, Guards{Fence: true})
 	sendStaleOrder(t, e, client, status.Incarnation)
 	if counters := e.Counters(); counters.UnfencedOrders != 1 || counters.UnclaimedOrders != 1 {
-		t.Errorf("without the fence: %+v", counters)
+		t.Errorf("without the fence check: %+v", counters)
 	}
 	e, client, status = startEngine(t, Guards{Incarnation: true})
 	if _, err := client.Order(context.Background(), e.Address(), order(engine.OrderClaim, 9, 1, status.Incarnation)); err != nil {
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	if counters := e.Counters(); counters.UnfencedOrders != 1 {
-		t.Errorf("without the incarnation: %+v", counters)
+		t.Errorf("without the incarnation check: %+v", counters)
 	}
 }
 
@@ -83,7 +83,7 @@
 		}
 	}
 	if _, err := client.Order(ctx, e.Address(), drain); result.CodeOf(err) != result.FenceStale {
-		t.Errorf("the delayed copy: %v", err)
+		t.Errorf("delayed copy of an order: %v", err)
 	}
 	after, err := client.Status(ctx, e.Address())
 	if err != nil || after.Draining {
@@ -140,7 +140,7 @@
 	}
 	e.expire(time.Now().Add(engine.AttemptRetention / 2))
 	if _, err := client.Resume(ctx, e.Address(), status.Incarnation, ticket.Attempt, 1); result.CodeOf(err) != result.StreamUnknown {
-		t.Errorf("the dropped stream: %v", err)
+		t.Errorf("removed stream: %v", err)
 	}
 	if reply, err := client.RefuseUnseen(ctx, e.Address(), status.Incarnation, ticket.Attempt); err != nil || !reply.Seen {
 		t.Errorf("a finished attempt: reply %+v, error %v", reply, err)
--- a/internal/lab/engine/kv_test.go
+++ b/internal/lab/engine/kv_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	if !reader.Complete() {
-		t.Fatalf("the stream is not whole: %q", content)
+		t.Fatalf("incomplete stream: %q", content)
 	}
 	return reader.Usage()
 }
