--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs a whole deployment in one process: the stand-ins for the
-// platform, emulated engines and nodes. Demos, experiments and tests use it.
+// Package cluster runs a whole deployment in one process: fakes of the platform's services,
+// emulated engines, and nodes. Demos, experiments and tests use it.
 package cluster
 
 import (
@@ -27,34 +27,34 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// Pool is a set of like engines.
+// Pool is a set of engines with the same model of performance.
 type Pool struct {
 	Name  string
 	Count int
 	Model labengine.Model
 }
 
-// Options describe a deployment.
+// Options configure a deployment.
 type Options struct {
 	Name  string
 	Zones []string
 	Nodes int
 	Pools []Pool
-	// TimeScale multiplies the modelled time of engines.
+	// TimeScale multiplies the modelled durations of engines.
 	TimeScale float64
-	// ReportLag is the lag of engines' load reports and cache events.
+	// ReportLag is the age at which engines publish load reports and cache events.
 	ReportLag time.Duration
-	// ListLag is the lag of the machine list.
+	// ListLag is the time after which a change of the machine list becomes visible.
 	ListLag      time.Duration
 	LedgerGroups int
 	Policy       placement.Policy
 	Log          *logrus.Logger
 }
 
-// OperatorToken is the token with the write role of every deployment here.
+// OperatorToken is the operator token with the write role in all deployments of this package.
 const OperatorToken = "operator"
 
-// ReadToken is the token with the read role of every deployment here.
+// ReadToken is the operator token with the read role in all deployments of this package.
 const ReadToken = "reader"
 
 // Cluster is a running deployment.
@@ -65,14 +65,14 @@
 	Machines *platform.Machines
 	Engines  []*labengine.Engine
 	Nodes    []*node.Node
-	// Network is the way between nodes, which can be cut.
+	// Network connects the nodes; tests can cut it.
 	Network *Network
 	list    []machines.Machine
-	// nodesStarted counts the nodes started by AddNode.
+	// nodesStarted is the number of nodes started by AddNode.
 	nodesStarted int
 }
 
-// Quiet returns a logger that writes nothing.
+// Quiet returns a logger that discards everything.
 func Quiet() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -80,7 +80,7 @@
 	return log
 }
 
-// Start runs a deployment. Nodes are up but not configured when it returns.
+// Start starts a deployment. When it returns, the nodes run but have no catalog yet.
 func Start(options Options) (*Cluster, error) {
 	if options.Log == nil {
 		options.Log = Quiet()
@@ -106,7 +106,7 @@
 	return c, nil
 }
 
-// maxSeeds bounds the seeds of a node; the others are learned through them.
+// maxSeeds is the maximum number of seeds of a node, which learns of the other nodes from them.
 const maxSeeds = 3
 
 const loopback = "127.0.0.1:0"
@@ -152,10 +152,10 @@
 	return configured
 }
 
-// AddNode starts another node.
+// AddNode starts another node and adds it to Nodes.
 func (c *Cluster) AddNode() (*node.Node, error) {
 	i := c.nodesStarted
-	c.nodesStarted++ // a name is never used for two processes
+	c.nodesStarted++ // no two processes get the same name
 	started, err := c.StartNode(fmt.Sprintf("node-%d", i+1), c.zone(i))
 	if err == nil {
 		c.Nodes = append(c.Nodes, started)
@@ -163,7 +163,7 @@
 	return started, err
 }
 
-// StartNode starts a node that is not kept in Nodes.
+// StartNode starts a node without adding it to Nodes.
 func (c *Cluster) StartNode(name, zone string) (*node.Node, error) {
 	started, err := node.Start(c.NodeSettings(name, zone), node.Options{
 		Policy: c.options.Policy, Log: c.options.Log, Dial: c.Network.dialer(name),
@@ -174,7 +174,7 @@
 	return started, err
 }
 
-// SetLeaving marks an engine in the machine list.
+// SetLeaving marks an engine in the machine list as about to be removed, or removes the mark.
 func (c *Cluster) SetLeaving(name string, leaving bool) {
 	for i := range c.list {
 		if c.list[i].Name == name {
@@ -184,7 +184,7 @@
 	c.Machines.Set(c.list)
 }
 
-// Engine returns an engine by name, nil when there is none.
+// Engine returns the engine of the given name, or nil.
 func (c *Cluster) Engine(name string) *labengine.Engine {
 	for _, e := range c.Engines {
 		if e.Name() == name {
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// Counters adds up what all engines did.
+// Counters returns the sum of all engines' counters.
 func (c *Cluster) Counters() labengine.Counters {
 	var total labengine.Counters
 	for _, e := range c.Engines {
@@ -203,8 +203,7 @@
 	return total
 }
 
-// Runs returns, for each answer by its seed, the number of attempts that engines
-// accepted.
+// Runs returns the number of attempts that engines accepted, by text seed.
 func (c *Cluster) Runs() map[uint64]int {
 	total := map[uint64]int{}
 	for _, e := range c.Engines {
@@ -213,27 +212,27 @@
 	return total
 }
 
-// Catalog returns a client of a node's operators' interface.
+// Catalog returns a client of the catalog service at a node's operators' address.
 func (c *Cluster) Catalog(n *node.Node) tinarchv1connect.CatalogServiceClient {
 	return CatalogAt(n.OperatorsAddress())
 }
 
-// Fleet returns a client of a node's operators' interface.
+// Fleet returns a client of the fleet service at a node's operators' address.
 func (c *Cluster) Fleet(n *node.Node) tinarchv1connect.FleetServiceClient {
 	return FleetAt(n.OperatorsAddress())
 }
 
-// CatalogAt returns a client of the operators' interface at an address.
+// CatalogAt returns a client of the catalog service at an address.
 func CatalogAt(address string) tinarchv1connect.CatalogServiceClient {
 	return tinarchv1connect.NewCatalogServiceClient(http.DefaultClient, "http://"+address, connect.WithInterceptors(cli.BearerToken(OperatorToken)))
 }
 
-// FleetAt returns a client of the operators' interface at an address.
+// FleetAt returns a client of the fleet service at an address.
 func FleetAt(address string) tinarchv1connect.FleetServiceClient {
 	return tinarchv1connect.NewFleetServiceClient(http.DefaultClient, "http://"+address, connect.WithInterceptors(cli.BearerToken(OperatorToken)))
 }
 
-// ApplyAt makes one change at a node with the given operators' address.
+// ApplyAt applies a change of revision expected at the node with the given operators' address.
 func (c *Cluster) ApplyAt(ctx context.Context, address string, expected uint64, put *tinarchv1.Catalog) error {
 	_, err := CatalogAt(address).Apply(ctx, connect.NewRequest(&tinarchv1.ApplyRequest{
 		ExpectedRevision: expected, OperationId: string(engine.NewIdentifier()), Put: put,
@@ -241,7 +240,8 @@
 	return err
 }
 
-// Apply makes put the configuration and waits until it is in force at all nodes.
+// Apply applies a change of the current revision and waits until it is in force at all nodes.
+// It returns the new revision.
 func (c *Cluster) Apply(ctx context.Context, put *tinarchv1.Catalog) (uint64, error) {
 	client := c.Catalog(c.Nodes[0])
 	current, err := client.Get(ctx, connect.NewRequest(&tinarchv1.GetRequest{}))
@@ -265,7 +265,7 @@
 	})
 }
 
-// Await waits until a condition holds.
+// Await polls until a condition holds. what names the condition in the error if ctx ends first.
 func (c *Cluster) Await(ctx context.Context, what string, holds func() bool) error {
 	for !holds() {
 		select {
@@ -277,7 +277,7 @@
 	return nil
 }
 
-// CaughtUp reports whether all nodes know each other and the table's revision.
+// CaughtUp reports whether all nodes know each other and the table's current revision.
 func (c *Cluster) CaughtUp() bool {
 	for _, n := range c.Nodes {
 		if !n.CaughtUp() || len(n.Candidates()) < len(c.Nodes) {
@@ -287,17 +287,18 @@
 	return true
 }
 
-// AwaitEngines waits until count engines are ready, as their leaders see them.
+// AwaitEngines waits until at least count engines are ready.
 func (c *Cluster) AwaitEngines(ctx context.Context, count int) error {
 	return c.Await(ctx, fmt.Sprintf("%d ready engines", count), func() bool { return c.ReadyEngines(ctx) >= count })
 }
 
-// ReadyEngines returns the number of ready engines, as their leaders see them.
+// ReadyEngines returns the number of engines that the cells' leaders report as ready.
 func (c *Cluster) ReadyEngines(ctx context.Context) int {
 	return c.ReadyEnginesAt(ctx, c.Nodes[0].OperatorsAddress())
 }
 
-// ReadyEnginesAt asks the node with the given operators' address.
+// ReadyEnginesAt is ReadyEngines, asking the node with the given operators' address. It returns
+// 0 if the call fails.
 func (c *Cluster) ReadyEnginesAt(ctx context.Context, address string) int {
 	response, err := FleetAt(address).Engines(ctx, connect.NewRequest(&tinarchv1.EnginesRequest{}))
 	if err != nil {
@@ -312,7 +313,7 @@
 	return ready
 }
 
-// Close stops everything.
+// Close stops the nodes, then the engines and the platform's services.
 func (c *Cluster) Close() {
 	var closing sync.WaitGroup
 	for _, n := range c.Nodes {
--- a/internal/lab/cluster/cluster_test.go
+++ b/internal/lab/cluster/cluster_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestCrashedEngineIsReplacedUnseen: a whole answer of which the caller has seen
-// nothing is written again by another engine.
+// TestCrashedEngineIsReplacedUnseen checks that another engine generates the answer again if an
+// engine crashes before the caller of an unstreamed request has seen any of it.
 func TestCrashedEngineIsReplacedUnseen(t *testing.T) {
 	c, ctx := start(t, 1, 2)
 	answered := make(chan error, 1)
@@ -183,8 +183,9 @@
 	}
 }
 
-// TestPromptThatCrashesEnginesIsStopped: each try may be placed four times, and each new try
-// is another request.
+// TestPromptThatCrashesEnginesIsStopped checks that a prompt that crashes engines is
+// quarantined. A node may place a request on up to four engines, and each retry of the caller
+// is another request, so only the prompt tells that they belong together.
 func TestPromptThatCrashesEnginesIsStopped(t *testing.T) {
 	const poison = "poison"
 	c, ctx := start(t, 1, 4)
@@ -205,7 +206,7 @@
 			t.Fatal("it was answered")
 		}
 	}
-	const most = 6 // three, and three more
+	const most = 6 // three crashes quarantine the prompt; three more are tolerated
 	if got := c.Counters().CutByCrash; got > most {
 		t.Errorf("%d engines ended under it, want %d at most", got, most)
 	}
--- a/internal/lab/cluster/deployment.go
+++ b/internal/lab/cluster/deployment.go
@@ -12,7 +12,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Deployment is a deployment file of the lab.
+// Deployment is the content of a lab deployment file.
 type Deployment struct {
 	Name            string           `yaml:"name"`
 	Zones           []string         `yaml:"zones"`
@@ -21,14 +21,14 @@
 	TimeScale       float64          `yaml:"time_scale"`
 	ReportLagMillis int              `yaml:"report_lag_ms"`
 	ListLagMillis   int              `yaml:"list_lag_ms"`
-	// Catalog and Workload are files beside this one.
+	// Catalog and Workload are the names of files, relative to this file's directory.
 	Catalog  string `yaml:"catalog"`
 	Workload string `yaml:"workload"`
 
 	directory string
 }
 
-// DeploymentPool is a set of like engines.
+// DeploymentPool is a set of engines with the same model of performance.
 type DeploymentPool struct {
 	Name  string `yaml:"name"`
 	Count int    `yaml:"count"`
@@ -36,7 +36,7 @@
 	Model string `yaml:"model"`
 }
 
-// ReadDeployment reads a deployment file.
+// ReadDeployment reads and validates a deployment file.
 func ReadDeployment(path string) (Deployment, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return total
 }
 
-// Options returns the options to start the deployment with.
+// Options returns the options with which Start runs the deployment.
 func (d Deployment) Options() Options {
 	options := Options{
 		Name: d.Name, Zones: d.Zones, Nodes: d.Nodes, TimeScale: d.TimeScale,
--- a/internal/lab/cluster/interface_test.go
+++ b/internal/lab/cluster/interface_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// answerOf returns the body of a refusal, which has the result code.
+// answerOf returns the body of an error answer, which contains the result code.
 func answerOf(err error) string {
 	var refusal *openaisdk.Error
 	if errors.As(err, &refusal) {
@@ -189,11 +189,12 @@
 	return ""
 }
 
-// TestEnginesMoveBetweenCells: an engine that comes from a cell with a higher fence
-// refuses its new leader until the cell's epoch has passed it.
+// TestEnginesMoveBetweenCells checks that engines can move from a cell with a higher fence to
+// one with a lower fence. An engine refuses orders of its new leader until that cell's epoch,
+// from which its fences are made, has risen above the fence that the engine knows.
 func TestEnginesMoveBetweenCells(t *testing.T) {
 	c, ctx := start(t, 3, 4)
-	// Several leaderships raise the fence of the only cell.
+	// Each new leader raises the fence of the only cell.
 	for range 2 {
 		leader := leaderOf(c, testCell)
 		if leader < 0 {
--- a/internal/lab/cluster/network.go
+++ b/internal/lab/cluster/network.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Network is the way between the nodes of a deployment. While a direction is cut,
-// what is sent in it is held back, as by a network that loses packets which TCP
-// sends again: it arrives late, or never if the connection is given up.
+// Network connects the nodes of a deployment. While a direction is cut, data sent in it is
+// delayed, as when a network loses packets and TCP retransmits them: the data arrives late, or
+// never if the connection times out first.
 type Network struct {
 	mu    sync.Mutex
 	names map[string]string // by peer address
@@ -30,7 +30,7 @@
 	n.names[address] = name
 }
 
-// Cut holds back what one node sends to another.
+// Cut delays all data from one node to another until Heal.
 func (n *Network) Cut(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,13 +56,13 @@
 	return n.names[address]
 }
 
-// dialer returns the way of one node to the others.
+// dialer returns the function with which a node connects to other nodes.
 func (n *Network) dialer(from string) func(context.Context, string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: time.Second}
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		to := n.nameOf(address)
 		if n.isCut(from, to) || n.isCut(to, from) {
-			<-ctx.Done() // a connection needs both directions
+			<-ctx.Done() // connecting needs both directions
 			return nil, ctx.Err()
 		}
 		inner, err := dialer.DialContext(ctx, "tcp", address)
@@ -73,7 +73,7 @@
 	}
 }
 
-// cuttable is a connection whose two directions can be held back.
+// cuttable is a connection of which each direction can be cut.
 type cuttable struct {
 	net.Conn
 	network  *Network
@@ -83,11 +83,11 @@
 
 const (
 	cutPoll = 10 * time.Millisecond
-	// cutPatience is when a sender gives a connection up.
+	// cutPatience is how long data is delayed before the connection times out.
 	cutPatience = 5 * time.Second
 )
 
-// wait returns when the direction is open.
+// wait waits until the direction isn't cut.
 func (c *cuttable) wait(from, to string) error {
 	for waited := time.Duration(0); c.network.isCut(from, to); waited += cutPoll {
 		if c.closed.Load() {
--- a/internal/lab/cluster/partition_test.go
+++ b/internal/lab/cluster/partition_test.go
@@ -12,7 +12,7 @@
 
 const testCell = "cell/pool/0"
 
-// leaderOf returns the number of the node that leads a group, -1 for none.
+// leaderOf returns the index of the node that leads a group, or -1.
 func leaderOf(c *Cluster, group string) int {
 	for i, n := range c.Nodes {
 		if _, leads := n.LedGroups()[group]; leads {
@@ -22,8 +22,8 @@
 	return -1
 }
 
-// TestPartitionedLeader cuts the cell's leader off, in one direction or in both,
-// while callers send keyed and repeatable requests to all nodes.
+// TestPartitionedLeader cuts the network between the leader of the cell and the other nodes, in
+// one direction or in both, while callers send keyed and repeatable requests to all nodes.
 func TestPartitionedLeader(t *testing.T) {
 	cases := []struct {
 		name string
@@ -68,8 +68,8 @@
 	}
 }
 
-// sendKeyed sends each key to all nodes at once. Some may be refused while the
-// network is cut; none may run twice or get another answer.
+// sendKeyed sends a request with each key to all nodes at once. While the network is cut some
+// may be refused, but none may run twice or get an answer to another request.
 func sendKeyed(ctx context.Context, t *testing.T, c *Cluster, prefix string) {
 	t.Helper()
 	var group sync.WaitGroup
--- a/internal/lab/cluster/routes_test.go
+++ b/internal/lab/cluster/routes_test.go
@@ -16,12 +16,11 @@
 	"github.com/tinarch/tinarch/internal/platform/machines"
 )
 
-// board is a plain web application behind tinarch.
+// board is a plain web application to which nodes route requests.
 type board struct {
 	runs, refused atomic.Int64
 	refuses       atomic.Bool
-	// pause is the time in seconds for which it asks to be left alone when it refuses, empty
-	// where it doesn't say.
+	// pause is the Retry-After header of its refusals, in seconds; empty means none.
 	pause string
 }
 
@@ -40,11 +39,12 @@
 	_, _ = io.WriteString(writer, request.URL.RequestURI()+" "+string(body))
 }
 
-// pastBreaker is longer than the breaker avoids a worker that has rejected one request.
+// pastBreaker is longer than the circuit breaker stays open for a worker that has rejected one
+// request.
 const pastBreaker = 300 * time.Millisecond
 
-// TestPlainServicesBehindRoutes: opaque HTTP services are served by host and path
-// on tinarch's own platform, beside the interface of the models.
+// TestPlainServicesBehindRoutes checks that plain HTTP services are served by host and path on
+// the platform that also serves models.
 func TestPlainServicesBehindRoutes(t *testing.T) {
 	c, ctx := start(t, 2, 1)
 	boards := []*board{{pause: "60"}, {}}
--- a/internal/lab/cluster/serve.go
+++ b/internal/lab/cluster/serve.go
@@ -13,7 +13,7 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Ports of served stand-ins, counted from the base port.
+// Offsets of the served ports from the base port.
 const (
 	portTable    = 0
 	portObjects  = 1
@@ -22,8 +22,8 @@
 	portEngines  = 10
 )
 
-// Serve starts a deployment's platform and engines on fixed ports from base on,
-// for nodes that run as processes of their own.
+// Serve starts a deployment's platform services and engines on fixed ports, from base on, for
+// nodes that run in processes of their own.
 func Serve(deployment Deployment, base int) (*Cluster, error) {
 	options := deployment.Options()
 	c := &Cluster{options: options}
@@ -51,7 +51,7 @@
 	return c, nil
 }
 
-// faultRequest is the body of the faults port.
+// faultRequest is the body of POST /faults.
 type faultRequest struct {
 	// Service is table, objects or machines.
 	Service           string  `json:"service"`
@@ -61,8 +61,9 @@
 	LoseAnswers       int     `json:"lose_answers"`
 }
 
-// ServeFaults lets a person fail the platform's services on command:
-// POST /faults with a service and its faults, POST /leaving?engine=NAME.
+// ServeFaults serves an HTTP interface to inject faults by hand. POST /faults sets the faults
+// of a platform service, POST /leaving?engine=NAME marks an engine as about to be removed (with
+// undo set, it removes the mark), and GET /machines returns the machine list without its lag.
 func (c *Cluster) ServeFaults(base int) (*http.Server, error) {
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", base+portFaults))
 	if err != nil {
@@ -131,5 +132,5 @@
 	return nil
 }
 
-// dropEveryCacheEvent: one cache event in this many is lost.
+// dropEveryCacheEvent is the n for which engines drop every n-th cache event.
 const dropEveryCacheEvent = 50
