--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs a deployment of the lab under its workload and shows what
-// callers saw, with one placement policy or several side by side.
+// Package demo runs a lab deployment under its workload, with one or several placement
+// policies, and prints the results that callers saw.
 package demo
 
 import (
@@ -18,12 +18,12 @@
 	labengine "github.com/tinarch/tinarch/internal/lab/engine"
 )
 
-// Options steer a demo.
+// Options configure a demo.
 type Options struct {
 	Deployment cluster.Deployment
-	// Policies are run one after the other, under the same arrivals.
+	// Policies are run one after the other, each with the same request arrivals.
 	Policies []placement.Policy
-	// Seconds replaces the workload's length, zero leaves it.
+	// Seconds replaces the workload's length; zero keeps it.
 	Seconds float64
 	// Rate multiplies all arrival rates.
 	Rate float64
@@ -33,18 +33,19 @@
 	Out        io.Writer
 }
 
-// Run is the outcome of one policy.
+// Run holds the results of one run.
 type Run struct {
 	Policy     placement.Policy   `json:"policy"`
 	StoresDown bool               `json:"stores_down"`
 	Report     *load.Report       `json:"report"`
 	Counters   labengine.Counters `json:"engines"`
-	Doubled    int                `json:"doubled"`
+	// Doubled is the number of requests that must run at most once and ran more often.
+	Doubled int `json:"doubled"`
 }
 
 const startTimeout = 2 * time.Minute
 
-// Execute runs the demo.
+// Execute runs the demo and returns the runs that were completed, also if one fails.
 func Execute(ctx context.Context, options Options) ([]Run, error) {
 	workload, err := load.ReadWorkload(options.Deployment.WorkloadPath())
 	if err != nil {
@@ -55,9 +56,9 @@
 	for number, policy := range options.Policies {
 		for _, storesDown := range []bool{false, true} {
 			if storesDown && (!options.StoresDown || number > 0) {
-				continue // the first policy is enough
+				continue // only the first policy is also run without the stores
 			}
-			run, err := executeOne(ctx, options, workload, policy, storesDown)
+			run, err := executePolicy(ctx, options, workload, policy, storesDown)
 			if err != nil {
 				return runs, err
 			}
@@ -67,25 +68,25 @@
 	return runs, nil
 }
 
-func executeOne(ctx context.Context, options Options, workload load.Workload, policy placement.Policy, storesDown bool) (Run, error) {
+func executePolicy(ctx context.Context, options Options, workload load.Workload, policy placement.Policy, storesDown bool) (Run, error) {
 	clusterOptions := options.Deployment.Options()
 	clusterOptions.Policy = policy
 	fmt.Fprintf(options.Out, "\n== placement policy %s: starting %d nodes and %d engines\n", policy, options.Deployment.Nodes, options.Deployment.EngineCount())
-	running, err := cluster.Start(clusterOptions)
+	lab, err := cluster.Start(clusterOptions)
 	if err != nil {
 		return Run{}, err
 	}
-	defer running.Close()
-	if err := configure(ctx, options, running); err != nil {
+	defer lab.Close()
+	if err := configure(ctx, options, lab); err != nil {
 		return Run{}, err
 	}
 	if storesDown {
-		running.Table.SetFaults(platform.Faults{Down: true})
-		running.Objects.SetFaults(platform.Faults{Down: true})
+		lab.Table.SetFaults(platform.Faults{Down: true})
+		lab.Objects.SetFaults(platform.Faults{Down: true})
 		fmt.Fprintln(options.Out, "   table service and object store are down from now on")
 	}
 	var addresses []string
-	for _, node := range running.Nodes {
+	for _, node := range lab.Nodes {
 		addresses = append(addresses, node.CallersAddress())
 	}
 	report := load.Run(ctx, workload, load.Options{
@@ -95,49 +96,50 @@
 		},
 	})
 	fmt.Fprintln(options.Out)
-	run := Run{Policy: policy, StoresDown: storesDown, Report: report, Counters: running.Counters(), Doubled: report.Doubled(running.Runs())}
+	run := Run{Policy: policy, StoresDown: storesDown, Report: report, Counters: lab.Counters(), Doubled: report.Doubled(lab.Runs())}
 	report.Print(options.Out)
 	fmt.Fprintf(options.Out, "answers lost, cut or crossed: %d; requests run twice that must not be: %d; goodput: %.2f %%\n",
 		report.Wrong(), run.Doubled, 100*report.Goodput())
 	return run, nil
 }
 
-// configure applies the deployment's catalog and waits for its engines.
-func configure(ctx context.Context, options Options, running *cluster.Cluster) error {
-	put, err := catalog.ReadFile(options.Deployment.CatalogPath())
+// configure applies the deployment's catalog and waits until its engines are ready.
+func configure(ctx context.Context, options Options, lab *cluster.Cluster) error {
+	deployed, err := catalog.ReadFile(options.Deployment.CatalogPath())
 	if err != nil {
 		return err
 	}
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := running.Await(startCtx, "nodes that have caught up", func() bool { return running.CaughtUp() }); err != nil {
+	if err := lab.Await(startCtx, "all nodes to know each other and the current revision", func() bool { return lab.CaughtUp() }); err != nil {
 		return err
 	}
-	revision, err := running.Apply(startCtx, put)
+	revision, err := lab.Apply(startCtx, deployed)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(options.Out, "   revision %d in force at all nodes; engines load their models\n", revision)
-	return running.AwaitEngines(startCtx, options.Deployment.EngineCount())
+	return lab.AwaitEngines(startCtx, options.Deployment.EngineCount())
 }
 
-func (r Run) label() string {
+func (r Run) columnLabel() string {
 	if r.StoresDown {
 		return "stores down"
 	}
 	return string(r.Policy)
 }
 
-// Summary compares runs.
+// Summary prints the goodput of each stream by run. It returns an error if a run had wrong
+// answers or ran requests twice that must run at most once.
 func Summary(out io.Writer, runs []Run) error {
 	if len(runs) == 0 {
 		return result.New(result.Internal, "no run was completed")
 	}
 	if len(runs) > 1 {
-		fmt.Fprintln(out, "\n== goodput by stream, same arrivals")
+		fmt.Fprintln(out, "\n== goodput by stream, with the same arrivals")
 		fmt.Fprintf(out, "%-18s", "stream")
 		for _, run := range runs {
-			fmt.Fprintf(out, "%14s", run.label())
+			fmt.Fprintf(out, "%14s", run.columnLabel())
 		}
 		fmt.Fprintln(out)
 		for i, stream := range runs[0].Report.Streams {
--- a/internal/lab/engine/guards_test.go
+++ b/internal/lab/engine/guards_test.go
@@ -30,9 +30,9 @@
 	return engine.Order{ID: engine.NewIdentifier(), Type: kind, Fence: fence, Sequence: sequence, Incarnation: incarnation}
 }
 
-// stale sends a claim of a new leader and then an order of the old one, and
-// returns the latter's code.
-func stale(t *testing.T, e *Engine, client *engine.Client, incarnation engine.Identifier) result.Code {
+// sendStaleOrder sends a claim with a fence and then an order with a lower one, and returns the
+// code of the answer to the order.
+func sendStaleOrder(t *testing.T, e *Engine, client *engine.Client, incarnation engine.Identifier) result.Code {
 	t.Helper()
 	ctx := context.Background()
 	if _, err := client.Order(ctx, e.Address(), order(engine.OrderClaim, 9, 1, incarnation)); err != nil {
@@ -44,21 +44,21 @@
 
 func TestStaleFenceIsRefused(t *testing.T) {
 	e, client, status := startEngine(t, Guards{})
-	if code := stale(t, e, client, status.Incarnation); code != result.FenceStale {
-		t.Errorf("code %s", code)
+	if code := sendStaleOrder(t, e, client, status.Incarnation); code != result.FenceStale {
+		t.Errorf("order with a lower fence than a claim: code %s", code)
 	}
 	if e.Counters().UnfencedOrders != 0 {
 		t.Error("a refused order counts as one that took effect")
 	}
 }
 
-// TestCheckerSeesOrdersWithoutAuthority shows that the counters which fault runs
-// judge by do count once the engine's guards are removed.
+// TestCheckerSeesOrdersWithoutAuthority shows that the counters of orders that must never take
+// effect count them when the engine's checks are disabled.
 func TestCheckerSeesOrdersWithoutAuthority(t *testing.T) {
 	e, client, status := startEngine(t, Guards{Fence: true})
-	stale(t, e, client, status.Incarnation)
+	sendStaleOrder(t, e, client, status.Incarnation)
 	if counters := e.Counters(); counters.UnfencedOrders != 1 || counters.UnclaimedOrders != 1 {
-		t.Errorf("without the fence: %+v", counters)
+		t.Errorf("without the fence check: %+v", counters)
 	}
 	e, client, status = startEngine(t, Guards{Incarnation: true})
 	if _, err := client.Order(context.Background(), e.Address(), order(engine.OrderClaim, 9, 1, status.Incarnation)); err != nil {
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	if counters := e.Counters(); counters.UnfencedOrders != 1 {
-		t.Errorf("without the incarnation: %+v", counters)
+		t.Errorf("without the incarnation check: %+v", counters)
 	}
 }
 
@@ -83,7 +83,7 @@
 		}
 	}
 	if _, err := client.Order(ctx, e.Address(), drain); result.CodeOf(err) != result.FenceStale {
-		t.Errorf("the delayed copy: %v", err)
+		t.Errorf("delayed copy of an order: %v", err)
 	}
 	after, err := client.Status(ctx, e.Address())
 	if err != nil || after.Draining {
@@ -133,14 +133,14 @@
 	if reply, err := client.RefuseUnseen(ctx, e.Address(), status.Incarnation, ticket.Attempt); err != nil || !reply.Seen {
 		t.Errorf("an accepted attempt: reply %+v, error %v", reply, err)
 	}
-	// Once the stream is dropped, that the attempt ran must still be known: else a
+	// After the stream is removed, the engine must still know that the attempt ran: otherwise a
 	// retry with the same key would run again.
 	for e.Counters().Finished == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	e.expire(time.Now().Add(engine.AttemptRetention / 2))
 	if _, err := client.Resume(ctx, e.Address(), status.Incarnation, ticket.Attempt, 1); result.CodeOf(err) != result.StreamUnknown {
-		t.Errorf("the dropped stream: %v", err)
+		t.Errorf("removed stream: %v", err)
 	}
 	if reply, err := client.RefuseUnseen(ctx, e.Address(), status.Incarnation, ticket.Attempt); err != nil || !reply.Seen {
 		t.Errorf("a finished attempt: reply %+v, error %v", reply, err)
--- a/internal/lab/engine/handlers.go
+++ b/internal/lab/engine/handlers.go
@@ -33,7 +33,7 @@
 	router.Get("/engine/v1/cache-events", e.getCacheEvents)
 	router.Get("/engine/v1/kv/{attempt}", e.exportKV)
 	router.Post("/engine/v1/kv", e.importKV)
-	router.Get("/lab/v1/counters", func(w http.ResponseWriter, _ *http.Request) { reply(w, e.Counters()) })
+	router.Get("/lab/v1/counters", func(w http.ResponseWriter, _ *http.Request) { writeReply(w, e.Counters()) })
 	router.Post("/lab/v1/faults", e.postFaults)
 	router.Post("/lab/v1/crash", e.postCrash)
 	return router
@@ -51,12 +51,12 @@
 	})
 }
 
-func reply(w http.ResponseWriter, value any) {
+func writeReply(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func refuse(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	failure := result.From(err)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(engine.HeaderCode, strconv.Itoa(int(failure.Code)))
@@ -64,8 +64,8 @@
 	_ = json.NewEncoder(w).Encode(failure)
 }
 
-// ticketOf reads the ticket of a request. A request without one comes from a
-// caller that talks to the engine directly.
+// ticketOf returns the ticket in the headers of a request. A request without a ticket comes
+// from a client that calls the engine directly; it gets one with a new attempt ID.
 func ticketOf(r *http.Request) (ticket engine.Ticket, present bool) {
 	header := r.Header
 	attempt := header.Get(engine.HeaderAttempt)
@@ -88,17 +88,17 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 		if err != nil {
-			return // the body never came whole: nothing was accepted
+			return // nothing was accepted, as the body is incomplete
 		}
 		request, err := openai.Parse(endpoint, body)
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 		ticket, present := ticketOf(r)
 		s, lose, err := e.accept(endpoint, request, ticket, present)
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 		if e.crashesOn(request.PromptText()) {
@@ -115,14 +115,15 @@
 	}
 }
 
-// crashesOn reports whether a prompt crashes the engine.
+// crashesOn reports whether the current faults make the prompt crash the engine.
 func (e *Engine) crashesOn(prompt string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults.CrashOn != "" && strings.Contains(prompt, e.faults.CrashOn)
 }
 
-// accept checks the ticket and puts the attempt into the batch.
+// accept checks the ticket and adds the attempt to the batch. It also reports whether the reply
+// is to be lost.
 func (e *Engine) accept(endpoint openai.Endpoint, request *openai.Request, ticket engine.Ticket, present bool) (*stream, bool, error) {
 	prompt := request.PromptText()
 	e.mu.Lock()
@@ -171,8 +172,8 @@
 	return s, lose, nil
 }
 
-// checkTicket refuses what is not meant for this engine as it is now. Each
-// refusal proves that the attempt did not run by this ticket.
+// checkTicket refuses a ticket that doesn't match the engine's current state. Unless the code
+// is OutcomeUnknown, the refusal proves that the attempt did not run by this ticket.
 func (e *Engine) checkTicket(ticket engine.Ticket) error {
 	if e.faults.RefuseRequests > 0 {
 		e.faults.RefuseRequests--
@@ -185,7 +186,7 @@
 		return result.New(result.TicketRefused, "attempt %s was cancelled before it arrived", ticket.Attempt)
 	}
 	if _, twice := e.accepted[ticket.Attempt]; twice {
-		// Another copy of the attempt was accepted: this refusal proves nothing.
+		// This only proves that another copy of the request was accepted: the attempt may run.
 		return result.New(result.OutcomeUnknown, "attempt %s was accepted before", ticket.Attempt)
 	}
 	if e.draining || e.changing != nil {
@@ -199,7 +200,7 @@
 	return nil
 }
 
-func (e *Engine) lookup(r *http.Request) (*stream, error) {
+func (e *Engine) findStream(r *http.Request) (*stream, error) {
 	attempt := engine.Identifier(chi.URLParam(r, "attempt"))
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -216,18 +217,18 @@
 func (e *Engine) resumeStream(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil || from < 1 {
-		refuse(w, result.New(result.InvalidRequest, "from must be a positive number"))
+		writeError(w, result.New(result.InvalidRequest, "from must be a positive number"))
 		return
 	}
-	s, err := e.lookup(r)
+	s, err := e.findStream(r)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	e.sendStream(w, r, s, from)
 }
 
-// sendStream writes the events from number first on as they come.
+// sendStream sends the events from number first on, each as soon as it is generated.
 func (e *Engine) sendStream(w http.ResponseWriter, r *http.Request, s *stream, first int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -288,24 +289,25 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if asked != e.incarnation {
-		refuse(w, result.New(result.IncarnationMismatch, "the message is for incarnation %s, this is %s", asked, e.incarnation))
+		writeError(w, result.New(result.IncarnationMismatch, "the message is for incarnation %s, this is %s", asked, e.incarnation))
 		return
 	}
 	_, seen := e.accepted[attempt]
 	if !seen || !onlyUnseen {
 		e.cancelLocked(attempt)
 	}
-	reply(w, engine.CancelReply{Incarnation: e.incarnation, Seen: seen})
+	writeReply(w, engine.CancelReply{Incarnation: e.incarnation, Seen: seen})
 }
 
-// cancel stops an attempt.
+// cancel cancels an attempt.
 func (e *Engine) cancel(attempt engine.Identifier) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cancelLocked(attempt)
 }
 
-// cancelLocked stops an attempt and leaves a tombstone, even for one never seen.
+// cancelLocked cancels an attempt. It leaves a tombstone, so that an attempt that arrives only
+// later is refused.
 func (e *Engine) cancelLocked(attempt engine.Identifier) {
 	e.tombstones[attempt] = true
 	s := e.streams[attempt]
@@ -321,50 +323,50 @@
 func (e *Engine) getCacheEvents(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		refuse(w, result.New(result.InvalidRequest, "from must be a number"))
+		writeError(w, result.New(result.InvalidRequest, "from must be a number"))
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	events, next := e.events.page(from)
-	reply(w, engine.CacheEvents{Incarnation: e.incarnation, Events: events, Next: next})
+	writeReply(w, engine.CacheEvents{Incarnation: e.incarnation, Events: events, Next: next})
 }
 
 func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
-	s, err := e.lookup(r)
+	s, err := e.findStream(r)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(w, s.export(e.incarnation, e.options.Model.BytesPerCachedToken))
+	writeReply(w, s.export(e.incarnation, e.options.Model.BytesPerCachedToken))
 }
 
 func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
 	var export engine.KVExport
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&export); err != nil {
-		refuse(w, result.New(result.InvalidRequest, "the KV export can't be read: %v", err))
+		writeError(w, result.New(result.InvalidRequest, "the KV export can't be read: %v", err))
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.cache.store(export.Blocks)
-	reply(w, struct{}{})
+	writeReply(w, struct{}{})
 }
 
 func (e *Engine) postFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
-		refuse(w, result.New(result.InvalidRequest, "the faults can't be read: %v", err))
+		writeError(w, result.New(result.InvalidRequest, "the faults can't be read: %v", err))
 		return
 	}
 	e.SetFaults(faults)
-	reply(w, struct{}{})
+	writeReply(w, struct{}{})
 }
 
 func (e *Engine) postCrash(w http.ResponseWriter, r *http.Request) {
 	millis, _ := strconv.Atoi(r.URL.Query().Get("down_ms"))
 	e.Crash(time.Duration(millis) * time.Millisecond)
-	reply(w, struct{}{})
+	writeReply(w, struct{}{})
 }
--- a/internal/lab/engine/logs.go
+++ b/internal/lab/engine/logs.go
@@ -18,7 +18,8 @@
 	at    time.Time
 }
 
-// eventLog publishes cache events late and with gaps.
+// eventLog holds cache events. It publishes them after a lag, and drops some if dropEvery is
+// set.
 type eventLog struct {
 	lag       time.Duration
 	dropEvery uint64
@@ -38,13 +39,13 @@
 }
 
 func (l *eventLog) page(from uint64) (page []engine.CacheEvent, next uint64) {
-	published := time.Now().Add(-l.lag)
+	publishedBefore := time.Now().Add(-l.lag)
 	next = from
 	for _, logged := range l.events {
 		if logged.event.Sequence < from {
 			continue
 		}
-		if logged.at.After(published) || len(page) == maxEventsPerPage {
+		if logged.at.After(publishedBefore) || len(page) == maxEventsPerPage {
 			break
 		}
 		page = append(page, logged.event)
@@ -58,7 +59,7 @@
 	at   time.Time
 }
 
-// reportLog publishes load reports with a lag.
+// reportLog holds load reports and publishes them after a lag.
 type reportLog struct {
 	lag     time.Duration
 	reports []loggedReport
--- a/internal/lab/engine/stream.go
+++ b/internal/lab/engine/stream.go
@@ -9,8 +9,8 @@
 	"github.com/tinarch/tinarch/internal/prefix"
 )
 
-// stream is the answer of one attempt. Its text is computed from the seed, so
-// any part of it can be sent again.
+// stream is the answer to an attempt. Its text is computed from the seed, so any part of it can
+// be sent again.
 type stream struct {
 	attempt  engine.Identifier
 	endpoint openai.Endpoint
@@ -21,7 +21,7 @@
 	kvSeed   string
 
 	mu         sync.Mutex
-	written    int
+	generated  int
 	done       bool
 	aborted    bool
 	broken     bool
@@ -34,10 +34,10 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) advance(written int, done bool) {
+func (s *stream) advance(generated int, done bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.written = written
+	s.generated = generated
 	s.done = done
 	s.notify()
 }
@@ -58,14 +58,14 @@
 	return s.done || s.aborted
 }
 
-// snapshot returns the stream's progress and a channel closed at the next one.
-func (s *stream) snapshot() (written int, done, aborted bool, changed <-chan struct{}) {
+// snapshot returns the stream's state and a channel that is closed when it changes.
+func (s *stream) snapshot() (generated int, done, aborted bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.written, s.done, s.aborted, s.changed
+	return s.generated, s.done, s.aborted, s.changed
 }
 
-// breakOnce reports true the first time.
+// breakOnce returns true at the first call only.
 func (s *stream) breakOnce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,7 @@
 	return engine.Usage{
 		OutputTokens: s.sequence.outputTokens,
 		PromptTokens: s.sequence.promptTokens,
-		CachedTokens: s.sequence.cached,
+		CachedTokens: s.sequence.cachedTokens,
 	}
 }
 
--- a/internal/lab/faults/checks.go
+++ b/internal/lab/faults/checks.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// leavingGrace is how long after the mark an engine may still accept work: the
-// list's lag, its reading, and two seconds.
+// leavingGrace is the time for which an engine may still accept work after it was marked
+// leaving: the lag of the machine list, 500 ms until nodes have read it, and two seconds.
 const leavingGrace = listLag + 500*time.Millisecond + 2*time.Second
 
 func (r *run) markLeaving(engine int, leaving bool) {
@@ -20,8 +20,8 @@
 	}
 }
 
-// checkLeaving looks whether a leaving engine got work after its grace. While the
-// machine list can't be read, the mark is not known.
+// checkLeaving checks that a leaving engine got no work after leavingGrace. It checks nothing
+// if the machine list was unavailable, since nodes don't know the mark then.
 func (r *run) checkLeaving(engine int) {
 	r.mu.Lock()
 	since := r.leavingSince[engine]
@@ -31,13 +31,14 @@
 		return
 	}
 	if late := last.Sub(since); late > leavingGrace {
-		r.problem("engine %d accepted work %v after it was marked leaving", engine+1, late)
+		r.addProblem("engine %d accepted work %v after it was marked leaving", engine+1, late)
 	}
 }
 
-// listWasDown reports whether the schedule has the machine list down in a time.
+// listWasDown reports whether the schedule has the machine list down at any time, provided that
+// to is after from.
 func (r *run) listWasDown(from, to time.Time) bool {
-	for _, event := range r.trace {
+	for _, event := range r.schedule {
 		if event.Action == ListDown && to.After(from) {
 			return true
 		}
@@ -45,22 +46,22 @@
 	return false
 }
 
-// checkEngines judges what engines saw.
+// checkEngines checks the violations that the engines counted.
 func (r *run) checkEngines() {
 	total := r.lab.Counters()
 	if total.UnfencedOrders > 0 {
-		r.problem("%d orders took effect under a lower fence than a claim before them", total.UnfencedOrders)
+		r.addProblem("%d orders took effect with a lower fencing token than that of an earlier claim", total.UnfencedOrders)
 	}
 	if total.UnclaimedOrders > 0 {
-		r.problem("%d orders took effect in an incarnation that their leader had not claimed", total.UnclaimedOrders)
+		r.addProblem("%d orders took effect in an incarnation that their leader had not claimed", total.UnclaimedOrders)
 	}
 	if total.CutByOrder > 0 {
-		r.problem("%d attempts were cut by orders", total.CutByOrder)
+		r.addProblem("%d attempts were aborted by orders", total.CutByOrder)
 	}
 }
 
-// checkRecovery waits until all nodes serve the same revision and all engines are
-// ready again, after the last failure.
+// checkRecovery checks that, within settleTime after the last fault, all nodes serve the same
+// revision and all engines are ready.
 func (r *run) checkRecovery(ctx context.Context) {
 	settleCtx, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
@@ -76,6 +77,6 @@
 		return r.servingEngines(settleCtx) == engineCount
 	})
 	if err != nil {
-		r.problem("%v after the last failure, nodes disagree on the revision or not all engines are ready", settleTime)
+		r.addProblem("%v after the last fault, nodes disagree on the revision, a node is not ready or not all engines are ready", settleTime)
 	}
 }
--- a/internal/lab/faults/node.go
+++ b/internal/lab/faults/node.go
@@ -5,19 +5,19 @@
 	"github.com/tinarch/tinarch/internal/settings"
 )
 
-// nodeProcess is a node that runs as a process, with the settings it is started with.
+// nodeProcess is a node in a process of its own, with the settings that it is started with.
 type nodeProcess struct {
 	*process.Node
 	settings *settings.Settings
 }
 
-func newNodeProcess(program, directory string, configured settings.Settings) *nodeProcess {
-	kept := &configured
+func newNodeProcess(program, directory string, nodeSettings settings.Settings) *nodeProcess {
+	kept := &nodeSettings
 	return &nodeProcess{
 		settings: kept,
 		Node: &process.Node{
-			Program: program, Directory: directory, Name: configured.Node.Name, Settings: kept,
-			ReadyURL: "http://" + configured.Listen.Callers + "/readyz",
+			Program: program, Directory: directory, Name: nodeSettings.Node.Name, Settings: kept,
+			ReadyURL: "http://" + nodeSettings.Listen.Callers + "/readyz",
 		},
 	}
 }
--- a/internal/lab/faults/run.go
+++ b/internal/lab/faults/run.go
@@ -17,29 +17,30 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Options steer a run.
+// Options configure a run.
 type Options struct {
 	Seed    uint64
 	Program string
-	// Directory takes settings and logs of the nodes.
+	// Directory is where the nodes' settings and logs are written.
 	Directory string
 	Length    time.Duration
 	Events    int
 }
 
 const (
-	nodeCount   = 4
-	engineCount = 5
-	callerKey   = "member"
-	callerRate  = 40
-	// settleTime is the quiet time at the end, in which all must recover.
-	settleTime   = 12 * time.Second
-	startTimeout = 20 * time.Second
-	startTries   = 3
-	listLag      = 500 * time.Millisecond
+	nodeCount         = 4
+	engineCount       = 5
+	callerKey         = "member"
+	requestsPerSecond = 40
+	// settleTime is the time without faults at the end of a run, within which everything must
+	// recover.
+	settleTime       = 12 * time.Second
+	startTimeout     = 20 * time.Second
+	maxStartAttempts = 3
+	listLag          = 500 * time.Millisecond
 )
 
-// Outcome is what a run showed.
+// Outcome is the result of a run.
 type Outcome struct {
 	Seed     uint64   `json:"seed"`
 	Events   []string `json:"events"`
@@ -53,27 +54,27 @@
 }
 
 type run struct {
-	options Options
-	lab     *cluster.Cluster
-	nodes   []*nodeProcess
-	trace   []Event
+	options  Options
+	lab      *cluster.Cluster
+	nodes    []*nodeProcess
+	schedule []Event
 
 	mu       sync.Mutex
 	problems []string
-	// leavingSince notes when engines were marked leaving.
+	// leavingSince holds the times at which engines were marked leaving.
 	leavingSince map[int]time.Time
 }
 
-// Execute runs one schedule.
+// Execute runs the schedule of one seed.
 func Execute(ctx context.Context, options Options) (Outcome, error) {
 	r := &run{options: options, leavingSince: map[int]time.Time{}}
-	r.trace = NewSchedule(options.Seed, options.Length, options.Events, nodeCount, engineCount)
+	r.schedule = NewSchedule(options.Seed, options.Length, options.Events, nodeCount, engineCount)
 	if err := os.MkdirAll(options.Directory, 0o755); err != nil {
 		return Outcome{}, result.Wrap(err, result.Internal, "making %s", options.Directory)
 	}
 	var err error
-	for range startTries {
-		// A port that was free may be taken by the time a node listens on it.
+	for range maxStartAttempts {
+		// Another process may have taken a free port before a node listens on it.
 		if err = r.start(ctx); err == nil {
 			defer r.close()
 			return r.drive(ctx)
@@ -108,7 +109,7 @@
 		return err
 	}
 	r.lab = lab
-	if err := r.makeNodes(); err != nil {
+	if err := r.configureNodes(); err != nil {
 		return err
 	}
 	for _, n := range r.nodes {
@@ -131,7 +132,7 @@
 	})
 }
 
-func (r *run) makeNodes() error {
+func (r *run) configureNodes() error {
 	var seeds []string
 	for i := range nodeCount {
 		configured := r.lab.NodeSettings(fmt.Sprintf("node-%d", i+1), string(rune('a'+i%3)))
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// drive sends load while the schedule runs, lets all settle, and checks.
+// drive sends requests while the schedule runs, waits for the recovery and does the checks.
 func (r *run) drive(ctx context.Context) (Outcome, error) {
 	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -162,28 +163,28 @@
 		defer sending.Done()
 		callers.send(runCtx, r.options.Length)
 	}()
-	r.playSchedule(runCtx)
+	r.injectSchedule(runCtx)
 	sending.Wait()
 	r.checkRecovery(ctx)
 	watch.stop()
 	r.checkEngines()
 	callers.check()
 	outcome := Outcome{Seed: r.options.Seed, Problems: r.problems, Revision: watch.highest()}
-	for _, event := range r.trace {
+	for _, event := range r.schedule {
 		outcome.Events = append(outcome.Events, event.String())
 	}
 	for _, n := range r.nodes {
 		outcome.Starts += n.Starts()
 	}
-	callers.fill(&outcome)
+	callers.addTo(&outcome)
 	return outcome, nil
 }
 
-// playSchedule plays the events and waits for the last to end.
-func (r *run) playSchedule(ctx context.Context) {
+// injectSchedule injects the faults at their times and waits until the last has ended.
+func (r *run) injectSchedule(ctx context.Context) {
 	began := time.Now()
 	var playing sync.WaitGroup
-	for _, event := range r.trace {
+	for _, event := range r.schedule {
 		select {
 		case <-ctx.Done():
 			return
@@ -192,7 +193,7 @@
 		playing.Add(1)
 		go func() {
 			defer playing.Done()
-			r.play(ctx, event)
+			r.inject(ctx, event)
 		}()
 	}
 	playing.Wait()
@@ -202,7 +203,7 @@
 	}
 }
 
-func (r *run) play(ctx context.Context, event Event) {
+func (r *run) inject(ctx context.Context, event Event) {
 	pause := func() {
 		select {
 		case <-ctx.Done():
@@ -211,17 +212,17 @@
 	}
 	switch event.Action {
 	case KillNode, PauseNode, StopNode:
-		r.playNode(ctx, event, pause)
+		r.injectNodeFault(ctx, event, pause)
 	case TableDown, TableSlow, TableLosesAnswer, ObjectsDown, ListDown:
-		r.playPlatform(event, pause)
+		r.injectPlatformFault(event, pause)
 	case RaceOperators:
 		r.raceOperators(ctx, event)
 	default:
-		r.playEngine(ctx, event, pause)
+		r.injectEngineFault(ctx, event, pause)
 	}
 }
 
-func (r *run) playNode(ctx context.Context, event Event, pause func()) {
+func (r *run) injectNodeFault(ctx context.Context, event Event, pause func()) {
 	n := r.nodes[event.Target]
 	switch event.Action {
 	case PauseNode:
@@ -238,11 +239,11 @@
 	}
 	pause()
 	if err := n.Start(); err != nil {
-		r.problem("node %d could not be started again: %v", event.Target+1, err)
+		r.addProblem("node %d could not be restarted: %v", event.Target+1, err)
 	}
 }
 
-func (r *run) playPlatform(event Event, pause func()) {
+func (r *run) injectPlatformFault(event Event, pause func()) {
 	switch event.Action {
 	case TableDown:
 		r.lab.Table.SetFaults(platform.Faults{Down: true})
@@ -266,7 +267,7 @@
 	}
 }
 
-func (r *run) playEngine(ctx context.Context, event Event, pause func()) {
+func (r *run) injectEngineFault(ctx context.Context, event Event, pause func()) {
 	e := r.lab.Engines[event.Target]
 	switch event.Action {
 	case CrashEngine:
@@ -291,7 +292,7 @@
 	}
 }
 
-func (r *run) problem(format string, arguments ...any) {
+func (r *run) addProblem(format string, arguments ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.problems = append(r.problems, fmt.Sprintf(format, arguments...))
@@ -306,7 +307,7 @@
 	}
 }
 
-// Trace renders a failed run for a reader.
+// Trace formats a failed run with its faults and problems.
 func (o Outcome) Trace() string {
 	text := fmt.Sprintf("seed %d\n", o.Seed)
 	for _, event := range o.Events {
@@ -318,13 +319,14 @@
 	return text
 }
 
-// DirectoryFor returns the directory of a seed's logs.
+// DirectoryFor returns the directory for the files of the seed's run.
 func DirectoryFor(base string, seed uint64) string {
 	return filepath.Join(base, fmt.Sprintf("seed-%d", seed))
 }
 
-// textOf is the answer that engines write to a prompt.
-func textOf(prompt string, tokens int) (string, uint64) {
+// expectedText returns the answer that engines generate for the prompt, and the seed of that
+// text.
+func expectedText(prompt string, tokens int) (string, uint64) {
 	seed := labengine.TextSeed("model", "v", "", prompt)
 	return labengine.Text(seed, tokens), seed
 }
--- a/internal/lab/load/sender.go
+++ b/internal/lab/load/sender.go
@@ -15,10 +15,10 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Answer is what a caller saw of one request.
+// Answer is what a caller saw of a request.
 type Answer struct {
 	Text string
-	// Whole tells that the answer came with its end.
+	// Whole tells that the answer arrived completely, with its end marker if streamed.
 	Whole      bool
 	Code       result.Code
 	CodeName   string
@@ -27,26 +27,26 @@
 	Gaps       []time.Duration
 	Total      time.Duration
 	Usage      *openai.Usage
-	// Attempt is the node's id for the request.
+	// Attempt is the ID that the node gave the request.
 	Attempt string
 }
 
-// Sender sends requests to one or several nodes in turn.
+// Sender sends requests to nodes.
 type Sender struct {
 	client    *http.Client
 	addresses []string
 }
 
-// NewSender returns a sender.
+// NewSender returns a sender to the nodes at the addresses.
 func NewSender(addresses []string) *Sender {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1024, IdleConnTimeout: 30 * time.Second, DisableCompression: true}
 	return &Sender{client: &http.Client{Transport: transport}, addresses: addresses}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (s *Sender) Close() { s.client.CloseIdleConnections() }
 
-type sentRequest struct {
+type completionRequest struct {
 	Model         string         `json:"model"`
 	Prompt        string         `json:"prompt"`
 	MaxTokens     int            `json:"max_tokens"`
@@ -58,11 +58,12 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Send sends one request to the node with the given number, and reads its answer.
+// Send sends a request and reads its answer. number, modulo the number of addresses, selects
+// the node.
 func (s *Sender) Send(ctx context.Context, number int, stream Stream, arrival Arrival, prompt, idempotencyKey string) Answer {
 	began := time.Now()
-	body, err := json.Marshal(sentRequest{
-		Model: stream.Model, Prompt: prompt, MaxTokens: arrival.OutputTokens, Stream: !stream.Whole, StreamOptions: usageWanted(!stream.Whole),
+	body, err := json.Marshal(completionRequest{
+		Model: stream.Model, Prompt: prompt, MaxTokens: arrival.OutputTokens, Stream: !stream.Whole, StreamOptions: streamOptionsFor(!stream.Whole),
 	})
 	if err != nil {
 		return Answer{Code: result.Internal, Message: err.Error()}
@@ -83,23 +84,23 @@
 		return Answer{Code: result.PeerUnavailable, CodeName: "connection", Message: err.Error(), Total: time.Since(began)}
 	}
 	defer response.Body.Close()
-	answer := read(response, began)
+	answer := readAnswer(response, began)
 	answer.Total = time.Since(began)
 	answer.Attempt = response.Header.Get("Tinarch-Attempt")
 	return answer
 }
 
-func usageWanted(streamed bool) *streamOptions {
+func streamOptionsFor(streamed bool) *streamOptions {
 	if !streamed {
 		return nil
 	}
 	return &streamOptions{IncludeUsage: true}
 }
 
-func read(response *http.Response, began time.Time) Answer {
+func readAnswer(response *http.Response, began time.Time) Answer {
 	if response.StatusCode != http.StatusOK {
 		content, _ := io.ReadAll(io.LimitReader(response.Body, 1<<20))
-		return refusal(content, response.StatusCode)
+		return parseError(content, response.StatusCode)
 	}
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
 		return readStream(response.Body, began)
@@ -111,7 +112,7 @@
 	return Answer{Text: *whole.Choices[0].Text, Whole: true, Usage: whole.Usage, FirstToken: time.Since(began)}
 }
 
-func refusal(content []byte, status int) Answer {
+func parseError(content []byte, status int) Answer {
 	var body openai.ErrorBody
 	if json.Unmarshal(content, &body) != nil || body.Error.Number == 0 {
 		return Answer{Code: result.Internal, CodeName: fmt.Sprint("status ", status), Message: string(content)}
@@ -139,7 +140,7 @@
 			break
 		}
 		if bytes.HasPrefix(data, []byte(`{"error"`)) {
-			answer = refusal(data, http.StatusOK)
+			answer = parseError(data, http.StatusOK)
 			break
 		}
 		now := time.Now()
@@ -157,7 +158,8 @@
 	return answer
 }
 
-// appendChunk reports whether the chunk held text.
+// appendChunk adds a chunk of a stream to the answer. It reports whether the chunk contained
+// text.
 func appendChunk(answer *Answer, text *strings.Builder, data []byte) bool {
 	var chunk openai.Answer
 	if json.Unmarshal(data, &chunk) != nil {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,5 +1,5 @@
-// Package scale measures how a node's costs grow: many hollow nodes, which have
-// no callers, share a process and a table that is throttled.
+// Package scale measures how the costs of a node grow with the number of nodes. All nodes run
+// in one process, serve no callers and share a throttled table.
 package scale
 
 import (
@@ -20,37 +20,38 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// NodeCosts is what hollow nodes cost, each.
+// NodeCosts holds the costs of nodes that serve no callers.
 type NodeCosts struct {
 	Count int `json:"nodes"`
-	// ProcessorPercent is the share of one core that a node takes.
+	// ProcessorPercent is the CPU time of a node in percent of one core.
 	ProcessorPercent float64 `json:"processor_percent_per_node"`
 	SentBytes        float64 `json:"sent_bytes_per_second_per_node"`
 	ReceivedBytes    float64 `json:"received_bytes_per_second_per_node"`
 	MemoryMegabytes  float64 `json:"heap_mb_per_node"`
 	TableRequests    float64 `json:"table_requests_per_second"`
-	// Rollouts are the times until a revision was in force at all nodes that ran
-	// all the time, in seconds.
+	// Rollouts are the times in seconds until a revision was in force at all nodes that were
+	// not restarted.
 	Rollouts []float64 `json:"rollout_seconds"`
-	// Restarted counts the nodes that were restarted meanwhile.
+	// Restarted is the number of nodes that were replaced during the rollouts.
 	Restarted int `json:"restarted"`
 }
 
 const (
-	tableRate     = 10
-	startBatch    = 20
-	quietTime     = 12 * time.Second
-	settlePerNode = 150 * time.Millisecond
-	rollouts      = 5
-	joinTimeout   = 4 * time.Minute
-	restartShare  = 10
-	applyTries    = 5
-	rolloutLimit  = 30 * time.Second
-	restartWindow = 20 * time.Second
+	tableRequestsPerSecond = 10
+	startBatchSize         = 20
+	idleTime               = 12 * time.Second
+	settleTimePerNode      = 150 * time.Millisecond
+	rolloutCount           = 5
+	joinTimeout            = 4 * time.Minute
+	nodesPerRestart        = 10
+	maxApplyAttempts       = 5
+	rolloutTimeout         = 30 * time.Second
+	replacementWindow      = 20 * time.Second
 )
 
-// MeasureNodeCosts runs count hollow nodes, measures them at rest, then applies
-// revisions while one node in ten is restarted.
+// MeasureNodeCosts starts count nodes and measures their costs while they are idle. Then it
+// applies revisions and measures how long they take to reach all nodes while one node in ten is
+// replaced.
 func MeasureNodeCosts(ctx context.Context, count int, show func(string)) (NodeCosts, error) {
 	c, err := cluster.Start(cluster.Options{Name: "scale", Zones: zones(19), LedgerGroups: max(1, count/24)})
 	if err != nil {
@@ -61,15 +62,15 @@
 		return NodeCosts{}, err
 	}
 	show(fmt.Sprintf("%d nodes know each other", count))
-	c.Table.SetFaults(platform.Faults{RequestsPerSecond: tableRate})
+	c.Table.SetFaults(platform.Faults{RequestsPerSecond: tableRequestsPerSecond})
 	measured := NodeCosts{Count: count}
 	if err := applyOnce(ctx, c, 0); err != nil {
 		return measured, err
 	}
-	// The news of so many joins spreads on for a while after all are known.
-	sleep(ctx, 5*time.Second+time.Duration(count)*settlePerNode)
-	measureRest(ctx, c, &measured)
-	show(fmt.Sprintf("at rest: %.2f %% of a core, %.0f B/s sent, %.1f MB a node", measured.ProcessorPercent, measured.SentBytes, measured.MemoryMegabytes))
+	// News of the joins goes on spreading for a while after all nodes are known.
+	sleep(ctx, 5*time.Second+time.Duration(count)*settleTimePerNode)
+	measureIdle(ctx, c, &measured)
+	show(fmt.Sprintf("idle: %.2f %% of a core, %.0f B/s sent, %.1f MB a node", measured.ProcessorPercent, measured.SentBytes, measured.MemoryMegabytes))
 	return measured, measureRollouts(ctx, c, &measured)
 }
 
@@ -88,7 +89,7 @@
 	}
 }
 
-// join starts the nodes and waits until each knows all.
+// join starts the nodes and waits until each node knows all others.
 func join(ctx context.Context, c *cluster.Cluster, count int) error {
 	joinCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -96,7 +97,7 @@
 		if _, err := c.AddNode(); err != nil {
 			return err
 		}
-		if i%startBatch == 0 {
+		if i%startBatchSize == 0 {
 			sleep(joinCtx, 200*time.Millisecond)
 		}
 	}
@@ -120,12 +121,12 @@
 	return sent, received
 }
 
-func measureRest(ctx context.Context, c *cluster.Cluster, measured *NodeCosts) {
+func measureIdle(ctx context.Context, c *cluster.Cluster, measured *NodeCosts) {
 	usedBefore := processorTime()
 	sentBefore, receivedBefore := traffic(c)
 	tableBefore := c.Table.Requests()
 	began := time.Now()
-	sleep(ctx, quietTime)
+	sleep(ctx, idleTime)
 	seconds, count := time.Since(began).Seconds(), float64(measured.Count)
 	sent, received := traffic(c)
 	measured.ProcessorPercent = 100 * (processorTime() - usedBefore).Seconds() / seconds / count
@@ -138,17 +139,17 @@
 	measured.MemoryMegabytes = float64(memory.HeapInuse+memory.StackInuse) / (1 << 20) / count
 }
 
-// measureRollouts applies revisions while nodes are restarted.
+// measureRollouts times the rollouts of several revisions while nodes are replaced.
 func measureRollouts(ctx context.Context, c *cluster.Cluster, measured *NodeCosts) error {
-	restarting := make(chan error, 1)
-	steady := slices.Clone(c.Nodes)
-	victims := len(c.Nodes) / restartShare
-	go func() { restarting <- restart(ctx, c, victims) }()
-	steady = steady[victims:]
-	for number := 1; number <= rollouts; number++ {
+	replaced := make(chan error, 1)
+	kept := slices.Clone(c.Nodes)
+	replacedCount := len(c.Nodes) / nodesPerRestart
+	go func() { replaced <- replaceNodes(ctx, c, replacedCount) }()
+	kept = kept[replacedCount:]
+	for number := 1; number <= rolloutCount; number++ {
 		seconds, err := timeRollout(ctx, c, number, func() bool {
 			revision := c.Nodes[len(c.Nodes)-1].Revision()
-			for _, n := range steady {
+			for _, n := range kept {
 				if n.Revision() < max(revision, uint64(number+1)) {
 					return false
 				}
@@ -159,20 +160,20 @@
 			return err
 		}
 		measured.Rollouts = append(measured.Rollouts, seconds)
-		sleep(ctx, restartWindow/rollouts)
+		sleep(ctx, replacementWindow/rolloutCount)
 	}
-	measured.Restarted = victims
-	return <-restarting
+	measured.Restarted = replacedCount
+	return <-replaced
 }
 
-// restart replaces the first nodes by new processes of other names, one after
-// the other.
-func restart(ctx context.Context, c *cluster.Cluster, victims int) error {
-	if victims == 0 {
+// replaceNodes stops the first nodes, one after the other, and starts a node of a new name in
+// place of each.
+func replaceNodes(ctx context.Context, c *cluster.Cluster, count int) error {
+	if count == 0 {
 		return nil
 	}
-	pause := restartWindow / time.Duration(victims)
-	for i := range victims {
+	pause := replacementWindow / time.Duration(count)
+	for i := range count {
 		c.Nodes[i].Close()
 		replacement, err := c.StartNode(fmt.Sprintf("replacement-%d", i), "zone-01")
 		if err != nil {
@@ -189,13 +190,13 @@
 	if err := applyOnce(ctx, c, number); err != nil {
 		return 0, err
 	}
-	waitCtx, cancel := context.WithTimeout(ctx, rolloutLimit)
+	waitCtx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
-	err := c.Await(waitCtx, "the revision everywhere", everywhere)
+	err := c.Await(waitCtx, "the revision to be in force at all nodes", everywhere)
 	return time.Since(began).Seconds(), err
 }
 
-// applyOnce makes one small change at the last node.
+// applyOnce applies a change of one tenant at the last node.
 func applyOnce(ctx context.Context, c *cluster.Cluster, number int) error {
 	last := c.Nodes[len(c.Nodes)-1]
 	request := &tinarchv1.ApplyRequest{
@@ -206,9 +207,9 @@
 		},
 	}
 	var err error
-	for range applyTries {
-		// The throttled table may refuse; the same operation is sent again, as an
-		// operator would.
+	for range maxApplyAttempts {
+		// The throttled table may refuse the write. The retry has the same operation ID, as an
+		// operator's would, so that the change is applied once.
 		if _, err = c.Catalog(last).Apply(ctx, connect.NewRequest(request)); err == nil {
 			return nil
 		}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -20,35 +20,38 @@
 	"github.com/tinarch/tinarch/internal/result"
 )
 
-// Pool is a set of like engines.
+// Pool is a set of engines with the same model of performance.
 type Pool struct {
 	Name  string
 	Count int
 	Model labengine.Model
 }
 
-// Options describe a simulation.
+// Options configure a simulation.
 type Options struct {
 	Pools    []Pool
 	Zones    []string
 	Catalog  *tinarchv1.Catalog
 	Workload load.Workload
 	Policy   placement.Policy
-	// Fleets repeats the whole deployment, each with the workload's rates of its
-	// own: it is how the cost of size is measured.
+	// Fleets is the number of copies of the deployment, each with the full rates of the
+	// workload. It is used to measure how the cost of a simulation grows with its size.
 	Fleets int
 }
 
-// The modelled network: gateway to leader and back, and gateway to engine.
+// leaderDelay and engineDelay are the network delays in one direction, between gateway and
+// leader and between gateway and engine. Engine statuses are polled and expired requests
+// removed at fixed intervals. The simulation runs on for drainTime after the end of the
+// workload.
 const (
-	tripToLeader = 500 * time.Microsecond
-	tripToEngine = 500 * time.Microsecond
-	statusEvery  = time.Second
-	expireEvery  = 50 * time.Millisecond
-	drainTime    = 60 * time.Second
+	leaderDelay    = 500 * time.Microsecond
+	engineDelay    = 500 * time.Microsecond
+	statusInterval = time.Second
+	expireInterval = 50 * time.Millisecond
+	drainTime      = 60 * time.Second
 )
 
-// Stream is what callers of one stream saw.
+// Stream holds what the callers of one stream saw.
 type Stream struct {
 	Name       string
 	Sent       int
@@ -59,17 +62,17 @@
 	gaps       *hdrhistogram.Histogram
 }
 
-// Report is the outcome of a simulation.
+// Report holds the results of a simulation.
 type Report struct {
 	Streams      []*Stream
 	PromptTokens int64
 	CachedTokens int64
 	OutputTokens int64
-	// Events counts the simulated events.
+	// Events is the number of events that were scheduled.
 	Events uint64
 }
 
-// Goodput returns the share of requests answered within their deadline.
+// Goodput returns the share of all requests that were answered within their deadline.
 func (r *Report) Goodput() float64 {
 	sent, good := 0, 0
 	for _, s := range r.Streams {
@@ -79,20 +82,20 @@
 	return float64(good) / float64(max(sent, 1))
 }
 
-// Goodput returns the goodput of one stream.
+// Goodput returns the share of the stream's requests that were answered within their deadline.
 func (s *Stream) Goodput() float64 { return float64(s.InDeadline) / float64(max(s.Sent, 1)) }
 
-// FirstTokenMillis returns a quantile of the time to the first token.
+// FirstTokenMillis returns a percentile (0 to 100) of the time to the first token.
 func (s *Stream) FirstTokenMillis(quantile float64) float64 {
 	return float64(s.firstToken.ValueAtQuantile(quantile)) / 1000
 }
 
-// GapMillis returns a quantile of the time between tokens.
+// GapMillis returns a percentile (0 to 100) of the time between tokens.
 func (s *Stream) GapMillis(quantile float64) float64 {
 	return float64(s.gaps.ValueAtQuantile(quantile)) / 1000
 }
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
 	clock
 	options  Options
@@ -119,12 +122,12 @@
 }
 
 type request struct {
-	arrival  load.Arrival
-	stream   int
-	cell     *simCell
-	chain    []prefix.Hash
-	deadline time.Duration
-	lastAt   time.Duration
+	arrival     load.Arrival
+	stream      int
+	cell        *simCell
+	chain       []prefix.Hash
+	deadline    time.Duration
+	lastTokenAt time.Duration // time of the last token, or of the arrival before the first
 }
 
 // Run simulates a deployment under its workload.
@@ -151,7 +154,7 @@
 		s.scheduleArrivals(fleet)
 	}
 	s.clock.run(time.Duration(options.Workload.Seconds*float64(time.Second)) + drainTime)
-	s.report.Events = s.made
+	s.report.Events = s.scheduled
 	return s.report, nil
 }
 
@@ -163,7 +166,8 @@
 	}
 }
 
-// addCell makes a cell whose engines are claimed and serve what is asked for.
+// addCell adds a cell with count engines of the pool and brings the engines to the deployments
+// that the cell wants.
 func (s *simulation) addCell(fleet int, pool Pool, first, count int) {
 	c := &simCell{
 		sim: s, engines: map[string]*simEngine{},
@@ -183,11 +187,12 @@
 	c.settle()
 	s.cells = append(s.cells, c)
 	s.byPool[pool.Name] = append(s.byPool[pool.Name], c)
-	s.after(statusEvery, c.pollStatus)
-	s.after(expireEvery, c.expire)
+	s.after(statusInterval, c.pollStatus)
+	s.after(expireInterval, c.expire)
 }
 
-// settle brings the engines to what is asked for before the simulation begins.
+// settle lets the cell claim its engines and deploy models to them before the simulation
+// begins, in a fixed number of rounds of status reports and orders.
 func (c *simCell) settle() {
 	const rounds = 8
 	for range rounds {
@@ -197,13 +202,13 @@
 		}
 		for _, instruction := range c.state.Reconcile(c.sim.now) {
 			e := c.engines[instruction.Engine]
-			e.obey(instruction.Order)
+			e.applyOrder(instruction.Order)
 			c.state.HandleOrderResult(c.sim.now, instruction, e.status, nil)
 		}
 	}
 }
 
-func (e *simEngine) obey(order engine.Order) {
+func (e *simEngine) applyOrder(order engine.Order) {
 	e.status.Fence, e.status.LastOrder = order.Fence, order.ID
 	switch order.Type {
 	case engine.OrderDrain:
@@ -222,18 +227,18 @@
 		c.state.ObserveStatus(c.sim.now, e.name, e.status)
 		c.state.ObserveCacheEvents(c.sim.now, e.name, engine.CacheEvents{Incarnation: e.status.Incarnation, Events: e.virtual.CacheEvents()})
 	}
-	c.sim.after(statusEvery, c.pollStatus)
+	c.sim.after(statusInterval, c.pollStatus)
 }
 
 func (c *simCell) expire() {
 	c.refuse(c.state.Expire(c.sim.now))
 	c.dispatch()
-	c.sim.after(expireEvery, c.expire)
+	c.sim.after(expireInterval, c.expire)
 }
 
 func (c *simCell) refuse(refused []cell.Refused) {
 	for _, r := range refused {
-		c.sim.refused(r.Attempt, r.Err)
+		c.sim.recordRefusal(r.Attempt, r.Err)
 	}
 }
 
@@ -241,17 +246,17 @@
 	for _, placed := range c.state.Dispatch(c.sim.now) {
 		r := c.sim.requests[placed.Attempt]
 		e := c.engines[placed.Ticket.Engine]
-		c.sim.after(tripToLeader+tripToEngine, func() { e.accept(placed, r) })
+		c.sim.after(leaderDelay+engineDelay, func() { e.accept(placed, r) })
 	}
 }
 
-func (s *simulation) refused(attempt engine.Identifier, err error) {
+func (s *simulation) recordRefusal(attempt engine.Identifier, err error) {
 	r := s.requests[attempt]
 	delete(s.requests, attempt)
 	s.report.Streams[r.stream].Refused[result.CodeOf(err).Entry().Name]++
 }
 
-// scheduleArrivals puts a fleet's arrivals into the clock.
+// scheduleArrivals schedules the arrivals of one fleet, with a seed of its own.
 func (s *simulation) scheduleArrivals(fleet int) {
 	workload := s.options.Workload
 	workload.Seed += uint64(fleet) * 1_000_003
@@ -272,18 +277,18 @@
 	}
 	r := &request{
 		arrival: arrival, stream: arrival.Stream, cell: cells[number%len(cells)], chain: chain,
-		deadline: s.now + time.Duration(stream.DeadlineMillis)*time.Millisecond, lastAt: s.now,
+		deadline: s.now + time.Duration(stream.DeadlineMillis)*time.Millisecond, lastTokenAt: s.now,
 	}
 	s.requests[attempt] = r
 	s.report.Streams[arrival.Stream].Sent++
-	s.after(tripToLeader, func() {
+	s.after(leaderDelay, func() {
 		shed, err := r.cell.state.Enqueue(s.now, cell.PlaceRequest{
 			Attempt: attempt, Tenant: s.tenantOf(arrival.Key), Kind: stream.Kind, PromptTokens: promptTokens, OutputTokens: arrival.OutputTokens,
 			Prefix: chain, DeadlineMillis: (r.deadline - s.now).Milliseconds(),
 		})
 		r.cell.refuse(shed)
 		if err != nil {
-			s.refused(attempt, err)
+			s.recordRefusal(attempt, err)
 			return
 		}
 		r.cell.dispatch()
@@ -298,8 +303,8 @@
 	return tenant.GetName()
 }
 
-// prompt returns the prefix identifiers and the length of a prompt, without
-// writing its text.
+// prompt returns the prefix hashes and the length in tokens of a prompt without generating its
+// text.
 func (s *simulation) prompt(fleet int, stream load.Stream, arrival load.Arrival) ([]prefix.Hash, int) {
 	shared := 0
 	if arrival.Text >= 0 {
@@ -318,7 +323,7 @@
 	return chain, tokens
 }
 
-// accept gives an attempt to the engine.
+// accept starts an attempt at the engine.
 func (e *simEngine) accept(placed cell.Placed, r *request) {
 	shared := len(r.chain)
 	e.virtual.Accept(labengine.VirtualRequest{
@@ -331,7 +336,7 @@
 	}
 }
 
-// iterate runs one iteration after the other while there is work.
+// iterate schedules the end of the next batch iteration, and goes on until the engine is idle.
 func (e *simEngine) iterate() {
 	e.cell.sim.after(e.virtual.Begin(), func() {
 		for _, p := range e.virtual.Finish() {
@@ -349,25 +354,25 @@
 	s := e.cell.sim
 	r := s.requests[p.Attempt]
 	stream := s.report.Streams[r.stream]
-	since := (s.now - r.lastAt).Microseconds()
-	r.lastAt = s.now
+	since := (s.now - r.lastTokenAt).Microseconds()
+	r.lastTokenAt = s.now
 	s.report.OutputTokens++
 	if p.Written == 1 {
 		_ = stream.firstToken.RecordValue(max(since, 1))
-		s.after(tripToEngine+tripToLeader, func() { e.cell.report(cell.Progress{Attempt: p.Attempt, Type: cell.ProgressFirstToken}) })
+		s.after(engineDelay+leaderDelay, func() { e.cell.report(cell.Progress{Attempt: p.Attempt, Type: cell.ProgressFirstToken}) })
 	} else {
 		_ = stream.gaps.RecordValue(max(since, 1))
 	}
 	if !p.Done {
 		return
 	}
-	if s.now+tripToEngine <= r.deadline {
+	if s.now+engineDelay <= r.deadline {
 		stream.InDeadline++
 	} else {
 		stream.Late++
 	}
 	delete(s.requests, p.Attempt)
-	s.after(tripToEngine+tripToLeader, func() { e.cell.report(cell.Progress{Attempt: p.Attempt, Type: cell.ProgressDone}) })
+	s.after(engineDelay+leaderDelay, func() { e.cell.report(cell.Progress{Attempt: p.Attempt, Type: cell.ProgressDone}) })
 }
 
 func (c *simCell) report(progress cell.Progress) {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestPrefixAffinityBeatsBlindPlacement holds the default policy against the
-// baselines under the same arrivals.
+// TestPrefixAffinityBeatsBlindPlacement checks that the default policy has a higher goodput
+// than the baselines with the same arrivals.
 func TestPrefixAffinityBeatsBlindPlacement(t *testing.T) {
 	ours := run(t, options(t, placement.PolicyPredicted)).Goodput()
 	for _, baseline := range []placement.Policy{placement.PolicyRoundRobin, placement.PolicyLeastLoaded} {
@@ -77,7 +77,7 @@
 	report := run(t, o)
 	for _, stream := range report.Streams {
 		if stream.Name == "report-status" && stream.Goodput() < 0.999 {
-			t.Errorf("portal requests in time: %.4f", stream.Goodput())
+			t.Errorf("share of portal requests answered within the deadline: %.4f, want at least 0.999", stream.Goodput())
 		}
 	}
 }
--- a/internal/lab/virtual/claims.go
+++ b/internal/lab/virtual/claims.go
@@ -13,32 +13,33 @@
 	"github.com/tinarch/tinarch/internal/replica"
 )
 
-// Guard is a part of the protocol that a run may leave out, to show that the
-// checkers then report.
+// Guard names a safety mechanism of the protocol that a run can leave out, to show that the
+// checks then report a violation.
 type Guard string
 
-// The guards.
+// The mechanisms that a run can leave out.
 const (
 	NoGuard Guard = ""
-	// GuardPromise: followers keep their promise to a leader.
+	// GuardPromise is the followers' promise to the leader not to vote for another member while
+	// its lease runs.
 	GuardPromise Guard = "promise"
-	// GuardClaim: the ledger does not grant a key twice.
+	// GuardClaim is the ledger's rule that a key is granted to one attempt only.
 	GuardClaim Guard = "claim"
 )
 
-// Outcome is what a schedule showed.
+// Outcome is the result of one schedule.
 type Outcome struct {
 	Seed    uint64
 	Claims  int
 	Granted int
 	Unknown int
-	// Trace lists the failures of the schedule.
+	// Trace lists the faults that the schedule injected, with their times.
 	Trace []string
-	// Problem is the first broken guarantee, empty when all held.
+	// Problem describes the first violated guarantee; it is empty if all held.
 	Problem string
 }
 
-// String renders a failed schedule for a reader.
+// String formats a failed schedule with its faults.
 func (o Outcome) String() string {
 	text := fmt.Sprintf("seed %d\n", o.Seed)
 	for _, line := range o.Trace {
@@ -47,10 +48,10 @@
 	return text + "  PROBLEM: " + o.Problem + "\n"
 }
 
-// greedyLedger grants every claim.
+// greedyLedger grants every claim, also of a key that is already granted.
 type greedyLedger struct{ *ledger.Ledger }
 
-// Apply implements Machine.
+// Apply implements StateMachine.
 func (g greedyLedger) Apply(data []byte) any {
 	outcome := g.Ledger.Apply(data)
 	var command ledger.Command
@@ -61,9 +62,10 @@
 	return outcome
 }
 
+// plainLedger is the ledger as it is, with the methods of a StateMachine.
 type plainLedger struct{ *ledger.Ledger }
 
-// Apply implements Machine.
+// Apply implements StateMachine.
 func (p plainLedger) Apply(data []byte) any { return p.Ledger.Apply(data) }
 
 type claimInput struct {
@@ -71,8 +73,8 @@
 	attempt engine.Identifier
 }
 
-// claimModel is the sequential specification: the first claim of a key wins, and
-// all see it. An empty output is one that the caller never learned.
+// claimModel is the sequential specification: the first claim of a key wins, and every later
+// claim returns the winner. An empty output means that the caller never learned the result.
 var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -103,37 +105,40 @@
 const (
 	claimKeys     = 6
 	scheduleSteps = 30
-	longestPause  = 1500
-	healTime      = 8 * time.Second
+	maxStepMillis = 1500
+	recoveryTime  = 8 * time.Second
 )
 
-// RunClaims runs one schedule of failures while clients race for keys, and checks
-// leases, agreement, and that claims are linearizable.
+// RunClaims runs one schedule of random faults while clients claim the same keys. It checks
+// that at most one member holds the lease, that all members apply the same commands, and that
+// the claims are linearizable.
 func RunClaims(seed uint64, without Guard) Outcome {
 	settings := replica.DefaultSettings()
 	settings.MaxLog = 16
-	var settingsOf func(int) replica.Settings
+	var settingsFor func(int) replica.Settings
 	if without == GuardPromise {
-		settingsOf = func(i int) replica.Settings {
+		settingsFor = func(i int) replica.Settings {
 			own := settings
 			if i > 0 {
-				// A follower that forgets its promise at once.
+				// As a follower its promise lasts for 1 ms. As a leader it holds the lease
+				// for about as long as the others: the negative margin makes up for the
+				// short lease.
 				own.Lease = time.Millisecond
 				own.DriftMargin = -settings.Lease
 			}
 			return own
 		}
 	}
-	machine := func() StateMachine { return plainLedger{ledger.New()} }
+	newMachine := func() StateMachine { return plainLedger{ledger.New()} }
 	if without == GuardClaim {
-		machine = func() StateMachine { return greedyLedger{ledger.New()} }
+		newMachine = func() StateMachine { return greedyLedger{ledger.New()} }
 	}
 	r := &claimRun{
-		cluster: NewCluster(seed, settings, machine, settingsOf),
+		cluster: NewCluster(seed, settings, newMachine, settingsFor),
 		random:  rand.New(rand.NewPCG(seed, 0xc1a1)),
 		outcome: Outcome{Seed: seed},
 	}
-	r.play()
+	r.run()
 	return r.outcome
 }
 
@@ -144,26 +149,26 @@
 	history []porcupine.Operation
 }
 
-func (r *claimRun) play() {
+func (r *claimRun) run() {
 	r.cluster.Loss = r.random.Float64() * 0.3
 	for range scheduleSteps {
-		r.fail()
+		r.injectFault()
 		for range 3 {
 			r.claim()
 		}
-		length := time.Duration(10+r.random.IntN(longestPause)) * time.Millisecond
+		length := time.Duration(10+r.random.IntN(maxStepMillis)) * time.Millisecond
 		if err := r.cluster.Run(length); err != nil {
 			r.outcome.Problem = err.Error()
 			return
 		}
 	}
 	r.cluster.Heal()
-	if err := r.cluster.Run(healTime); err != nil {
+	if err := r.cluster.Run(recoveryTime); err != nil {
 		r.outcome.Problem = err.Error()
 		return
 	}
 	if !r.claim() {
-		r.outcome.Problem = "the group did not recover"
+		r.outcome.Problem = "no member accepts a claim after all faults have ended"
 		return
 	}
 	if err := r.cluster.Run(time.Second); err != nil {
@@ -171,11 +176,11 @@
 		return
 	}
 	if !porcupine.CheckOperations(claimModel, r.history) {
-		r.outcome.Problem = "the claims are not linearizable: a key was granted twice, or forgotten"
+		r.outcome.Problem = "the claims are not linearizable: a key was granted twice or a grant was lost"
 	}
 }
 
-func (r *claimRun) fail() {
+func (r *claimRun) injectFault() {
 	n := r.cluster.Nodes[r.random.IntN(MemberCount)]
 	var what string
 	switch r.random.IntN(5) {
@@ -184,18 +189,18 @@
 		what = fmt.Sprintf("%s paused: %v", n.ID, n.Paused)
 	case 1:
 		n.Cut = !n.Cut
-		what = fmt.Sprintf("%s cut off: %v", n.ID, n.Cut)
+		what = fmt.Sprintf("%s partitioned: %v", n.ID, n.Cut)
 	case 2:
 		n.Member.HandOver(n.Clock(r.cluster.Now))
 		r.cluster.ProcessReady(n)
-		what = fmt.Sprintf("%s hands its lease over", n.ID)
+		what = fmt.Sprintf("%s transfers leadership", n.ID)
 	default:
 		return
 	}
 	r.outcome.Trace = append(r.outcome.Trace, fmt.Sprintf("%8v  %s", r.cluster.Now, what))
 }
 
-// claim lets a client claim some key.
+// claim proposes a claim of a random key. It reports whether a leader accepted the proposal.
 func (r *claimRun) claim() bool {
 	input := claimInput{key: fmt.Sprint("key-", r.random.IntN(claimKeys)), attempt: engine.Identifier(fmt.Sprint("attempt-", r.outcome.Claims))}
 	data, err := json.Marshal(ledger.Command{
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -12,7 +12,8 @@
 	}
 }
 
-// TestCheckersReportRemovedGuards shows that the checkers can fail.
+// TestCheckersReportRemovedGuards shows that each check fails when the mechanism that it checks
+// is left out.
 func TestCheckersReportRemovedGuards(t *testing.T) {
 	for _, guard := range []Guard{GuardPromise, GuardClaim} {
 		reported := false
@@ -20,7 +21,7 @@
 			reported = RunClaims(seed, guard).Problem != ""
 		}
 		if !reported {
-			t.Errorf("50 schedules without guard %q, and no checker reported", guard)
+			t.Errorf("no violation found in 50 schedules without guard %q", guard)
 		}
 	}
 }
